--- a/scripts/unit.sh
+++ b/scripts/unit.sh
@@ -13,4 +13,3 @@
   sed 's/^/  /' KNOWN-RED.txt
 fi
 "$go" test -race -count=1 "${skip[@]}" ./...
-"$go" test -count=1 "${skip[@]}" ./internal/rollout
