--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # make demo  builds everything and shows the main job on embedded stand-ins
 # make test  runs every check and every test
-.PHONY: demo test check unit fuzz generate bench-convergence bench-recovery bench-requests emulate soak
+.PHONY: demo test check unit fuzz generate emulate soak
 
 GO ?= go
 
@@ -26,15 +26,6 @@
 	$(GO) run github.com/bufbuild/buf/cmd/buf@v1.71.0 generate
 	$(GO) run ./cmd/lapislab error-table > docs/ERRORS.md
 
-bench-convergence:
-	$(GO) run ./cmd/lapislab convergence
-
-bench-recovery:
-	$(GO) run ./cmd/lapislab recovery
-
-bench-requests:
-	$(GO) run ./cmd/lapislab requests
-
 # Plays a short day on the emulated platform; fails when a promise is broken.
 emulate:
 	$(GO) run ./cmd/lapislab emulate
--- a/internal/emulator/objectstore/server.go
+++ b/internal/emulator/objectstore/server.go
@@ -163,9 +163,6 @@
 	}
 }
 
-// Calls returns the calls taken and those refused for the rate.
-func (s *Server) Calls() (taken, refused int64) { return s.calls.Load(), s.refused.Load() }
-
 // Objects returns the objects of a kind, whatever the faults.
 func (s *Server) Objects(kind string) []platform.Object { return s.table.list(kind, "").Items }
 
--- a/internal/lab/calls.go
+++ b/internal/lab/calls.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/internal/callload"
-	"github.com/lapisvane/lapisvane/internal/experiment"
 )
 
 // callsCommand makes calls and checks their answers.
@@ -25,8 +24,8 @@
 
 // Execute implements flags.Commander.
 func (c *callsCommand) Execute([]string) error {
-	if c.Duration <= 0 || c.Duration > experiment.MaxRunTime || c.Workers <= 0 || c.Rate < 0 {
-		return fmt.Errorf("workers and duration must be above 0, duration at most %s", experiment.MaxRunTime)
+	if c.Duration <= 0 || c.Duration > maxRunTime || c.Workers <= 0 || c.Rate < 0 {
+		return fmt.Errorf("workers and duration must be above 0, duration at most %s", maxRunTime)
 	}
 	load := callload.Load{
 		Caller: &callload.Caller{
@@ -36,9 +35,9 @@
 		Workers: c.Workers, Rate: c.Rate, Duration: c.Duration, Name: c.Name,
 	}
 	tally := load.Run(context.Background())
-	experiment.Results.Info("calls.finished", "calls", tally.Total(), "done", tally.Done, "not_run", tally.NotRun,
+	results.Info("calls.finished", "calls", tally.Total(), "done", tally.Done, "not_run", tally.NotRun,
 		"unknown", tally.Unknown, "wrong", tally.Wrong, "instances", len(tally.ByInstance),
-		"p50_ms", experiment.Millis(tally.Latency.ValueAtQuantile(50)), "p99_ms", experiment.Millis(tally.Latency.ValueAtQuantile(99)))
+		"p50_ms", millis(tally.Latency.ValueAtQuantile(50)), "p99_ms", millis(tally.Latency.ValueAtQuantile(99)))
 	if tally.Wrong > 0 || tally.Done == 0 || (c.AllDone && tally.Done != tally.Total()) {
 		return fmt.Errorf("not every call was answered well: %v", tally.Results)
 	}
--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -8,7 +8,6 @@
 
 	"github.com/lapisvane/lapisvane/internal/daemon"
 	"github.com/lapisvane/lapisvane/internal/emulator/day"
-	"github.com/lapisvane/lapisvane/internal/experiment"
 )
 
 // emulateCommand plays days on the emulated platform.
@@ -40,7 +39,7 @@
 			return fmt.Errorf("seed %d: %w", seed+uint64(index), err)
 		}
 		if count > 0 {
-			experiment.Results.Info("emulate.again", "seed", seed+uint64(index), "length", c.Length, "faults", c.Faults)
+			results.Info("emulate.again", "seed", seed+uint64(index), "length", c.Length, "faults", c.Faults)
 		}
 		broken += count
 	}
@@ -84,14 +83,14 @@
 		return 0, err
 	}
 	for _, fault := range plan.Faults {
-		experiment.Results.Info("emulate.fault", "kind", string(fault.Kind), "at", fault.At.Round(time.Millisecond), "for", fault.For.Round(time.Millisecond))
+		results.Info("emulate.fault", "kind", string(fault.Kind), "at", fault.At.Round(time.Millisecond), "for", fault.For.Round(time.Millisecond))
 	}
 	for _, breach := range summary.Breaches {
-		experiment.Results.Info("emulate.broken", "promise", string(breach.Kind), "request", breach.Request, "detail", breach.Detail)
+		results.Info("emulate.broken", "promise", string(breach.Kind), "request", breach.Request, "detail", breach.Detail)
 	}
-	experiment.Results.Info("emulate.finished", "seed", plan.Options.Seed, "served", summary.Served, "refused", summary.Refused,
-		"failed", summary.Failed, "p50_ms", experiment.Millis(summary.LatencyP50.Microseconds()), "p99_ms", experiment.Millis(summary.LatencyP99.Microseconds()),
-		"changes", summary.Changes, "convergence_ms", experiment.Millis(summary.Convergence.Microseconds()), "repeats", summary.Repeats,
+	results.Info("emulate.finished", "seed", plan.Options.Seed, "served", summary.Served, "refused", summary.Refused,
+		"failed", summary.Failed, "p50_ms", millis(summary.LatencyP50.Microseconds()), "p99_ms", millis(summary.LatencyP99.Microseconds()),
+		"changes", summary.Changes, "convergence_ms", millis(summary.Convergence.Microseconds()), "repeats", summary.Repeats,
 		"cut_at_stops", summary.CutAtStops, "fell_over", summary.Falls, "broken", len(summary.Breaches))
 	return len(summary.Breaches), nil
 }
--- a/internal/lab/explain.go
+++ b/internal/lab/explain.go
@@ -6,7 +6,6 @@
 	"os"
 	"slices"
 
-	"github.com/lapisvane/lapisvane/internal/experiment"
 	"github.com/lapisvane/lapisvane/internal/explain"
 )
 
@@ -76,10 +75,10 @@
 				pairs = append(pairs, field.Key, field.Value)
 			}
 		}
-		experiment.Results.Info(line.Event, pairs...)
+		results.Info(line.Event, pairs...)
 	}
 	verdict := journal.Explain(request)
-	experiment.Results.Info("explain.verdict", "request", request, "cause", string(verdict.Cause), "proof", verdict.Proof)
+	results.Info("explain.verdict", "request", request, "cause", string(verdict.Cause), "proof", verdict.Proof)
 	return nil
 }
 
@@ -99,12 +98,12 @@
 	}
 	slices.SortFunc(causes, func(a, b explain.Cause) int { return counts[b] - counts[a] })
 	for _, cause := range causes {
-		experiment.Results.Info("explain.cause", "cause", string(cause), "requests", counts[cause], "example", examples[cause])
+		results.Info("explain.cause", "cause", string(cause), "requests", counts[cause], "example", examples[cause])
 	}
 	explained := len(failed) - counts[explain.CauseUnexplained]
 	share := 1.0
 	if len(failed) > 0 {
 		share = float64(explained) / float64(len(failed))
 	}
-	experiment.Results.Info("explain.finished", "lines", lines, "skipped", skipped, "failed", len(failed), "explained", explained, "share", share)
+	results.Info("explain.finished", "lines", lines, "skipped", skipped, "failed", len(failed), "explained", explained, "share", share)
 }
--- a/internal/lab/main.go
+++ b/internal/lab/main.go
@@ -6,8 +6,6 @@
 	"github.com/jessevdk/go-flags"
 
 	"github.com/lapisvane/lapisvane/internal/cli"
-	"github.com/lapisvane/lapisvane/internal/distbench"
-	"github.com/lapisvane/lapisvane/internal/requestbench"
 	"github.com/lapisvane/lapisvane/internal/testsite"
 )
 
@@ -15,7 +13,7 @@
 // held, 1 when a check failed, 2 for a wrong command line.
 func Main(arguments []string) int {
 	parser := flags.NewNamedParser("lapislab", flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = "Stand-ins for the platform, back ends and callers, and experiments over them. All load goes to loopback addresses."
+	parser.LongDescription = "Stand-ins for the platform, back ends and callers, an emulated platform, and tools that read the logs of daemons. All load goes to loopback addresses."
 	commands := []struct {
 		name, short string
 		command     flags.Commander
@@ -25,9 +23,6 @@
 		{"calls", "make calls and check their answers", &callsCommand{}},
 		{"token", "print the stored form of an operator's token", &tokenCommand{}},
 		{"peer-keys", "write keys for mutual TLS between daemons, for trials", &testsite.PeerKeysCommand{}},
-		{"convergence", "measure convergence and control bytes of each strategy", &distbench.ConvergenceCommand{}},
-		{"recovery", "measure recovery from each kind of fault", &distbench.RecoveryCommand{}},
-		{"requests", "measure the request path", &requestbench.RequestsCommand{}},
 		{"emulate", "play days on the emulated platform", &emulateCommand{}},
 		{"explain", "tell from log lines what happened to requests", &explainCommand{}},
 		{"report", "write a page of what failed, by second and cause, from log lines", &reportCommand{}},
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -16,7 +16,6 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"github.com/lapisvane/lapisvane/internal/experiment"
 	"github.com/lapisvane/lapisvane/internal/explain"
 )
 
@@ -67,7 +66,7 @@
 	if err := reportTemplate.Execute(file, page); err != nil {
 		return err
 	}
-	experiment.Results.Info("report.written", "file", c.Output, "lines", len(lines), "seconds", len(seconds), "causes", len(causes))
+	results.Info("report.written", "file", c.Output, "lines", len(lines), "seconds", len(seconds), "causes", len(causes))
 	return nil
 }
 
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -8,7 +8,6 @@
 
 	"github.com/lapisvane/lapisvane/internal/backendstub"
 	"github.com/lapisvane/lapisvane/internal/cli"
-	"github.com/lapisvane/lapisvane/internal/experiment"
 	"github.com/lapisvane/lapisvane/internal/objectapi"
 	"github.com/lapisvane/lapisvane/internal/objectapistub"
 	"github.com/lapisvane/lapisvane/internal/operator"
@@ -37,11 +36,11 @@
 	if err := c.load(stub); err != nil {
 		return err
 	}
-	experiment.Results.Info("platform.started", "address", stub.Address())
+	results.Info("platform.started", "address", stub.Address())
 	stop, _ := cli.Signals()
 	<-stop
 	load := stub.Load()
-	experiment.Results.Info("platform.stopped", "requests", load.Requests, "peak_watchers", load.PeakWatchers, "refused_watches", load.RefusedWatches)
+	results.Info("platform.stopped", "requests", load.Requests, "peak_watchers", load.PeakWatchers, "refused_watches", load.RefusedWatches)
 	return nil
 }
 
@@ -98,10 +97,10 @@
 		return err
 	}
 	defer backend.Close()
-	experiment.Results.Info("backend.started", "instance", c.Instance, "address", backend.Address())
+	results.Info("backend.started", "instance", c.Instance, "address", backend.Address())
 	stop, _ := cli.Signals()
 	<-stop
-	experiment.Results.Info("backend.stopped", "instance", c.Instance, "peak_running", backend.PeakRunning(), "connections", backend.Connections.Load())
+	results.Info("backend.stopped", "instance", c.Instance, "peak_running", backend.PeakRunning(), "connections", backend.Connections.Load())
 	return nil
 }
 
@@ -131,7 +130,7 @@
 
 // Execute implements flags.Commander.
 func (c *faultCommand) Execute([]string) error {
-	return experiment.PutJSON(c.Platform, "/lab/faults", objectapistub.Faults{
+	return putJSON(c.Platform, "/lab/faults", objectapistub.Faults{
 		Down: c.Down, DelayMillis: c.Delay, LoseAnswerPercent: c.LoseAnswers,
 		EventDelayMillis: c.EventDelay, CrossEvents: c.CrossEvents, FreezeMachines: c.FreezeListed,
 	})
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -44,7 +44,7 @@
 	Requests, BytesIn, BytesOut atomic.Int64
 }
 
-// DialFunc opens a connection; experiments put delays behind it.
+// DialFunc opens a connection; tests put faults behind it.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewClient returns a client of the platform at addresses ("ip:port"); token
--- a/internal/testsite/doc.go
+++ b/internal/testsite/doc.go
@@ -1,3 +1,3 @@
-// Package testsite starts a small site for tests and benches: stand-ins for the
+// Package testsite starts a small site for tests: stand-ins for the
 // object API and back ends, real daemons, and operators.
 package testsite
--- a/internal/tree/fault_test.go
+++ b/internal/tree/fault_test.go
@@ -30,6 +30,17 @@
 	return names
 }
 
+// readersOf returns the members of a zone that hold a seat.
+func (c *cluster) readersOf(zone string) []string {
+	var names []string
+	for _, name := range c.readers() {
+		if c.members[name].zone == zone {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
 // killForGood ends members that do not come back.
 func (c *cluster) killForGood(names ...string) {
 	for _, name := range names {
@@ -53,6 +64,31 @@
 	}{
 		{name: "reader killed", inflict: func(c *cluster) { c.killForGood(c.readers()[0]) }},
 		{name: "all readers killed", inflict: func(c *cluster) { c.killForGood(c.readers()...) }},
+		{name: "all readers of a zone killed", inflict: func(c *cluster) {
+			c.killForGood(c.readersOf(c.zoneOf(0))...)
+		}},
+		{name: "all readers of a zone replaced at once", inflict: func(c *cluster) {
+			zone := c.zoneOf(0)
+			for _, name := range c.readersOf(zone) {
+				c.members[name].kill()
+				c.retired = append(c.retired, c.members[name])
+				c.start(name, zone, "a", "b")
+			}
+		}},
+		{name: "zone cut off past its leases", inflict: func(c *cluster) {
+			var zone []*member
+			for index := 0; index < 10; index += 2 {
+				zone = append(zone, c.members[fmt.Sprintf("n%02d", index)])
+			}
+			for _, m := range zone {
+				m.network.pause(true)
+			}
+			c.accept("while-cut", service("a", 25)...)
+			time.Sleep(c.tunables.SeatLease.Get() * 2)
+			for _, m := range zone {
+				m.network.pause(false)
+			}
+		}, lingering: 2},
 		{name: "relays killed", inflict: func(c *cluster) {
 			for name, m := range c.members {
 				if m.node.Info().Role == tree.RoleRelay {
--- a/internal/tree/node_test.go
+++ b/internal/tree/node_test.go
@@ -56,6 +56,7 @@
 	cancel   context.CancelFunc
 	done     chan struct{}
 	address  string
+	zone     string
 	network  *faultyNetwork
 }
 
@@ -136,7 +137,7 @@
 	listener, err := network.Listen("127.0.0.1:0")
 	assert.NilError(c.t, err)
 	c.started++
-	m := &member{recorder: &recorder{}, done: make(chan struct{}), address: listener.Addr().String(), network: network}
+	m := &member{recorder: &recorder{}, done: make(chan struct{}), address: listener.Addr().String(), zone: zone, network: network}
 	counters := &wire.Counters{}
 	m.node = tree.New(tree.Config{
 		Node: name, Incarnation: c.started, Zone: zone, Region: "r", Address: m.address,
