--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,7 @@
 	@unformatted=$$(gofmt -l api cmd internal platform); if [ -n "$$unformatted" ]; then echo "not formatted: $$unformatted"; exit 1; fi
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./...
+	GO=$(GO) bash scripts/unreachable.sh
 
 unit:
 	GO=$(GO) bash scripts/unit.sh
--- a/cmd/lapisctl/main.go
+++ b/cmd/lapisctl/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"github.com/lapisvane/lapisvane/internal/ctl"
+	"github.com/lapisvane/lapisvane/internal/operators/ctl"
 )
 
 func main() { os.Exit(ctl.Main(os.Args[1:])) }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -14,25 +14,25 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/balance"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/decision"
-	"github.com/lapisvane/lapisvane/internal/gateway"
-	"github.com/lapisvane/lapisvane/internal/gateway/pipeline"
-	"github.com/lapisvane/lapisvane/internal/holdings"
-	"github.com/lapisvane/lapisvane/internal/metrics"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/operator"
-	"github.com/lapisvane/lapisvane/internal/origin"
-	"github.com/lapisvane/lapisvane/internal/peer"
-	"github.com/lapisvane/lapisvane/internal/port"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/settings"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
-	"github.com/lapisvane/lapisvane/internal/tlssetup"
-	"github.com/lapisvane/lapisvane/internal/tree"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/daemon/metrics"
+	"github.com/lapisvane/lapisvane/internal/daemon/platformapi"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/tree"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/operators/operator"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
+	"github.com/lapisvane/lapisvane/internal/requestpath/decision"
+	"github.com/lapisvane/lapisvane/internal/requestpath/gateway"
+	"github.com/lapisvane/lapisvane/internal/requestpath/gateway/pipeline"
+	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
+	"github.com/lapisvane/lapisvane/internal/transport/peer"
+	"github.com/lapisvane/lapisvane/internal/transport/tlssetup"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // Times of the daemon.
@@ -86,7 +86,7 @@
 	Network wire.Network
 	// Platform connects the daemon with the platform that its machine belongs
 	// to; nil where that has lapisvane's own object API.
-	Platform port.Platform
+	Platform platformapi.Platform
 	// PlatformDial overrides how the platform is dialed; nil for plain TCP.
 	PlatformDial objectapi.DialFunc
 }
--- a/internal/daemon/direct.go
+++ b/internal/daemon/direct.go
@@ -9,12 +9,12 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/configsource"
-	"github.com/lapisvane/lapisvane/internal/fleet"
-	"github.com/lapisvane/lapisvane/internal/metrics"
-	"github.com/lapisvane/lapisvane/internal/port"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/daemon/metrics"
+	"github.com/lapisvane/lapisvane/internal/daemon/platformapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/distribution/fleet"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // Times of a daemon on a platform.
@@ -45,7 +45,7 @@
 // configurations and instances over the connections between them.
 type direct struct {
 	daemon   *Daemon
-	platform port.Platform
+	platform platformapi.Platform
 	fleet    *fleet.Fleet
 	started  time.Time
 	leaving  atomic.Bool
@@ -65,7 +65,7 @@
 	mutex sync.Mutex
 }
 
-func (d *Daemon) buildDirect(platform port.Platform) {
+func (d *Daemon) buildDirect(platform platformapi.Platform) {
 	part := &direct{daemon: d, platform: platform, started: time.Now(), resumed: make(chan struct{}, 1)}
 	part.members.Store(1)
 	part.freshness.WithOrders = part.ordersBound() > 0
--- a/internal/daemon/direct_test.go
+++ b/internal/daemon/direct_test.go
@@ -10,25 +10,25 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/configsource"
-	"github.com/lapisvane/lapisvane/internal/fleet"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/port"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
-	"github.com/lapisvane/lapisvane/internal/settings"
+	"github.com/lapisvane/lapisvane/internal/daemon/platformapi"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/distribution/fleet"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 )
 
 // idlePlatform is a platform that says nothing.
 type idlePlatform struct{}
 
-func (idlePlatform) Source() configsource.Source                                  { return nil }
-func (idlePlatform) Directory() fleet.Directory                                   { return nil }
-func (idlePlatform) Envelope() callapi.Envelope                                   { return callapi.DefaultEnvelope }
-func (idlePlatform) Quarantine() quarantine.Store                                 { return nil }
-func (idlePlatform) ServeInstances(context.Context, net.Listener, port.Instances) {}
-func (idlePlatform) ServeReadiness(context.Context, net.Listener, func() bool)    {}
-func (idlePlatform) Close()                                                       {}
+func (idlePlatform) Source() configsource.Source                                         { return nil }
+func (idlePlatform) Directory() fleet.Directory                                          { return nil }
+func (idlePlatform) Envelope() callapi.Envelope                                          { return callapi.DefaultEnvelope }
+func (idlePlatform) Quarantine() quarantine.Store                                        { return nil }
+func (idlePlatform) ServeInstances(context.Context, net.Listener, platformapi.Instances) {}
+func (idlePlatform) ServeReadiness(context.Context, net.Listener, func() bool)           {}
+func (idlePlatform) Close()                                                              {}
 
 func configurationOf(t *testing.T, revision uint64, prefix string) *lapisv1.Configuration {
 	t.Helper()
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -11,11 +11,11 @@
 	"github.com/go-logr/logr"
 	"github.com/jessevdk/go-flags"
 
-	"github.com/lapisvane/lapisvane/internal/cli"
-	"github.com/lapisvane/lapisvane/internal/logging"
-	"github.com/lapisvane/lapisvane/internal/port"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/settings"
+	"github.com/lapisvane/lapisvane/internal/daemon/platformapi"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/shared/cli"
+	"github.com/lapisvane/lapisvane/internal/shared/logging"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // flagsOfDaemon are the command line options; they win over the file.
@@ -112,7 +112,7 @@
 }
 
 // Adapter connects a daemon with a platform at an address.
-type Adapter func(address string, logger logr.Logger) port.Platform
+type Adapter func(address string, logger logr.Logger) platformapi.Platform
 
 // watchSettings takes in changes of the settings file, at a SIGHUP and without
 // one, as long as the process runs.
--- a/internal/metrics/direct.go
+++ b/internal/daemon/metrics/direct.go
@@ -5,12 +5,12 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/configsource"
-	"github.com/lapisvane/lapisvane/internal/fleet"
-	"github.com/lapisvane/lapisvane/internal/orders"
-	"github.com/lapisvane/lapisvane/internal/origin"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/distribution/fleet"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // Direct are the parts of a daemon on a platform that are measured.
--- a/internal/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -14,11 +14,11 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	dto "github.com/prometheus/client_model/go"
 
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/origin"
-	"github.com/lapisvane/lapisvane/internal/tree"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/tree"
+	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // Sources are the parts of a daemon that are measured.
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/orders"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
 )
 
 // fromStore names the platform's store as where orders came from.
--- a/internal/daemon/orders_test.go
+++ b/internal/daemon/orders_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/features"
-	"github.com/lapisvane/lapisvane/internal/orders"
-	"github.com/lapisvane/lapisvane/internal/settings"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // startedLongAgo is a daemon of zone z whose time to wait for others is over, with the
@@ -20,7 +20,7 @@
 func startedLongAgo(t *testing.T, ordersBound time.Duration) (part *direct, lines *[]string) {
 	config := settings.DefaultDaemon()
 	config.Node, config.Zone, config.PeerAddress = "a", "z", "127.0.0.1:0"
-	config.EvacuationBound = features.Duration(ordersBound)
+	config.EvacuationBound = tunables.Duration(ordersBound)
 	lines = &[]string{}
 	logger := funcr.New(func(_, line string) {
 		if strings.Contains(line, "orders.") {
--- a/internal/daemon/pausewatch.go
+++ b/internal/daemon/pausewatch.go
@@ -6,7 +6,7 @@
 
 	"github.com/go-logr/logr"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // Times of the watch for pauses.
--- a/internal/daemon/pausewatch_test.go
+++ b/internal/daemon/pausewatch_test.go
@@ -11,8 +11,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/logging"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
 // A process that runs is not taken for one that was stopped.
--- a/internal/port/port.go
+++ b/internal/daemon/platformapi/port.go
@@ -1,18 +1,18 @@
-// Package port states what lapisvane asks of the platform that its machines
+// Package platformapi states what lapisvane asks of the platform that its machines
 // belong to, where that is not lapisvane's own object API. An adapter
 // implements it and translates, nothing more: decisions, state and recovery
 // stay in the product.
-package port
+package platformapi
 
 import (
 	"context"
 	"net"
 
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/configsource"
-	"github.com/lapisvane/lapisvane/internal/fleet"
-	"github.com/lapisvane/lapisvane/internal/origin"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/distribution/fleet"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
 )
 
 // Instances takes in what the instances beside the daemon state.
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -7,9 +7,9 @@
 
 	"github.com/go-logr/logr"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // Times of the keeping of suspects in the store.
--- a/internal/daemon/quarantine_test.go
+++ b/internal/daemon/quarantine_test.go
@@ -8,9 +8,9 @@
 	"github.com/go-logr/logr"
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // What is held back may run again, to see, when its time has passed for all others, also
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/settings"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
 )
 
 // settingsPoll is how often the settings file is looked at: it may change
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -10,8 +10,8 @@
 	"github.com/go-logr/logr/funcr"
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/features"
-	"github.com/lapisvane/lapisvane/internal/settings"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
 )
 
 const settingsText = `node: a
@@ -45,7 +45,7 @@
 
 	write(settingsText + "stop_limit: 9s\nsurplus: 1\n")
 	watcher.reload("file")
-	assert.Equal(t, running.settings.Load().StopLimit, features.Duration(5*time.Second))
+	assert.Equal(t, running.settings.Load().StopLimit, tunables.Duration(5*time.Second))
 	assert.Assert(t, len(lines) == 2)
 	assert.Assert(t, strings.Contains(lines[1], "settings.refused"), lines[1])
 }
--- a/internal/settings/daemon.go
+++ b/internal/daemon/settings/daemon.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/features"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Daemon holds the settings of lapisvaned.
@@ -49,7 +49,7 @@
 	Calls    Calls     `json:"calls"`
 	// EvacuationBound is the time in which every daemon in touch must follow an
 	// operator's order to evacuate a zone; 0 where operators give no such orders.
-	EvacuationBound features.Duration `json:"evacuation_bound"`
+	EvacuationBound tunables.Duration `json:"evacuation_bound"`
 	// ColdStarts bounds what instances get that have just started.
 	ColdStarts ColdStarts `json:"cold_starts"`
 	// SentAhead bounds what is held for requests that callers send before
@@ -62,14 +62,14 @@
 	// NoSeat keeps the daemon from becoming a reader.
 	NoSeat bool `json:"no_seat"`
 	// StopLimit bounds the wait for calls in flight at a planned stop.
-	StopLimit features.Duration `json:"stop_limit"`
+	StopLimit tunables.Duration `json:"stop_limit"`
 	// Verbosity of the log: 0 events, 1 debugging.
 	Verbosity int `json:"verbosity"`
 	// DecisionLinesPerSecond is the volume of lines about requests from which
 	// these are sampled more sparsely; 0 for none at all.
 	DecisionLinesPerSecond int `json:"decision_lines_per_second"`
 
-	tunables features.Distribution
+	tunables tunables.Distribution
 }
 
 // Platform tells where the platform is.
@@ -84,10 +84,10 @@
 	WritesPerSecond float64 `json:"writes_per_second"`
 	// Contact is the time after which a daemon that reaches the platform again
 	// must know what it knows.
-	Contact features.Duration `json:"contact"`
+	Contact tunables.Duration `json:"contact"`
 	// ApplyBound is the time in which an accepted configuration must be in
 	// force on every daemon in touch.
-	ApplyBound features.Duration `json:"apply_bound"`
+	ApplyBound tunables.Duration `json:"apply_bound"`
 }
 
 // Retries bounds the retries of each service.
@@ -125,9 +125,9 @@
 
 // Calls bounds the request path.
 type Calls struct {
-	DefaultDeadline features.Duration `json:"default_deadline"`
+	DefaultDeadline tunables.Duration `json:"default_deadline"`
 	QueueLength     int               `json:"queue_length"`
-	QueueTime       features.Duration `json:"queue_time"`
+	QueueTime       tunables.Duration `json:"queue_time"`
 }
 
 // SentAhead bounds what is held for requests sent ahead. At a bound the
@@ -160,13 +160,13 @@
 	return Daemon{
 		Profile: ProfileConvergence,
 		Calls: Calls{
-			DefaultDeadline: features.Duration(10 * time.Second),
+			DefaultDeadline: tunables.Duration(10 * time.Second),
 			QueueLength:     64,
-			QueueTime:       features.Duration(250 * time.Millisecond),
+			QueueTime:       tunables.Duration(250 * time.Millisecond),
 		},
 		SentAhead: SentAhead{RequestsPerConnection: 16, Requests: 2048, BytesPerConnection: 256 << 10, Bytes: 16 << 20},
-		Platform:  Platform{Contact: features.Duration(3 * time.Second), ApplyBound: features.Duration(2 * time.Second)},
-		StopLimit: features.Duration(10 * time.Minute),
+		Platform:  Platform{Contact: tunables.Duration(3 * time.Second), ApplyBound: tunables.Duration(2 * time.Second)},
+		StopLimit: tunables.Duration(10 * time.Minute),
 
 		DecisionLinesPerSecond: decisionLinesPerSecond,
 	}
@@ -261,9 +261,9 @@
 func (d *Daemon) checkDistribution(check *checker) {
 	switch d.Profile {
 	case ProfileConvergence:
-		d.tunables = features.Convergence()
+		d.tunables = tunables.Convergence()
 	case ProfileBytes:
-		d.tunables = features.Bytes()
+		d.tunables = tunables.Bytes()
 	default:
 		check.faults.Add(result.SettingsBadNumber, "profile: %q is neither convergence nor bytes", d.Profile)
 		return
@@ -277,7 +277,7 @@
 	checkTunables(check, d.tunables)
 }
 
-func checkTunables(check *checker, tunables features.Distribution) {
+func checkTunables(check *checker, tunables tunables.Distribution) {
 	check.positive("distribution.fanout", float64(tunables.Fanout))
 	check.positive("distribution.max_depth", float64(tunables.MaxDepth))
 	check.positive("distribution.seats_per_zone", float64(tunables.SeatsPerZone))
@@ -302,4 +302,4 @@
 }
 
 // Tunables returns the tunables of distribution after Check.
-func (d *Daemon) Tunables() features.Distribution { return d.tunables }
+func (d *Daemon) Tunables() tunables.Distribution { return d.tunables }
--- a/internal/settings/read.go
+++ b/internal/daemon/settings/read.go
@@ -7,7 +7,7 @@
 
 	"sigs.k8s.io/yaml"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // maxFileBytes bounds a settings file.
--- a/internal/settings/settings_test.go
+++ b/internal/daemon/settings/settings_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/settings"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 const good = `
@@ -71,7 +71,7 @@
 }
 
 func TestExamplesAreValid(t *testing.T) {
-	examples, err := filepath.Glob("../../examples/daemon-*.yaml")
+	examples, err := filepath.Glob("../../../examples/daemon-*.yaml")
 	assert.NilError(t, err)
 	assert.Equal(t, len(examples), 3)
 	for _, path := range examples {
--- a/internal/changelog/accept.go
+++ b/internal/distribution/changelog/accept.go
@@ -9,10 +9,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // Bounds of an accept.
@@ -93,7 +93,7 @@
 	uncertain := false
 	var lastErr error
 	for attempt := 0; attempt < maxAcceptAttempts; attempt++ {
-		if attempt > 0 && !pause.For(ctx, rand.N(acceptBackoff)) {
+		if attempt > 0 && !sleep.For(ctx, rand.N(acceptBackoff)) {
 			break
 		}
 		number, written, err := l.acceptOnce(ctx, proposal)
--- a/internal/changelog/compact.go
+++ b/internal/distribution/changelog/compact.go
@@ -6,9 +6,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Bounds of what is kept in the object API.
--- a/internal/changelog/log_test.go
+++ b/internal/distribution/changelog/log_test.go
@@ -12,11 +12,11 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/changelog"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/objectapistub"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/changelog"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/lab/objectapistub"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 func startPlatform(t *testing.T, seed uint64) (*objectapistub.Server, *objectapi.Client) {
--- a/internal/configsource/configsource.go
+++ b/internal/distribution/configsource/configsource.go
@@ -13,9 +13,9 @@
 	"github.com/go-logr/logr"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/orders"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Position is a place in the source's history; the source gives it out. It is one
--- a/internal/configsource/configsource_test.go
+++ b/internal/distribution/configsource/configsource_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/configsource"
-	"github.com/lapisvane/lapisvane/internal/orders"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // scriptedSource answers from a log of revisions, with faults.
--- a/internal/configsource/freshness_test.go
+++ b/internal/distribution/configsource/freshness_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/configsource"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
 )
 
 func TestConfirmationWaitsForItsRevision(t *testing.T) {
--- a/internal/configsource/suspended_test.go
+++ b/internal/distribution/configsource/suspended_test.go
@@ -11,8 +11,8 @@
 	"github.com/go-logr/logr"
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/configsource"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // A confirmation grows old while the machine is suspended, and the source is asked as soon
--- a/internal/endpoint/registry_test.go
+++ b/internal/distribution/endpoint/registry_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/endpoint"
+	"github.com/lapisvane/lapisvane/internal/distribution/endpoint"
 )
 
 var now = time.Unix(1000, 0)
--- a/internal/fleet/address.go
+++ b/internal/distribution/fleet/address.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/callmux"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // displacedRecheck is how long a daemon in whose place another one answered is not
--- a/internal/fleet/address_test.go
+++ b/internal/distribution/fleet/address_test.go
@@ -14,12 +14,12 @@
 	"pgregory.net/rapid"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/configsource"
-	accept "github.com/lapisvane/lapisvane/internal/peer"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
+	accept "github.com/lapisvane/lapisvane/internal/transport/peer"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // memoryNetwork connects daemons of one test without sockets, so that time may be
--- a/internal/fleet/catchup.go
+++ b/internal/distribution/fleet/catchup.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/locality"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/model/locality"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // Times of the catching up. Their sum stays below the part of the bound for a
--- a/internal/fleet/catchup_test.go
+++ b/internal/distribution/fleet/catchup_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/configsource"
-	"github.com/lapisvane/lapisvane/internal/locality"
-	"github.com/lapisvane/lapisvane/internal/orders"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/model/locality"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // behindAt returns a daemon in zone a that has a revision in force, and what it
--- a/internal/fleet/directory.go
+++ b/internal/distribution/fleet/directory.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/locality"
-	"github.com/lapisvane/lapisvane/internal/pause"
+	"github.com/lapisvane/lapisvane/internal/model/locality"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // Member is a daemon as others reach it.
@@ -76,7 +76,7 @@
 			next = min(settle, max(directoryInterval, time.Duration(f.Known())*intervalPerMember))
 			settle *= 2
 		}
-		if !pause.For(ctx, f.jitter(next)) {
+		if !sleep.For(ctx, f.jitter(next)) {
 			return
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/distribution/fleet/fleet.go
@@ -11,11 +11,11 @@
 	"github.com/go-logr/logr"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/configsource"
-	"github.com/lapisvane/lapisvane/internal/orders"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // Bounds and times of what is known of other daemons.
--- a/internal/fleet/heartbeat.go
+++ b/internal/distribution/fleet/heartbeat.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/configsource"
-	"github.com/lapisvane/lapisvane/internal/locality"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/model/locality"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // How much newer a confirmation must be than the one that the peer told before it is
--- a/internal/fleet/introduction.go
+++ b/internal/distribution/fleet/introduction.go
@@ -4,8 +4,8 @@
 	"slices"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/callmux"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 func introductionFrame(introduction *lapisv1.Introduction) *lapisv1.CallFrame {
--- a/internal/fleet/link.go
+++ b/internal/distribution/fleet/link.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // Times of the connections between daemons.
@@ -57,7 +57,7 @@
 		return true
 	case <-member.wake:
 		// A peer that has just connected to this daemon is there.
-		return pause.For(ctx, reconnectMin)
+		return sleep.For(ctx, reconnectMin)
 	case <-ctx.Done():
 		return false
 	}
--- a/internal/fleet/listener.go
+++ b/internal/distribution/fleet/listener.go
@@ -2,8 +2,8 @@
 
 import (
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/locality"
+	"github.com/lapisvane/lapisvane/internal/model/locality"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // listener is a connection that another daemon opened; it hears of this
--- a/internal/fleet/orders.go
+++ b/internal/distribution/fleet/orders.go
@@ -2,8 +2,8 @@
 
 import (
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/orders"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // SpreadOrders sends the orders in force to all daemons in touch. Each daemon to which
--- a/internal/fleet/orders_test.go
+++ b/internal/distribution/fleet/orders_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/orders"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 )
 
 // follower is a daemon's observer that follows the orders it hears of.
--- a/internal/fleet/regions_test.go
+++ b/internal/distribution/fleet/regions_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"github.com/lapisvane/lapisvane/internal/callmux"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // formerlyWanted is the choice as it was before regions counted.
--- a/internal/fleet/suspects.go
+++ b/internal/distribution/fleet/suspects.go
@@ -2,8 +2,8 @@
 
 import (
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // maxUntold bounds the records that wait to be told on one connection; beyond, all that is
--- a/internal/fleet/suspects_test.go
+++ b/internal/distribution/fleet/suspects_test.go
@@ -6,9 +6,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
-	"github.com/lapisvane/lapisvane/internal/orders"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 )
 
 // Suspected implements Observer.
--- a/internal/fleet/suspended_test.go
+++ b/internal/distribution/fleet/suspended_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // What is known of a daemon out of reach lapses also while this machine is suspended: its
--- a/internal/fleet/wanted.go
+++ b/internal/distribution/fleet/wanted.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/lapisvane/lapisvane/internal/locality"
+	"github.com/lapisvane/lapisvane/internal/model/locality"
 )
 
 // Bounds of the daemons that one daemon connects to.
--- a/internal/holdings/holdings.go
+++ b/internal/distribution/holdings/holdings.go
@@ -6,9 +6,9 @@
 	"strings"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/digest"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/digest"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // keptRemovals bounds the remembered removals; older ones force full updates.
--- a/internal/holdings/holdings_test.go
+++ b/internal/distribution/holdings/holdings_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/holdings"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 func encoded(t *testing.T, service string, slots uint32, revision uint64) *lapisv1.EncodedBundle {
--- a/internal/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
 )
 
 // Bounds of what is remembered.
--- a/internal/membership/candidates_test.go
+++ b/internal/distribution/membership/candidates_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/membership"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/membership"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
 )
 
 var now = time.Unix(1000, 0)
--- a/internal/joining/joining.go
+++ b/internal/distribution/membership/join.go
@@ -1,19 +1,17 @@
-// Package joining decides whether a daemon takes in a child, and where a child
-// that it does not take should go. The decisions are pure.
-package joining
+package membership
 
 import (
 	"cmp"
 	"slices"
 )
 
-// Verdict is the decision on a joining child.
-type Verdict int
+// JoinVerdict is the decision on a joining child.
+type JoinVerdict int
 
 // Verdicts.
 const (
 	// Accept takes the child in.
-	Accept Verdict = iota
+	Accept JoinVerdict = iota
 	// Detached refuses because the parent has no way to a reader or is leaving.
 	Detached
 	// Loop refuses because the child is above the parent.
@@ -52,8 +50,8 @@
 	Fanout, MaxDepth int
 }
 
-// Candidate is a daemon that wants to join.
-type Candidate struct {
+// Joiner is a daemon that wants to join.
+type Joiner struct {
 	Node, Zone string
 	// Depth is the number of levels below it.
 	Depth int
@@ -65,33 +63,33 @@
 	Refusals int
 }
 
-// Decide returns the verdict on candidate.
-func Decide(parent Parent, candidate Candidate) Verdict {
-	local := candidate.Zone == parent.Zone
+// DecideJoin returns the verdict on joiner.
+func DecideJoin(parent Parent, joiner Joiner) JoinVerdict {
+	local := joiner.Zone == parent.Zone
 	switch {
 	case parent.Stopping || len(parent.Path) == 0:
 		return Detached
-	case slices.Contains(parent.Path, candidate.Node):
+	case slices.Contains(parent.Path, joiner.Node):
 		return Loop
-	case len(parent.Path)+candidate.Depth > parent.MaxDepth:
+	case len(parent.Path)+joiner.Depth > parent.MaxDepth:
 		return TooDeep
 	case !local && !parent.Reader:
 		return ToAReader
-	case !local && !candidate.Known && parent.Children >= parent.Fanout+ForeignExtra:
+	case !local && !joiner.Known && parent.Children >= parent.Fanout+ForeignExtra:
 		return ToAReader
-	case local && belongsHigher(parent, candidate):
+	case local && belongsHigher(parent, joiner):
 		return ReadersFirst
-	case local && !candidate.Known && parent.Children >= parent.Fanout:
+	case local && !joiner.Known && parent.Children >= parent.Fanout:
 		return Full
 	default:
 		return Accept
 	}
 }
 
-// belongsHigher reports whether the candidate should ask the readers first, so
+// belongsHigher reports whether the joiner should ask the readers first, so
 // that the tree is filled from the top and stays shallow.
-func belongsHigher(parent Parent, candidate Candidate) bool {
-	if parent.Reader || candidate.Redirected || candidate.Known || candidate.Refusals >= patience {
+func belongsHigher(parent Parent, joiner Joiner) bool {
+	if parent.Reader || joiner.Redirected || joiner.Known || joiner.Refusals >= patience {
 		return false
 	}
 	return parent.KnowsReaders
--- a/internal/objectapi/client.go
+++ b/internal/distribution/objectapi/client.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Bounds of the client.
--- a/internal/floor/broker.go
+++ b/internal/distribution/revisionfloor/broker.go
@@ -1,9 +1,9 @@
-// Package floor decides which revision a starting daemon may apply at the
+// Package revisionfloor decides which revision a starting daemon may apply at the
 // least. Machines keep nothing, so a daemon that was replaced cannot know what
 // it had in force before; it asks for a floor: a revision not older than any
 // accepted before the question. A reader answers from the accept register; one
 // read answers all questions that came before it began.
-package floor
+package revisionfloor
 
 import "github.com/lapisvane/lapisvane/api/lapisv1"
 
--- a/internal/floor/broker_test.go
+++ b/internal/distribution/revisionfloor/broker_test.go
@@ -1,4 +1,4 @@
-package floor_test
+package revisionfloor_test
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/floor"
+	"github.com/lapisvane/lapisvane/internal/distribution/revisionfloor"
 )
 
 func TestOneReadAnswersOnlyEarlierQuestions(t *testing.T) {
-	broker := &floor.Broker{}
+	broker := &revisionfloor.Broker{}
 	var got []uint64
 	waiter := func(reply *lapisv1.FloorReply) { got = append(got, reply.GetRevision()) }
 	assert.Assert(t, broker.Ask(waiter), "the first question starts a read")
@@ -23,7 +23,7 @@
 }
 
 func TestAbortedReadIsAskedAgain(t *testing.T) {
-	broker := &floor.Broker{}
+	broker := &revisionfloor.Broker{}
 	answers := 0
 	broker.Ask(func(*lapisv1.FloorReply) { answers++ })
 	assert.Assert(t, broker.Abort())
@@ -34,18 +34,18 @@
 func TestDuringOutage(t *testing.T) {
 	cases := []struct {
 		name      string
-		view      floor.ReaderView
+		view      revisionfloor.ReaderView
 		revision  uint64
 		available bool
 	}{
-		{"alone of one", floor.ReaderView{Head: 5, KnownReaders: 1}, 5, true},
-		{"minority", floor.ReaderView{Head: 5, PeerHeads: []uint64{6}, KnownReaders: 4}, 0, false},
-		{"majority", floor.ReaderView{Head: 5, PeerHeads: []uint64{6, 4}, KnownReaders: 4}, 6, true},
-		{"subtree is ahead", floor.ReaderView{Head: 5, SubtreeHighest: 9, PeerHeads: []uint64{6}, KnownReaders: 3}, 9, true},
+		{"alone of one", revisionfloor.ReaderView{Head: 5, KnownReaders: 1}, 5, true},
+		{"minority", revisionfloor.ReaderView{Head: 5, PeerHeads: []uint64{6}, KnownReaders: 4}, 0, false},
+		{"majority", revisionfloor.ReaderView{Head: 5, PeerHeads: []uint64{6, 4}, KnownReaders: 4}, 6, true},
+		{"subtree is ahead", revisionfloor.ReaderView{Head: 5, SubtreeHighest: 9, PeerHeads: []uint64{6}, KnownReaders: 3}, 9, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			reply := floor.DuringOutage(test.view)
+			reply := revisionfloor.DuringOutage(test.view)
 			assert.Equal(t, reply.GetRevision(), test.revision)
 			assert.Equal(t, !reply.GetUnavailable(), test.available)
 		})
--- a/internal/seat/seat_test.go
+++ b/internal/distribution/seat/seat_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/seat"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
 )
 
 const length = 6 * time.Second
--- a/internal/seat/table.go
+++ b/internal/distribution/seat/table.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
 )
 
 // Prefix is the key prefix of all seats.
--- a/internal/status/aggregate.go
+++ b/internal/distribution/status/aggregate.go
@@ -74,11 +74,3 @@
 	})
 	return sample[:min(len(sample), MaxSample)]
 }
-
-// Lowest returns the lowest revision in a report, 0 when it counts no node.
-func Lowest(report *lapisv1.StatusReport) uint64 {
-	if len(report.GetCounts()) == 0 {
-		return 0
-	}
-	return report.GetCounts()[0].GetRevision()
-}
--- a/internal/status/aggregate_test.go
+++ b/internal/distribution/status/aggregate_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/status"
+	"github.com/lapisvane/lapisvane/internal/distribution/status"
 )
 
 // TestSumsAreRightAtAnyShape builds random trees and checks that the number of
@@ -30,7 +30,7 @@
 		}
 		root := reports[0]
 		assert.Equal(rt, root.GetNodes(), uint32(count))
-		assert.Equal(rt, status.Lowest(root), lowest)
+		assert.Equal(rt, lowestRevision(root), lowest)
 		assert.Equal(rt, root.GetHighestRevision(), highest)
 		counted := uint32(0)
 		for _, entry := range root.GetCounts() {
@@ -56,3 +56,11 @@
 	root := status.Merge(&lapisv1.NodeStatus{Node: "root", Revision: 9}, reports)
 	assert.Equal(t, root.GetSample()[0].GetNode(), "n17")
 }
+
+// lowestRevision returns the lowest revision in a report, 0 when it counts no node.
+func lowestRevision(report *lapisv1.StatusReport) uint64 {
+	if len(report.GetCounts()) == 0 {
+		return 0
+	}
+	return report.GetCounts()[0].GetRevision()
+}
--- a/internal/tree/child.go
+++ b/internal/distribution/tree/child.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/holdings"
-	"github.com/lapisvane/lapisvane/internal/joining"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
+	"github.com/lapisvane/lapisvane/internal/distribution/membership"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // Bounds of a child link.
@@ -120,27 +120,27 @@
 // refuseChild returns the reason not to accept a child, nil when it is
 // accepted; the caller holds mutex.
 func (n *Node) refuseChild(session *childSession, hello *lapisv1.Hello) *lapisv1.Refusal {
-	verdict := joining.Decide(n.asParent(), joining.Candidate{
+	verdict := membership.DecideJoin(n.asParent(), membership.Joiner{
 		Node: session.node, Zone: session.zone, Depth: int(hello.GetSubtreeDepth()), Known: n.children[session.node] != nil,
 		Redirected: hello.GetRedirected(), Refusals: int(hello.GetRefusals()),
 	})
-	if verdict == joining.Accept && n.joins.Allow() {
+	if verdict == membership.Accept && n.joins.Allow() {
 		return nil
 	}
 	retry := refusalRetry + rand.N(refusalRetry)
 	refusal := &lapisv1.Refusal{Code: uint32(result.DistributionParentFull), RetryAfterMillis: uint32(retry.Milliseconds())}
 	switch verdict {
-	case joining.Detached:
+	case membership.Detached:
 		refusal.Code, refusal.Reason = uint32(result.DistributionDetached), "no way to a reader"
 		refusal.RetryAfterMillis = uint32(detachedRetry.Milliseconds())
-	case joining.Loop:
+	case membership.Loop:
 		refusal.Code, refusal.Reason = uint32(result.DistributionLoop), "the asking node is above"
-	case joining.TooDeep:
+	case membership.TooDeep:
 		refusal.Code = uint32(result.DistributionTooDeep)
 		refusal.Reason, refusal.Candidates = "the tree would be too deep", n.ownReaders()
-	case joining.ToAReader:
+	case membership.ToAReader:
 		refusal.Reason, refusal.Candidates = "a node of another zone goes to a reader", n.knownReaders()
-	case joining.ReadersFirst:
+	case membership.ReadersFirst:
 		refusal.Reason, refusal.Candidates = "ask the readers first", n.ownReaders()
 	default:
 		refusal.Reason, refusal.Candidates = "enough children or too many joins at once", n.redirects(session)
@@ -162,8 +162,8 @@
 
 // asParent returns what decides about this node as a parent; the caller holds
 // mutex.
-func (n *Node) asParent() joining.Parent {
-	return joining.Parent{
+func (n *Node) asParent() membership.Parent {
+	return membership.Parent{
 		Node: n.config.Node, Zone: n.config.Zone, Reader: n.reader, Stopping: n.stopping, Path: n.path,
 		Children: len(n.children), KnowsReaders: len(n.ownReaders()) > 0,
 		Fanout: n.config.Tunables.Fanout, MaxDepth: n.config.Tunables.MaxDepth,
@@ -175,15 +175,15 @@
 // caller holds mutex.
 func (n *Node) redirects(joiner *childSession) []*lapisv1.PeerAddress {
 	var sessions []*childSession
-	var children []joining.Child
+	var children []membership.Child
 	for _, child := range n.children {
 		if child.address != "" {
 			sessions = append(sessions, child)
-			children = append(children, joining.Child{Node: child.node, Zone: child.zone, Expected: child.expected})
+			children = append(children, membership.Child{Node: child.node, Zone: child.zone, Expected: child.expected})
 		}
 	}
 	var peers []*lapisv1.PeerAddress
-	for position, index := range joining.Redirects(children, joiner.zone, joiner.node, maxRedirects) {
+	for position, index := range membership.Redirects(children, joiner.zone, joiner.node, maxRedirects) {
 		child := sessions[index]
 		if position == 0 {
 			child.expected += joiner.expected
--- a/internal/tree/child_send.go
+++ b/internal/distribution/tree/child_send.go
@@ -9,11 +9,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/holdings"
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // sendToChild sends what the child lacks until ctx ends.
@@ -33,7 +33,7 @@
 			quiet = true
 		}
 		pending := n.pendingFor(session, due)
-		if !pause.For(ctx, pending.pause) {
+		if !sleep.For(ctx, pending.pause) {
 			return
 		}
 		if len(pending.frames) == 0 {
--- a/internal/tree/config.go
+++ b/internal/distribution/tree/config.go
@@ -7,10 +7,10 @@
 	"github.com/go-logr/logr"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/features"
-	"github.com/lapisvane/lapisvane/internal/holdings"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // Config is what a Node needs from its surroundings.
@@ -27,7 +27,7 @@
 	Seeds []string
 	// Interest names the services that this daemon itself needs.
 	Interest holdings.Interest
-	Tunables features.Distribution
+	Tunables tunables.Distribution
 	Network  wire.Network
 	// Store is the object API.
 	Store objectapi.Store
--- a/internal/tree/endpoints.go
+++ b/internal/distribution/tree/endpoints.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/endpoint"
+	"github.com/lapisvane/lapisvane/internal/distribution/endpoint"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // SetLocalEndpoints announces the instances beside this daemon. Node, address,
--- a/internal/tree/fault_test.go
+++ b/internal/distribution/tree/fault_test.go
@@ -13,10 +13,10 @@
 	"gotest.tools/v3/poll"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/objectapistub"
-	"github.com/lapisvane/lapisvane/internal/tree"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/distribution/tree"
+	"github.com/lapisvane/lapisvane/internal/lab/objectapistub"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // readers returns the members that hold a seat.
--- a/internal/tree/floors.go
+++ b/internal/distribution/tree/floors.go
@@ -8,10 +8,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/changelog"
-	"github.com/lapisvane/lapisvane/internal/floor"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/seat"
+	"github.com/lapisvane/lapisvane/internal/distribution/changelog"
+	"github.com/lapisvane/lapisvane/internal/distribution/revisionfloor"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Bounds of floor questions.
@@ -110,15 +110,15 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if err != nil {
-		reply = floor.DuringOutage(n.readerView())
+		reply = revisionfloor.DuringOutage(n.readerView())
 	}
 	n.answerFloor(reply)
 }
 
 // readerView returns what this reader knows without the object API; the caller
 // holds mutex.
-func (n *Node) readerView() floor.ReaderView {
-	view := floor.ReaderView{
+func (n *Node) readerView() revisionfloor.ReaderView {
+	view := revisionfloor.ReaderView{
 		Head:           n.holdings.Revision(),
 		SubtreeHighest: n.report().GetHighestRevision(),
 	}
--- a/internal/tree/interest.go
+++ b/internal/distribution/tree/interest.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/holdings"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
 )
 
 // neededInterest returns what this node and its children need; the caller
--- a/internal/tree/machines.go
+++ b/internal/distribution/tree/machines.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // listDrainHold is how long a daemon believes a reader that its machine is
--- a/internal/tree/mesh.go
+++ b/internal/distribution/tree/mesh.go
@@ -7,11 +7,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/seat"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // Times of the links between readers.
@@ -47,7 +47,7 @@
 	defer n.closeMesh()
 	for {
 		n.reconcileMesh(ctx)
-		if !pause.For(ctx, meshReconcileInterval) {
+		if !sleep.For(ctx, meshReconcileInterval) {
 			return ctx.Err()
 		}
 	}
@@ -109,7 +109,7 @@
 func (n *Node) dialMesh(ctx context.Context, link *meshLink) {
 	defer n.dropMesh(link)
 	// The pause keeps a reader that refuses from being dialed at once again.
-	defer pause.For(ctx, meshRedial)
+	defer sleep.For(ctx, meshRedial)
 	conn, err := n.dial(ctx, link.address)
 	if err != nil {
 		return
--- a/internal/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -9,13 +9,13 @@
 	"golang.org/x/time/rate"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/endpoint"
-	"github.com/lapisvane/lapisvane/internal/floor"
-	"github.com/lapisvane/lapisvane/internal/holdings"
-	"github.com/lapisvane/lapisvane/internal/membership"
-	"github.com/lapisvane/lapisvane/internal/seat"
-	"github.com/lapisvane/lapisvane/internal/status"
+	"github.com/lapisvane/lapisvane/internal/distribution/endpoint"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
+	"github.com/lapisvane/lapisvane/internal/distribution/membership"
+	"github.com/lapisvane/lapisvane/internal/distribution/revisionfloor"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
+	"github.com/lapisvane/lapisvane/internal/distribution/status"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // Node is one daemon's part in the distribution.
@@ -49,7 +49,7 @@
 	// a reader knows them.
 	leaving map[string]bool
 
-	floors *floor.Broker
+	floors *revisionfloor.Broker
 	// floorIssued is true while a floor read is under way, here or above.
 	floorIssued bool
 	floorKnown  bool
@@ -98,7 +98,7 @@
 		asked:      map[uint64]holdings.Interest{},
 		registry:   endpoint.NewRegistry(),
 		leaving:    map[string]bool{},
-		floors:     &floor.Broker{},
+		floors:     &revisionfloor.Broker{},
 		children:   map[string]*childSession{},
 		mesh:       map[string]*meshLink{},
 		candidates: membership.NewCandidates(config.Address, config.Zone, config.Region, config.Seeds, config.Random),
--- a/internal/tree/node_test.go
+++ b/internal/distribution/tree/node_test.go
@@ -14,15 +14,15 @@
 	"gotest.tools/v3/poll"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/changelog"
-	"github.com/lapisvane/lapisvane/internal/features"
-	"github.com/lapisvane/lapisvane/internal/holdings"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/objectapistub"
-	"github.com/lapisvane/lapisvane/internal/peer"
-	"github.com/lapisvane/lapisvane/internal/tree"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/distribution/changelog"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/tree"
+	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
+	"github.com/lapisvane/lapisvane/internal/lab/objectapistub"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/transport/peer"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // settled bounds how long a cluster may take to reach a stated condition; it
@@ -70,7 +70,7 @@
 	t        *testing.T
 	stub     *objectapistub.Server
 	store    *objectapi.Client
-	tunables features.Distribution
+	tunables tunables.Distribution
 	members  map[string]*member
 	// retired are members that were killed; their histories still count.
 	retired []*member
@@ -82,13 +82,13 @@
 	t.Helper()
 	stub, err := objectapistub.Start(objectapistub.Options{Address: "127.0.0.1:0", Seed: 1})
 	assert.NilError(t, err)
-	tunables := features.Convergence()
-	tunables.Fanout = 3
-	tunables.FirstSourceAsk = features.Duration(100 * time.Millisecond)
-	tunables.SeatLease = features.Duration(2 * time.Second)
-	tunables.StatusInterval = features.Duration(200 * time.Millisecond)
+	tuned := tunables.Convergence()
+	tuned.Fanout = 3
+	tuned.FirstSourceAsk = tunables.Duration(100 * time.Millisecond)
+	tuned.SeatLease = tunables.Duration(2 * time.Second)
+	tuned.StatusInterval = tunables.Duration(200 * time.Millisecond)
 	c := &cluster{
-		t: t, stub: stub, tunables: tunables, members: map[string]*member{},
+		t: t, stub: stub, tunables: tuned, members: map[string]*member{},
 		store: objectapi.NewClient([]string{stub.Address()}, "", nil),
 	}
 	t.Cleanup(func() {
--- a/internal/tree/reader.go
+++ b/internal/distribution/tree/reader.go
@@ -10,14 +10,14 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/changelog"
-	"github.com/lapisvane/lapisvane/internal/holdings"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/seat"
+	"github.com/lapisvane/lapisvane/internal/distribution/changelog"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // Times of a reader.
@@ -130,7 +130,7 @@
 func (r *readerRole) renew(ctx context.Context) error {
 	interval := r.node.config.Tunables.SeatLease.Get() / renewalsPerLease
 	for {
-		if !pause.For(ctx, interval*9/10+rand.N(interval/10)) {
+		if !sleep.For(ctx, interval*9/10+rand.N(interval/10)) {
 			return ctx.Err()
 		}
 		if r.node.isStopping() {
@@ -203,7 +203,7 @@
 		if boottime.Since(started) > sourceBackoffMax {
 			backoff = sourceBackoffMin
 		}
-		if !pause.For(ctx, backoff/2+rand.N(backoff)) {
+		if !sleep.For(ctx, backoff/2+rand.N(backoff)) {
 			break
 		}
 		backoff = min(2*backoff, sourceBackoffMax)
@@ -345,7 +345,7 @@
 func (r *readerRole) reportStatus(ctx context.Context) error {
 	var written []byte
 	for {
-		if !pause.For(ctx, r.node.config.Tunables.StatusInterval.Get()) {
+		if !sleep.For(ctx, r.node.config.Tunables.StatusInterval.Get()) {
 			return ctx.Err()
 		}
 		report, version, ok := r.node.statusToWrite(boottime.Now())
@@ -377,7 +377,7 @@
 			r.node.reconcileMachines(machines)
 		}
 		interval := r.node.config.Tunables.MachinesInterval.Get()
-		if !pause.For(ctx, interval*9/10+rand.N(interval/5)) {
+		if !sleep.For(ctx, interval*9/10+rand.N(interval/5)) {
 			return ctx.Err()
 		}
 	}
@@ -387,7 +387,7 @@
 func (r *readerRole) keepHouse(ctx context.Context) error {
 	nextCompaction := boottime.Now().Add(compactInterval)
 	for {
-		if !pause.For(ctx, offerInterval*9/10+rand.N(offerInterval/5)) {
+		if !sleep.For(ctx, offerInterval*9/10+rand.N(offerInterval/5)) {
 			return ctx.Err()
 		}
 		now := boottime.Now()
--- a/internal/tree/search.go
+++ b/internal/distribution/tree/search.go
@@ -5,10 +5,10 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/membership"
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/seat"
+	"github.com/lapisvane/lapisvane/internal/distribution/membership"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // search is the effort of a node that no known daemon accepts as child. It
@@ -41,7 +41,7 @@
 // askSource waits a little and, when it is time, asks the object API. It
 // returns a seat to take, if any.
 func (s *search) askSource(ctx context.Context) (vacancy seat.Vacancy, found bool) {
-	if !pause.For(ctx, candidatePoll/2+rand.N(candidatePoll)) || boottime.Now().Before(s.nextAsk) {
+	if !sleep.For(ctx, candidatePoll/2+rand.N(candidatePoll)) || boottime.Now().Before(s.nextAsk) {
 		return seat.Vacancy{}, false
 	}
 	s.rounds++
--- a/internal/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/seat"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // lostSource notes that the object API is out of sight.
--- a/internal/tree/suspended_test.go
+++ b/internal/distribution/tree/suspended_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/seat"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // A reader whose machine was suspended past its lease writes nothing with it.
--- a/internal/tree/uplink.go
+++ b/internal/distribution/tree/uplink.go
@@ -9,12 +9,12 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/holdings"
-	"github.com/lapisvane/lapisvane/internal/membership"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/seat"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
+	"github.com/lapisvane/lapisvane/internal/distribution/membership"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // greetingTimeout bounds the wait for the answer to a Hello.
--- a/internal/features/duration.go
+++ b/internal/distribution/tunables/duration.go
@@ -1,10 +1,10 @@
-package features
+package tunables
 
 import (
 	"encoding/json"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Duration is a time.Duration that is written as "250ms" in settings files.
--- a/internal/features/features.go
+++ b/internal/distribution/tunables/features.go
@@ -1,6 +1,6 @@
-// Package features names the tunables of distribution with their defaults,
+// Package tunables names the tunables of distribution with their defaults,
 // units and meaning. A profile is a set of values for a kind of site.
-package features
+package tunables
 
 import "time"
 
--- a/internal/backendstub/server.go
+++ b/internal/lab/backendstub/server.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // Names of header fields between the lab's callers and back ends.
@@ -246,7 +246,7 @@
 	if s.options.ColdFactor > 1 && time.Since(s.started) < s.options.ColdStart {
 		duration *= time.Duration(s.options.ColdFactor)
 	}
-	if !pause.For(r.Context(), duration) {
+	if !sleep.For(r.Context(), duration) {
 		return "", r.Context().Err()
 	}
 	if err := s.callOn(r); err != nil {
--- a/internal/callload/caller.go
+++ b/internal/lab/callload/caller.go
@@ -14,9 +14,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/lapisvane/lapisvane/internal/backendstub"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/pause"
+	"github.com/lapisvane/lapisvane/internal/lab/backendstub"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // Outcome is what a caller learned of one call.
@@ -263,4 +263,4 @@
 }
 
 // SleepUntil waits until due; it reports false when ctx ended first.
-func SleepUntil(ctx context.Context, due time.Time) bool { return pause.For(ctx, time.Until(due)) }
+func SleepUntil(ctx context.Context, due time.Time) bool { return sleep.For(ctx, time.Until(due)) }
--- a/internal/lab/calls.go
+++ b/internal/lab/calls.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/callload"
+	"github.com/lapisvane/lapisvane/internal/lab/callload"
 )
 
 // callsCommand makes calls and checks their answers.
--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/internal/daemon"
-	"github.com/lapisvane/lapisvane/internal/emulator/day"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
 )
 
 // emulateCommand plays days on the emulated platform.
--- a/internal/emulator/client/burst.go
+++ b/internal/lab/emulator/client/burst.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
-	"github.com/lapisvane/lapisvane/internal/pause"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // Burst is a row of requests that a client sends on one connection before the
@@ -45,7 +45,7 @@
 	defer sending.close()
 	var running sync.WaitGroup
 	defer running.Wait()
-	for pause.For(ctx, time.Duration(random.ExpFloat64()/burst.PerSecond*float64(time.Second))) {
+	for sleep.For(ctx, time.Duration(random.ExpFloat64()/burst.PerSecond*float64(time.Second))) {
 		target := l.Targets[random.IntN(len(l.Targets))]
 		running.Go(func() { sending.send(target) })
 	}
--- a/internal/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -18,9 +18,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
-	"github.com/lapisvane/lapisvane/internal/pause"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
@@ -134,7 +134,7 @@
 	defer transport.CloseIdleConnections()
 	var running sync.WaitGroup
 	defer running.Wait()
-	for pause.For(ctx, time.Duration(random.ExpFloat64()/class.PerSecond*float64(time.Second))) {
+	for sleep.For(ctx, time.Duration(random.ExpFloat64()/class.PerSecond*float64(time.Second))) {
 		target := l.Targets[random.IntN(len(l.Targets))]
 		body := make([]byte, class.BodyBytes)
 		for index := range body {
--- a/internal/emulator/day/ahead_test.go
+++ b/internal/lab/emulator/day/ahead_test.go
@@ -6,9 +6,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/client"
-	"github.com/lapisvane/lapisvane/internal/emulator/day"
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/client"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
 )
 
 // Clients that send ahead, reads with an order between them, get what they asked
--- a/internal/emulator/day/day_test.go
+++ b/internal/lab/emulator/day/day_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/internal/daemon"
-	"github.com/lapisvane/lapisvane/internal/emulator/client"
-	"github.com/lapisvane/lapisvane/internal/emulator/day"
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
-	"github.com/lapisvane/lapisvane/internal/emulator/objectstore"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/client"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/objectstore"
 )
 
 // patience bounds waits for what must come; no test asserts how long it took.
--- a/internal/emulator/day/deadly.go
+++ b/internal/lab/emulator/day/deadly.go
@@ -10,8 +10,8 @@
 	"net/http"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
--- a/internal/emulator/day/deadly_test.go
+++ b/internal/lab/emulator/day/deadly_test.go
@@ -11,8 +11,8 @@
 	"github.com/go-logr/logr"
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/day"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
--- a/internal/emulator/day/explain_test.go
+++ b/internal/lab/emulator/day/explain_test.go
@@ -9,10 +9,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/day"
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
-	"github.com/lapisvane/lapisvane/internal/explain"
-	"github.com/lapisvane/lapisvane/internal/logging"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/explain"
+	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
 // allLines is more than a daemon writes, so that no request is left out.
--- a/internal/emulator/day/lead_test.go
+++ b/internal/lab/emulator/day/lead_test.go
@@ -7,9 +7,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/day"
-	"github.com/lapisvane/lapisvane/internal/emulator/objectstore"
-	"github.com/lapisvane/lapisvane/internal/logging"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/objectstore"
+	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
 // leader returns the machine whose daemon asks the store for all, by the lines: the
--- a/internal/emulator/day/machine.go
+++ b/internal/lab/emulator/day/machine.go
@@ -12,10 +12,10 @@
 	"github.com/go-logr/logr"
 
 	"github.com/lapisvane/lapisvane/internal/daemon"
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
-	"github.com/lapisvane/lapisvane/internal/features"
-	"github.com/lapisvane/lapisvane/internal/settings"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
@@ -62,12 +62,12 @@
 	config.Platform = settings.Platform{
 		Form: platform.Form, Addresses: []string{m.store},
 		ReadsPerSecond: m.site.options.ReadsPerSecond, WritesPerSecond: m.site.options.WritesPerSecond,
-		Contact: features.Duration(m.site.options.Contact), ApplyBound: features.Duration(m.site.options.ApplyBound),
+		Contact: tunables.Duration(m.site.options.Contact), ApplyBound: tunables.Duration(m.site.options.ApplyBound),
 	}
 	config.Retries = settings.Retries{Fraction: 0.2, Burst: 64}
-	config.EvacuationBound = features.Duration(m.site.options.EvacuationBound)
+	config.EvacuationBound = tunables.Duration(m.site.options.EvacuationBound)
 	config.ColdStarts = settings.ColdStarts{Overshoot: m.site.options.ColdOvershoot, Slack: m.site.options.ColdSlack}
-	config.StopLimit = features.Duration(m.site.options.Grace)
+	config.StopLimit = tunables.Duration(m.site.options.Grace)
 	config.DecisionLinesPerSecond = m.site.options.DecisionLines
 	if err := config.Check(); err != nil {
 		return err
--- a/internal/emulator/day/newcomers_test.go
+++ b/internal/lab/emulator/day/newcomers_test.go
@@ -7,10 +7,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/client"
-	"github.com/lapisvane/lapisvane/internal/emulator/day"
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
-	"github.com/lapisvane/lapisvane/internal/emulator/objectstore"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/client"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/objectstore"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
--- a/internal/emulator/day/operator.go
+++ b/internal/lab/emulator/day/operator.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
--- a/internal/emulator/day/play.go
+++ b/internal/lab/emulator/day/play.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/client"
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
-	"github.com/lapisvane/lapisvane/internal/emulator/objectstore"
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
-	"github.com/lapisvane/lapisvane/internal/pause"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/client"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/objectstore"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // FaultKind names a disturbance.
@@ -129,7 +129,7 @@
 	for index, fault := range plan.Faults {
 		random := rand.New(rand.NewPCG(plan.Options.Seed, uint64(index)))
 		running.Go(func() {
-			if pause.For(dayCtx, fault.At) {
+			if sleep.For(dayCtx, fault.At) {
 				play.strike(dayCtx, fault, random)
 			}
 		})
@@ -160,7 +160,7 @@
 
 // change declares configurations until ctx ends.
 func (p *play) change(ctx context.Context) {
-	for p.plan.ChangeEvery > 0 && pause.For(ctx, p.plan.ChangeEvery) {
+	for p.plan.ChangeEvery > 0 && sleep.For(ctx, p.plan.ChangeEvery) {
 		started := time.Now()
 		version, err := p.site.Declare(p.plan.Routes)
 		p.note(err)
@@ -218,7 +218,7 @@
 		p.disturbZone(ctx, fault, machine.Zone)
 	case FaultInstanceSlow, FaultAnswersLost, FaultAnswersSpoiled, FaultAnswersFail, FaultIdleForgotten, FaultInstanceHangs:
 		machine.Instance().Set(behaviourOf(fault.Kind))
-		pause.For(ctx, fault.For)
+		sleep.For(ctx, fault.For)
 		machine.Instance().Set(instance.Behaviour{})
 	default:
 		p.disturbStore(ctx, fault, random)
@@ -234,7 +234,7 @@
 	requests := DeadlyRequests()
 	names := slices.Sorted(maps.Keys(requests))
 	deadly := requests[names[random.IntN(len(names))]]
-	for pause.For(ctx, deadlyPause) {
+	for sleep.For(ctx, deadlyPause) {
 		machine := p.site.Machines[random.IntN(len(p.site.Machines))]
 		if machine.Caller() != "" {
 			deadly.Visit(ctx, p.site, machine, int(p.visits.Add(1)))
@@ -277,7 +277,7 @@
 		p.site.FailStoreFor(objectstore.Faults{Silent: true}, p.half(random)...)
 	case FaultStoreForgets:
 		p.site.Store.SetFaults(objectstore.Faults{Deaf: true})
-		pause.For(ctx, fault.For/4)
+		sleep.For(ctx, fault.For/4)
 		p.site.Store.SetFaults(objectstore.Faults{})
 		p.site.Store.Forget()
 		return
@@ -290,7 +290,7 @@
 	case FaultWritesLost:
 		p.site.Store.SetFaults(objectstore.Faults{LoseWrites: 0.4, Late: true})
 	}
-	pause.For(ctx, fault.For)
+	sleep.For(ctx, fault.For)
 	p.site.Store.SetFaults(objectstore.Faults{})
 }
 
@@ -315,10 +315,10 @@
 	}
 	p.note(p.site.Evacuate(zone))
 	defer p.site.EndEvacuation(zone)
-	pause.For(ctx, p.plan.Options.EvacuationBound+fault.For)
+	sleep.For(ctx, p.plan.Options.EvacuationBound+fault.For)
 	if fault.Kind == FaultZoneEmptiedCold {
 		p.site.Chill(zone)
-		pause.For(ctx, coldAhead)
+		sleep.For(ctx, coldAhead)
 	}
 }
 
@@ -341,7 +341,7 @@
 
 func (p *play) storm(ctx context.Context, length time.Duration) {
 	end := time.Now().Add(length)
-	for time.Now().Before(end) && pause.For(ctx, 20*time.Millisecond) {
+	for time.Now().Before(end) && sleep.For(ctx, 20*time.Millisecond) {
 		_, err := p.site.Declare(p.plan.Routes)
 		p.note(err)
 	}
--- a/internal/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/client"
-	"github.com/lapisvane/lapisvane/internal/emulator/objectstore"
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
-	"github.com/lapisvane/lapisvane/internal/pause"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/client"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/objectstore"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
@@ -159,7 +159,7 @@
 
 func (s *Site) await(ctx context.Context, what string, reached func() bool) error {
 	for !reached() {
-		if !pause.For(ctx, pollInterval) {
+		if !sleep.For(ctx, pollInterval) {
 			return fmt.Errorf("not reached in time: %s", what)
 		}
 	}
--- a/internal/emulator/day/standard.go
+++ b/internal/lab/emulator/day/standard.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/client"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/client"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
--- a/internal/emulator/day/zone.go
+++ b/internal/lab/emulator/day/zone.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
--- a/internal/emulator/instance/cold.go
+++ b/internal/lab/emulator/instance/cold.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
 )
 
 const (
--- a/internal/emulator/instance/instance.go
+++ b/internal/lab/emulator/instance/instance.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
-	"github.com/lapisvane/lapisvane/internal/pause"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
@@ -199,20 +199,20 @@
 // farewell first. It reports whether the leaving was acknowledged.
 func (i *Instance) Leave(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool) {
 	i.draining.Store(true)
-	for !acknowledged && pause.For(ctx, 0) {
+	for !acknowledged && sleep.For(ctx, 0) {
 		if abrupt {
 			acknowledged = i.tell(ctx, http.MethodDelete, nil) == nil
 		} else {
 			acknowledged = i.heartbeat(ctx) == nil
 		}
-		if !acknowledged && !pause.For(ctx, i.options.Beat/2) {
+		if !acknowledged && !sleep.For(ctx, i.options.Beat/2) {
 			break
 		}
 	}
 	if acknowledged {
 		i.options.Ledger.Left(i.id)
 	}
-	pause.For(ctx, keep)
+	sleep.For(ctx, keep)
 	if !abrupt {
 		_ = i.tell(ctx, http.MethodDelete, nil)
 	}
@@ -226,7 +226,7 @@
 		if !i.current().Silent && !i.draining.Load() {
 			_ = i.heartbeat(i.stopped)
 		}
-		if !pause.For(i.stopped, i.options.Beat) {
+		if !sleep.For(i.stopped, i.options.Beat) {
 			return
 		}
 	}
--- a/internal/emulator/instance/instance_test.go
+++ b/internal/lab/emulator/instance/instance_test.go
@@ -18,8 +18,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/instance"
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
--- a/internal/emulator/instance/serve.go
+++ b/internal/lab/emulator/instance/serve.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
-	"github.com/lapisvane/lapisvane/internal/pause"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
@@ -167,7 +167,7 @@
 
 // crashUnder ends the instance, some time after it began to work on what does that.
 func (i *Instance) crashUnder(name string) {
-	if !pause.For(i.stopped, i.options.ServiceTime) {
+	if !sleep.For(i.stopped, i.options.ServiceTime) {
 		return
 	}
 	i.options.Ledger.Ended(name, i.id, time.Now())
@@ -248,7 +248,7 @@
 	i.mutex.Lock()
 	spread := 0.5 + i.random.Float64()
 	i.mutex.Unlock()
-	if !pause.For(ctx, time.Duration(float64(i.options.ServiceTime)*factor*spread)) {
+	if !sleep.For(ctx, time.Duration(float64(i.options.ServiceTime)*factor*spread)) {
 		return false
 	}
 	if path := request.Header.Get(HeaderCall); path != "" {
--- a/internal/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -14,8 +14,8 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
@@ -259,7 +259,7 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return false
 	}
-	return pause.For(r.Context(), faults.Delay)
+	return sleep.For(r.Context(), faults.Delay)
 }
 
 func (s *Server) read(w http.ResponseWriter, r *http.Request, disturbed disturbance, kind, name string) {
--- a/internal/emulator/promise/promise_test.go
+++ b/internal/lab/emulator/promise/promise_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
 )
 
 // The ledger sees what goes wrong with requests that are sent ahead.
--- a/internal/emulator/promise/reached_test.go
+++ b/internal/lab/emulator/promise/reached_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/emulator/promise"
+	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
 )
 
 // noon is when the events below begin; only the times between them matter.
--- a/internal/lab/errortable.go
+++ b/internal/lab/errortable.go
@@ -5,7 +5,7 @@
 	"io"
 	"os"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // errorTableCommand prints docs/ERRORS.md.
@@ -29,7 +29,7 @@
 
 const errorTableHead = `# Result codes
 
-Generated from ` + "`internal/result`" + ` by ` + "`lapislab error-table`" + `; a test keeps the two in step.
+Generated from ` + "`internal/shared/result`" + ` by ` + "`lapislab error-table`" + `; a test keeps the two in step.
 
 1xxx settings, 2xxx validation of configuration, 3xxx operator requests,
 4xxx distribution, 5xxx calls, 6xxx protocol, 7xxx platform. Callers find the
--- a/internal/lab/explain.go
+++ b/internal/lab/explain.go
@@ -6,7 +6,7 @@
 	"os"
 	"slices"
 
-	"github.com/lapisvane/lapisvane/internal/explain"
+	"github.com/lapisvane/lapisvane/internal/lab/explain"
 )
 
 // explainCommand tells from the log lines of several daemons what happened to
--- a/internal/explain/cause.go
+++ b/internal/lab/explain/cause.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/decision"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/requestpath/decision"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Cause is what a request's lines prove.
--- a/internal/explain/explain_test.go
+++ b/internal/lab/explain/explain_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/explain"
+	"github.com/lapisvane/lapisvane/internal/lab/explain"
 )
 
 const (
--- a/internal/explain/timeline_test.go
+++ b/internal/lab/explain/timeline_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/explain"
+	"github.com/lapisvane/lapisvane/internal/lab/explain"
 )
 
 func TestTimelineCountsFailuresBySecondAndCause(t *testing.T) {
--- a/internal/lab/main.go
+++ b/internal/lab/main.go
@@ -5,8 +5,8 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"github.com/lapisvane/lapisvane/internal/cli"
-	"github.com/lapisvane/lapisvane/internal/testsite"
+	"github.com/lapisvane/lapisvane/internal/lab/testsite"
+	"github.com/lapisvane/lapisvane/internal/shared/cli"
 )
 
 // Main runs the program and returns its exit code: 0 when all that was checked
--- a/internal/objectapistub/machines.go
+++ b/internal/lab/objectapistub/machines.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
 )
 
 // machineChange is a change that the list shows from visibleAt on.
--- a/internal/objectapistub/server.go
+++ b/internal/lab/objectapistub/server.go
@@ -15,9 +15,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // DefaultWatchCap is the number of concurrent watches that the object API
@@ -175,7 +175,7 @@
 			http.Error(w, "unknown token", http.StatusUnauthorized)
 			return
 		}
-		if !pause.For(r.Context(), time.Duration(faults.DelayMillis)*time.Millisecond) {
+		if !sleep.For(r.Context(), time.Duration(faults.DelayMillis)*time.Millisecond) {
 			return
 		}
 		next(w, r)
@@ -312,7 +312,7 @@
 
 func (s *Server) sendEvents(ctx context.Context, encoder *json.Encoder, events []objectapi.Event) bool {
 	faults := s.currentFaults()
-	if len(events) > 0 && !pause.For(ctx, time.Duration(faults.EventDelayMillis)*time.Millisecond) {
+	if len(events) > 0 && !sleep.For(ctx, time.Duration(faults.EventDelayMillis)*time.Millisecond) {
 		return false
 	}
 	for index := range events {
--- a/internal/objectapistub/store.go
+++ b/internal/lab/objectapistub/store.go
@@ -5,8 +5,8 @@
 	"strings"
 	"sync"
 
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // keptEvents is the number of events kept for watches that start late.
--- a/internal/lab/output.go
+++ b/internal/lab/output.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/logging"
+	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
 // results prints the outcome of a command, one event a line on standard output.
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"github.com/lapisvane/lapisvane/internal/explain"
+	"github.com/lapisvane/lapisvane/internal/lab/explain"
 )
 
 // Size of a report's picture.
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -6,12 +6,12 @@
 	"os"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/backendstub"
-	"github.com/lapisvane/lapisvane/internal/cli"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/objectapistub"
-	"github.com/lapisvane/lapisvane/internal/operator"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/lab/backendstub"
+	"github.com/lapisvane/lapisvane/internal/lab/objectapistub"
+	"github.com/lapisvane/lapisvane/internal/operators/operator"
+	"github.com/lapisvane/lapisvane/internal/shared/cli"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // platformCommand runs the platform stand-in until a signal.
--- a/internal/testsite/accept.go
+++ b/internal/lab/testsite/accept.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
 )
 
 // acceptChanges makes changes the next revision on behalf of the lab.
--- a/internal/testsite/calls_test.go
+++ b/internal/lab/testsite/calls_test.go
@@ -21,12 +21,12 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
-	"github.com/lapisvane/lapisvane/internal/backendstub"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/callload"
-	"github.com/lapisvane/lapisvane/internal/features"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/testsite"
+	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
+	"github.com/lapisvane/lapisvane/internal/lab/backendstub"
+	"github.com/lapisvane/lapisvane/internal/lab/callload"
+	"github.com/lapisvane/lapisvane/internal/lab/testsite"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
 )
 
 const settleTime = 30 * time.Second
@@ -364,7 +364,7 @@
 // outcome is unknown, in a whole answer.
 func TestCallsThatOutlastAStopAreAnswered(t *testing.T) {
 	site := startSite(t, 1, func(profile *testsite.Profile) {
-		profile.StopLimit = features.Duration(500 * time.Millisecond)
+		profile.StopLimit = tunables.Duration(500 * time.Millisecond)
 		profile.ServiceTime = time.Minute
 	})
 	caller := edgeCaller(site, "/upload", nil)
--- a/internal/testsite/daemon_test.go
+++ b/internal/lab/testsite/daemon_test.go
@@ -18,12 +18,12 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
-	"github.com/lapisvane/lapisvane/internal/callload"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/settings"
-	"github.com/lapisvane/lapisvane/internal/testsite"
-	"github.com/lapisvane/lapisvane/internal/tlssetup"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/lab/callload"
+	"github.com/lapisvane/lapisvane/internal/lab/testsite"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/transport/tlssetup"
 )
 
 // TestMalformedBytesOnEveryPort sends garbage to each listening port of a
--- a/internal/testsite/keys.go
+++ b/internal/lab/testsite/keys.go
@@ -12,7 +12,7 @@
 	"path/filepath"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/tlssetup"
+	"github.com/lapisvane/lapisvane/internal/transport/tlssetup"
 )
 
 // keyLifetime is how long keys made by the lab are valid.
--- a/internal/testsite/profile.go
+++ b/internal/lab/testsite/profile.go
@@ -4,8 +4,8 @@
 	"strings"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/features"
-	"github.com/lapisvane/lapisvane/internal/settings"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
 )
 
 // Profile is the shape of a site: its sizes, delays and limits.
@@ -22,7 +22,7 @@
 	// Distribution names the tunables: convergence or bytes.
 	Distribution string
 	MachineLag   time.Duration
-	StopLimit    features.Duration
+	StopLimit    tunables.Duration
 	Seed         uint64
 }
 
@@ -37,10 +37,10 @@
 func Swancycle() Profile {
 	return Profile{
 		Name: "swancycle", Zones: []string{"perth-1", "perth-2", "perth-3", "perth-4"},
-		Services:  []ServiceShape{{"ride-desk", 7}, {"fleet-yard", 5}},
-		Slots:     6, Connections: 130, ConnectionCost: time.Millisecond, ServiceTime: 5 * time.Millisecond,
+		Services: []ServiceShape{{"ride-desk", 7}, {"fleet-yard", 5}},
+		Slots:    6, Connections: 130, ConnectionCost: time.Millisecond, ServiceTime: 5 * time.Millisecond,
 		Distribution: settings.ProfileConvergence, MachineLag: 2 * time.Second,
-		StopLimit: features.Duration(time.Minute), Seed: 1,
+		StopLimit: tunables.Duration(time.Minute), Seed: 1,
 	}
 }
 
--- a/internal/testsite/site.go
+++ b/internal/lab/testsite/site.go
@@ -9,17 +9,17 @@
 
 	"github.com/go-logr/logr"
 
-	"github.com/lapisvane/lapisvane/internal/backendstub"
-	"github.com/lapisvane/lapisvane/internal/changelog"
-	"github.com/lapisvane/lapisvane/internal/ctl"
 	"github.com/lapisvane/lapisvane/internal/daemon"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/objectapistub"
-	"github.com/lapisvane/lapisvane/internal/opapi"
-	"github.com/lapisvane/lapisvane/internal/operator"
-	"github.com/lapisvane/lapisvane/internal/query"
-	"github.com/lapisvane/lapisvane/internal/settings"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/changelog"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/lab/backendstub"
+	"github.com/lapisvane/lapisvane/internal/lab/objectapistub"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/operators/ctl"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
+	"github.com/lapisvane/lapisvane/internal/operators/operator"
+	"github.com/lapisvane/lapisvane/internal/operators/query"
 )
 
 // Loopback lets the system choose a port.
--- a/internal/callapi/callapi.go
+++ b/internal/model/callapi/callapi.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Names of header fields that the system adds.
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/model/fingerprint/fingerprint.go
@@ -14,7 +14,7 @@
 	"strings"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
 )
 
 // Head names the method, host and path of a request; it is known before the body is.
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/model/fingerprint/fingerprint_test.go
@@ -5,7 +5,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
 func TestWhatIsAskedForNamesARequest(t *testing.T) {
--- a/internal/meshconfig/apply.go
+++ b/internal/model/meshconfig/apply.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/digest"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/digest"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // ChangeKey returns the object that change replaces or removes.
--- a/internal/meshconfig/compose.go
+++ b/internal/model/meshconfig/compose.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // DefaultGroup owns the objects of a configuration source that knows no
--- a/internal/meshconfig/file.go
+++ b/internal/model/meshconfig/file.go
@@ -4,7 +4,7 @@
 	"sigs.k8s.io/yaml"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // MaxProposalBytes bounds a proposal file.
--- a/internal/meshconfig/meshconfig_test.go
+++ b/internal/model/meshconfig/meshconfig_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 const base = `
--- a/internal/meshconfig/state.go
+++ b/internal/model/meshconfig/state.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/digest"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/digest"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Kind is the kind of a configuration object.
--- a/internal/meshconfig/validate.go
+++ b/internal/model/meshconfig/validate.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Limits of configuration values.
--- a/internal/orders/orders_test.go
+++ b/internal/model/orders/orders_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/orders"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
 )
 
 // set returns orders at a revision that evacuate zones since given.
--- a/internal/quarantine/message.go
+++ b/internal/model/quarantine/message.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
 // Message returns records as daemons tell them to each other.
--- a/internal/quarantine/record.go
+++ b/internal/model/quarantine/record.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
 // Crash is the end of an instance that had a request.
--- a/internal/quarantine/registry.go
+++ b/internal/model/quarantine/registry.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
 // Tunables of the decision.
--- a/internal/quarantine/registry_test.go
+++ b/internal/model/quarantine/registry_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
 // bench is a registry with a clock of its own.
--- a/internal/quarantine/store.go
+++ b/internal/model/quarantine/store.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
 // Store keeps records where they outlast all daemons. An error means that it is not known
--- a/internal/snapshot/snapshot.go
+++ b/internal/model/snapshot/snapshot.go
@@ -9,8 +9,8 @@
 	"strings"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Service is one pool with its routes and shares.
--- a/internal/snapshot/store.go
+++ b/internal/model/snapshot/store.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Store holds the snapshot in force. Readers take it without a lock; only one
--- a/internal/snapshot/store_test.go
+++ b/internal/model/snapshot/store_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
 )
 
 func configurationOf(t *testing.T, revision uint64) *lapisv1.Configuration {
--- a/internal/ctl/client.go
+++ b/internal/operators/ctl/client.go
@@ -14,9 +14,9 @@
 	"strconv"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/opapi"
-	"github.com/lapisvane/lapisvane/internal/query"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
+	"github.com/lapisvane/lapisvane/internal/operators/query"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Times of the client.
--- a/internal/ctl/main.go
+++ b/internal/operators/ctl/main.go
@@ -7,9 +7,9 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"github.com/lapisvane/lapisvane/internal/cli"
-	"github.com/lapisvane/lapisvane/internal/query"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/operators/query"
+	"github.com/lapisvane/lapisvane/internal/shared/cli"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // TokenVariable is the environment variable from which the token is read when
--- a/internal/ctl/print.go
+++ b/internal/operators/ctl/print.go
@@ -7,7 +7,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"github.com/lapisvane/lapisvane/internal/opapi"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
 )
 
 // Output formats.
--- a/internal/ctl/session.go
+++ b/internal/operators/ctl/session.go
@@ -7,7 +7,7 @@
 	"io"
 	"strings"
 
-	"github.com/lapisvane/lapisvane/internal/query"
+	"github.com/lapisvane/lapisvane/internal/operators/query"
 )
 
 // Session runs commands one after the other.
--- a/internal/operator/auth.go
+++ b/internal/operators/operator/auth.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // TokensKey is the object that holds the operators.
--- a/internal/operator/change.go
+++ b/internal/operators/operator/change.go
@@ -11,9 +11,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/opapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // maxRebases bounds how often a drain is written anew after losing a race.
--- a/internal/operator/server.go
+++ b/internal/operators/operator/server.go
@@ -16,10 +16,10 @@
 	"github.com/go-logr/logr"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/changelog"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/opapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/distribution/changelog"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Bounds of the interface.
--- a/internal/operator/server_test.go
+++ b/internal/operators/operator/server_test.go
@@ -16,14 +16,14 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/ctl"
-	"github.com/lapisvane/lapisvane/internal/objectapi"
-	"github.com/lapisvane/lapisvane/internal/objectapistub"
-	"github.com/lapisvane/lapisvane/internal/opapi"
-	"github.com/lapisvane/lapisvane/internal/operator"
-	"github.com/lapisvane/lapisvane/internal/query"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/testsite"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/lab/objectapistub"
+	"github.com/lapisvane/lapisvane/internal/lab/testsite"
+	"github.com/lapisvane/lapisvane/internal/operators/ctl"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
+	"github.com/lapisvane/lapisvane/internal/operators/operator"
+	"github.com/lapisvane/lapisvane/internal/operators/query"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 type noEndpoints struct{}
--- a/internal/operator/show.go
+++ b/internal/operators/operator/show.go
@@ -16,10 +16,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/opapi"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/seat"
+	"github.com/lapisvane/lapisvane/internal/distribution/seat"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // show answers a query for all rows of one kind; lapisctl filters them.
--- a/internal/query/filter.go
+++ b/internal/operators/query/filter.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"github.com/lapisvane/lapisvane/internal/opapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Filter returns the table with only the rows that meet all conditions.
--- a/internal/query/language.go
+++ b/internal/operators/query/language.go
@@ -6,7 +6,7 @@
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Command is one parsed command; exactly one field is set.
--- a/internal/query/query_test.go
+++ b/internal/operators/query/query_test.go
@@ -5,9 +5,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/opapi"
-	"github.com/lapisvane/lapisvane/internal/query"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
+	"github.com/lapisvane/lapisvane/internal/operators/query"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 func TestParse(t *testing.T) {
--- a/internal/admission/pace.go
+++ b/internal/requestpath/admission/pace.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Tunables of a pace.
--- a/internal/admission/pace_test.go
+++ b/internal/requestpath/admission/pace_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // admissions are the times at which calls got a slot, and the order of their priorities.
--- a/internal/admission/queue.go
+++ b/internal/requestpath/admission/queue.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Tunables of a queue.
--- a/internal/admission/queue_test.go
+++ b/internal/requestpath/admission/queue_test.go
@@ -12,8 +12,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 const serviceTime = 50 * time.Millisecond
--- a/internal/balance/balancer.go
+++ b/internal/requestpath/balance/balancer.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/locality"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/locality"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Tunables of balancing.
--- a/internal/balance/balancer_test.go
+++ b/internal/requestpath/balance/balancer_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/balance"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
 )
 
 const (
--- a/internal/balance/constraint_test.go
+++ b/internal/requestpath/balance/constraint_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/balance"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // newRegions returns a pool with an instance in each of the places, which are written
--- a/internal/balance/estimate.go
+++ b/internal/requestpath/balance/estimate.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/locality"
+	"github.com/lapisvane/lapisvane/internal/model/locality"
 )
 
 // Tunables of the estimates.
--- a/internal/balance/estimate_test.go
+++ b/internal/requestpath/balance/estimate_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
 )
 
 // The chance of lateness is a chance, rises with the work and falls with the time
--- a/internal/balance/locality.go
+++ b/internal/requestpath/balance/locality.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/locality"
+	"github.com/lapisvane/lapisvane/internal/model/locality"
 )
 
 // What lies between two regions.
--- a/internal/decision/log_test.go
+++ b/internal/requestpath/decision/log_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/decision"
-	"github.com/lapisvane/lapisvane/internal/logging"
+	"github.com/lapisvane/lapisvane/internal/requestpath/decision"
+	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
 // perSecond bounds the lines of the logs here.
--- a/internal/gateway/answer.go
+++ b/internal/requestpath/gateway/answer.go
@@ -16,9 +16,9 @@
 	"github.com/cloudwego/hertz/pkg/protocol/http1/resp"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/gateway/pipeline"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/requestpath/gateway/pipeline"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Sizes of answers in bytes.
--- a/internal/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/balance"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Bounds of the attempts at one call.
--- a/internal/gateway/constraints.go
+++ b/internal/requestpath/gateway/constraints.go
@@ -7,7 +7,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/balance"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
 )
 
 // constraints returns what an instance must meet to get the call at all. The homes are
--- a/internal/gateway/constraints_test.go
+++ b/internal/requestpath/gateway/constraints_test.go
@@ -15,9 +15,9 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/decision"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/requestpath/decision"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // place puts the three instances of an attempter into zones a, b and c of regions r1, r1
--- a/internal/gateway/decisions.go
+++ b/internal/requestpath/gateway/decisions.go
@@ -7,10 +7,10 @@
 	"github.com/cloudwego/hertz/pkg/app"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/balance"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Names of the gateway's events; docs/OPERATIONS.md lists their keys.
--- a/internal/gateway/deliver.go
+++ b/internal/requestpath/gateway/deliver.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/gateway/pipeline"
+	"github.com/lapisvane/lapisvane/internal/requestpath/gateway/pipeline"
 )
 
 // finish runs the attempts and passes the answer on.
--- a/internal/gateway/failures.go
+++ b/internal/requestpath/gateway/failures.go
@@ -4,8 +4,8 @@
 	"bytes"
 	"io"
 
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // mayReplace reports whether an answer is a failure that another instance may do
--- a/internal/gateway/failures_test.go
+++ b/internal/requestpath/gateway/failures_test.go
@@ -12,11 +12,11 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/balance"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // scriptedRemote answers each attempt as the script says, in order: a status, or
--- a/internal/gateway/gateway.go
+++ b/internal/requestpath/gateway/gateway.go
@@ -21,14 +21,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/balance"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/callmux"
-	"github.com/lapisvane/lapisvane/internal/decision"
-	"github.com/lapisvane/lapisvane/internal/gateway/pipeline"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
+	"github.com/lapisvane/lapisvane/internal/requestpath/decision"
+	"github.com/lapisvane/lapisvane/internal/requestpath/gateway/pipeline"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
 // Bounds of the callers' side.
--- a/internal/gateway/opening.go
+++ b/internal/requestpath/gateway/opening.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/balance"
-	"github.com/lapisvane/lapisvane/internal/boottime"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // Times within which a call may wait and start.
--- a/internal/gateway/pipeline/body.go
+++ b/internal/requestpath/gateway/pipeline/body.go
@@ -6,7 +6,7 @@
 	"net"
 	"sync"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Body reads a caller's long body once. Who reads it may outlive the request, so
--- a/internal/gateway/pipeline/connection.go
+++ b/internal/requestpath/gateway/pipeline/connection.go
@@ -13,7 +13,7 @@
 	"github.com/cloudwego/hertz/pkg/protocol/http1/req"
 	"github.com/cloudwego/hertz/pkg/protocol/suite"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // interimContinue is the answer that asks for the body of a request that waits
--- a/internal/gateway/pipeline/exchange.go
+++ b/internal/requestpath/gateway/pipeline/exchange.go
@@ -6,7 +6,7 @@
 
 	"github.com/cloudwego/hertz/pkg/app"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Exchange is one request and its answer.
--- a/internal/gateway/pipeline/pipeline_test.go
+++ b/internal/requestpath/gateway/pipeline/pipeline_test.go
@@ -22,7 +22,7 @@
 	"github.com/cloudwego/hertz/pkg/protocol/suite"
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // testWait bounds what a test waits for; only a fault reaches it.
--- a/internal/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -10,11 +10,11 @@
 	"github.com/cloudwego/hertz/pkg/app"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
-	"github.com/lapisvane/lapisvane/internal/origin"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Bounds of what is read whole before it is judged.
--- a/internal/gateway/quarantine_test.go
+++ b/internal/requestpath/gateway/quarantine_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/origin"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // What is held back is told the time until one may run, not one that is drawn for calls
--- a/internal/gateway/request.go
+++ b/internal/requestpath/gateway/request.go
@@ -10,9 +10,9 @@
 	"github.com/cloudwego/hertz/pkg/app"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/gateway/pipeline"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/requestpath/gateway/pipeline"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // hopByHop names the fields that concern one connection only (RFC 9110,
--- a/internal/gateway/request_test.go
+++ b/internal/requestpath/gateway/request_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 func TestRetryBudgetIsAFractionOfCalls(t *testing.T) {
--- a/internal/gateway/returns_test.go
+++ b/internal/requestpath/gateway/returns_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // The time that a caller has waited since its first try is what its deadline lacks,
--- a/internal/gateway/split_test.go
+++ b/internal/requestpath/gateway/split_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // A part that has no room refuses its share of the calls; the other part does not
--- a/internal/gateway/suspended_test.go
+++ b/internal/requestpath/gateway/suspended_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // The caller of a call has waited on while the machine was suspended: no instance is told
--- a/internal/origin/backend.go
+++ b/internal/requestpath/origin/backend.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // maxStaleAnswers bounds the answers to earlier requests that are passed over
--- a/internal/origin/cold.go
+++ b/internal/requestpath/origin/cold.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/admission"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
 // ColdBound is what a cold instance must not get more than in any second: the pool's
--- a/internal/origin/cold_test.go
+++ b/internal/requestpath/origin/cold_test.go
@@ -14,11 +14,11 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/meshconfig"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // coldTime is how long the tests' instances stay cold, and boundOfSecond what one of
--- a/internal/origin/connection.go
+++ b/internal/requestpath/origin/connection.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Bounds of the connections to a back end.
--- a/internal/origin/decisions.go
+++ b/internal/requestpath/origin/decisions.go
@@ -4,10 +4,10 @@
 	"strings"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Names of the origin's events; docs/OPERATIONS.md lists their keys.
--- a/internal/origin/evacuation.go
+++ b/internal/requestpath/origin/evacuation.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // SetEvacuated makes all instances beside the daemon drain, those included that register
--- a/internal/origin/evacuation_test.go
+++ b/internal/requestpath/origin/evacuation_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // nowhere is an address at which no back end answers.
--- a/internal/origin/fallen.go
+++ b/internal/requestpath/origin/fallen.go
@@ -6,8 +6,8 @@
 	"syscall"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Bounds of what is taken as a sign that an instance fell over.
--- a/internal/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 func (o *Origin) run(ctx context.Context, instance *Instance, slot *admission.Slot, call *callapi.Call) (*callapi.Answer, error) {
--- a/internal/origin/inflight.go
+++ b/internal/requestpath/origin/inflight.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Times of the finding that an instance ended.
--- a/internal/origin/inflight_bench_test.go
+++ b/internal/requestpath/origin/inflight_bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 )
 
 // BenchmarkNothingSuspected is what a call without a body pays while no request is suspected.
--- a/internal/origin/inflight_test.go
+++ b/internal/requestpath/origin/inflight_test.go
@@ -16,10 +16,10 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/fingerprint"
-	"github.com/lapisvane/lapisvane/internal/quarantine"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // recorder is an Crashes that counts as a registry does, and remembers what ended.
--- a/internal/origin/instance.go
+++ b/internal/requestpath/origin/instance.go
@@ -9,9 +9,9 @@
 	"github.com/qmuntal/stateless"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Times and bounds of an instance.
--- a/internal/origin/leaving_test.go
+++ b/internal/requestpath/origin/leaving_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // A call that waited already when the daemon began to stop starts only if its whole time
--- a/internal/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -11,12 +11,12 @@
 	"github.com/go-logr/logr"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/decision"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/requestpath/decision"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // BackendConfig names one back end beside the daemon.
--- a/internal/origin/registration.go
+++ b/internal/requestpath/origin/registration.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/admission"
-	"github.com/lapisvane/lapisvane/internal/snapshot"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
 // withdrawnMemory is how long it is remembered that an instance left, so that
--- a/internal/origin/registration_test.go
+++ b/internal/requestpath/origin/registration_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/origin"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // settle is longer than any interval in which an origin looks at its instances.
--- a/internal/origin/suspended_test.go
+++ b/internal/requestpath/origin/suspended_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // An instance stays as cold as it said, and up, while its machine is suspended: it may have
--- a/internal/logging/async_test.go
+++ b/internal/shared/logging/async_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/logging"
+	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
 // stuckWriter takes nothing until it is released.
--- a/internal/logging/sink_test.go
+++ b/internal/shared/logging/sink_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/logging"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/logging"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 func TestLinesAreKeyValuePairs(t *testing.T) {
--- a/internal/pause/pause.go
+++ b/internal/shared/sleep/pause.go
@@ -1,5 +1,5 @@
-// Package pause waits for a time or the end of a context.
-package pause
+// Package sleep waits for a time or the end of a context.
+package sleep
 
 import (
 	"context"
--- a/internal/callmux/admission_test.go
+++ b/internal/transport/callmux/admission_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/peer"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/peer"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // gate is an origin that refuses calls or reads their bodies.
--- a/internal/callmux/client.go
+++ b/internal/transport/callmux/client.go
@@ -10,10 +10,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/pause"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // Bounds of the calling side.
@@ -341,7 +341,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
 	current, err := c.sessionTo(ctx, address)
-	for err != nil && c.Maintained && pause.For(ctx, fencePoll) {
+	for err != nil && c.Maintained && sleep.For(ctx, fencePoll) {
 		current, err = c.sessionTo(ctx, address)
 	}
 	if err != nil || current.incarnation != incarnation {
--- a/internal/callmux/dial_test.go
+++ b/internal/transport/callmux/dial_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // deafNetwork opens no connection: the machine dialed has no power.
--- a/internal/callmux/flight_test.go
+++ b/internal/transport/callmux/flight_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // A body of 60 kB was sent all at once: on a link of 5 Mbit/s it held up for 0.1 s
--- a/internal/callmux/heartbeat.go
+++ b/internal/transport/callmux/heartbeat.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // rememberedFrames is how many of the own frames an echo may name; the peer
--- a/internal/callmux/heartbeat_test.go
+++ b/internal/transport/callmux/heartbeat_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // aliveFrame is the empty frame that a side makes at a time.
--- a/internal/callmux/server.go
+++ b/internal/transport/callmux/server.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // maxStreams bounds the calls at once on one connection.
--- a/internal/callmux/session.go
+++ b/internal/transport/callmux/session.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // Timing bounds a session.
--- a/internal/callmux/stall.go
+++ b/internal/transport/callmux/stall.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/pause"
+	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
 // Stall bounds the time in which a peer that no longer answers is noticed while
@@ -23,7 +23,7 @@
 
 // WatchStalls checks the sessions until ctx ends.
 func (c *Client) WatchStalls(ctx context.Context, bounds Stall) {
-	for pause.For(ctx, bounds.Check) {
+	for sleep.For(ctx, bounds.Check) {
 		for address, current := range c.sessions() {
 			if changed, stalled := current.checkStall(bounds, time.Now()); changed {
 				bounds.Changed(address, stalled)
--- a/internal/callmux/stall_test.go
+++ b/internal/transport/callmux/stall_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/callapi"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // A peer that holds a call and says nothing stalls; its next sign of life ends
--- a/internal/callmux/stream.go
+++ b/internal/transport/callmux/stream.go
@@ -6,7 +6,7 @@
 	"sync"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Windows and sizes in bytes.
--- a/internal/callmux/suspended_test.go
+++ b/internal/transport/callmux/suspended_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/internal/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
 // What a daemon tells others of its last confirmation includes the time for which its
--- a/internal/peer/server.go
+++ b/internal/transport/peer/server.go
@@ -15,8 +15,8 @@
 	"github.com/go-logr/logr"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // Bounds of the greeting.
--- a/internal/tlssetup/tlssetup.go
+++ b/internal/transport/tlssetup/tlssetup.go
@@ -7,8 +7,8 @@
 	"crypto/x509"
 	"os"
 
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // PeerName is the DNS name that every daemon's certificate carries. Daemons
--- a/internal/wire/compress.go
+++ b/internal/transport/wire/compress.go
@@ -4,7 +4,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // CompressAboveBytes is the frame size from which compression is tried.
--- a/internal/wire/conn.go
+++ b/internal/transport/wire/conn.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // ProtocolVersion is the version that Hello carries.
--- a/internal/wire/deflate.go
+++ b/internal/transport/wire/deflate.go
@@ -6,7 +6,7 @@
 	"io"
 	"sync"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 var compressors = sync.Pool{New: func() any {
--- a/internal/wire/network.go
+++ b/internal/transport/wire/network.go
@@ -6,13 +6,13 @@
 	"net"
 	"time"
 
-	"github.com/lapisvane/lapisvane/internal/result"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // DialTimeout bounds the time for a connection to another daemon to open.
 const DialTimeout = 2 * time.Second
 
-// Network opens and accepts connections. Tests and experiments put delays and
+// Network opens and accepts connections. Tests put delays and
 // cuts behind it.
 type Network interface {
 	Dial(ctx context.Context, address string) (net.Conn, error)
--- a/internal/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/result"
-	"github.com/lapisvane/lapisvane/internal/wire"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
 // receiveFrom lets a Conn read the given bytes and nothing more.
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -6,11 +6,11 @@
 while read -r package target; do
   go test -run '^$' -fuzz "^$target\$" -fuzztime "$duration" "./internal/$package"
 done <<'TARGETS'
-wire FuzzReceive
-wire FuzzCallFrame
-meshconfig FuzzParseFile
-meshconfig FuzzDecodeBundle
-query FuzzParse
-gateway FuzzCheckFraming
-gateway/pipeline FuzzPipelinedBytes
+transport/wire FuzzReceive
+transport/wire FuzzCallFrame
+model/meshconfig FuzzParseFile
+model/meshconfig FuzzDecodeBundle
+operators/query FuzzParse
+requestpath/gateway FuzzCheckFraming
+requestpath/gateway/pipeline FuzzPipelinedBytes
 TARGETS
