--- a/internal/distribution/fleet/directory_test.go
+++ b/internal/distribution/fleet/directory_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"slices"
 	"sync"
 	"testing"
@@ -10,6 +9,7 @@
 	"time"
 
 	"github.com/go-logr/logr"
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 )
 
--- a/internal/distribution/fleet/link.go
+++ b/internal/distribution/fleet/link.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
+	"github.com/pkg/errors"
+
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
--- a/internal/distribution/fleet/wanted.go
+++ b/internal/distribution/fleet/wanted.go
@@ -5,9 +5,8 @@
 	"maps"
 	"slices"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/lapisvane/lapisvane/internal/model/locality"
+	"github.com/lapisvane/lapisvane/internal/shared/rendezvous"
 )
 
 // Bounds of the daemons that one daemon connects to.
@@ -107,7 +106,7 @@
 	return taken
 }
 
-func rank(self, member Member) uint64 { return xxhash.Sum64String(self.Node + "|" + member.Node) }
+func rank(self, member Member) uint64 { return rendezvous.Score(self.Node, member.Node) }
 
 func sound(members []candidate) int {
 	count := 0
--- a/internal/distribution/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -8,10 +8,9 @@
 	"slices"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/shared/rendezvous"
 )
 
 // Bounds of what is remembered.
@@ -218,22 +217,19 @@
 // order in which they may become readers of seat, and the number of machines.
 // All daemons with the same list compute the same order.
 func Rank(machines []objectapi.Machine, node, seat string) (rank, total int) {
-	own := seatScore(node, seat)
+	own := rendezvous.Score(seat, node)
 	for _, machine := range machines {
 		if machine.State != objectapi.MachineLive {
 			continue
 		}
 		total++
-		if machine.Node != node && seatScore(machine.Node, seat) > own {
+		if machine.Node != node && rendezvous.Score(seat, machine.Node) > own {
 			rank++
 		}
 	}
 	return rank, total
 }
 
-// seatScore is a rendezvous hash.
-func seatScore(node, seat string) uint64 { return xxhash.Sum64String(seat + "|" + node) }
-
 // MayTakeSeat reports whether a daemon of the given rank may try for a seat
 // after so many rounds without a parent. The window doubles each round, so
 // that a list full of dead machines delays the takeover only a little while
--- a/internal/distribution/tree/fault_test.go
+++ b/internal/distribution/tree/fault_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"sync/atomic"
 	"testing"
 	"time"
 
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
--- a/internal/lab/callload/caller.go
+++ b/internal/lab/callload/caller.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -13,6 +12,7 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/pkg/errors"
 
 	"github.com/lapisvane/lapisvane/internal/lab/backendstub"
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
--- a/internal/lab/emulator/instance/instance_test.go
+++ b/internal/lab/emulator/instance/instance_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,6 +15,7 @@
 	"testing"
 	"time"
 
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
--- a/internal/operators/operator/server.go
+++ b/internal/operators/operator/server.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"net"
 	"net/http"
 	"strconv"
@@ -14,6 +13,7 @@
 	"github.com/cloudwego/hertz/pkg/app/server"
 	"github.com/cloudwego/hertz/pkg/network/standard"
 	"github.com/go-logr/logr"
+	"github.com/pkg/errors"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/distribution/changelog"
--- a/internal/requestpath/balance/balancer.go
+++ b/internal/requestpath/balance/balancer.go
@@ -1,17 +1,17 @@
 package balance
 
 import (
+	"cmp"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/locality"
 	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/shared/rendezvous"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
@@ -222,16 +222,7 @@
 
 func rankFirst(candidates []*Target, key string) *Target {
 	return slices.MaxFunc(candidates, func(a, b *Target) int {
-		scoreA := xxhash.Sum64String(key + "|" + a.Endpoint.GetInstance())
-		scoreB := xxhash.Sum64String(key + "|" + b.Endpoint.GetInstance())
-		switch {
-		case scoreA < scoreB:
-			return -1
-		case scoreA > scoreB:
-			return 1
-		default:
-			return 0
-		}
+		return cmp.Compare(rendezvous.Score(key, a.Endpoint.GetInstance()), rendezvous.Score(key, b.Endpoint.GetInstance()))
 	})
 }
 
@@ -247,12 +238,7 @@
 	}
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(x, y *Target) int {
-		scoreX := xxhash.Sum64String(b.node + "|" + x.Endpoint.GetInstance())
-		scoreY := xxhash.Sum64String(b.node + "|" + y.Endpoint.GetInstance())
-		if scoreX < scoreY {
-			return -1
-		}
-		return 1
+		return cmp.Compare(rendezvous.Score(b.node, x.Endpoint.GetInstance()), rendezvous.Score(b.node, y.Endpoint.GetInstance()))
 	})
 	near, far := b.byRegion(ranked)
 	farPart := min(otherRegionPart, len(far))
--- a/internal/requestpath/balance/constraint_test.go
+++ b/internal/requestpath/balance/constraint_test.go
@@ -1,11 +1,11 @@
 package balance_test
 
 import (
-	"errors"
 	"fmt"
 	"testing"
 	"time"
 
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"errors"
 	"math/rand/v2"
 	"strconv"
 	"time"
 
+	"github.com/pkg/errors"
+
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
--- a/internal/requestpath/gateway/constraints.go
+++ b/internal/requestpath/gateway/constraints.go
@@ -1,10 +1,10 @@
 package gateway
 
 import (
-	"errors"
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
+	"github.com/pkg/errors"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
--- a/internal/requestpath/gateway/pipeline/answers.go
+++ b/internal/requestpath/gateway/pipeline/answers.go
@@ -1,10 +1,10 @@
 package pipeline
 
 import (
-	"errors"
 	"net"
 
 	"github.com/cloudwego/hertz/pkg/protocol/http1/resp"
+	"github.com/pkg/errors"
 )
 
 // isConnectionError reports whether err is one of the network itself.
--- a/internal/requestpath/gateway/pipeline/body.go
+++ b/internal/requestpath/gateway/pipeline/body.go
@@ -1,11 +1,12 @@
 package pipeline
 
 import (
-	"errors"
 	"io"
 	"net"
 	"sync"
 
+	"github.com/pkg/errors"
+
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
--- a/internal/requestpath/gateway/pipeline/connection.go
+++ b/internal/requestpath/gateway/pipeline/connection.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"sync"
 	"time"
@@ -12,6 +11,7 @@
 	"github.com/cloudwego/hertz/pkg/network"
 	"github.com/cloudwego/hertz/pkg/protocol/http1/req"
 	"github.com/cloudwego/hertz/pkg/protocol/suite"
+	"github.com/pkg/errors"
 
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
--- a/internal/requestpath/gateway/pipeline/pipeline_test.go
+++ b/internal/requestpath/gateway/pipeline/pipeline_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -20,6 +19,7 @@
 	"github.com/cloudwego/hertz/pkg/network/standard"
 	"github.com/cloudwego/hertz/pkg/protocol/http1/resp"
 	"github.com/cloudwego/hertz/pkg/protocol/suite"
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/internal/shared/result"
--- a/internal/requestpath/origin/backend.go
+++ b/internal/requestpath/origin/backend.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -10,6 +9,8 @@
 	"sync"
 	"time"
 
+	"github.com/pkg/errors"
+
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
--- a/internal/requestpath/origin/fallen.go
+++ b/internal/requestpath/origin/fallen.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"errors"
 	"syscall"
 	"time"
 
+	"github.com/pkg/errors"
+
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
--- a/internal/requestpath/origin/inflight.go
+++ b/internal/requestpath/origin/inflight.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"errors"
 	"hash"
 	"io"
 	"math/rand/v2"
@@ -11,6 +10,8 @@
 	"syscall"
 	"time"
 
+	"github.com/pkg/errors"
+
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
--- a/internal/requestpath/origin/inflight_test.go
+++ b/internal/requestpath/origin/inflight_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -13,6 +12,7 @@
 	"testing"
 	"time"
 
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
--- a/internal/shared/cli/cli.go
+++ b/internal/shared/cli/cli.go
@@ -2,7 +2,6 @@
 package cli
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -10,6 +9,7 @@
 	"syscall"
 
 	"github.com/jessevdk/go-flags"
+	"github.com/pkg/errors"
 )
 
 // Exit codes of the programs.
--- a/internal/shared/logging/sink_test.go
+++ b/internal/shared/logging/sink_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"bytes"
-	"errors"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/internal/shared/logging"
--- a/internal/transport/peer/server.go
+++ b/internal/transport/peer/server.go
@@ -6,13 +6,13 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"net"
 	"sync"
 	"time"
 
 	"github.com/go-logr/logr"
+	"github.com/pkg/errors"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
--- a/internal/transport/wire/conn.go
+++ b/internal/transport/wire/conn.go
@@ -3,13 +3,13 @@
 import (
 	"bufio"
 	"bytes"
-	"errors"
 	"io"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/pkg/errors"
 	"google.golang.org/protobuf/encoding/protodelim"
 	"google.golang.org/protobuf/proto"
 
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -3,11 +3,11 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"errors"
 	"io"
 	"net"
 	"testing"
 
+	"github.com/pkg/errors"
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
