--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -2,16 +2,107 @@
 
 import (
 	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
+	"github.com/lapisvane/lapisvane/internal/transport/peer"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// distribution is a daemon's part in telling daemons of each other's instances:
-// a tree.Node, or a fleet.Fleet on a platform.
+// distribution is how a daemon learns the configuration and the instances of other
+// machines, and how it tells of its own. There are two: treeDistribution, where daemons
+// form a tree below readers of lapisvane's own object API, and platformDistribution, where
+// they tell one another over the connections that carry their calls.
 type distribution interface {
-	Run(ctx context.Context)
+	// Run serves until ctx ends, on those of the listeners that are the distribution's.
+	Run(ctx context.Context, listeners listeners)
 	// SetLocalEndpoints states the instances beside the daemon.
 	SetLocalEndpoints(endpoints []*lapisv1.Endpoint)
-	// Endpoints returns the known instances of a service.
-	Endpoints(service string) []*lapisv1.Endpoint
+	// EndpointsOf returns the known instances of a service.
+	EndpointsOf(service string) []*lapisv1.Endpoint
+	// Handlers returns what serves the connections of other daemons, besides those for calls.
+	Handlers() map[lapisv1.Hello_Purpose]peer.Handler
+	// AcceptedCalls returns what is called with each connection for calls that another
+	// daemon opened; nil where such connections carry nothing but calls.
+	AcceptedCalls() func(hello *lapisv1.Hello, link callmux.Link) callmux.Control
+	// SpreadSuspects tells other daemons what is known of requests under which instances
+	// crashed; from is the daemon that said so, empty for this one.
+	SpreadSuspects(records []quarantine.Record, from string)
+	// Resumed notes that the machine was suspended: what others had told is that much older.
+	Resumed()
+	// Drain stops as planned: no new work, and what is in flight is seen through. It
+	// returns the number of calls still in flight when force or StopLimit ended the wait.
+	Drain(force <-chan struct{}) (cut int64)
+	// RegisterMetrics adds the metrics of this way of distribution.
+	RegisterMetrics(registry *prometheus.Registry)
+	// Close frees what is kept open, after Run has returned.
+	Close()
+}
+
+// way is one of the two ways of distribution, with what the request path needs to know of
+// it before it can be built.
+type way struct {
+	// incarnation tells this process from earlier ones on the machine.
+	incarnation uint64
+	envelope    callapi.Envelope
+	// timing bounds the connections for calls; maintained is true where the distribution
+	// keeps them open, so that calls never dial.
+	timing     callmux.Timing
+	maintained bool
+	// quarantineStore outlasts all daemons; nil where there is none.
+	quarantineStore quarantine.Store
+	// build makes the distribution around the request path.
+	build func(path *requestPath, network wire.Network) distribution
+}
+
+// wayOfDistribution is the one place that chooses between the two ways: a platform's, or
+// the tree over lapisvane's own object API.
+func wayOfDistribution(d *Daemon, config *settings.Daemon, options Options) way {
+	if options.Platform == nil {
+		return treeWay(d, config, options)
+	}
+	return platformWay(d, config, options)
+}
+
+// treeWay describes the tree. The incarnation is the time, since the tree's members order
+// the processes of a machine by it.
+func treeWay(d *Daemon, config *settings.Daemon, options Options) way {
+	incarnation := uint64(time.Now().UnixNano())
+	return way{
+		incarnation: incarnation, envelope: callapi.DefaultEnvelope,
+		build: func(path *requestPath, network wire.Network) distribution {
+			store := objectapi.NewClient(config.Platform.Addresses, config.Platform.Token, options.PlatformDial)
+			return newTreeDistribution(treeDistributionConfig{
+				path: path, store: store, network: network, counters: d.counters,
+				address: d.listeners.peer.Addr().String(), incarnation: incarnation,
+			})
+		},
+	}
+}
+
+// platformWay describes the distribution on a platform. The incarnation is random there: the
+// time of day may jump, and no order rests on it.
+func platformWay(d *Daemon, config *settings.Daemon, options Options) way {
+	incarnation := rand.Uint64()
+	freshness := &configsource.Freshness{WithOrders: config.EvacuationBound > 0}
+	return way{
+		incarnation: incarnation, envelope: options.Platform.Envelope(),
+		timing: platformTiming(config, freshness), maintained: true,
+		quarantineStore: options.Platform.Quarantine(),
+		build: func(path *requestPath, _ wire.Network) distribution {
+			return newPlatformDistribution(platformDistributionConfig{
+				path: path, platform: options.Platform, freshness: freshness,
+				address: d.listeners.peer.Addr().String(), incarnation: incarnation,
+			})
+		},
+	}
 }
--- /dev/null
+++ b/internal/daemon/listeners.go
@@ -0,0 +1,82 @@
+package daemon
+
+import (
+	"net"
+
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
+)
+
+// listeners are the open listening sockets; those not configured are nil.
+type listeners struct {
+	peer, caller, callerTLS, operator, metrics, instances, readiness net.Listener
+}
+
+// listen opens the sockets that the settings name. Errors: SettingsBadAddress with the key,
+// and those of the network between daemons; nothing is left open then.
+func listen(network wire.Network, config *settings.Daemon) (opened listeners, err error) {
+	if opened.peer, err = network.Listen(config.PeerAddress); err != nil {
+		return listeners{}, err
+	}
+	plain := []struct {
+		key, address string
+		listener     *net.Listener
+	}{
+		{"caller_address", config.CallerAddress, &opened.caller},
+		{"caller_tls_address", config.CallerTLSAddress, &opened.callerTLS},
+		{"operator_address", config.OperatorAddress, &opened.operator},
+		{"metrics_address", config.MetricsAddress, &opened.metrics},
+		{"instance_address", config.InstanceAddress, &opened.instances},
+		{"readiness_address", config.ReadinessAddress, &opened.readiness},
+	}
+	for _, entry := range plain {
+		if entry.address == "" {
+			continue
+		}
+		if *entry.listener, err = net.Listen("tcp", entry.address); err != nil {
+			opened.close()
+			return listeners{}, result.Wrap(result.SettingsBadAddress, err, "%s", entry.key)
+		}
+	}
+	return opened, nil
+}
+
+// all returns the sockets that are open.
+func (l *listeners) all() []net.Listener {
+	var open []net.Listener
+	for _, listener := range []net.Listener{l.peer, l.caller, l.callerTLS, l.operator, l.metrics, l.instances, l.readiness} {
+		if listener != nil {
+			open = append(open, listener)
+		}
+	}
+	return open
+}
+
+// close closes every socket. Whoever serves one has closed it already when its context
+// ended, so the errors tell nothing.
+func (l *listeners) close() {
+	for _, listener := range l.all() {
+		_ = listener.Close()
+	}
+}
+
+// Addresses are where a daemon listens; empty for what it does not serve.
+type Addresses struct {
+	Peer, Caller, CallerTLS, Operator, Metrics, Instances, Readiness string
+}
+
+// addresses returns where the sockets listen.
+func (l *listeners) addresses() Addresses {
+	address := func(listener net.Listener) string {
+		if listener == nil {
+			return ""
+		}
+		return listener.Addr().String()
+	}
+	return Addresses{
+		Peer: address(l.peer), Caller: address(l.caller), CallerTLS: address(l.callerTLS),
+		Operator: address(l.operator), Metrics: address(l.metrics),
+		Instances: address(l.instances), Readiness: address(l.readiness),
+	}
+}
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -23,12 +23,9 @@
 
 // Sources are the parts of a daemon that are measured.
 type Sources struct {
-	Node         *tree.Node
-	Counters     *wire.Counters
-	CallCounters *wire.Counters
-	Store        *objectapi.Client
-	Origin       *origin.Origin
-	Calls        *callmux.Client
+	Counters *wire.Counters
+	Origin   *origin.Origin
+	Calls    *callmux.Client
 	// Suspects returns the number of requests under which instances ended, and of those
 	// held back.
 	Suspects func() (suspects, held int)
@@ -37,12 +34,6 @@
 // Register adds the daemon's metrics to registry.
 func Register(registry *prometheus.Registry, sources Sources) {
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	if sources.Node != nil {
-		registerTree(registry, sources.Node)
-	}
-	if sources.Store != nil {
-		registerStore(registry, sources.Store)
-	}
 	gauge(registry, "lapisvane_call_links", "Open connections to other daemons for calls.",
 		func() float64 { return float64(sources.Calls.Links()) })
 	gauge(registry, "lapisvane_requests_suspected", "Requests under which instances ended, by what they ask for.", func() float64 {
@@ -75,8 +66,9 @@
 		func() float64 { return float64(store.BytesIn.Load()) })
 }
 
-// registerTree adds the metrics of the distribution tree.
-func registerTree(registry *prometheus.Registry, node *tree.Node) {
+// RegisterTree adds the metrics of a daemon in the distribution tree to registry.
+func RegisterTree(registry *prometheus.Registry, node *tree.Node, store *objectapi.Client) {
+	registerStore(registry, store)
 	gauge(registry, "lapisvane_revision_in_force", "Revision in force, 0 before the first.",
 		func() float64 { return float64(node.Info().InForce) })
 	gauge(registry, "lapisvane_revision_held", "Newest revision held.",
--- a/internal/daemon/metrics/direct.go
+++ b/internal/daemon/metrics/platform.go
@@ -13,8 +13,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Direct are the parts of a daemon on a platform that are measured.
-type Direct struct {
+// Platform are the parts of a daemon on a platform that are measured.
+type Platform struct {
 	Fleet    *fleet.Fleet
 	Follower *configsource.Follower
 	Origin   *origin.Origin
@@ -30,8 +30,8 @@
 	Confirmed func() time.Time
 }
 
-// RegisterDirect adds the metrics of a daemon on a platform to registry.
-func RegisterDirect(registry *prometheus.Registry, sources Direct) {
+// RegisterPlatform adds the metrics of a daemon on a platform to registry.
+func RegisterPlatform(registry *prometheus.Registry, sources Platform) {
 	gauge(registry, "lapisvane_revision_in_force", "Revision in force, 0 before the first.", func() float64 {
 		revision, _ := sources.InForce()
 		return float64(revision)
@@ -73,7 +73,7 @@
 }
 
 // registerOrders adds what concerns the operators' orders.
-func registerOrders(registry *prometheus.Registry, sources Direct) {
+func registerOrders(registry *prometheus.Registry, sources Platform) {
 	gauge(registry, "lapisvane_orders_revision", "Revision of the operators' orders in force, 0 before the first.",
 		func() float64 { return float64(sources.Orders.Load().Revision()) })
 	gauge(registry, "lapisvane_orders_evacuated_zones", "Zones whose instances get no calls.",
--- /dev/null
+++ b/internal/daemon/platform_distribution.go
@@ -0,0 +1,322 @@
+package daemon
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/daemon/metrics"
+	"github.com/lapisvane/lapisvane/internal/daemon/platformapi"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+	"github.com/lapisvane/lapisvane/internal/distribution/fleet"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
+	"github.com/lapisvane/lapisvane/internal/transport/peer"
+)
+
+// Times of a daemon on a platform.
+const (
+	// readyGrace is how long a starting daemon waits for its instance and for
+	// other daemons before it takes callers without them.
+	readyGrace = 3 * time.Second
+	// callersLeave is how long callers may still come after the daemon said
+	// that it is not ready.
+	callersLeave = 2500 * time.Millisecond
+	// instancesLeave is how long a stopping daemon takes calls for the instance beside
+	// it, as far as they end before it does: the instance would idle meanwhile.
+	instancesLeave = 2 * time.Second
+	// readShare is the part of what the source bears that daemons plan to use.
+	readShare = 0.5
+	// coalescePart is the part of the bound for a configuration that a daemon
+	// waits at the least between two questions to the source.
+	coalescePart = 5
+	// answersLeave is how long the last answers are given to leave the machine.
+	answersLeave = 100 * time.Millisecond
+)
+
+// platformPeerTiming bounds the connections between daemons on a platform, where a lost
+// one must be noticed within the time that rules give.
+var platformPeerTiming = callmux.Timing{KeepAlive: time.Second, Silence: 2500 * time.Millisecond, Write: time.Second}
+
+// platformTiming bounds the connections between daemons. Their empty frames are the
+// heartbeats: what is in force here, and how recently that was confirmed.
+func platformTiming(values *settings.Daemon, freshness *configsource.Freshness) callmux.Timing {
+	timing := platformPeerTiming
+	timing.Local = func() callmux.Heartbeat { return heartbeatOf(freshness) }
+	timing.LinkMegabits = values.LinkMegabits
+	return timing
+}
+
+// heartbeatOf is what other daemons are told.
+func heartbeatOf(freshness *configsource.Freshness) callmux.Heartbeat {
+	versions, confirmed := freshness.InForce()
+	return callmux.Heartbeat{Revision: versions.Configuration, Orders: versions.Orders, Confirmed: confirmed}
+}
+
+// platformDistribution is a daemon's part in the distribution on a platform: daemons tell
+// each other of configurations, orders and instances over the connections between them,
+// and some ask the platform's store (configsource).
+type platformDistribution struct {
+	path     *requestPath
+	platform platformapi.Platform
+	fleet    *fleet.Fleet
+	follower *configsource.Follower
+	// freshness is how recently what is in force was confirmed to be the newest.
+	freshness *configsource.Freshness
+	started   time.Time
+	// draining is true from the planned stop on.
+	draining atomic.Bool
+	inForce  atomic.Pointer[lapisv1.Configuration]
+	// inForceAt is when that came in force, in nanoseconds since started.
+	inForceAt atomic.Int64
+	// orders puts the operators' orders in force.
+	orders ordersPart
+	// members is the number of daemons known, this one included.
+	members atomic.Int64
+	// resumed is sent to after a suspension of the machine.
+	resumed chan struct{}
+
+	// mutex is held while a configuration is put in force.
+	mutex sync.Mutex
+}
+
+// platformDistributionConfig is what a platformDistribution is built from.
+type platformDistributionConfig struct {
+	path      *requestPath
+	platform  platformapi.Platform
+	freshness *configsource.Freshness
+	// address is where other daemons reach this one.
+	address     string
+	incarnation uint64
+}
+
+func newPlatformDistribution(config platformDistributionConfig) *platformDistribution {
+	values := config.path.settings.Load()
+	p := &platformDistribution{
+		path: config.path, platform: config.platform, freshness: config.freshness,
+		started: time.Now(), resumed: make(chan struct{}, 1),
+	}
+	p.members.Store(1)
+	p.orders = ordersPart{follow: p.followOrders, unknown: map[string]bool{}}
+	p.fleet = fleet.New(fleet.Config{
+		Self:        fleet.Member{Node: values.Node, Address: config.address, Zone: values.Zone, Region: values.Region, Service: values.Service},
+		Incarnation: config.incarnation, Directory: config.platform.Directory(), Calls: p.path.calls, Observer: p,
+		InForce: p.inForce.Load, Orders: p.ordersInForce(), Suspects: p.path.suspects.Known, Freshness: p.freshness,
+		Withdrawn: p.path.origin.Withdrawn, Random: rand.Float64, Logger: p.path.logger,
+	})
+	p.follower = &configsource.Follower{
+		Source: config.platform.Source(), Apply: p.Offer, Freshness: p.freshness, Confirmed: p.fleet.Beat,
+		TakeOrders: p.ordersReader(), OrdersBound: p.ordersBound(),
+		Awaited: p.path.snapshots.Awaited, Bound: p.askBound(), Daemons: func() int { return int(p.members.Load()) },
+		Pace: p.pace, Random: rand.Float64, Resumed: p.resumed, Logger: p.path.logger,
+	}
+	return p
+}
+
+// inForceSince returns the revision in force and since when it is.
+func (p *platformDistribution) inForceSince() (revision uint64, since time.Time) {
+	return p.inForce.Load().GetRevision(), p.started.Add(time.Duration(p.inForceAt.Load()))
+}
+
+// stall bounds the time in which a daemon that does not answer is noticed.
+func (p *platformDistribution) stall() callmux.Stall {
+	return callmux.Stall{
+		Check: 100 * time.Millisecond, Quiet: 250 * time.Millisecond, Answer: 400 * time.Millisecond,
+		Changed: p.fleet.Stalled,
+	}
+}
+
+// Run implements distribution.
+func (p *platformDistribution) Run(ctx context.Context, listeners listeners) {
+	var running sync.WaitGroup
+	serve := func(listener net.Listener, run func(net.Listener)) {
+		if listener != nil {
+			running.Go(func() { run(listener) })
+		}
+	}
+	running.Go(func() { p.fleet.Run(ctx) })
+	running.Go(func() { p.follower.Run(ctx) })
+	running.Go(func() { p.path.suspects.run(ctx) })
+	running.Go(func() { p.path.calls.WatchStalls(ctx, p.stall()) })
+	serve(listeners.instances, func(listener net.Listener) { p.platform.ServeInstances(ctx, listener, p.path.origin) })
+	serve(listeners.readiness, func(listener net.Listener) { p.platform.ServeReadiness(ctx, listener, p.ready) })
+	running.Wait()
+}
+
+// SetLocalEndpoints implements distribution.
+func (p *platformDistribution) SetLocalEndpoints(endpoints []*lapisv1.Endpoint) {
+	p.fleet.SetLocalEndpoints(endpoints)
+}
+
+// EndpointsOf implements distribution.
+func (p *platformDistribution) EndpointsOf(service string) []*lapisv1.Endpoint {
+	return p.fleet.Endpoints(service)
+}
+
+// Handlers implements distribution: everything goes over the connections for calls.
+func (p *platformDistribution) Handlers() map[lapisv1.Hello_Purpose]peer.Handler {
+	return map[lapisv1.Hello_Purpose]peer.Handler{}
+}
+
+// AcceptedCalls implements distribution.
+func (p *platformDistribution) AcceptedCalls() func(*lapisv1.Hello, callmux.Link) callmux.Control {
+	return p.fleet.Accepted
+}
+
+// SpreadSuspects implements distribution.
+func (p *platformDistribution) SpreadSuspects(records []quarantine.Record, from string) {
+	p.fleet.SpreadSuspects(records, from)
+}
+
+// Resumed implements distribution: the source is asked as soon as the age of what others
+// had told says so.
+func (p *platformDistribution) Resumed() {
+	select {
+	case p.resumed <- struct{}{}:
+	default:
+	}
+}
+
+// RegisterMetrics implements distribution.
+func (p *platformDistribution) RegisterMetrics(registry *prometheus.Registry) {
+	metrics.RegisterPlatform(registry, metrics.Platform{
+		Fleet: p.fleet, Follower: p.follower, Origin: p.path.origin, InForce: p.inForceSince, Ready: p.ready,
+		Orders: p.path.orders, Confirmed: p.freshness.Confirmed,
+	})
+}
+
+// Close implements distribution.
+func (p *platformDistribution) Close() { p.platform.Close() }
+
+// pace is the least time between two questions to the source: so that all daemons
+// together use half of what it bears, and so that configurations in quick
+// succession are taken in a few at a time, well within their bound.
+func (p *platformDistribution) pace() time.Duration {
+	platform := p.path.settings.Load().Platform
+	return sourcePace(int(p.members.Load()), platform.ReadsPerSecond, platform.ApplyBound.Get())
+}
+
+// sourcePace returns the least time between two questions of one of so many
+// daemons to a source that bears so many reads a second.
+func sourcePace(daemons int, readsPerSecond float64, applyBound time.Duration) time.Duration {
+	pace := applyBound / coalescePart
+	if readsPerSecond > 0 {
+		pace = max(pace, time.Duration(float64(daemons)/(readsPerSecond*readShare)*float64(time.Second)))
+	}
+	return pace
+}
+
+// ready reports whether callers may be sent here. No configuration is in force before
+// the first orders are known.
+func (p *platformDistribution) ready() bool {
+	if p.draining.Load() || p.inForce.Load() == nil {
+		return false
+	}
+	if time.Since(p.started) > readyGrace {
+		return true
+	}
+	return p.fleet.Connected() > 0 && p.path.origin.LocalService() != ""
+}
+
+// Offer puts a configuration in force if it is newer than what is. It
+// implements fleet.Observer.
+func (p *platformDistribution) Offer(configuration *lapisv1.Configuration) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	path := p.path
+	current := p.inForce.Load()
+	if configuration.GetRevision() <= current.GetRevision() || p.holdBack(configuration) {
+		return
+	}
+	if err := path.snapshots.ReplaceConfiguration(configuration); err != nil {
+		path.logger.Error(err, "configuration.refused", "revision", configuration.GetRevision(), "in_force", current.GetRevision())
+		return
+	}
+	p.inForce.Store(configuration)
+	p.freshness.Advance(configuration.GetRevision())
+	p.inForceAt.Store(int64(time.Since(p.started)))
+	path.origin.Configure(path.snapshots.Current())
+	path.logger.Info("configuration.in_force", "revision", configuration.GetRevision(), "before", current.GetRevision())
+	p.fleet.Beat()
+}
+
+// Endpoints implements fleet.Observer.
+func (p *platformDistribution) Endpoints(service string, endpoints []*lapisv1.Endpoint) {
+	p.path.balancer.Update(service, endpoints)
+}
+
+// Members implements fleet.Observer.
+func (p *platformDistribution) Members(count int) {
+	p.members.Store(int64(count))
+	p.path.gateway.ShareRetries(count)
+}
+
+// Suspected implements fleet.Observer.
+func (p *platformDistribution) Suspected(records []quarantine.Record, from string) {
+	p.path.suspects.told(records, from)
+}
+
+// Withdraw implements fleet.Observer.
+func (p *platformDistribution) Withdraw(instance string) { p.path.origin.Withdraw(instance) }
+
+// leave has callers sent elsewhere and bounds the calls that still start to those that are
+// over by a time. instances ends, after instancesLeave, that the instances beside the
+// daemon take any.
+func (p *platformDistribution) leave(endsBy time.Time) (instances *time.Timer) {
+	path := p.path
+	p.draining.Store(true)
+	path.gateway.Leave(endsBy)
+	path.origin.Leave(endsBy)
+	return time.AfterFunc(instancesLeave, func() {
+		path.origin.Stop()
+		p.SetLocalEndpoints(path.origin.Advertised())
+	})
+}
+
+// Drain implements distribution: callers are sent elsewhere, instances soon take no new
+// work here, and what is in flight is seen through. It returns the number of
+// calls that were still in flight when force or the limit ended the wait.
+func (p *platformDistribution) Drain(force <-chan struct{}) (cut int64) {
+	path := p.path
+	// The limit ends with the process; an eighth of it is left for the end.
+	lasts := path.settings.Load().StopLimit.Get() * 7 / 8
+	limit := time.NewTimer(lasts)
+	defer limit.Stop()
+	instances := p.leave(time.Now().Add(lasts - answersLeave))
+	defer instances.Stop()
+	left := time.NewTimer(callersLeave)
+	defer left.Stop()
+	poll := time.NewTicker(inFlightPoll)
+	defer poll.Stop()
+	callersGone := false
+	var idleSince time.Time
+	for {
+		select {
+		case <-force:
+			return path.reportCut("a second signal")
+		case <-limit.C:
+			return path.endCalls()
+		case <-left.C:
+			// Whoever still comes is refused before anything ran, so that
+			// the end of the process cuts nothing.
+			path.gateway.Stop()
+			callersGone = true
+		case <-poll.C:
+			switch {
+			case !callersGone || path.inFlight() > 0:
+				idleSince = time.Time{}
+			case idleSince.IsZero():
+				idleSince = time.Now()
+			case time.Since(idleSince) >= answersLeave:
+				return 0
+			}
+		}
+	}
+}
--- a/internal/daemon/direct_test.go
+++ b/internal/daemon/platform_distribution_test.go
@@ -30,6 +30,14 @@
 func (idlePlatform) ServeReadiness(context.Context, net.Listener, func() bool)           {}
 func (idlePlatform) Close()                                                              {}
 
+// platformPart is the part of a daemon in the distribution on a platform.
+func platformPart(t *testing.T, running *Daemon) *platformDistribution {
+	t.Helper()
+	part, ok := running.distribution.(*platformDistribution)
+	assert.Assert(t, ok)
+	return part
+}
+
 func configurationOf(t *testing.T, revision uint64, prefix string) *lapisv1.Configuration {
 	t.Helper()
 	configuration, err := meshconfig.Compose(meshconfig.Composition{
@@ -49,20 +57,21 @@
 	running, err := New(&config, Options{Logger: logr.Discard(), Platform: idlePlatform{}})
 	assert.NilError(t, err)
 	defer running.listeners.close()
-	offer := running.direct.Offer
+	part := platformPart(t, running)
+	offer := part.Offer
 
 	offer(configurationOf(t, 7, "/new/"))
 	assert.Equal(t, running.Revision(), uint64(7))
 	offer(configurationOf(t, 5, "/old/"))
 	assert.Equal(t, running.Revision(), uint64(7))
-	assert.Assert(t, running.snapshots.Current().Match("h", "/new/x", "GET") != nil)
-	assert.Assert(t, running.snapshots.Current().Match("h", "/old/x", "GET") == nil)
+	assert.Assert(t, running.path.snapshots.Current().Match("h", "/new/x", "GET") != nil)
+	assert.Assert(t, running.path.snapshots.Current().Match("h", "/old/x", "GET") == nil)
 
 	broken := configurationOf(t, 9, "/broken/")
 	broken.Bundles[0].Content[3] ^= 1
 	offer(broken)
 	assert.Equal(t, running.Revision(), uint64(7))
-	assert.Equal(t, running.direct.inForce.Load().GetRevision(), uint64(7))
+	assert.Equal(t, part.inForce.Load().GetRevision(), uint64(7))
 
 	offer(configurationOf(t, 9, "/newest/"))
 	assert.Equal(t, running.Revision(), uint64(9))
--- a/internal/daemon/orders_test.go
+++ b/internal/daemon/platform_orders_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/go-logr/logr/funcr"
+	"github.com/prometheus/client_golang/prometheus"
 	"gotest.tools/v3/assert"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
@@ -17,7 +18,7 @@
 
 // startedLongAgo is a daemon of zone z whose time to wait for others is over, with the
 // lines that it logs about orders.
-func startedLongAgo(t *testing.T, ordersBound time.Duration) (part *direct, lines *[]string) {
+func startedLongAgo(t *testing.T, ordersBound time.Duration) (part *platformDistribution, lines *[]string) {
 	config := settings.DefaultDaemon()
 	config.Node, config.Zone, config.PeerAddress = "a", "z", "127.0.0.1:0"
 	config.EvacuationBound = tunables.Duration(ordersBound)
@@ -30,8 +31,9 @@
 	running, err := New(&config, Options{Logger: logger, Platform: idlePlatform{}})
 	assert.NilError(t, err)
 	t.Cleanup(running.listeners.close)
-	running.direct.started = time.Now().Add(-2 * readyGrace)
-	return running.direct, lines
+	part = platformPart(t, running)
+	part.started = time.Now().Add(-2 * readyGrace)
+	return part, lines
 }
 
 func evacuating(revision, given uint64, zones ...string) *orders.Set {
@@ -45,9 +47,9 @@
 // A daemon that starts puts no configuration in force, so that it sends nothing, and is
 // not ready before it knows the orders, be it from a neighbour or from the store.
 func TestNothingIsSentBeforeTheOrdersAreKnown(t *testing.T) {
-	for name, learn := range map[string]func(*direct, *orders.Set){
-		"neighbour": func(p *direct, set *orders.Set) { p.Ordered(set, "b") },
-		"store":     func(p *direct, set *orders.Set) { p.readOrders(set) },
+	for name, learn := range map[string]func(*platformDistribution, *orders.Set){
+		"neighbour": func(p *platformDistribution, set *orders.Set) { p.Ordered(set, "b") },
+		"store":     func(p *platformDistribution, set *orders.Set) { p.readOrders(set) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			part, _ := startedLongAgo(t, 5*time.Second)
@@ -55,17 +57,17 @@
 				part.Offer(configurationOf(t, revision, "/new/"))
 			}
 			assert.Assert(t, !part.ready())
-			assert.Equal(t, part.daemon.Revision(), uint64(0))
+			assert.Equal(t, part.path.revision(), uint64(0))
 			inForceFirst := false
 			part.orders.follow = func(_, _ *orders.Set, _ string) {
 				part.Offer(configurationOf(t, 6, "/while/"))
-				inForceFirst = part.daemon.Revision() == 0 && !part.ready()
+				inForceFirst = part.path.revision() == 0 && !part.ready()
 			}
 			learn(part, evacuating(3, 3, "z"))
 			assert.Assert(t, inForceFirst && part.ready())
-			assert.Equal(t, part.daemon.Revision(), uint64(7))
-			assert.Equal(t, part.heartbeat(), callmux.Heartbeat{Revision: 7, Orders: 3})
-			assert.Assert(t, part.orders.current.Evacuated("z"))
+			assert.Equal(t, part.path.revision(), uint64(7))
+			assert.Equal(t, heartbeatOf(part.freshness), callmux.Heartbeat{Revision: 7, Orders: 3})
+			assert.Assert(t, part.path.orders.Evacuated("z"))
 		})
 	}
 }
@@ -101,10 +103,12 @@
 	expect("the same")
 	part.readOrders(evacuating(8, 8, "nowhere"))
 	expect("taken away and given again", `"orders.given_again" "zone"="nowhere"`, `"orders.in_force" "zones"="nowhere"`)
-	assert.Assert(t, part.orders.current.Evacuated("nowhere") && !part.orders.current.Evacuated("z"))
+	assert.Assert(t, part.path.orders.Evacuated("nowhere") && !part.path.orders.Evacuated("z"))
 	part.Ordered(evacuating(5, 5, "z"), "c")
 	expect("older")
-	families, err := part.daemon.registry.Gather()
+	registry := prometheus.NewRegistry()
+	part.RegisterMetrics(registry)
+	families, err := registry.Gather()
 	assert.NilError(t, err)
 	measured := map[string]float64{}
 	for _, family := range families {
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -33,16 +33,19 @@
 type suspects struct {
 	*quarantine.Registry
 	logger logr.Logger
-	// spread tells other daemons, and store keeps what must outlast them; nil where there
-	// are none.
+	// spread tells other daemons.
 	spread func(records []quarantine.Record, from string)
-	store  quarantine.Store
+	// store keeps what must outlast all daemons; nil where there is none.
+	store quarantine.Store
 	// dirty wakes the keeping in the store.
 	dirty chan struct{}
 }
 
-func newSuspects(logger logr.Logger) *suspects {
-	return &suspects{Registry: quarantine.NewRegistry(boottime.Now), logger: logger, spread: func([]quarantine.Record, string) {}, dirty: make(chan struct{}, 1)}
+func newSuspects(logger logr.Logger, store quarantine.Store, spread func(records []quarantine.Record, from string)) *suspects {
+	return &suspects{
+		Registry: quarantine.NewRegistry(boottime.Now), logger: logger,
+		store: store, spread: spread, dirty: make(chan struct{}, 1),
+	}
 }
 
 // Crashed implements origin.Crashes.
@@ -59,13 +62,6 @@
 	s.noteChanged(changed, "answer")
 }
 
-// Quarantined returns the number of kinds of requests that are held back because instances
-// ended under them.
-func (d *Daemon) Quarantined() int {
-	_, held := d.suspects.Sizes()
-	return held
-}
-
 // told takes in what another daemon or the store knows.
 func (s *suspects) told(records []quarantine.Record, from string) {
 	changed := s.Merge(records)
--- a/internal/daemon/quarantine_test.go
+++ b/internal/daemon/quarantine_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
-		known := newSuspects(logr.Discard())
+		known := newSuspects(logr.Discard(), nil, func([]quarantine.Record, string) {})
 		line := fingerprint.Line{Method: "GET", Host: "a", Target: "/deadly"}
 		keys := fingerprint.Of(line, nil).Whole()
 		for end := range uint64(3) {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -80,7 +80,7 @@
 	updated := *d.settings.Load()
 	updated.Service, updated.Retries, updated.StopLimit = next.Service, next.Retries, next.StopLimit
 	d.settings.Store(&updated)
-	d.gateway.LimitRetries(retryLimits(updated.Retries))
+	d.path.gateway.LimitRetries(retryLimits(updated.Retries))
 	d.logger.Info("settings.reloaded", "cause", cause, "changed", strings.Join(applied, ","),
 		"need_restart", strings.Join(waiting, ","))
 }
--- /dev/null
+++ b/internal/daemon/requestpath.go
@@ -0,0 +1,167 @@
+package daemon
+
+import (
+	"sync/atomic"
+	"time"
+
+	"github.com/go-logr/logr"
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/model/orders"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
+	"github.com/lapisvane/lapisvane/internal/requestpath/decision"
+	"github.com/lapisvane/lapisvane/internal/requestpath/gateway"
+	"github.com/lapisvane/lapisvane/internal/requestpath/gateway/pipeline"
+	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
+)
+
+// Times of the end of calls at a planned stop.
+const (
+	// inFlightPoll is how often a stopping daemon counts its calls in flight. Chosen, not
+	// measured: well below answersLeave and cutAnswers.
+	inFlightPoll = 20 * time.Millisecond
+	// cutAnswers bounds how long the answers of cut calls may take to be written. Chosen,
+	// not measured: above a few ways of the network, 40 ms between regions.
+	cutAnswers = 300 * time.Millisecond
+)
+
+// requestPath is what carries calls: from callers to instances of any machine, and from
+// other daemons to the instances beside this one.
+type requestPath struct {
+	settings  *atomic.Pointer[settings.Daemon]
+	logger    logr.Logger
+	snapshots *snapshot.Store
+	balancer  *balance.Balancer
+	origin    *origin.Origin
+	calls     *callmux.Client
+	gateway   *gateway.Gateway
+	suspects  *suspects
+	// orders are the operators' orders in force; always empty where none are given.
+	orders *orders.Current
+}
+
+// requestPathConfig is what a requestPath is built from.
+type requestPathConfig struct {
+	settings     *atomic.Pointer[settings.Daemon]
+	logger       logr.Logger
+	registry     *prometheus.Registry
+	network      wire.Network
+	callCounters *wire.Counters
+	// peerAddress is where other daemons reach this one.
+	peerAddress string
+	way         way
+	// announce tells the distribution that the instances beside the daemon changed, spread
+	// what is known of requests under which instances crashed.
+	announce func()
+	spread   func(records []quarantine.Record, from string)
+}
+
+// newRequestPath builds the parts of the request path; none of them runs yet.
+func newRequestPath(config requestPathConfig) *requestPath {
+	values := config.settings.Load()
+	decisions := decision.New(config.logger, values.DecisionLinesPerSecond, time.Now)
+	p := &requestPath{
+		settings: config.settings, logger: config.logger,
+		snapshots: &snapshot.Store{}, orders: &orders.Current{},
+		balancer: balance.New(values.Node, values.Zone, values.Region, time.Now),
+		suspects: newSuspects(config.logger, config.way.quarantineStore, config.spread),
+	}
+	p.origin = origin.New(origin.Config{
+		Incarnation: config.way.incarnation, Backends: backendsOf(values), Crashes: p.suspects,
+		QueueLength: values.Calls.QueueLength, QueueTime: values.Calls.QueueTime.Get(),
+		Envelope: config.way.envelope, Changed: config.announce, Decisions: decisions, Logger: config.logger, Region: values.Region,
+		Cold: origin.ColdBound{Overshoot: values.ColdStarts.Overshoot, Slack: values.ColdStarts.Slack},
+	})
+	p.calls = &callmux.Client{
+		Network: config.network, Counters: config.callCounters, Timing: config.way.timing, Maintained: config.way.maintained,
+		Hello: &lapisv1.Hello{
+			ProtocolVersion: wire.ProtocolVersion, Purpose: lapisv1.Hello_PURPOSE_CALLS,
+			Node: values.Node, Incarnation: config.way.incarnation, Zone: values.Zone, Region: values.Region,
+			Address: config.peerAddress, Service: values.Service,
+		},
+	}
+	p.gateway = gateway.New(gateway.Config{
+		Node: values.Node, Incarnation: config.way.incarnation, Snapshots: p.snapshots, Balancer: p.balancer,
+		Local: p.origin, Remote: p.calls, DefaultDeadline: values.Calls.DefaultDeadline.Get(),
+		Envelope: config.way.envelope, CallerService: p.callerService, Retries: retryLimits(values.Retries),
+		Decisions: decisions, Registry: config.registry, RepeatShare: p.origin.RepeatShare, Evacuated: p.orders.Evacuated,
+		SentAhead: sentAhead(values.SentAhead), Suspicions: p.suspects,
+	})
+	return p
+}
+
+// backendsOf returns the back ends that the settings name.
+func backendsOf(values *settings.Daemon) []origin.BackendConfig {
+	backends := make([]origin.BackendConfig, 0, len(values.Backends))
+	for _, backend := range values.Backends {
+		backends = append(backends, origin.BackendConfig{Service: backend.Service, Instance: backend.Instance, Address: backend.Address})
+	}
+	return backends
+}
+
+func sentAhead(bounds settings.SentAhead) pipeline.Limits {
+	return pipeline.Limits{
+		RequestsPerConnection: bounds.RequestsPerConnection, RequestsAhead: bounds.Requests,
+		BytesPerConnection: bounds.BytesPerConnection, Bytes: bounds.Bytes,
+	}
+}
+
+func retryLimits(retries settings.Retries) gateway.RetryLimits {
+	if retries == (settings.Retries{}) {
+		return gateway.DefaultRetryLimits
+	}
+	return gateway.RetryLimits{Fraction: retries.Fraction, Burst: retries.Burst, Shared: true}
+}
+
+// callerService returns the service that runs on this machine.
+func (p *requestPath) callerService() string {
+	if service := p.settings.Load().Service; service != "" {
+		return service
+	}
+	return p.origin.LocalService()
+}
+
+// revision returns the configuration revision in force, 0 before the first.
+func (p *requestPath) revision() uint64 {
+	if current := p.snapshots.Current(); current != nil {
+		return current.Revision
+	}
+	return 0
+}
+
+// inFlight returns the number of calls of callers and at instances that are not over.
+func (p *requestPath) inFlight() int64 {
+	return p.gateway.InFlight() + int64(p.origin.InFlight())
+}
+
+// endCalls ends the calls that outlasted the stop limit and waits until callers
+// have been told so: a connection that ends without a word tells them nothing.
+func (p *requestPath) endCalls() (cut int64) {
+	cut = p.reportCut("stop_limit " + p.settings.Load().StopLimit.Get().String())
+	p.gateway.Cut()
+	limit := time.NewTimer(cutAnswers)
+	defer limit.Stop()
+	poll := time.NewTicker(inFlightPoll)
+	defer poll.Stop()
+	for p.gateway.InFlight() > 0 {
+		select {
+		case <-limit.C:
+			return cut
+		case <-poll.C:
+		}
+	}
+	return cut
+}
+
+// reportCut logs and returns the number of calls that are cut, and why.
+func (p *requestPath) reportCut(cause string) int64 {
+	cut := p.inFlight()
+	p.logger.Info("daemon.calls_cut", "calls", cut, "cause", cause)
+	return cut
+}
