--- a/internal/daemon/settings/daemon.go
+++ b/internal/daemon/settings/daemon.go
@@ -81,7 +81,7 @@
 	// ReadsPerSecond is the limit of the platform's store on the reads of all daemons
 	// together; 0 for no limit.
 	ReadsPerSecond float64 `json:"reads_per_second"`
-	// WritesPerSecond is accepted and has no effect: daemons write far less than stores allow.
+	// WritesPerSecond is accepted and has no effect.
 	WritesPerSecond float64 `json:"writes_per_second"`
 	// Contact is the time after which a daemon that reaches the platform again
 	// must know what it knows.
