--- /dev/null
+++ b/internal/pages_test.go
@@ -0,0 +1,109 @@
+package internal_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// eventName is the form of the names of log events, metricName that of metrics.
+var (
+	eventName  = regexp.MustCompile(`^[a-z]+\.[a-z_]+$`)
+	metricName = regexp.MustCompile(`^lapisvane_[a-z_]+$`)
+	// formatted is an event in a line that is written without the logger.
+	formatted = regexp.MustCompile(`event=([a-z]+\.[a-z_]+)`)
+)
+
+// notDaemons are the parts whose literals are no events or metrics of a daemon: the
+// programs of the lab, and the settings, whose keys look like events.
+var notDaemons = []string{"lab", "daemon/settings"}
+
+// otherLiterals look like events and are none.
+var otherLiterals = map[string]bool{"vcs.revision": true}
+
+// literalsOf returns the string literals of the daemons' code that match a pattern.
+func literalsOf(t *testing.T, pattern *regexp.Regexp) map[string]bool {
+	t.Helper()
+	found := map[string]bool{}
+	for _, root := range []string{".", "../platform"} {
+		err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+			if err != nil {
+				return err
+			}
+			for _, excluded := range notDaemons {
+				if filepath.ToSlash(name) == excluded {
+					return filepath.SkipDir
+				}
+			}
+			if entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
+				return nil
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
+			if err != nil {
+				return err
+			}
+			ast.Inspect(file, func(node ast.Node) bool {
+				literal, ok := node.(*ast.BasicLit)
+				if !ok || literal.Kind != token.STRING {
+					return true
+				}
+				text, err := strconv.Unquote(literal.Value)
+				if event := formatted.FindStringSubmatch(text); event != nil {
+					text = event[1]
+				}
+				if err == nil && pattern.MatchString(text) && !otherLiterals[text] {
+					found[text] = true
+				}
+				return true
+			})
+			return nil
+		})
+		assert.NilError(t, err)
+	}
+	return found
+}
+
+// namesInFirstColumn returns the names in backticks in the first column of the page's
+// tables that match a pattern.
+func namesInFirstColumn(t *testing.T, page string, pattern *regexp.Regexp) map[string]bool {
+	t.Helper()
+	content, err := os.ReadFile(page)
+	assert.NilError(t, err)
+	names := map[string]bool{}
+	for line := range strings.Lines(string(content)) {
+		if !strings.HasPrefix(line, "| ") {
+			continue
+		}
+		first, _, _ := strings.Cut(line[2:], " | ")
+		for _, name := range strings.Fields(strings.NewReplacer("`", " ", ",", " ").Replace(first)) {
+			if pattern.MatchString(name) {
+				names[name] = true
+			}
+		}
+	}
+	return names
+}
+
+// OPERATIONS.md lists just the events and the metrics that the code has.
+func TestOperationsPageListsEventsAndMetrics(t *testing.T) {
+	for kind, pattern := range map[string]*regexp.Regexp{"event": eventName, "metric": metricName} {
+		inCode := literalsOf(t, pattern)
+		onPage := namesInFirstColumn(t, "../docs/OPERATIONS.md", pattern)
+		assert.Assert(t, len(inCode) > 0 && len(onPage) > 0)
+		for name := range inCode {
+			assert.Check(t, onPage[name], "%s %s is not on the page", kind, name)
+		}
+		for name := range onPage {
+			assert.Check(t, inCode[name], "the page lists %s %s, which the code does not have", kind, name)
+		}
+	}
+}
