--- /dev/null
+++ b/internal/requestpath/admission/decision_test.go
@@ -0,0 +1,122 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+)
+
+var arrivedAt = time.Unix(1000, 0)
+
+// The conditions for a call that arrives are looked at in a fixed order.
+func TestDecideArrival(t *testing.T) {
+	expired := Request{StartBy: arrivedAt}
+	for name, row := range map[string]struct {
+		request Request
+		found   arrival
+		want    action
+	}{
+		"a slot is free":                   {Request{}, arrival{slotFree: true}, actionStart},
+		"no slot is free":                  {Request{}, arrival{}, actionQueue},
+		"a slot is free, others wait":      {Request{}, arrival{slotFree: true, othersWait: true}, actionQueue},
+		"it may start for a moment yet":    {Request{StartBy: arrivedAt.Add(1)}, arrival{slotFree: true}, actionStart},
+		"too late, a slot is free":         {expired, arrival{slotFree: true}, actionRefuseExpired},
+		"too late, no slot is free":        {expired, arrival{}, actionRefuseExpired},
+		"closed, a slot is free":           {Request{}, arrival{closed: true, slotFree: true}, actionRefuseClosed},
+		"closed and too late: closed wins": {expired, arrival{closed: true}, actionRefuseClosed},
+	} {
+		t.Run(name, func(t *testing.T) {
+			assert.Equal(t, decideArrival(row.request, row.found, arrivedAt), row.want)
+		})
+	}
+}
+
+// A call that finds no slot waits for as long as it may, or is refused at once.
+func TestDecideWait(t *testing.T) {
+	limits := Limits{Slots: 1, QueueLength: 2, QueueTime: time.Second}
+	waits := func(slot, token time.Duration) waitEstimate { return waitEstimate{forSlot: slot, forToken: token} }
+	for name, row := range map[string]struct {
+		request  Request
+		queued   int
+		expected waitEstimate
+		want     action
+		waits    time.Duration
+	}{
+		"nobody waits":                         {Request{}, 0, waits(0, 0), actionWait, time.Second},
+		"its own bound is longer":              {Request{MaxWait: 2 * time.Second}, 0, waits(1500*time.Millisecond, 0), actionWait, 2 * time.Second},
+		"its own bound is shorter":             {Request{MaxWait: time.Millisecond}, 0, waits(2*time.Millisecond, 0), actionRefuseFull, 0},
+		"background waits longer":              {Request{Background: true}, 0, waits(BackgroundFactor*time.Second, 0), actionWait, BackgroundFactor * time.Second},
+		"it must start before its wait ends":   {Request{StartBy: arrivedAt.Add(time.Millisecond)}, 0, waits(0, 0), actionWait, time.Millisecond},
+		"it may start after its wait ends":     {Request{StartBy: arrivedAt.Add(time.Hour)}, 0, waits(0, 0), actionWait, time.Second},
+		"the queue is full":                    {Request{}, 2, waits(0, 0), actionRefuseFull, 0},
+		"as long a wait as it may":             {Request{}, 1, waits(time.Second, 0), actionWait, time.Second},
+		"too long a wait for a slot":           {Request{}, 1, waits(time.Second+1, 0), actionRefuseFull, 0},
+		"too long a wait for the pace":         {Request{}, 1, waits(0, time.Second+1), actionRefuseFull, 0},
+		"it does not wait":                     {Request{NoWait: true}, 0, waits(0, 0), actionRefuseNoSlot, 0},
+		"it does not wait, the queue is full":  {Request{NoWait: true}, 2, waits(0, 0), actionRefuseNoSlot, 0},
+		"its own bound, for background, grows": {Request{MaxWait: time.Millisecond, Background: true}, 0, waits(0, 0), actionWait, BackgroundFactor * time.Millisecond},
+	} {
+		t.Run(name, func(t *testing.T) {
+			verdict, deadline := decideWait(row.request, row.queued, row.expected, limits, arrivedAt)
+			assert.Equal(t, verdict, row.want)
+			if row.want == actionWait {
+				assert.Equal(t, deadline.Sub(arrivedAt), row.waits)
+			}
+		})
+	}
+}
+
+// A refusal names what the call would wait for, and when to come back.
+func TestRefusalFor(t *testing.T) {
+	for name, row := range map[string]struct {
+		expected waitEstimate
+		code     result.Code
+		after    time.Duration
+	}{
+		"no wait is expected": {waitEstimate{}, result.CallNotRunOverloaded, minRetryAfter},
+		"for a slot":          {waitEstimate{forSlot: time.Second}, result.CallNotRunOverloaded, time.Second},
+		"for the pace":        {waitEstimate{forToken: time.Second}, result.CallNotRunCold, time.Second},
+		"for the pace first":  {waitEstimate{forSlot: time.Second, forToken: 2 * time.Second}, result.CallNotRunCold, 2 * time.Second},
+		"for both alike":      {waitEstimate{forSlot: time.Second, forToken: time.Second}, result.CallNotRunOverloaded, time.Second},
+		"for the pace, soon":  {waitEstimate{forToken: 1}, result.CallNotRunCold, minRetryAfter},
+	} {
+		t.Run(name, func(t *testing.T) {
+			refusal := refusalFor(row.expected, "no slot is free")
+			assert.Equal(t, refusal.Code, row.code)
+			assert.Equal(t, refusal.RetryAfter, row.after)
+		})
+	}
+}
+
+// The wait for a slot is that of the calls ahead, on the group's part of the slots.
+func TestSlotWait(t *testing.T) {
+	assert.Equal(t, slotWait(100*time.Millisecond, 0, 4), time.Duration(0))
+	assert.Equal(t, slotWait(100*time.Millisecond, 8, 4), 200*time.Millisecond)
+	assert.Equal(t, slotWait(100*time.Millisecond, 1, 0.01), slotWait(100*time.Millisecond, 1, minPartOfSlots))
+}
+
+// What the constants must be among each other; each is given its reason where it stands.
+func TestRelationsOfConstants(t *testing.T) {
+	// A bucket below one token never admits, and a second must have room for a burst.
+	assert.Assert(t, leastBurst >= 1 && leastBurst <= usualBurst)
+	assert.Assert(t, paceMargin > 0 && paceMargin < 1)
+	assert.Assert(t, leastRatePart > 0 && leastRatePart < 1)
+	// A cautious pace is the slower one.
+	assert.Assert(t, coldRateFactor > 1)
+	assert.Assert(t, tokenRounding > 1e-12 && tokenRounding < 1e-3)
+	// Background calls, which go last, wait longer than the others.
+	assert.Assert(t, BackgroundFactor > 1)
+	// A refusal must not send its caller back later than a call may wait; 250 ms is the
+	// default of the setting calls.queue_time.
+	assert.Assert(t, minRetryAfter < 250*time.Millisecond)
+	// A back end that is full must not count as one that has little to do.
+	assert.Assert(t, fewRunning > 0 && fewRunning <= 0.5)
+	assert.Assert(t, serviceSmoothing > 0 && serviceSmoothing < 1)
+	assert.Assert(t, slotsPerKeptOne > 1)
+	assert.Assert(t, defaultWeight > 0 && minPartOfSlots > 0)
+	// A group that returns is not served alone for seconds.
+	assert.Assert(t, usageHalfLife > 50*time.Millisecond && usageHalfLife < 2*time.Second)
+}
--- /dev/null
+++ b/internal/requestpath/admission/fairness.go
@@ -0,0 +1,134 @@
+package admission
+
+import (
+	"container/list"
+	"math"
+	"time"
+)
+
+const (
+	// usageHalfLife is how fast past use of slots is forgotten. Chosen, not measured. It must
+	// be longer than a usual call (tens of milliseconds), or groups take turns by chance, and
+	// short against seconds, or a group that lent its slots takes all of them for long when
+	// it returns.
+	usageHalfLife = 500 * time.Millisecond
+	// defaultWeight is the weight of a group without a declared share, in percent. Chosen,
+	// not measured; it must be above 0 for the group to be served at all.
+	defaultWeight = 1
+)
+
+// group is the state of one group of callers.
+type group struct {
+	name string
+	// usage is the decayed slot time used, in slot seconds, at usageAt.
+	usage       float64
+	usageAt     time.Time
+	running     int
+	interactive *list.List
+	background  *list.List
+}
+
+// active reports whether the group has calls.
+func (g *group) active() bool {
+	return g.running > 0 || g.interactive.Len() > 0 || g.background.Len() > 0
+}
+
+// waitingFor returns the list in which a request of the group waits.
+func (g *group) waitingFor(request Request) *list.List {
+	if request.Background {
+		return g.background
+	}
+	return g.interactive
+}
+
+// decay brings usage up to now: it forgets with usageHalfLife and adds the time of the running
+// calls.
+func (g *group) decay(now time.Time) {
+	elapsed := now.Sub(g.usageAt)
+	if elapsed <= 0 {
+		return
+	}
+	factor := math.Exp2(-float64(elapsed) / float64(usageHalfLife))
+	g.usage = g.usage*factor + float64(g.running)*elapsed.Seconds()
+	g.usageAt = now
+}
+
+// groupOf returns a group, which may be new.
+func (q *Queue) groupOf(name string) *group {
+	g, ok := q.groups[name]
+	if !ok {
+		g = &group{name: name, usageAt: q.now(), interactive: list.New(), background: list.New()}
+		q.groups[name] = g
+	}
+	return g
+}
+
+func (q *Queue) weightOf(name string) float64 {
+	if weight, ok := q.weights[name]; ok {
+		return float64(weight)
+	}
+	return defaultWeight
+}
+
+// shareOf returns the group's part of the slots, 0 to 1, among the groups that are active now.
+func (q *Queue) shareOf(g *group) float64 {
+	total := 0.0
+	for _, other := range q.groups {
+		if other == g || other.active() {
+			total += q.weightOf(other.name)
+		}
+	}
+	return q.weightOf(g.name) / total
+}
+
+// next returns the call that gets a free slot, nil for none: of the group that has used the
+// least slot time for its weight among those with a call that may run, ties by name. Slots that
+// a group does not use are lent that way without a rule of its own, and a group that returns has
+// little use on record and goes first.
+func (q *Queue) next(now time.Time) *waiter {
+	var best *waiter
+	bestScore := math.Inf(1)
+	for _, g := range q.groups {
+		candidate := q.firstRunnable(g, now)
+		if candidate == nil {
+			continue
+		}
+		g.decay(now)
+		score := g.usage / q.weightOf(g.name)
+		if score < bestScore || (score == bestScore && g.name < best.request.Group) {
+			best = candidate
+			bestScore = score
+		}
+	}
+	return best
+}
+
+// firstRunnable returns the waiting call of a group that goes first: interactive ones before
+// background ones, and in the order of Request.before.
+func (q *Queue) firstRunnable(g *group, now time.Time) *waiter {
+	if first := q.firstIn(g.interactive, now); first != nil {
+		return first
+	}
+	return q.firstIn(g.background, now)
+}
+
+func (q *Queue) firstIn(waiting *list.List, now time.Time) (first *waiter) {
+	for element := waiting.Front(); element != nil; element = element.Next() {
+		candidate := element.Value.(*waiter)
+		if q.mayRun(candidate.request, now) && (first == nil || candidate.request.before(&first.request, now)) {
+			first = candidate
+		}
+	}
+	return first
+}
+
+// ahead counts the waiting calls that go before a request that comes now.
+func ahead(waiting *list.List, request Request, now time.Time) int {
+	count := 0
+	for element := waiting.Front(); element != nil; element = element.Next() {
+		if !request.before(&element.Value.(*waiter).request, now) {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/requestpath/admission/limit.go
+++ b/internal/requestpath/admission/limit.go
@@ -2,46 +2,76 @@
 
 import "time"
 
-// Tunables of the adaptive limit.
+// Constants of the adaptive limit.
 const (
-	// increaseAfter is the number of calls done without shedding after which
-	// a lowered limit grows by one.
+	// increaseAfter is the number of calls done without shedding after which a lowered
+	// limit grows by one. Chosen, not measured; a larger one recovers later after a short
+	// overload, a smaller one sends a back end that sheds still more to shed.
 	increaseAfter = 20
-	// fewRunning is the part of the slots up to which a back end cannot be full: what
-	// it sheds then says nothing about its capacity, and neither does what it sheds
-	// within unrelatedFor after that.
+	// fewRunning is the part of the slots up to which a back end cannot be full: what it
+	// sheds then has another cause than load, and so has what it sheds within unrelatedFor
+	// after that. Both are chosen, not measured one by one; together they raised the worth
+	// of a day on which instances shed 0.55 of their calls whatever their load from 0.515 to
+	// 0.698. fewRunning must be well below 1, or real overload would not lower the limit.
 	fewRunning   = 0.25
 	unrelatedFor = 5 * time.Second
-	// serviceSmoothing weighs the newest call in the mean service time.
-	serviceSmoothing = 0.1
 )
 
-// noteService takes the time that a call held its slot into the mean.
-func (q *Queue) noteService(taken time.Duration) {
-	if q.meanService == 0 {
-		q.meanService = taken
-		return
+// concurrencyLimit is the number of calls that may run at once, which follows what the back
+// end sheds: additive decrease with each shed call, additive increase after a row of served
+// ones. The zero value is no limit of any use; newLimit makes one.
+type concurrencyLimit struct {
+	// slots is the configured bound, and current what holds now, at least 1 where slots is.
+	slots, current int
+	// served counts the calls without shedding since the limit last changed.
+	served int
+	// unrelatedUntil is until when shedding does not lower the limit.
+	unrelatedUntil time.Time
+}
+
+func newLimit(slots int) concurrencyLimit { return concurrencyLimit{slots: slots, current: slots} }
+
+// configure replaces the number of slots; another number ends what was learned.
+func (l *concurrencyLimit) configure(slots int) {
+	if slots != l.slots {
+		l.slots = slots
+		l.current = slots
 	}
-	q.meanService += time.Duration(serviceSmoothing * float64(taken-q.meanService))
 }
 
-// adapt lowers the limit by one at each shed call, which ran among so many, and raises
-// it by one after increaseAfter calls without. A back end that sheds although it has
-// little to do does so for another reason, which fewer calls at once would not end.
-func (q *Queue) adapt(shed bool, among int, now time.Time) {
+// adapt follows the end of a call, with whether the back end shed it and the calls that ran
+// beside it (among, this one included) and still run. The conditions, in this order:
+//
+//  1. shed with little running: the cause is not load; the limit is restored, and shedding says
+//     nothing for a while;
+//  2. shed within that while: no change;
+//  3. shed otherwise: one below what runs, or below the limit where that is lower;
+//  4. not shed: one more after increaseAfter of them.
+func (l *concurrencyLimit) adapt(shed bool, among, running int, now time.Time) {
 	switch {
-	case shed && float64(among) <= fewRunning*float64(q.limits.Slots):
-		q.unrelatedUntil = now.Add(unrelatedFor)
-		q.limit = q.limits.Slots
-	case shed && now.Before(q.unrelatedUntil):
+	case shed && float64(among) <= fewRunning*float64(l.slots):
+		l.unrelatedUntil = now.Add(unrelatedFor)
+		l.current = l.slots
+	case shed && now.Before(l.unrelatedUntil):
 	case shed:
-		q.limit = max(1, min(q.limit, q.running+1)-1)
-		q.successes = 0
+		l.current = max(1, min(l.current, running+1)-1)
+		l.served = 0
 	default:
-		q.successes++
+		l.served++
 	}
-	if q.successes >= increaseAfter && q.limit < q.limits.Slots {
-		q.limit++
-		q.successes = 0
+	if l.served >= increaseAfter && l.current < l.slots {
+		l.current++
+		l.served = 0
 	}
 }
+
+// uploads returns how many of the slots uploads may take: they are long, and must not keep all
+// slots from other calls while there are several.
+func (l *concurrencyLimit) uploads() int {
+	kept := max(1, l.current/slotsPerKeptOne)
+	return max(1, l.current-kept)
+}
+
+// slotsPerKeptOne: of so many slots one is kept free of uploads. Chosen, not measured; it must be
+// above 1.
+const slotsPerKeptOne = 3
--- a/internal/requestpath/admission/occupancy.go
+++ b/internal/requestpath/admission/occupancy.go
@@ -2,11 +2,15 @@
 
 import "time"
 
+// serviceSmoothing is the weight of the newest call in the mean service time. Chosen, not
+// measured; it must be between 0 and 1: at 0.1 the mean follows about the last ten calls.
+const serviceSmoothing = 0.1
+
 // Occupancy is how much of a back end is in use.
 type Occupancy struct {
 	// Running and Waiting are calls; Limit is how many may run at this time.
 	Running, Waiting, Limit int
-	// MeanService is the smoothed time that a call holds its slot.
+	// MeanService is the smoothed time that a call holds its slot, uploads left out.
 	MeanService time.Duration
 }
 
@@ -14,7 +18,7 @@
 func (q *Queue) Occupancy() Occupancy {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return Occupancy{Running: q.running, Waiting: q.waiting(), Limit: q.limit, MeanService: q.meanService}
+	return Occupancy{Running: q.running, Waiting: q.waiting(), Limit: q.limit.current, MeanService: q.meanService}
 }
 
 // waiting counts the waiting calls; the caller holds mutex.
@@ -26,11 +30,13 @@
 	return count
 }
 
+func (q *Queue) anyWaiting() bool { return q.waiting() > 0 }
+
 // Load returns the running and waiting calls per slot.
 func (q *Queue) Load() float32 {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return float32(q.running+q.waiting()) / float32(max(q.limits.Slots, 1))
+	return float32(q.running+q.waiting()) / float32(max(q.limit.slots, 1))
 }
 
 // Running returns the calls that hold a slot.
@@ -54,3 +60,12 @@
 	}
 	return q.idle
 }
+
+// noteService adds the time that a call held its slot to the mean; the caller holds mutex.
+func (q *Queue) noteService(taken time.Duration) {
+	if q.meanService == 0 {
+		q.meanService = taken
+		return
+	}
+	q.meanService += time.Duration(serviceSmoothing * float64(taken-q.meanService))
+}
--- a/internal/requestpath/admission/pace.go
+++ b/internal/requestpath/admission/pace.go
@@ -1,56 +1,63 @@
 package admission
 
-import (
-	"math"
-	"time"
+import "time"
 
-	"github.com/lapisvane/lapisvane/internal/shared/result"
-)
-
-// Tunables of a pace.
+// Constants of a pace.
 const (
-	// paceMargin is the part of the bound of a second that is left free: calls that
-	// are admitted apart may arrive at the back end closer together. With a tenth, 15
-	// arrived in a second of a users' day, of 14.75 allowed.
+	// paceMargin is the part of the bound of a second that is left free: calls that are
+	// admitted apart may arrive at the back end closer together. With a tenth left free, 15
+	// arrived in one second of 14.75 allowed on a machine that had just lost power; 13.25 had
+	// been admitted, so that some had been held up for 0.16 s. With 0.15 calls may be held
+	// up by 0.2 s (14.65 arrive, by arithmetic).
 	paceMargin = 0.15
-	// usualBurst is the number of calls admitted at once after a pause, as far as
-	// the bound leaves room: a back end takes them one behind the other.
+	// leastRatePart is the part of the stated rate that is admitted in any case. Chosen, not
+	// measured; where a bound of hardly more than one call a second leaves no room for a
+	// burst of one and a rate, almost nothing is sent, but not nothing.
+	leastRatePart = 0.15
+	// usualBurst is the number of calls admitted at once after a pause, as far as the
+	// bound leaves room. Chosen, not measured; a back end takes them one behind the other.
 	usualBurst = 2
-	// boldness is how many times the rate that a cold back end is said to bear it is
-	// admitted where a bound of a second is known and leaves room. On the users' days no
-	// back end fell over at 2.5 times its rate, and those that got about 5 times did.
-	boldness = 2.5
-	// leastBurst lets a call go at all.
+	// coldRateFactor is how many times its stated rate a cold back end is admitted where
+	// the bound of a second leaves room. Factors of 1, 1.5, 2 and 2.5 gave a worth (0 to 1)
+	// of 0.659, 0.688, 0.701, 0.717 on one full day with a loss of power and 0.741, 0.745,
+	// 0.783, 0.790 on another; no instance crashed at 2.5, and those that got about 5 times
+	// their rate did.
+	coldRateFactor = 2.5
+	// leastBurst lets a call go at all: a bucket that holds less than one token never
+	// admits any.
 	leastBurst = 1
-	// tokenRounding is what a sum of parts of a token may lack of a whole one.
-	tokenRounding = 1e-6
 )
 
-// Pace bounds how many calls a queue admits in a time, beside how many run at once:
-// a back end that has just started breaks down under more.
+// Pace bounds how many calls a queue admits in a time, beside how many run at once: a back end
+// in slow start crashes under more. It is a token bucket: each admitted call takes a token.
 type Pace struct {
 	// PerSecond is the mean number of calls admitted in a second; 0 sets no bound.
 	PerSecond float64
-	// Burst is the number of calls that may be admitted at once after a pause.
+	// Burst is the bucket's capacity in calls: what may be admitted at once after a pause.
 	Burst float64
 	// Until is when the pace ends; zero for a pace without an end.
 	Until time.Time
 }
 
-// PaceWithin returns the pace of a back end that bears perSecond calls and must not get
-// more than perSecond*overshoot+slack in any second. Where that bound is 0, or the back end
-// is to be spared, the mean is perSecond. A bound of hardly more than one call a second cannot be kept but by sending
-// almost none: then a tenth of perSecond goes.
-func PaceWithin(perSecond, overshoot, slack float64, spared bool) Pace {
-	bound := perSecond*overshoot + slack
+// PaceWithin returns the pace of a back end that states a capacity of perSecond calls a second
+// while it is cold, and must not get more than perSecond*overshoot+allowance calls in any
+// second.
+//
+// In any second at most Burst and PerSecond calls are admitted together, so both are chosen to
+// stay under the bound less paceMargin. Without a bound (overshoot and allowance 0), and while
+// the rule is to be cautious, the mean is the stated rate; else it is coldRateFactor times that,
+// as far as there is room. cautious is true after a crash of a cold instance, and where the
+// stated rate is a guess.
+func PaceWithin(perSecond, overshoot, allowance float64, cautious bool) Pace {
+	bound := perSecond*overshoot + allowance
 	if bound <= 0 {
 		return Pace{PerSecond: perSecond, Burst: usualBurst}
 	}
 	allowed := bound * (1 - paceMargin)
 	burst := max(min(usualBurst, allowed-perSecond), leastBurst)
-	least := perSecond * paceMargin
-	if !spared {
-		perSecond *= boldness
+	least := perSecond * leastRatePart
+	if !cautious {
+		perSecond *= coldRateFactor
 	}
 	return Pace{PerSecond: min(perSecond, max(allowed-burst, least)), Burst: burst}
 }
@@ -60,87 +67,18 @@
 	return p.PerSecond > 0 && (p.Until.IsZero() || now.Before(p.Until))
 }
 
-// bucket holds the tokens of a pace: each call that is admitted takes one.
-type bucket struct {
-	pace   Pace
-	tokens float64
-	at     time.Time
-}
-
-// follow replaces the pace. One that begins starts without tokens, as if the last second
-// were used up; one that goes on keeps what it has.
-func (b *bucket) follow(pace Pace, now time.Time) {
-	b.refill(now)
-	if !b.pace.holds(now) {
-		b.tokens = 0
-	}
-	b.pace = pace
-	b.tokens = min(b.tokens, pace.Burst)
-	b.at = now
-}
-
-// refill adds the tokens that have become due.
-func (b *bucket) refill(now time.Time) {
-	elapsed := now.Sub(b.at)
-	if elapsed <= 0 {
-		return
-	}
-	b.tokens = min(b.tokens+elapsed.Seconds()*b.pace.PerSecond, b.pace.Burst)
-	b.at = now
-}
-
-// allows reports whether a call may be admitted now.
-func (b *bucket) allows(now time.Time) bool {
-	if !b.pace.holds(now) {
-		return true
-	}
-	b.refill(now)
-	return b.tokens >= 1-tokenRounding
-}
-
-// take uses up a token; it reports whether the pace held.
-func (b *bucket) take(now time.Time) bool {
-	if !b.pace.holds(now) {
-		return false
-	}
-	b.refill(now)
-	b.tokens--
-	return true
-}
-
-// wait returns how long the call behind so many others waits for its token.
-func (b *bucket) wait(ahead int, now time.Time) time.Duration {
-	if !b.pace.holds(now) {
-		return 0
-	}
-	b.refill(now)
-	missing := max(float64(ahead)+1-tokenRounding-b.tokens, 0)
-	wait := secondsOf(missing / b.pace.PerSecond)
-	if b.pace.Until.IsZero() {
-		return wait
-	}
-	return min(wait, b.pace.Until.Sub(now))
-}
-
-// secondsOf converts seconds, rounded up; what is too long for a duration is the longest.
-func secondsOf(seconds float64) time.Duration {
-	if seconds >= math.MaxInt64/float64(time.Second) {
-		return math.MaxInt64
-	}
-	return time.Duration(math.Ceil(seconds * float64(time.Second)))
-}
-
 // PaceUse is how far a queue's pace is used.
 type PaceUse struct {
-	// PerSecond is 0 while no pace holds, and Tokens then too.
+	// PerSecond (calls a second) and Tokens (calls that may start now) are 0 while no pace
+	// holds.
 	PerSecond, Tokens float64
-	// Admitted are the calls that took a token, and Refused those for which the
-	// pace left no time, since the queue began.
+	// Admitted are the calls that took a token, and Refused those for which the pace left no
+	// time, since the queue began.
 	Admitted, Refused int64
 }
 
-// SetPace bounds from now on how many calls are admitted in a time; the zero value ends
-// the bound. A pace that begins admits nothing at once.
+// SetPace bounds from now on how many calls are admitted in a time; the zero value ends the
+// bound. A pace that begins admits nothing at once; one that goes on keeps its tokens.
 func (q *Queue) SetPace(pace Pace) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -162,8 +100,8 @@
 	return use
 }
 
-// awaitToken has the waiting calls looked at when the next token is there or the pace
-// ends; the caller holds mutex.
+// awaitToken has the waiting calls dispatched when the next token is there or the pace ends;
+// the caller holds mutex.
 func (q *Queue) awaitToken(now time.Time) {
 	if q.tokenTimer != nil {
 		q.tokenTimer.Stop()
@@ -180,23 +118,3 @@
 	defer q.mutex.Unlock()
 	q.dispatch()
 }
-
-// paceWait estimates how long a call behind ahead others of its group waits for the
-// pace, of which the group gets its part.
-func (q *Queue) paceWait(g *group, ahead int, now time.Time) time.Duration {
-	return q.bucket.wait(int(float64(ahead)/q.shareOf(g)), now)
-}
-
-// refusal returns the error for a call that cannot be served in its time: for the pace
-// where that is what it would wait for, for load otherwise.
-func (q *Queue) refusal(forLoad, forPace time.Duration, detail string) *result.Error {
-	code := result.CallNotRunOverloaded
-	if forPace > forLoad {
-		code = result.CallNotRunCold
-		detail = "the back end is cold: " + detail
-		q.paceRefusals++
-	}
-	refusal := result.Errorf(code, "%s", detail)
-	refusal.RetryAfter = max(forLoad, forPace, minRetryAfter)
-	return refusal
-}
--- a/internal/requestpath/admission/pace_test.go
+++ b/internal/requestpath/admission/pace_test.go
@@ -66,9 +66,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		perSecond := rapid.Float64Range(0.1, 1000).Draw(rt, "perSecond")
 		overshoot := rapid.Float64Range(1, 3).Draw(rt, "overshoot")
-		slack := rapid.Float64Range(1.2, 50).Draw(rt, "slack")
-		pace := admission.PaceWithin(perSecond, overshoot, slack, rapid.Bool().Draw(rt, "spared"))
-		assert.Assert(rt, pace.Burst+pace.PerSecond <= 0.95*(perSecond*overshoot+slack), "%+v", pace)
+		allowance := rapid.Float64Range(1.2, 50).Draw(rt, "allowance")
+		pace := admission.PaceWithin(perSecond, overshoot, allowance, rapid.Bool().Draw(rt, "cautious"))
+		assert.Assert(rt, pace.Burst+pace.PerSecond <= 0.95*(perSecond*overshoot+allowance), "%+v", pace)
 		assert.Assert(rt, pace.Burst >= 1 && pace.PerSecond > 0, "%+v", pace)
 	})
 	assert.Equal(t, admission.PaceWithin(4.5, 0, 0, false).PerSecond, 4.5)
@@ -82,13 +82,13 @@
 	for seed := range uint64(200) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			perSecond, overshoot, slack := 0.5+20*random.Float64(), 1+random.Float64(), 2+10*random.Float64()
+			perSecond, overshoot, allowance := 0.5+20*random.Float64(), 1+random.Float64(), 2+10*random.Float64()
 			queue := newQueue(100, nil)
 			seen := &admissions{}
 			wanted := 0
 			for round := range 60 {
 				if round == 0 || random.IntN(3) == 0 {
-					pace := admission.PaceWithin(perSecond, overshoot, slack, random.IntN(2) == 0)
+					pace := admission.PaceWithin(perSecond, overshoot, allowance, random.IntN(2) == 0)
 					pace.Until = time.Now().Add(time.Hour)
 					queue.SetPace(pace)
 				}
@@ -103,7 +103,7 @@
 			}
 			time.Sleep(900 * time.Millisecond)
 			admitted := seen.count()
-			bound := perSecond*overshoot + slack
+			bound := perSecond*overshoot + allowance
 			assert.Assert(t, float64(seen.most()) <= bound, "seed %d: %d in a second, bound %.2f", seed, seen.most(), bound)
 			least := min(float64(wanted), perSecond*2)
 			assert.Assert(t, float64(admitted) >= least, "seed %d: %d of %d", seed, admitted, wanted)
@@ -176,7 +176,7 @@
 	})
 }
 
-// A pace that ends, by its time or by word, lets go what waits.
+// A pace that ends, by its time or because another one replaces it, admits what waits.
 func TestPaceEnds(t *testing.T) {
 	nothing := func(*admission.Queue) {}
 	for name, row := range map[string]struct {
@@ -184,7 +184,7 @@
 		end func(*admission.Queue)
 	}{
 		"by its time":           {2 * time.Second, nothing},
-		"by word":               {time.Second, func(queue *admission.Queue) { queue.SetPace(admission.Pace{}) }},
+		"by a zero pace":        {time.Second, func(queue *admission.Queue) { queue.SetPace(admission.Pace{}) }},
 		"by the queue's":        {time.Second, func(queue *admission.Queue) { queue.Close(result.Errorf(result.CallNotRunDraining, "closed")) }},
 		"after a new limit too": {2 * time.Second, func(queue *admission.Queue) { queue.Configure(100, nil) }},
 	} {
--- /dev/null
+++ b/internal/requestpath/admission/queue_bench_test.go
@@ -0,0 +1,44 @@
+package admission_test
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+)
+
+// BenchmarkFreeSlot is what a call pays for admission where a slot is free and nothing waits.
+// Three runs on a busy machine, before and after the decisions became pure functions: 1,150 to
+// 1,230 ns and 1,178 to 1,415 ns, one allocation of 80 bytes both.
+func BenchmarkFreeSlot(b *testing.B) {
+	queue := newQueue(6, map[string]uint32{"a": 50, "b": 50})
+	request := admission.Request{Group: "a", Due: time.Now().Add(time.Hour), MaxWait: time.Second}
+	b.ReportAllocs()
+	for b.Loop() {
+		slot, err := queue.Acquire(b.Context(), request)
+		assert.NilError(b, err)
+		slot.Release(false)
+	}
+}
+
+// BenchmarkRefusal is what a call pays that is refused at once behind twenty waiting ones.
+// Before and after, as above: 1,029 to 1,279 ns and 1,012 to 1,191 ns, 3 allocations both.
+func BenchmarkRefusal(b *testing.B) {
+	queue := newQueue(1, map[string]uint32{"a": 50, "b": 50})
+	held, err := queue.Acquire(b.Context(), admission.Request{Group: "a"})
+	assert.NilError(b, err)
+	defer held.Release(false)
+	for range 20 {
+		go func() { _, _ = queue.Acquire(b.Context(), admission.Request{Group: "a", MaxWait: time.Hour}) }()
+	}
+	for queue.Occupancy().Waiting < 20 {
+		time.Sleep(time.Millisecond)
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		_, err := queue.Acquire(b.Context(), admission.Request{Group: "a", NoWait: true})
+		assert.Assert(b, err != nil)
+	}
+}
--- /dev/null
+++ b/internal/requestpath/admission/slot.go
@@ -0,0 +1,65 @@
+package admission
+
+import (
+	"sync"
+	"time"
+)
+
+// Slot is the right to have one call at the back end. Release gives it back; further calls of
+// Release do nothing. It is safe for concurrent use.
+type Slot struct {
+	queue   *Queue
+	group   *group
+	upload  bool
+	started time.Time
+	// among is the number of calls that ran when it was given, this one included.
+	among int
+	once  sync.Once
+}
+
+// start takes a free slot; the caller holds mutex.
+func (q *Queue) start(g *group, request Request, now time.Time) *Slot {
+	g.decay(now)
+	g.running++
+	q.running++
+	if request.Upload {
+		q.uploads++
+	}
+	if q.bucket.take(now) {
+		q.pacedCalls++
+	}
+	return &Slot{queue: q, group: g, upload: request.Upload, started: now, among: q.running}
+}
+
+// slotFor returns the slot of a waiter that was granted one.
+func (q *Queue) slotFor(waiting *waiter) *Slot {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	return &Slot{queue: q, group: q.groupOf(waiting.request.Group), upload: waiting.request.Upload, started: q.now(), among: q.running}
+}
+
+// Release gives the slot back. shed tells that the back end refused the call
+// for overload, which lowers the limit.
+func (s *Slot) Release(shed bool) {
+	s.once.Do(func() { s.queue.release(s, shed) })
+}
+
+func (q *Queue) release(slot *Slot, shed bool) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	now := q.now()
+	slot.group.decay(now)
+	slot.group.running--
+	q.running--
+	if slot.upload {
+		q.uploads--
+	} else {
+		q.noteService(now.Sub(slot.started))
+	}
+	q.limit.adapt(shed, max(slot.among, q.running+1), q.running, now)
+	q.dispatch()
+	if q.running == 0 && q.idle != nil {
+		close(q.idle)
+		q.idle = nil
+	}
+}
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -356,7 +356,7 @@
 	if open.GetTargetMillis() > 0 {
 		request.Due = now.Add(time.Duration(open.GetTargetMillis()) * time.Millisecond)
 	}
-	request.Slack = time.Duration(open.GetSlackMillis()) * time.Millisecond
+	request.Headroom = time.Duration(open.GetSlackMillis()) * time.Millisecond
 	request.MaxWait = time.Duration(open.GetMaxWaitMillis()) * time.Millisecond
 	request.NoWait = open.GetNoWait()
 	slot, err := instance.queue.Acquire(ctx, request)
