--- a/internal/requestpath/retry/reference_test.go
+++ b/internal/requestpath/retry/reference_test.go
@@ -201,3 +201,80 @@
 	}
 	t.Logf("%d inputs", inputs)
 }
+
+// referenceBudget is the budget in the form that it had before, without locks.
+type referenceBudget struct {
+	limits  Limits
+	sharers int
+	tokens  map[string]float64
+}
+
+func (b *referenceBudget) burst() float64 {
+	if !b.limits.Shared {
+		return b.limits.Burst
+	}
+	return 0.9 * b.limits.Burst / float64(b.sharers)
+}
+
+func (b *referenceBudget) fraction() float64 {
+	if !b.limits.Shared {
+		return b.limits.Fraction
+	}
+	return 0.9 * b.limits.Fraction
+}
+
+func (b *referenceBudget) earn(service string) {
+	burst := b.burst()
+	tokens, known := b.tokens[service]
+	if !known {
+		tokens = burst / 2
+	}
+	b.tokens[service] = min(tokens+b.fraction(), burst)
+}
+
+func (b *referenceBudget) spend(service string) bool {
+	if b.tokens[service] < 1 {
+		return false
+	}
+	b.tokens[service]--
+	return true
+}
+
+func (b *referenceBudget) charge(service string) {
+	b.tokens[service] = max(b.tokens[service]-1, -50)
+}
+
+// Budgets grant and hold what the reference does, whatever is asked of them in any order.
+func TestBudgetIsThatOfTheReference(t *testing.T) {
+	const steps = 500_000
+	random := rand.New(rand.NewPCG(5, 6))
+	ours, theirs := NewBudget(DefaultLimits), &referenceBudget{limits: DefaultLimits, sharers: 1, tokens: map[string]float64{}}
+	services, granted := []string{"a", "b", "c"}, 0
+	for range steps {
+		service := services[random.IntN(len(services))]
+		switch draw := random.IntN(1000); {
+		case draw < 600:
+			ours.Earn(service)
+			theirs.earn(service)
+		case draw < 900:
+			may := ours.Spend(service)
+			assert.Equal(t, may, theirs.spend(service))
+			if may {
+				granted++
+			}
+		case draw < 990:
+			ours.Charge(service)
+			theirs.charge(service)
+		case draw < 995:
+			limits := Limits{Fraction: random.Float64() / 2, Burst: float64(random.IntN(100)), Shared: random.IntN(2) == 0}
+			ours.SetLimits(limits)
+			theirs.limits = limits
+		default:
+			daemons := random.IntN(20)
+			ours.ShareAmong(daemons)
+			theirs.sharers = max(daemons, 1)
+		}
+		assert.Equal(t, ours.Left(service), theirs.tokens[service])
+	}
+	assert.Assert(t, granted > steps/50, "%d granted", granted)
+}
