--- a/internal/requestpath/gateway/pipeline/body.go
+++ b/internal/requestpath/gateway/pipeline/body.go
@@ -2,11 +2,8 @@
 
 import (
 	"io"
-	"net"
 	"sync"
 
-	"github.com/pkg/errors"
-
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
@@ -34,8 +31,8 @@
 	stopped bool
 }
 
-// lengthUnknown stands for the remaining bytes of a body in chunks; what is read
-// of it stays above chunkedLeast.
+// lengthUnknown stands for the remaining bytes of a body in chunks, whose length nobody
+// states. What is read of it stays above chunkedLeast, so that the two cannot be confused.
 const (
 	lengthUnknown = int64(1) << 62
 	chunkedLeast  = lengthUnknown / 2
@@ -56,6 +53,7 @@
 		buffer = buffer[:b.remaining]
 	}
 	count, err := b.stream.Read(buffer)
+	// The library's release of its buffer always returns nil.
 	_ = b.conn.conn.Release()
 	b.remaining -= int64(count)
 	switch {
@@ -66,9 +64,9 @@
 	}
 	if err == io.EOF {
 		b.finish()
-	} else if err != nil && isHangUp(err) {
-		// Bytes that are no body are answered; only a caller that is gone is not.
-		b.conn.hangUp()
+	} else if err != nil && isDisconnect(err) {
+		// Bytes that are no body are answered; only a caller that disconnected is not.
+		b.conn.disconnect()
 	}
 	return count, err
 }
@@ -139,8 +137,3 @@
 	close(b.over)
 	return false
 }
-
-func isTimeout(err error) bool {
-	var timeout net.Error
-	return errors.As(err, &timeout) && timeout.Timeout()
-}
--- /dev/null
+++ b/internal/requestpath/gateway/pipeline/body_test.go
@@ -0,0 +1,152 @@
+package pipeline
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestAnswerBeforeTheEndOfALongBodyClosesTheConnection(t *testing.T) {
+	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
+		reply(exchange, pathOf(exchange))
+	})
+	client := opened.dial(t)
+	client.send(get("/1") + "POST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\nsome")
+	_, body := client.answer()
+	assert.Equal(t, body, "/1")
+	response, body := client.answer()
+	assert.Equal(t, body, "/2")
+	assert.Assert(t, response.Close)
+	// What the caller still sends must not reset the answer away.
+	client.send(strings.Repeat("x", 50_000))
+	client.ended()
+}
+
+func TestLongBodiesAreReadInOrder(t *testing.T) {
+	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
+		length := len(exchange.Content)
+		if exchange.Body != nil {
+			body, err := io.ReadAll(exchange.Body)
+			assert.Check(t, err)
+			length = len(body)
+		}
+		reply(exchange, fmt.Sprintf("%s %d", pathOf(exchange), length))
+	})
+	client := opened.dial(t)
+	chunked := "POST /3 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n3\r\nyou\r\n0\r\n\r\n"
+	expecting := "POST /4 HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n"
+	client.send(post("/1", strings.Repeat("x", 90_000)) + get("/2") + chunked + expecting)
+	for _, want := range []string{"/1 90000", "/2 0", "/3 8"} {
+		_, body := client.answer()
+		assert.Equal(t, body, want)
+	}
+	interim, err := http.ReadResponse(client.reader, nil)
+	assert.NilError(t, err)
+	assert.Equal(t, interim.StatusCode, http.StatusContinue)
+	client.send("body" + get("/5"))
+	for _, want := range []string{"/4 4", "/5 0"} {
+		_, body := client.answer()
+		assert.Equal(t, body, want)
+	}
+}
+
+// Who reads a body may outlive its request, whose memory then serves another one: what
+// comes with the end of the body is copied before that can be. Trailers were read from the
+// request later, and could be another request's.
+func TestEndOfABodyIsCopiedBeforeTheRequestIsUsedAgain(t *testing.T) {
+	read := make(chan string, 1)
+	site := open(t, Limits{}, func(_ context.Context, exchange *Exchange) {
+		if exchange.Body == nil {
+			reply(exchange, "none")
+			return
+		}
+		copied := ""
+		exchange.Body.AtEnd(func() { copied = pathOf(exchange) })
+		ended := make(chan struct{})
+		go func() {
+			_, _ = io.ReadAll(exchange.Body)
+			close(ended)
+			// The handler has returned, and further requests have been read.
+			time.Sleep(50 * time.Millisecond)
+			read <- copied
+		}()
+		<-ended
+		reply(exchange, "read")
+	})
+	caller := site.dial(t)
+	caller.send(post("/first", strings.Repeat("x", 100<<10)))
+	caller.answer()
+	for range 3 {
+		caller.send(get("/later"))
+		caller.answer()
+	}
+	assert.Equal(t, <-read, "/first")
+}
+
+// A body that is not framed as it should be is answered, behind all good requests.
+func TestBrokenChunksAreAnswered(t *testing.T) {
+	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
+		if exchange.Body != nil {
+			_, err := io.ReadAll(exchange.Body)
+			assert.Check(t, err != nil)
+		}
+		reply(exchange, pathOf(exchange))
+	})
+	client := opened.dial(t)
+	client.send(get("/1") + "POST /2 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nno number\r\n" + get("/never"))
+	_, body := client.answer()
+	assert.Equal(t, body, "/1")
+	response, body := client.answer()
+	assert.Equal(t, body, "/2")
+	assert.Assert(t, response.Close)
+	client.ended()
+}
+
+// What is left of a body that was not read must never be read as a request, however
+// the reader and the handler meet.
+func TestRestOfABodyIsNoRequest(t *testing.T) {
+	var smuggled atomic.Int64
+	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
+		if pathOf(exchange) == "/smuggled" {
+			smuggled.Add(1)
+		}
+		reply(exchange, pathOf(exchange))
+	})
+	for range 200 {
+		client := opened.dial(t)
+		client.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n" + get("/smuggled"))
+		response, body := client.answer()
+		assert.Equal(t, body, "/1")
+		assert.Assert(t, response.Close)
+		client.ended()
+		_ = client.conn.(*net.TCPConn).SetLinger(0)
+		_ = client.conn.Close()
+	}
+	assert.Equal(t, smuggled.Load(), int64(0))
+}
+
+// The reader goes on when nobody reads a body any more; it must find the connection
+// sealed by then.
+func TestStoppedBodySealsItsConnection(t *testing.T) {
+	near, far := net.Pipe()
+	defer func() { _ = far.Close() }()
+	conn := newConnection(New(Config{}), nil, nil, &callerConn{Conn: near})
+	body := newBody(conn, strings.NewReader("rest"), 4)
+	assert.Assert(t, !body.stop())
+	told := false
+	select {
+	case <-body.over:
+		told = true
+	default:
+	}
+	assert.Assert(t, told, "the reader is not told")
+	assert.Assert(t, conn.isSealed())
+}
--- a/internal/requestpath/gateway/pipeline/caller.go
+++ b/internal/requestpath/gateway/pipeline/caller.go
@@ -6,14 +6,16 @@
 	"time"
 )
 
-// Bounds of what is read ahead in bytes while a hang-up is looked for.
+// Bytes that are read ahead to see whether the caller disconnects: at first, and at most. The
+// buffer doubles in between. Chosen, not measured; beyond the most a caller that disconnects is
+// not seen until its requests have been read.
 const (
 	firstLookahead = 512
 	maxLookahead   = 32 << 10
 )
 
-// callerConn is a caller's connection below the HTTP library. It can be read
-// ahead of the library to see a hang-up, and its reading can be broken off.
+// callerConn is a caller's connection below the HTTP library. It can be read ahead of the
+// library to see whether the caller disconnects, and its reading can be interrupted.
 type callerConn struct {
 	net.Conn
 
@@ -52,7 +54,7 @@
 }
 
 // readAhead reads until the reading is interrupted, which returns nil, until as
-// much was read ahead as may be, which returns full, or until the caller is gone.
+// much was read ahead as may be, which returns full, or until the caller disconnects.
 // Only the goroutine that reads the connection may call it.
 func (c *callerConn) readAhead() (full bool, err error) {
 	c.mutex.Lock()
@@ -98,10 +100,11 @@
 	return filled, err
 }
 
-// interrupt makes a read in progress return.
+// interrupt makes a read in progress return. A connection that takes no deadline is closed,
+// and its reads return by themselves; bound relies on the same.
 func (c *callerConn) interrupt() { _ = c.Conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// bound bounds the coming reads; 0 for no bound.
+// bound bounds the time of the coming reads; 0 for no bound.
 func (c *callerConn) bound(duration time.Duration) {
 	if duration <= 0 {
 		_ = c.Conn.SetReadDeadline(time.Time{})
@@ -110,12 +113,12 @@
 	_ = c.Conn.SetReadDeadline(time.Now().Add(duration))
 }
 
-// discard reads what the caller still sends, for at most duration, so that the
-// connection is not reset before the caller has read the last answer. With halfClose
-// the caller is told that no more comes; TLS has its own word for that, which the
-// library sends when it closes.
-func (c *callerConn) discard(duration time.Duration, halfClose bool) {
+// linger reads and drops what the caller still sends, for at most duration, so that the
+// connection is not reset before the caller has read the last answer. With halfClose the
+// sending side is closed first; TLS says so by an alert, which the library sends at its close.
+func (c *callerConn) linger(duration time.Duration, halfClose bool) {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && halfClose {
+		// Where that fails the caller has closed the connection.
 		_ = half.CloseWrite()
 	}
 	c.bound(duration)
--- a/internal/requestpath/gateway/pipeline/cost_test.go
+++ b/internal/requestpath/gateway/pipeline/cost_test.go
@@ -84,10 +84,8 @@
 var benchAnswer [512]byte
 
 func roundTrip(b *testing.B, conn net.Conn) {
-	if _, err := fmt.Fprint(conn, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
-		b.Fatal(err)
-	}
-	if _, err := conn.Read(benchAnswer[:]); err != nil {
-		b.Fatal(err)
-	}
+	_, err := fmt.Fprint(conn, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
+	assert.NilError(b, err)
+	_, err = conn.Read(benchAnswer[:])
+	assert.NilError(b, err)
 }
--- a/internal/requestpath/gateway/pipeline/exchange.go
+++ b/internal/requestpath/gateway/pipeline/exchange.go
@@ -14,8 +14,8 @@
 	// Request holds the request and takes the answer. It is valid until the
 	// handler returns.
 	Request *app.RequestContext
-	// Arrived is when the request's head had been read. Times that a request may
-	// take count from here, not from its turn to be answered.
+	// Arrived is when the request's head had been read. Times that a request may take count
+	// from here, also where its answer waits for earlier ones.
 	Arrived time.Time
 	// Fault is why the request cannot be served; its number is the answer.
 	Fault error
@@ -37,44 +37,43 @@
 	begun bool
 	// ahead is true for a request that counts as sent ahead.
 	ahead bool
-	// bytes are those of the answer that count as held before its turn.
+	// bytes are those of the answer that count as held while it waits for earlier ones.
 	bytes int64
-	// turn is closed when this is the oldest open request; nil until somebody
-	// waits for that.
-	turn chan struct{}
+	// isOldest is closed when all earlier answers have been written; nil until somebody waits
+	// for that.
+	isOldest chan struct{}
 }
 
 // Local reports whether the caller is on this machine.
 func (e *Exchange) Local() bool { return e.conn.caller.local() }
 
-// AwaitTurn returns when all answers ahead have been written, so that none of
-// them can close the connection any more. Errors: CallNotRunExpired when ctx ends
-// before.
-func (e *Exchange) AwaitTurn(ctx context.Context) error {
-	turn := e.conn.turnOf(e)
-	if turn == nil {
+// AwaitEarlierAnswers returns when all earlier answers have been written, so that none of them
+// can close the connection any more. Errors: CallNotRunExpired when ctx ends before.
+func (e *Exchange) AwaitEarlierAnswers(ctx context.Context) error {
+	written := e.conn.earlierAnswers(e)
+	if written == nil {
 		return nil
 	}
 	select {
-	case <-turn:
+	case <-written:
 		return nil
 	case <-ctx.Done():
 		return result.Wrap(result.CallNotRunExpired, ctx.Err(), "waiting behind the answers of the same connection")
 	}
 }
 
-// BeginAnswer awaits the turn of an answer that is written piece by piece to the
-// request's writer. The answer's status and fields must be set; the field that
-// closes the connection is added where it has to be. Errors: CallCancelled.
+// BeginAnswer awaits all earlier answers before one that is written piece by piece to the
+// request's writer. The answer's status and fields must be set; the field that closes the
+// connection is added where it has to be. Errors: CallCancelled.
 func (e *Exchange) BeginAnswer(ctx context.Context) error {
-	if err := e.AwaitTurn(ctx); err != nil {
-		return result.Wrap(result.CallCancelled, err, "waiting for the answer's turn")
+	if err := e.AwaitEarlierAnswers(ctx); err != nil {
+		return result.Wrap(result.CallCancelled, err, "waiting for earlier answers")
 	}
 	e.conn.begin(e)
 	return nil
 }
 
-// Hold counts bytes of an answer that is to be at hand before its turn. It
-// returns false where too much is at hand already; the answer must then wait for
-// its turn in pieces.
+// Hold counts the bytes of an answer that is to be read whole while it waits for earlier ones.
+// It returns false where the limits allow no more; the answer must then be written in pieces
+// by BeginAnswer.
 func (e *Exchange) Hold(bytes int64) bool { return e.conn.hold(e, bytes) }
--- /dev/null
+++ b/internal/requestpath/gateway/pipeline/faults.go
@@ -0,0 +1,48 @@
+package pipeline
+
+import (
+	"io"
+	"net"
+
+	hertzerrors "github.com/cloudwego/hertz/pkg/common/errors"
+	"github.com/pkg/errors"
+
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+)
+
+// faultOf returns the numbered error that answers a request that cannot be read;
+// nil where the caller disconnected.
+func faultOf(err error) error {
+	var coded *result.Error
+	switch {
+	case errors.As(err, &coded):
+		return err
+	case isTimeout(err):
+		return result.Wrap(result.CallRequestTimeout, err, "reading the request")
+	case errors.Is(err, hertzerrors.ErrHeaderTooLarge):
+		return result.Wrap(result.CallHeadTooLarge, err, "reading the request")
+	case errors.Is(err, hertzerrors.ErrBodyTooLarge):
+		return result.Wrap(result.CallBodyTooLarge, err, "reading the request")
+	case isDisconnect(err):
+		return nil
+	default:
+		return result.Wrap(result.CallBadRequest, err, "reading the request")
+	}
+}
+
+// isDisconnect reports whether an error of reading says that the caller disconnected.
+func isDisconnect(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.ErrClosedPipe) ||
+		errors.Is(err, hertzerrors.ErrNothingRead) || errors.Is(err, hertzerrors.ErrConnectionClosed) || isConnectionError(err)
+}
+
+// isConnectionError reports whether err is one of the network itself.
+func isConnectionError(err error) bool {
+	var operation *net.OpError
+	return errors.As(err, &operation) && !operation.Timeout()
+}
+
+func isTimeout(err error) bool {
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
--- a/internal/requestpath/gateway/pipeline/pipeline_test.go
+++ b/internal/requestpath/gateway/pipeline/pipeline_test.go
@@ -1,175 +1,18 @@
 package pipeline
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
-	"net"
-	"net/http"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
-	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
-	"github.com/cloudwego/hertz/pkg/app/server"
-	"github.com/cloudwego/hertz/pkg/common/config"
-	"github.com/cloudwego/hertz/pkg/network/standard"
 	"github.com/cloudwego/hertz/pkg/protocol/http1/resp"
-	"github.com/cloudwego/hertz/pkg/protocol/suite"
-	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
-
-	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// testWait bounds what a test waits for; only a fault reaches it.
-const testWait = 20 * time.Second
-
-// site is a server under test.
-type site struct {
-	server   *Server
-	address  string
-	stopping atomic.Bool
-}
-
-// open starts a server whose requests come to handle.
-func open(t testing.TB, limits Limits, handle func(context.Context, *Exchange)) *site {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(t, err)
-	opened := &site{address: listener.Addr().String()}
-	opened.server = New(Config{
-		MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1 << 20, ShortBodyBytes: 1 << 10,
-		IdleTime: testWait, HeaderTime: testWait, BodyIdle: testWait, LingerTime: testWait,
-		Limits: limits, Handle: handle, Stopping: opened.stopping.Load,
-		Check: func(rc *app.RequestContext) error {
-			if len(rc.Request.Header.Peek("X-Refuse")) > 0 {
-				return result.Errorf(result.CallBadRequest, "refused by the test")
-			}
-			return nil
-		},
-	})
-	engine := server.New([]config.Option{
-		server.WithListener(opened.server.Listener(listener)), server.WithTransport(standard.NewTransporter),
-		server.WithDisablePrintRoute(true), server.WithExitWaitTime(0), server.WithOnAccept(opened.server.OnAccept),
-	}...)
-	engine.AddProtocol(suite.HTTP1, opened.server.Factory())
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		_ = engine.Run()
-	}()
-	t.Cleanup(func() {
-		_ = listener.Close()
-		<-ended
-	})
-	return opened
-}
-
-// caller is a client that writes what it likes.
-type caller struct {
-	t      *testing.T
-	conn   net.Conn
-	reader *bufio.Reader
-}
-
-func (s *site) dial(t *testing.T) *caller {
-	t.Helper()
-	conn, err := net.Dial("tcp", s.address)
-	assert.NilError(t, err)
-	t.Cleanup(func() { _ = conn.Close() })
-	assert.NilError(t, conn.SetDeadline(time.Now().Add(testWait)))
-	return &caller{t: t, conn: conn, reader: bufio.NewReader(conn)}
-}
-
-func (c *caller) send(text string) {
-	c.t.Helper()
-	_, err := io.WriteString(c.conn, text)
-	assert.NilError(c.t, err)
-}
-
-// answer reads one answer with its body.
-func (c *caller) answer() (*http.Response, string) {
-	c.t.Helper()
-	response, err := http.ReadResponse(c.reader, nil)
-	assert.NilError(c.t, err)
-	body, err := io.ReadAll(response.Body)
-	assert.NilError(c.t, err)
-	return response, string(body)
-}
-
-// ended asserts that the connection ends without another answer.
-func (c *caller) ended() {
-	c.t.Helper()
-	_, err := c.reader.ReadByte()
-	assert.Assert(c.t, errors.Is(err, io.EOF), "%v", err)
-}
-
-func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
-
-func post(path, body string) string {
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
-}
-
-func pathOf(exchange *Exchange) string { return string(exchange.Request.Request.URI().Path()) }
-
-// reply answers with text, or with the fault of the exchange.
-func reply(exchange *Exchange, text string) {
-	if exchange.Fault != nil {
-		exchange.Request.SetStatusCode(http.StatusBadRequest)
-		text = "fault"
-	}
-	exchange.Request.Response.SetBodyString(text)
-}
-
-// gates holds handlers until the test lets them go on, by path.
-type gates struct {
-	mutex   sync.Mutex
-	byPath  map[string]chan struct{}
-	entered chan string
-}
-
-func newGates() *gates {
-	return &gates{byPath: map[string]chan struct{}{}, entered: make(chan string, 100)}
-}
-
-func (g *gates) gate(path string) chan struct{} {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if g.byPath[path] == nil {
-		g.byPath[path] = make(chan struct{})
-	}
-	return g.byPath[path]
-}
-
-func (g *gates) pass(path string) {
-	g.entered <- path
-	<-g.gate(path)
-}
-
-func (g *gates) release(paths ...string) {
-	for _, path := range paths {
-		close(g.gate(path))
-	}
-}
-
-func (g *gates) awaitEntered(t *testing.T, count int) map[string]bool {
-	t.Helper()
-	seen := map[string]bool{}
-	for range count {
-		select {
-		case path := <-g.entered:
-			seen[path] = true
-		case <-time.After(testWait):
-			t.Fatalf("only %v were handled", seen)
-		}
-	}
-	return seen
-}
-
 func TestRequestsSentAheadAreHandledAtOnceAndAnsweredInOrder(t *testing.T) {
 	held := newGates()
 	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
@@ -193,12 +36,12 @@
 
 // TestOrderBehindAClosingAnswerRunsOnce has an answer break off with an order
 // behind it. The caller takes what is behind as not read and sends it again. The
-// variant without AwaitTurn shows that the test sees a doubled order.
+// variant without AwaitEarlierAnswers shows that the test sees a doubled order.
 func TestOrderBehindAClosingAnswerRunsOnce(t *testing.T) {
 	for name, row := range map[string]struct {
 		awaits bool
 		runs   int64
-	}{"awaits its turn": {true, 1}, "broken variant": {false, 2}} {
+	}{"awaits earlier answers": {true, 1}, "broken variant": {false, 2}} {
 		t.Run(name, func(t *testing.T) {
 			var orders atomic.Int64
 			held := newGates()
@@ -213,7 +56,7 @@
 					return
 				}
 				held.entered <- "/order"
-				if row.awaits && exchange.AwaitTurn(ctx) != nil {
+				if row.awaits && exchange.AwaitEarlierAnswers(ctx) != nil {
 					reply(exchange, "not run")
 					return
 				}
@@ -250,8 +93,10 @@
 }
 
 func (b breaksOff) Write(piece []byte) (int, error) { return b.inner.Write(piece) }
-func (b breaksOff) Flush() error                    { return b.inner.Flush() }
-func (b breaksOff) Finalize() error                 { return io.ErrUnexpectedEOF }
+
+func (b breaksOff) Flush() error { return b.inner.Flush() }
+
+func (b breaksOff) Finalize() error { return io.ErrUnexpectedEOF }
 
 func TestHangUpEndsAllRequestsOfTheConnection(t *testing.T) {
 	for name, row := range map[string]struct {
@@ -268,7 +113,7 @@
 			opened := open(t, row.limits, func(ctx context.Context, exchange *Exchange) {
 				entered <- struct{}{}
 				if pathOf(exchange) == "/1" {
-					_ = exchange.AwaitTurn(ctx)
+					_ = exchange.AwaitEarlierAnswers(ctx)
 				}
 				<-ctx.Done()
 				ended <- struct{}{}
@@ -390,7 +235,7 @@
 				if exchange.Hold(10) {
 					heldBytes.Add(1)
 				} else {
-					assert.Check(t, exchange.AwaitTurn(ctx))
+					assert.Check(t, exchange.AwaitEarlierAnswers(ctx))
 				}
 				reply(exchange, pathOf(exchange))
 			})
@@ -425,83 +270,6 @@
 	}
 }
 
-func TestAnswerBeforeTheEndOfALongBodyClosesTheConnection(t *testing.T) {
-	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
-		reply(exchange, pathOf(exchange))
-	})
-	client := opened.dial(t)
-	client.send(get("/1") + "POST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\nsome")
-	_, body := client.answer()
-	assert.Equal(t, body, "/1")
-	response, body := client.answer()
-	assert.Equal(t, body, "/2")
-	assert.Assert(t, response.Close)
-	// What the caller still sends must not reset the answer away.
-	client.send(strings.Repeat("x", 50_000))
-	client.ended()
-}
-
-func TestLongBodiesAreReadInOrder(t *testing.T) {
-	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
-		length := len(exchange.Content)
-		if exchange.Body != nil {
-			body, err := io.ReadAll(exchange.Body)
-			assert.Check(t, err)
-			length = len(body)
-		}
-		reply(exchange, fmt.Sprintf("%s %d", pathOf(exchange), length))
-	})
-	client := opened.dial(t)
-	chunked := "POST /3 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n3\r\nyou\r\n0\r\n\r\n"
-	expecting := "POST /4 HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n"
-	client.send(post("/1", strings.Repeat("x", 90_000)) + get("/2") + chunked + expecting)
-	for _, want := range []string{"/1 90000", "/2 0", "/3 8"} {
-		_, body := client.answer()
-		assert.Equal(t, body, want)
-	}
-	interim, err := http.ReadResponse(client.reader, nil)
-	assert.NilError(t, err)
-	assert.Equal(t, interim.StatusCode, http.StatusContinue)
-	client.send("body" + get("/5"))
-	for _, want := range []string{"/4 4", "/5 0"} {
-		_, body := client.answer()
-		assert.Equal(t, body, want)
-	}
-}
-
-// Who reads a body may outlive its request, whose memory then serves another one: what
-// comes with the end of the body is copied before that can be. Trailers were read from the
-// request later, and could be another request's.
-func TestEndOfABodyIsCopiedBeforeTheRequestIsUsedAgain(t *testing.T) {
-	read := make(chan string, 1)
-	site := open(t, Limits{}, func(_ context.Context, exchange *Exchange) {
-		if exchange.Body == nil {
-			reply(exchange, "none")
-			return
-		}
-		copied := ""
-		exchange.Body.AtEnd(func() { copied = pathOf(exchange) })
-		ended := make(chan struct{})
-		go func() {
-			_, _ = io.ReadAll(exchange.Body)
-			close(ended)
-			// The handler has returned, and further requests have been read.
-			time.Sleep(50 * time.Millisecond)
-			read <- copied
-		}()
-		<-ended
-		reply(exchange, "read")
-	})
-	caller := site.dial(t)
-	caller.send(post("/first", strings.Repeat("x", 100<<10)))
-	caller.answer()
-	for range 3 {
-		caller.send(get("/later"))
-		caller.answer()
-	}
-	assert.Equal(t, <-read, "/first")
-}
-
 func TestCallerThatAsksToCloseIsClosed(t *testing.T) {
 	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) { reply(exchange, pathOf(exchange)) })
 	client := opened.dial(t)
@@ -513,61 +281,3 @@
 	assert.Assert(t, second.Close)
 	client.ended()
 }
-
-// A body that is not framed as it should be is answered, behind all good requests.
-func TestBrokenChunksAreAnswered(t *testing.T) {
-	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
-		if exchange.Body != nil {
-			_, err := io.ReadAll(exchange.Body)
-			assert.Check(t, err != nil)
-		}
-		reply(exchange, pathOf(exchange))
-	})
-	client := opened.dial(t)
-	client.send(get("/1") + "POST /2 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nno number\r\n" + get("/never"))
-	_, body := client.answer()
-	assert.Equal(t, body, "/1")
-	response, body := client.answer()
-	assert.Equal(t, body, "/2")
-	assert.Assert(t, response.Close)
-	client.ended()
-}
-
-// What is left of a body that was not read must never be read as a request, however
-// the reader and the handler meet.
-func TestRestOfABodyIsNoRequest(t *testing.T) {
-	var smuggled atomic.Int64
-	opened := open(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
-		if pathOf(exchange) == "/smuggled" {
-			smuggled.Add(1)
-		}
-		reply(exchange, pathOf(exchange))
-	})
-	for range 200 {
-		client := opened.dial(t)
-		client.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n" + get("/smuggled"))
-		response, body := client.answer()
-		assert.Equal(t, body, "/1")
-		assert.Assert(t, response.Close)
-		client.ended()
-		_ = client.conn.(*net.TCPConn).SetLinger(0)
-		_ = client.conn.Close()
-	}
-	assert.Equal(t, smuggled.Load(), int64(0))
-}
-
-// The reader goes on when nobody reads a body any more; it must find the connection
-// sealed by then.
-func TestStoppedBodySealsItsConnection(t *testing.T) {
-	near, far := net.Pipe()
-	defer func() { _ = far.Close() }()
-	conn := newConnection(New(Config{}), nil, nil, &callerConn{Conn: near})
-	body := newBody(conn, strings.NewReader("rest"), 4)
-	assert.Assert(t, !body.stop())
-	select {
-	case <-body.over:
-	default:
-		t.Fatal("the reader is not told")
-	}
-	assert.Assert(t, conn.isSealed())
-}
--- a/internal/requestpath/gateway/pipeline/quota.go
+++ b/internal/requestpath/gateway/pipeline/quota.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// Limits bound what one daemon holds for requests sent ahead.
+// Limits bound what one daemon holds for requests sent ahead. At a limit connections are not
+// read on, so that their callers are slowed down and nothing is lost.
 type Limits struct {
 	// RequestsPerConnection bounds the open requests of one connection; 1 serves
 	// one after the other.
@@ -10,13 +11,15 @@
 	// RequestsAhead bounds the requests of all connections that are open behind
 	// another one.
 	RequestsAhead int
-	// BytesPerConnection and Bytes bound the answers that are at hand before
-	// their turn, of one connection and of all.
+	// BytesPerConnection and Bytes bound the answers that wait for earlier ones in bytes, of
+	// one connection and of all.
 	BytesPerConnection int64
 	Bytes              int64
 }
 
-// DefaultLimits hold where nothing else is set.
+// DefaultLimits hold where the settings state none. Chosen, not measured; each limit of all
+// connections is above that of one, and one connection may hold the longest answer that the
+// gateway reads whole.
 var DefaultLimits = Limits{
 	RequestsPerConnection: 16,
 	RequestsAhead:         2048,
@@ -24,7 +27,7 @@
 	Bytes:                 16 << 20,
 }
 
-// quota counts what all connections hold together.
+// quota counts what all connections hold together. It is safe for concurrent use.
 type quota struct {
 	// mutex protects everything below.
 	mutex    sync.Mutex
@@ -35,9 +38,9 @@
 	waiting []*connection
 }
 
-// takeRequest counts a request sent ahead. Where there are too many it returns
-// false, and conn is woken when one of them has ended.
-func (q *quota) takeRequest(conn *connection) bool {
+// acquireRequest takes a place for a request sent ahead. Where there is none it returns false,
+// and conn is woken when one becomes free.
+func (q *quota) acquireRequest(conn *connection) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.requests < q.limits.RequestsAhead {
@@ -53,8 +56,8 @@
 	return false
 }
 
-// endRequest ends the counting of a request sent ahead.
-func (q *quota) endRequest() {
+// releaseRequest frees the place of a request sent ahead and wakes who waits longest.
+func (q *quota) releaseRequest() {
 	q.mutex.Lock()
 	q.requests--
 	var next *connection
@@ -68,9 +71,9 @@
 	}
 }
 
-// takeBytes counts the bytes of an answer before its turn; it returns false
+// acquireBytes counts the bytes of an answer that waits for earlier ones; it returns false
 // where there are too many.
-func (q *quota) takeBytes(bytes int64) bool {
+func (q *quota) acquireBytes(bytes int64) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.bytes+bytes > q.limits.Bytes {
@@ -80,8 +83,8 @@
 	return true
 }
 
-// endBytes ends the counting of bytes.
-func (q *quota) endBytes(bytes int64) {
+// releaseBytes ends the count of bytes that were acquired.
+func (q *quota) releaseBytes(bytes int64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.bytes -= bytes
--- a/internal/requestpath/gateway/pipeline/sequence_test.go
+++ b/internal/requestpath/gateway/pipeline/sequence_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// answerModel answers as its path says: whole, in pieces, or once its turn has come.
+// answerModel answers as its path says: whole, in pieces, or once all earlier answers were written.
 func answerModel(ctx context.Context, exchange *Exchange) {
 	length := len(exchange.Content)
 	if exchange.Body != nil {
@@ -139,7 +139,7 @@
 		}
 		return
 	case strings.HasSuffix(path, "turn"):
-		_ = exchange.AwaitTurn(ctx)
+		_ = exchange.AwaitEarlierAnswers(ctx)
 	}
 	reply(exchange, text)
 }
@@ -170,9 +170,8 @@
 		}()
 		for _, want := range wants {
 			response, body := client.answer()
-			if response.StatusCode != http.StatusOK || body != want {
-				rt.Fatalf("got %d %q, want %q", response.StatusCode, body, want)
-			}
+			assert.Equal(rt, response.StatusCode, http.StatusOK, "%q", body)
+			assert.Equal(rt, body, want)
 		}
 		_ = client.conn.(*net.TCPConn).SetLinger(0)
 		_ = client.conn.Close()
--- a/internal/requestpath/gateway/pipeline/server.go
+++ b/internal/requestpath/gateway/pipeline/server.go
@@ -14,11 +14,11 @@
 
 // Config configures a Server.
 type Config struct {
-	// MaxHeaderBytes bounds the head of a request, MaxBodyBytes its body.
+	// MaxHeaderBytes bounds the head of a request, MaxBodyBytes its body, in bytes.
 	MaxHeaderBytes int
 	MaxBodyBytes   int
-	// ShortBodyBytes is the length up to which a body is read whole before the
-	// request is passed on.
+	// ShortBodyBytes is the length up to which a body is read whole before the request is
+	// passed on, in bytes.
 	ShortBodyBytes int64
 	// IdleTime is how long a connection may rest without a request, HeaderTime
 	// how long a request's head may take once its first byte is there, and
@@ -31,14 +31,14 @@
 	// Check tells in the order of the requests, before another one is read, why a
 	// request cannot be served at all; nothing behind it is read then.
 	Check func(*app.RequestContext) error
-	// Handle sees an exchange through. ctx ends when the caller hangs up.
+	// Handle sees an exchange through. ctx ends when the caller disconnects.
 	Handle func(ctx context.Context, exchange *Exchange)
 	// Stopping reports whether connections are to be closed.
 	Stopping func() bool
 }
 
-// Server serves callers' connections. It is registered with the HTTP library in
-// place of the library's own HTTP/1.1 server.
+// Server serves callers' connections. It is registered with the HTTP library in place of the
+// library's own HTTP/1.1 server. It is safe for concurrent use.
 type Server struct {
 	config Config
 	quota  quota
@@ -84,7 +84,8 @@
 	core   suite.Core
 }
 
-// Serve implements protocol.Server; it returns when the connection is over.
+// Serve implements protocol.Server; it returns when the connection is over. It does not serve
+// one that did not come through Server.Listener.
 func (p protocolServer) Serve(ctx context.Context, conn network.Conn) error {
 	caller, ok := ctx.Value(callerKey{}).(*callerConn)
 	if !ok {
--- a/internal/requestpath/gateway/pipeline/answers.go
+++ b/internal/requestpath/gateway/pipeline/writing.go
@@ -1,29 +1,21 @@
 package pipeline
 
 import (
-	"net"
-
 	"github.com/cloudwego/hertz/pkg/protocol/http1/resp"
-	"github.com/pkg/errors"
 )
 
-// isConnectionError reports whether err is one of the network itself.
-func isConnectionError(err error) bool {
-	var operation *net.OpError
-	return errors.As(err, &operation) && !operation.Timeout()
-}
-
-// turnOf returns what is closed at an exchange's turn; nil when that has come.
-func (c *connection) turnOf(exchange *Exchange) <-chan struct{} {
+// earlierAnswers returns a channel that is closed when all answers before that of an exchange
+// have been written; nil when they have.
+func (c *connection) earlierAnswers(exchange *Exchange) <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.open[0] == exchange && !c.writing {
 		return nil
 	}
-	if exchange.turn == nil {
-		exchange.turn = make(chan struct{})
+	if exchange.isOldest == nil {
+		exchange.isOldest = make(chan struct{})
 	}
-	return exchange.turn
+	return exchange.isOldest
 }
 
 // begin prepares the head of an answer that is written in pieces.
@@ -56,14 +48,14 @@
 	}
 }
 
-// hold counts the bytes of an answer before its turn; see Exchange.Hold.
+// hold counts the bytes of an answer that waits for earlier ones; see Exchange.Hold.
 func (c *connection) hold(exchange *Exchange, bytes int64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.open[0] == exchange {
 		return true
 	}
-	if c.bytes+bytes > c.server.quota.limits.BytesPerConnection || !c.server.quota.takeBytes(bytes) {
+	if c.bytes+bytes > c.server.quota.limits.BytesPerConnection || !c.server.quota.acquireBytes(bytes) {
 		return false
 	}
 	c.bytes += bytes
@@ -71,7 +63,7 @@
 	return true
 }
 
-// finish notes that an exchange was handled. Whoever finishes the oldest one
+// finish records that an exchange was handled. Whoever finishes the oldest one
 // writes its answer and those behind it that are finished already.
 func (c *connection) finish(exchange *Exchange) {
 	c.mutex.Lock()
@@ -93,15 +85,15 @@
 	if exchange == nil {
 		return false
 	}
-	if c.isGone() || c.write(exchange) != nil {
-		c.hangUp()
+	if c.isDisconnected() || c.write(exchange) != nil {
+		c.disconnect()
 	}
-	c.end(exchange)
+	c.removeOldest(exchange)
 	return true
 }
 
-// nextFinished returns the oldest exchange when it is finished. Otherwise what was
-// written is sent, and the turn is given to that exchange.
+// nextFinished returns the oldest exchange when it is finished. Otherwise it sends what was
+// written and leaves the writing to that exchange.
 func (c *connection) nextFinished() *Exchange {
 	for flushed := false; ; flushed = true {
 		c.mutex.Lock()
@@ -111,41 +103,42 @@
 			c.mutex.Unlock()
 			return exchange
 		}
-		if flushed || c.gone {
-			c.giveTurn()
+		if flushed || c.disconnected {
+			c.stopWriting()
 			c.mutex.Unlock()
 			return nil
 		}
 		c.mutex.Unlock()
 		if c.conn.Flush() != nil {
-			c.hangUp()
+			c.disconnect()
 		}
 	}
 }
 
-// giveTurn ends the writing and tells the oldest exchange that its turn has come.
-// The caller holds mutex.
-func (c *connection) giveTurn() {
+// stopWriting ends the writing and tells the oldest exchange that it may write. The caller
+// holds mutex.
+func (c *connection) stopWriting() {
 	c.writing = false
 	if len(c.open) == 0 {
-		c.rest()
+		c.becomeIdle()
 		return
 	}
-	if turn := c.open[0].turn; turn != nil {
-		close(turn)
-		c.open[0].turn = nil
+	if isOldest := c.open[0].isOldest; isOldest != nil {
+		close(isOldest)
+		c.open[0].isOldest = nil
 	}
 }
 
-// rest notes that nothing is open. The caller holds mutex.
-func (c *connection) rest() {
-	c.resting.Broadcast()
+// becomeIdle tells whoever waits that nothing is open any more, and bounds how long the
+// connection may stay so. The caller holds mutex.
+func (c *connection) becomeIdle() {
+	c.idleChanged.Broadcast()
 	c.wakeLocked()
 	switch {
 	case c.sealed:
 		c.caller.interrupt()
-	case c.awaiting:
-		c.boundRest()
+	case c.awaitingRequest:
+		c.boundIdle()
 	}
 }
 
@@ -162,14 +155,8 @@
 	return resp.Write(&request.Response, c.conn)
 }
 
-func (c *connection) isGone() bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.gone
-}
-
-// end removes the oldest exchange.
-func (c *connection) end(exchange *Exchange) {
+// removeOldest removes the oldest exchange, whose answer was written or given up.
+func (c *connection) removeOldest(exchange *Exchange) {
 	c.mutex.Lock()
 	c.open[0] = nil
 	c.open = c.open[1:]
@@ -177,15 +164,6 @@
 	c.wakeLocked()
 	c.mutex.Unlock()
 	c.server.open.Add(-1)
-	c.server.quota.endBytes(exchange.bytes)
+	c.server.quota.releaseBytes(exchange.bytes)
 	c.recycle(exchange)
 }
-
-// recycle gives an exchange's request back to the library's pool.
-func (c *connection) recycle(exchange *Exchange) {
-	if exchange.ahead {
-		c.server.quota.endRequest()
-	}
-	exchange.Request.Reset()
-	c.core.GetCtxPool().Put(exchange.Request)
-}
--- a/internal/requestpath/gateway/serve.go
+++ b/internal/requestpath/gateway/serve.go
@@ -114,7 +114,7 @@
 	if !route.GetCallClass().GetRepeatable() {
 		// An answer ahead that closes the connection would make the caller send this
 		// request again.
-		if err := exchange.AwaitTurn(ctx); err != nil {
+		if err := exchange.AwaitEarlierAnswers(ctx); err != nil {
 			return err
 		}
 	}
