--- a/internal/pages_test.go
+++ b/internal/pages_test.go
@@ -107,3 +107,43 @@
 		}
 	}
 }
+
+// testName is a test or fuzz target as pages name it.
+var testName = regexp.MustCompile(`\b(Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9]+\b`)
+
+// testsOf returns the names of the tests of the whole module.
+func testsOf(t *testing.T) map[string]bool {
+	t.Helper()
+	found := map[string]bool{}
+	for _, root := range []string{".", "../platform", "../api"} {
+		err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(name, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			for _, declaration := range file.Decls {
+				if function, ok := declaration.(*ast.FuncDecl); ok {
+					found[function.Name.Name] = true
+				}
+			}
+			return nil
+		})
+		assert.NilError(t, err)
+	}
+	return found
+}
+
+// The pages that say which test holds what name tests that exist.
+func TestPagesNameTestsThatExist(t *testing.T) {
+	tests := testsOf(t)
+	for _, page := range []string{"../docs/proofs.md", "../docs/DECISIONS.md", "../docs/ARCHITECTURE.md"} {
+		content, err := os.ReadFile(page)
+		assert.NilError(t, err)
+		for _, name := range testName.FindAllString(string(content), -1) {
+			assert.Check(t, tests[name], "%s names %s", page, name)
+		}
+	}
+}
