--- a/internal/distribution/membership/join_test.go
+++ b/internal/distribution/membership/join_test.go
@@ -10,7 +10,7 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/membership"
 )
 
-func TestDecide(t *testing.T) {
+func TestDecideJoin(t *testing.T) {
 	relay := membership.Parent{Node: "p", Zone: "z", Path: []string{"r", "p"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
 	reader := membership.Parent{Node: "r", Zone: "z", Reader: true, Path: []string{"r"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
 	child := membership.Joiner{Node: "c", Zone: "z", Redirected: true}
@@ -29,8 +29,8 @@
 		{"stranger after many refusals", relay, membership.Joiner{Node: "c", Zone: "z", Refusals: 6}, membership.JoinAccepted},
 		{"stranger where no reader is known", with(relay, func(p *membership.Parent) { p.KnowsReaders = false }), membership.Joiner{Node: "c", Zone: "z"}, membership.JoinAccepted},
 		{"reader takes strangers", reader, membership.Joiner{Node: "c", Zone: "z"}, membership.JoinAccepted},
-		{"no way to a reader", with(relay, func(p *membership.Parent) { p.Path = nil }), child, membership.JoinDetached},
-		{"leaving", with(relay, func(p *membership.Parent) { p.Stopping = true }), child, membership.JoinDetached},
+		{"no path to a reader", with(relay, func(p *membership.Parent) { p.Path = nil }), child, membership.JoinDetached},
+		{"shutting down", with(relay, func(p *membership.Parent) { p.Stopping = true }), child, membership.JoinDetached},
 		{"child is above", relay, membership.Joiner{Node: "r", Zone: "z", Redirected: true}, membership.JoinLoop},
 		{"too deep", relay, membership.Joiner{Node: "c", Zone: "z", Depth: 3, Redirected: true}, membership.JoinTooDeep},
 		{"full", with(relay, func(p *membership.Parent) { p.Children = 2 }), child, membership.JoinFull},
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestNobodyIsRefusedForDepthForEver checks that a daemon that lets go of its
-// deeper children fits under any reader with room.
+// TestNobodyIsRefusedForDepthForEver checks that a daemon that disconnects its deeper
+// children fits under any reader with room.
 func TestNobodyIsRefusedForDepthForEver(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		maxDepth := rapid.IntRange(2, 10).Draw(rt, "max depth")
--- a/internal/distribution/membership/readers.go
+++ b/internal/distribution/membership/readers.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxForeignReaders is the number of readers of other zones that a daemon is told
-	// of. Chosen, not measured; at least one must be left when a whole zone is lost.
+	// maxForeignReaders is the number of readers of other zones that are named to a
+	// daemon. Chosen, not measured; at least one must be left when a whole zone is lost.
 	maxForeignReaders = 4
 	// firstWindow is the number of machines, by rank, that may try for a seat in the
 	// first round without a parent. Chosen, not measured; it must be larger than the
@@ -67,8 +67,8 @@
 	return cmp.Or(-cmp.Compare(a.Expected, b.Expected), cmp.Compare(a.Node, b.Node)) < 0
 }
 
-// ReadersToName returns the readers of which a daemon of the given zone and region tells
-// others: all of its zone, then at most maxForeignReaders of other zones, those of its
+// ReadersToName returns the readers that a daemon of the given zone and region names to
+// its children: all of its zone, then at most maxForeignReaders of other zones, those of its
 // region first. shuffle spreads the load over the foreign ones.
 func ReadersToName(readers []*lapisv1.PeerAddress, zone, region string, shuffle func(n int, swap func(i, j int))) []*lapisv1.PeerAddress {
 	var own, near, far []*lapisv1.PeerAddress
