--- a/internal/distribution/membership/join.go
+++ b/internal/distribution/membership/join.go
@@ -60,7 +60,7 @@
 	// KnowsReaders is true when the daemon can name readers of its zone.
 	KnowsReaders bool
 	// Fanout is the largest number of children, MaxDepth the largest number of levels
-	// from the root to the lowest node.
+	// below a reader.
 	Fanout, MaxDepth int
 }
 
