--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -112,7 +112,7 @@
 		Withdrawn: p.path.origin.Withdrawn, Random: rand.Float64, Logger: p.path.logger,
 	})
 	p.follower = &configsource.Follower{
-		Source: config.platform.Source(), Apply: p.Offer, Freshness: p.freshness, Confirmed: p.fleet.Beat,
+		Source: config.platform.Source(), Apply: p.Offer, Freshness: p.freshness, Confirmed: p.fleet.SendHeartbeats,
 		TakeOrders: p.ordersReader(), OrdersBound: p.ordersBound(),
 		Awaited: p.path.snapshots.Awaited, Bound: p.askBound(), Daemons: func() int { return int(p.members.Load()) },
 		Pace: p.pace, Random: rand.Float64, Resumed: p.resumed, Logger: p.path.logger,
@@ -244,7 +244,7 @@
 	p.inForceAt.Store(int64(time.Since(p.started)))
 	path.origin.Configure(path.snapshots.Current())
 	path.logger.Info("configuration.in_force", "revision", configuration.GetRevision(), "before", current.GetRevision())
-	p.fleet.Beat()
+	p.fleet.SendHeartbeats()
 }
 
 // Endpoints implements fleet.Observer.
--- a/internal/daemon/platform_orders.go
+++ b/internal/daemon/platform_orders.go
@@ -116,7 +116,7 @@
 	p.orders.follow(before, now, by)
 	p.freshness.AdvanceOrders(now.Revision())
 	p.fleet.SpreadOrders()
-	p.fleet.Beat()
+	p.fleet.SendHeartbeats()
 	if before == nil {
 		p.releaseHeld()
 	}
--- a/internal/distribution/fleet/address.go
+++ b/internal/distribution/fleet/address.go
@@ -7,17 +7,14 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// displacedRecheck is how long a daemon in whose place another one answered is not
-// dialed, unless something newer is heard of it. Its entry in the directory may stay
-// for good; one dial a minute is cheap.
-const displacedRecheck = time.Minute
+// The rule of where a daemon is. An address belongs to the daemon that answers there.
+// Statements about a daemon's address are believed in this order: its own greeting, the
+// directory (seconds old), other daemons' introductions (of any age). Inputs are the
+// statement, its kind, and whether the daemon is connected.
 
-// An address belongs to the daemon that answers there. What is heard of addresses is
-// believed in this order: the daemon's own greeting, the directory, other daemons.
-
-// greeted takes in what a daemon says of itself when it connects to this one, and
-// returns its peer; the caller holds mutex.
-func (f *Fleet) greeted(member Member) *peer {
+// recordHello records what a daemon says of itself when it connects to this one, and
+// returns its peer, nil for one that is not remembered; the caller holds mutex.
+func (f *Fleet) recordHello(member Member) *peer {
 	known := f.peerOf(member)
 	if known == nil {
 		return nil
@@ -28,9 +25,9 @@
 	return known
 }
 
-// learnListed takes in an entry of the directory. While the daemon is connected at
+// recordDirectoryEntry records an entry of the directory. While the daemon is connected at
 // another address, that is where it is; the entry counts once that connection ends.
-func (f *Fleet) learnListed(member Member) {
+func (f *Fleet) recordDirectoryEntry(member Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	known := f.peerOf(member)
@@ -44,26 +41,26 @@
 	}
 }
 
-// learnHearsay takes in what another daemon says of a third one. It may be older than
+// recordIntroduced records what another daemon says of a third one. It may be older than
 // what is known here, so that it counts only for a daemon that nothing is known of.
-func (f *Fleet) learnHearsay(member Member) {
+func (f *Fleet) recordIntroduced(member Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.peerOf(member)
 }
 
-// move notes where a daemon is; the caller holds mutex.
+// move records where a daemon is; the caller holds mutex.
 func (f *Fleet) move(known *peer, member Member) {
 	if known.Member == member {
 		return
 	}
 	known.Member = member
 	known.displacedAt = time.Time{}
-	signal(known.wake)
+	signal(known.dialNow)
 	signal(f.review)
 }
 
-// moveAsListed takes in what the directory said while the connection that has now
+// moveAsListed applies what the directory said while the connection that has now
 // ended was open; Fleet.mutex is held.
 func (p *peer) moveAsListed() {
 	if p.listed == nil {
@@ -74,7 +71,7 @@
 	p.displacedAt = time.Time{}
 }
 
-// displace notes that another daemon answers at a peer's address, so that the peer has
+// displace records that another daemon answers at a peer's address, so that the peer has
 // ended or moved: its instances are out of reach, and it is not dialed there.
 func (f *Fleet) displace(member *peer, other *callmux.OtherDaemonError) {
 	f.mutex.Lock()
@@ -89,8 +86,8 @@
 	signal(f.review)
 }
 
-// displaced reports whether another daemon was found at the address lately;
-// Fleet.mutex is held.
+// displaced reports whether another daemon was found at the address within
+// displacedRecheck; Fleet.mutex is held.
 func (p *peer) displaced(now time.Time) bool {
 	return !p.displacedAt.IsZero() && now.Sub(p.displacedAt) < displacedRecheck
 }
--- a/internal/distribution/fleet/address_test.go
+++ b/internal/distribution/fleet/address_test.go
@@ -244,24 +244,24 @@
 		heard     func(f *Fleet)
 		want      string
 	}{
-		"hearsay of one that is known":        {false, func(f *Fleet) { f.learnHearsay(present) }, "x:1"},
-		"directory":                           {false, func(f *Fleet) { f.learnListed(present) }, "x:2"},
-		"directory, while connected":          {true, func(f *Fleet) { f.learnListed(present) }, "x:1"},
-		"directory, and the connection ended": {true, func(f *Fleet) { f.learnListed(present); f.lost(f.members["moved"], f.members["moved"].link) }, "x:2"},
+		"hearsay of one that is known":        {false, func(f *Fleet) { f.recordIntroduced(present) }, "x:1"},
+		"directory":                           {false, func(f *Fleet) { f.recordDirectoryEntry(present) }, "x:2"},
+		"directory, while connected":          {true, func(f *Fleet) { f.recordDirectoryEntry(present) }, "x:1"},
+		"directory, and the connection ended": {true, func(f *Fleet) { f.recordDirectoryEntry(present); f.lost(f.members["moved"], f.members["moved"].link) }, "x:2"},
 		"directory, taken back meanwhile": {true, func(f *Fleet) {
-			f.learnListed(present)
-			f.learnListed(former)
+			f.recordDirectoryEntry(present)
+			f.recordDirectoryEntry(former)
 			f.lost(f.members["moved"], f.members["moved"].link)
 		}, "x:1"},
-		"greeting, while connected": {true, func(f *Fleet) { f.greeted(present) }, "x:2"},
+		"greeting, while connected": {true, func(f *Fleet) { f.recordHello(present) }, "x:2"},
 		"greeting after the directory": {true, func(f *Fleet) {
-			f.learnListed(memberAt("moved", "x:3"))
-			f.greeted(present)
+			f.recordDirectoryEntry(memberAt("moved", "x:3"))
+			f.recordHello(present)
 			f.lost(f.members["moved"], f.members["moved"].link)
 		}, "x:2"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			knows := behindAt(0, &peer{Member: former, connected: row.connected, wake: make(chan struct{}, 1)})
+			knows := behindAt(0, &peer{Member: former, connected: row.connected, dialNow: make(chan struct{}, 1)})
 			row.heard(knows)
 			assert.Equal(t, knows.members["moved"].Address, row.want)
 		})
@@ -273,16 +273,16 @@
 func TestDisplacedDaemonIsTriedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := memberAt("ended", "x:1")
-		knows := behindAt(0, &peer{Member: ended, wake: make(chan struct{}, 1)})
+		knows := behindAt(0, &peer{Member: ended, dialNow: make(chan struct{}, 1)})
 		other := &callmux.OtherDaemonError{Address: "x:1", Expected: "ended", Found: "newcomer"}
 		displaced := func() bool { return knows.members["ended"].displaced(time.Now()) }
 
 		knows.displace(knows.members["ended"], other)
 		assert.Assert(t, displaced())
-		knows.learnListed(ended)
-		knows.learnHearsay(memberAt("ended", "x:2"))
+		knows.recordDirectoryEntry(ended)
+		knows.recordIntroduced(memberAt("ended", "x:2"))
 		assert.Assert(t, displaced(), "nothing newer was heard")
-		knows.learnListed(memberAt("ended", "x:2"))
+		knows.recordDirectoryEntry(memberAt("ended", "x:2"))
 		assert.Assert(t, !displaced())
 
 		knows.displace(knows.members["ended"], other)
@@ -292,7 +292,7 @@
 		assert.Assert(t, displaced())
 		time.Sleep(displacedRecheck)
 		assert.Assert(t, !displaced())
-		assert.Assert(t, knows.members["ended"].doubtful(time.Now()), "another one is connected to beside it")
+		assert.Assert(t, knows.members["ended"].unreachable(time.Now()), "another one is connected to beside it")
 	})
 }
 
--- a/internal/distribution/fleet/catchup.go
+++ b/internal/distribution/fleet/catchup.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"sync"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -14,17 +13,6 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// Times of the catching up. Their sum stays below the part of the bound for a
-// configuration after which a daemon asks the source itself.
-const (
-	// zonePatience is how long a daemon of the own zone is waited for, at the most,
-	// that has a version. The time is random, so that about one daemon of a zone
-	// fetches it from another zone and the others have it from there.
-	zonePatience = 400 * time.Millisecond
-	// answerPatience is how long an asked daemon has before another one is asked.
-	answerPatience = 250 * time.Millisecond
-)
-
 // catchUp asks other daemons for the configuration when they have one in force
 // that is newer than here, until ctx ends.
 func (f *Fleet) catchUp(ctx context.Context) {
@@ -38,33 +26,35 @@
 	}
 }
 
-// catchUpOnce asks one daemon after the other until none is known to be ahead.
+// catchUpOnce asks one daemon after the other until none is known to be ahead. Before it
+// first asks a daemon of another zone it waits up to zoneWait for its own zone to have the
+// version, unless it has no configuration at all.
 func (f *Fleet) catchUpOnce(ctx context.Context) {
 	asked := map[string]bool{}
-	patient := f.revision() > 0
+	mayWait := f.revision() > 0
 	for ctx.Err() == nil {
-		member, link := f.ahead(asked)
+		member, link := f.nextToAsk(asked)
 		if member == nil {
 			return
 		}
-		if patient && member.Zone != f.config.Self.Zone {
-			patient = false
-			if !f.await(ctx, time.Duration(float64(zonePatience)*f.config.Random())) {
+		if mayWait && member.Zone != f.config.Self.Zone {
+			mayWait = false
+			if !f.awaitConfiguration(ctx, time.Duration(float64(zoneWait)*f.config.Random())) {
 				return
 			}
 			continue
 		}
 		asked[member.Node] = true
-		f.askConfiguration(member, link)
-		if !f.await(ctx, answerPatience) {
+		f.requestConfiguration(member, link)
+		if !f.awaitConfiguration(ctx, answerWait) {
 			return
 		}
 	}
 }
 
-// await waits until a configuration comes, at most for a time; it reports false when
-// ctx ended.
-func (f *Fleet) await(ctx context.Context, most time.Duration) bool {
+// awaitConfiguration waits until a configuration comes, at most for a time; it reports
+// false when ctx ended.
+func (f *Fleet) awaitConfiguration(ctx context.Context, most time.Duration) bool {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
 	select {
@@ -75,7 +65,7 @@
 	return ctx.Err() == nil
 }
 
-func (f *Fleet) askConfiguration(member *peer, link callmux.Link) {
+func (f *Fleet) requestConfiguration(member *peer, link callmux.Link) {
 	above := f.revision()
 	f.config.Logger.Info("fleet.configuration_asked", "member", member.Node, "above", above)
 	request := &lapisv1.ConfigurationRequest{Above: above}
@@ -85,27 +75,36 @@
 	}
 }
 
-// ahead returns a connected daemon that has a newer configuration than this one and
-// was not asked, nil when there is none. Daemons of the own zone go first, then
-// those of the own region, then those with the newest revision, then any of them at random.
-func (f *Fleet) ahead(asked map[string]bool) (*peer, callmux.Link) {
+// holder is a daemon that has a newer configuration than this one.
+type holder struct {
+	tier     locality.Tier
+	revision uint64
+	// tieBreak is random, so that equal holders are asked evenly.
+	tieBreak float64
+}
+
+// before reports whether a holder is asked before another one: the nearer tier first,
+// because bytes over borders have a price, then the newer revision, then at random.
+func (h holder) before(other holder) bool {
+	return cmp.Or(cmp.Compare(h.tier, other.tier), cmp.Compare(other.revision, h.revision), cmp.Compare(other.tieBreak, h.tieBreak)) < 0
+}
+
+// nextToAsk returns the daemon to ask for the configuration, nil when there is none. It must
+// be connected and answering, have a newer revision in force than this daemon, and not be
+// in asked; among these holder.before decides.
+func (f *Fleet) nextToAsk(asked map[string]bool) (*peer, callmux.Link) {
 	above := f.revision()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var best *peer
-	var bestTier locality.Tier
-	var bestRank float64
+	var bestHolder holder
 	for _, member := range f.members {
 		if !member.connected || member.stalled || member.revision <= above || asked[member.Node] {
 			continue
 		}
-		tier, rank := f.config.Self.tierOf(member.Member), f.config.Random()
-		better := best == nil || tier < bestTier
-		if best != nil && tier == bestTier {
-			better = cmp.Or(cmp.Compare(member.revision, best.revision), cmp.Compare(rank, bestRank)) > 0
-		}
-		if better {
-			best, bestTier, bestRank = member, tier, rank
+		found := holder{tier: f.config.Self.tierOf(member.Member), revision: member.revision, tieBreak: f.config.Random()}
+		if best == nil || found.before(bestHolder) {
+			best, bestHolder = member, found
 		}
 	}
 	if best == nil {
@@ -114,14 +113,15 @@
 	return best, best.link
 }
 
-// offered takes in another daemon's configuration.
-func (f *Fleet) offered(configuration *lapisv1.Configuration) {
+// receiveConfiguration offers another daemon's configuration to the observer.
+func (f *Fleet) receiveConfiguration(configuration *lapisv1.Configuration) {
 	f.config.Observer.Offer(configuration)
 	signal(f.arrived)
 }
 
-// offeredDeflated takes in another daemon's configuration as it is sent.
-func (f *Fleet) offeredDeflated(member *peer, deflated []byte) {
+// receiveDeflatedConfiguration offers another daemon's configuration as it is sent. One
+// that cannot be read is logged and dropped; the next daemon is asked after answerWait.
+func (f *Fleet) receiveDeflatedConfiguration(member *peer, deflated []byte) {
 	content, err := wire.Inflate(deflated)
 	configuration := &lapisv1.Configuration{}
 	if err == nil {
@@ -131,51 +131,5 @@
 		f.config.Logger.Error(err, "fleet.configuration_unreadable", "member", member.Node)
 		return
 	}
-	f.offered(configuration)
-}
-
-// outgoing is a configuration as it is sent, made once for all that ask.
-type outgoing struct {
-	// mutex protects the rest and is held while a frame is made.
-	mutex    sync.Mutex
-	revision uint64
-	frame    *lapisv1.CallFrame
-}
-
-// of returns the frame for a configuration.
-func (o *outgoing) of(configuration *lapisv1.Configuration) (*lapisv1.CallFrame, error) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	if o.frame != nil && o.revision == configuration.GetRevision() {
-		return o.frame, nil
-	}
-	content, err := proto.Marshal(configuration)
-	if err != nil {
-		return nil, err
-	}
-	deflated, err := wire.Deflate(content)
-	if err != nil {
-		return nil, err
-	}
-	o.revision = configuration.GetRevision()
-	o.frame = &lapisv1.CallFrame{Body: &lapisv1.CallFrame_DeflatedConfiguration{DeflatedConfiguration: deflated}}
-	return o.frame, nil
-}
-
-// serveConfiguration sends the configuration in force if it is newer than what
-// the asking daemon has.
-func (f *Fleet) serveConfiguration(link callmux.Link, above uint64) {
-	configuration := f.config.InForce()
-	if configuration.GetRevision() <= above {
-		return
-	}
-	go func() {
-		frame, err := f.outgoing.of(configuration)
-		if err != nil {
-			f.config.Logger.Error(err, "fleet.configuration_not_sent", "revision", configuration.GetRevision())
-			return
-		}
-		// A session that is over says so itself.
-		_ = link.Send(frame)
-	}()
+	f.receiveConfiguration(configuration)
 }
--- a/internal/distribution/fleet/catchup_test.go
+++ b/internal/distribution/fleet/catchup_test.go
@@ -43,12 +43,12 @@
 	behind := behindAt(5, lost, stalled, at("same", "a", 5), at("near", "a", 6), at("newer", "a", 7), at("far", "b", 8))
 	asked := map[string]bool{}
 	for _, want := range []string{"newer", "near", "far"} {
-		member, _ := behind.ahead(asked)
+		member, _ := behind.nextToAsk(asked)
 		assert.Assert(t, member != nil, "expected %s", want)
 		assert.Equal(t, member.Node, want)
 		asked[member.Node] = true
 	}
-	member, _ := behind.ahead(asked)
+	member, _ := behind.nextToAsk(asked)
 	assert.Assert(t, member == nil)
 }
 
@@ -58,7 +58,7 @@
 	ahead := at("ahead", "a", 0)
 	behind := behindAt(5, ahead)
 	behind.config.Freshness.Advance(5)
-	behind.heard(ahead, callmux.Heartbeat{Revision: 6, Confirmed: ahead.lostAt.AddDate(2000, 0, 0)})
+	behind.recordHeartbeat(ahead, callmux.Heartbeat{Revision: 6, Confirmed: ahead.lostAt.AddDate(2000, 0, 0)})
 	assert.Equal(t, ahead.revision, uint64(6))
 	assert.Equal(t, len(behind.behind), 1)
 	assert.Assert(t, behind.config.Freshness.Confirmed().IsZero())
@@ -74,7 +74,7 @@
 	behind.config.Freshness.WithOrders = true
 	behind.config.Freshness.Advance(5)
 	behind.config.Freshness.AdvanceOrders(7)
-	behind.heard(ahead, callmux.Heartbeat{Revision: 5, Orders: 9, Confirmed: time.Now()})
+	behind.recordHeartbeat(ahead, callmux.Heartbeat{Revision: 5, Orders: 9, Confirmed: time.Now()})
 	assert.Assert(t, behind.config.Freshness.Confirmed().IsZero())
 	behind.config.Freshness.AdvanceOrders(9)
 	assert.Assert(t, !behind.config.Freshness.Confirmed().IsZero())
@@ -85,10 +85,10 @@
 func TestConfirmationsCrossZonesSeldom(t *testing.T) {
 	teller := behindAt(5)
 	teller.config.Self.Region = "r1"
-	assert.Assert(t, teller.gain(locality.Place{Zone: "a", Region: "r1"}) < time.Second)
-	assert.Assert(t, teller.gain(locality.Place{Zone: "b", Region: "r1"}) > time.Second)
-	assert.Equal(t, teller.gain(locality.Place{Zone: "b", Region: ""}), teller.gain(locality.Place{Zone: "b", Region: "r1"}))
-	assert.Assert(t, teller.gain(locality.Place{Zone: "c", Region: "r2"}) > teller.gain(locality.Place{Zone: "b", Region: "r1"}))
+	assert.Assert(t, teller.earlyHeartbeatGain(locality.Place{Zone: "a", Region: "r1"}) < time.Second)
+	assert.Assert(t, teller.earlyHeartbeatGain(locality.Place{Zone: "b", Region: "r1"}) > time.Second)
+	assert.Equal(t, teller.earlyHeartbeatGain(locality.Place{Zone: "b", Region: ""}), teller.earlyHeartbeatGain(locality.Place{Zone: "b", Region: "r1"}))
+	assert.Assert(t, teller.earlyHeartbeatGain(locality.Place{Zone: "c", Region: "r2"}) > teller.earlyHeartbeatGain(locality.Place{Zone: "b", Region: "r1"}))
 }
 
 // A daemon of the own region is asked before one of another, whatever that has.
@@ -99,7 +99,7 @@
 	behind.config.Self.Region = "r1"
 	asked := map[string]bool{}
 	for _, want := range []string{"near", "home", "unknown", "foreign"} {
-		member, _ := behind.ahead(asked)
+		member, _ := behind.nextToAsk(asked)
 		assert.Assert(t, member != nil, "expected %s", want)
 		assert.Equal(t, member.Node, want)
 		asked[member.Node] = true
@@ -111,12 +111,12 @@
 	told := at("told", "c", 0)
 	listening := behindAt(5, told)
 	endpoint := &lapisv1.Endpoint{Service: "desk", Instance: "desk-1", State: lapisv1.Endpoint_STATE_READY}
-	listening.announced(told, 0, &lapisv1.Announcement{Node: "told", Region: "r2", Endpoints: []*lapisv1.Endpoint{endpoint}})
+	listening.recordAnnouncement(told, 0, &lapisv1.Announcement{Node: "told", Region: "r2", Endpoints: []*lapisv1.Endpoint{endpoint}})
 	assert.Equal(t, told.Region, "r2")
 	assert.Equal(t, endpoint.GetRegion(), "r2")
-	assert.Equal(t, told.seen(endpoint).GetRegion(), "r2")
+	assert.Equal(t, told.withReachability(endpoint).GetRegion(), "r2")
 	told.connected = false
-	assert.Equal(t, told.seen(endpoint).GetRegion(), "r2")
+	assert.Equal(t, told.withReachability(endpoint).GetRegion(), "r2")
 }
 
 // A version is made ready once for all that ask for it, and reads back as it was.
@@ -132,12 +132,12 @@
 	var offered *lapisv1.Configuration
 	receiver := behindAt(1)
 	receiver.config.Observer = offerFunc(func(received *lapisv1.Configuration) { offered = received })
-	receiver.offeredDeflated(at("sender", "a", 3), first.GetDeflatedConfiguration())
+	receiver.receiveDeflatedConfiguration(at("sender", "a", 3), first.GetDeflatedConfiguration())
 	assert.Equal(t, offered.GetRevision(), uint64(3))
 	assert.Equal(t, string(offered.GetBundles()[0].GetContent()), "routes")
 
 	offered = nil
-	receiver.offeredDeflated(at("sender", "a", 3), []byte("no deflate stream"))
+	receiver.receiveDeflatedConfiguration(at("sender", "a", 3), []byte("no deflate stream"))
 	assert.Assert(t, offered == nil)
 }
 
--- a/internal/distribution/fleet/directory.go
+++ b/internal/distribution/fleet/directory.go
@@ -10,8 +10,9 @@
 
 // Member is a daemon as others reach it.
 type Member struct {
+	// Node is the daemon's name, one in the fleet.
 	Node string
-	// Address is where it accepts the connections of other daemons.
+	// Address is where it accepts the connections of other daemons, as host:port.
 	Address string
 	Zone    string
 	// Region is empty where it is not known.
@@ -22,10 +23,11 @@
 
 func (m Member) place() locality.Place { return locality.Place{Zone: m.Zone, Region: m.Region} }
 
-// tierOf tells how far another member is.
+// tierOf returns how far another member is.
 func (m Member) tierOf(other Member) locality.Tier { return m.place().TierOf(other.place()) }
 
-// Directory is where daemons find each other.
+// Directory is where daemons find each other. Any error means that the call had no effect
+// that can be relied on; it is made again.
 type Directory interface {
 	// Publish makes a member known; doing it twice does no harm.
 	Publish(ctx context.Context, member Member) error
@@ -33,64 +35,45 @@
 	Members(ctx context.Context) ([]Member, error)
 }
 
-// Times of the directory's use.
-const (
-	directoryRetryMin = 200 * time.Millisecond
-	directoryRetryMax = 2 * time.Second
-	// settleMin is the time until the second look at the directory after this
-	// daemon was published; it doubles with each further one. Daemons that start
-	// at the same time may miss each other at first, because answers are old.
-	settleMin = 250 * time.Millisecond
-	// directoryInterval is the time between two looks at the directory. It is
-	// long because daemons also name each other.
-	directoryInterval = 15 * time.Second
-	// intervalPerMember makes that time longer where lists are.
-	intervalPerMember = 100 * time.Millisecond
-)
-
-// followDirectory learns of the other daemons, and publishes this one unless it is
-// known as it should be, until ctx ends.
+// followDirectory lists the other daemons and publishes this one unless it is listed as it
+// should be, until ctx ends.
 func (f *Fleet) followDirectory(ctx context.Context) {
-	retry := directoryRetryMin
-	settle := directoryInterval
+	schedule := newListSchedule()
 	published := false
 	listed := false
 	for {
-		found, err := f.visitDirectory(ctx, published)
+		found, err := f.listDirectory(ctx, published)
 		listed = listed || err == nil
 		if err == nil && !found && !published {
 			err = f.config.Directory.Publish(ctx, f.config.Self)
-			settle = settleMin
+			schedule.publishedNow()
 		}
-		var next time.Duration
+		var wait time.Duration
 		if err != nil {
 			f.config.Logger.Info("directory.failed", "published", published, "listed", listed, "error", err)
 			if !listed {
-				f.askIntroduction()
+				f.requestIntroduction()
 			}
-			next = retry
-			retry = min(2*retry, directoryRetryMax)
+			wait = schedule.afterFailure()
 		} else {
 			published = true
-			retry = directoryRetryMin
-			next = min(settle, max(directoryInterval, time.Duration(f.Known())*intervalPerMember))
-			settle *= 2
+			wait = schedule.afterSuccess(f.Known())
 		}
-		if !sleep.For(ctx, f.jitter(next)) {
+		if !sleep.For(ctx, f.jitter(wait)) {
 			return
 		}
 	}
 }
 
-// visitDirectory learns of the members and reports whether this daemon is among
-// them as it should be.
-func (f *Fleet) visitDirectory(ctx context.Context, published bool) (found bool, err error) {
+// listDirectory records the members that the directory lists and reports whether this
+// daemon is among them as it should be.
+func (f *Fleet) listDirectory(ctx context.Context, published bool) (found bool, err error) {
 	members, err := f.config.Directory.Members(ctx)
 	if err != nil {
 		return false, err
 	}
 	for _, member := range members {
-		f.learnListed(member)
+		f.recordDirectoryEntry(member)
 		found = found || member == f.config.Self
 	}
 	if !published {
@@ -99,7 +82,45 @@
 	return found, nil
 }
 
-// jitter spreads a wait by up to a quarter.
+// listSchedule is the rule of when the directory is listed again. Inputs: whether the last
+// call failed, whether this daemon has just been published, and the number of daemons known.
+// After a failure the wait doubles from directoryRetryMin to directoryRetryMax. After a
+// publication it doubles from relistMin, because lists are stale and daemons that start at
+// the same time are missing from them. Otherwise, and at the longest, it is directoryInterval,
+// or intervalPerMember for each daemon known where that is longer.
+type listSchedule struct {
+	// retry is the wait after the next failure, relist the wait after the next success
+	// unless it is longer than the regular one.
+	retry, relist time.Duration
+}
+
+func newListSchedule() *listSchedule {
+	return &listSchedule{retry: directoryRetryMin, relist: directoryInterval}
+}
+
+// publishedNow records that this daemon was written to the directory, or may have been.
+func (s *listSchedule) publishedNow() { s.relist = relistMin }
+
+// afterFailure returns the wait after a call that failed.
+func (s *listSchedule) afterFailure() time.Duration {
+	wait := s.retry
+	s.retry = min(2*s.retry, directoryRetryMax)
+	return wait
+}
+
+// afterSuccess returns the wait after a list, with so many other daemons known.
+func (s *listSchedule) afterSuccess(known int) time.Duration {
+	s.retry = directoryRetryMin
+	wait := min(s.relist, max(directoryInterval, time.Duration(known)*intervalPerMember))
+	s.relist *= 2
+	return wait
+}
+
+// jitterParts is the inverse of the largest part that is added to a wait, so that daemons that
+// started together do not go on together. Chosen, not measured.
+const jitterParts = 4
+
+// jitter lengthens a wait by up to one of jitterParts.
 func (f *Fleet) jitter(wait time.Duration) time.Duration {
-	return wait + time.Duration(f.config.Random()*float64(wait)/4)
+	return wait + time.Duration(f.config.Random()*float64(wait)/jitterParts)
 }
--- a/internal/distribution/fleet/introduction.go
+++ b/internal/distribution/fleet/introduction.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
@@ -12,9 +13,9 @@
 	return &lapisv1.CallFrame{Body: &lapisv1.CallFrame_Introduction{Introduction: introduction}}
 }
 
-// remind tells a daemon which of its own instances left, as far as it said so
-// before; it may have lost its memory since.
-func (f *Fleet) remind(member *peer, link callmux.Link) {
+// sendWithdrawn names to a daemon those of its own instances that it said have left; it may
+// have started anew since, without that knowledge.
+func (f *Fleet) sendWithdrawn(member *peer, link callmux.Link) {
 	f.mutex.Lock()
 	reminder := &lapisv1.Introduction{}
 	for instance := range member.withdrawn {
@@ -25,36 +26,37 @@
 		return
 	}
 	slices.Sort(reminder.Withdrawn)
-	_ = link.Send(introductionFrame(reminder))
+	f.send(link, introductionFrame(reminder))
 }
 
-// askIntroduction asks any daemon in reach to name the others, because the
+// requestIntroduction asks any daemon in reach to name the others, because the
 // directory is out of reach.
-func (f *Fleet) askIntroduction() {
+func (f *Fleet) requestIntroduction() {
+	if link, found := f.anyLink(); found {
+		f.send(link, introductionFrame(&lapisv1.Introduction{Wanted: true}))
+	}
+}
+
+// anyLink returns an open link, one that this daemon opened where there is one.
+func (f *Fleet) anyLink() (link callmux.Link, found bool) {
 	f.mutex.Lock()
-	var link callmux.Link
-	found := false
+	defer f.mutex.Unlock()
 	for _, member := range f.members {
 		if member.connected {
-			link, found = member.link, true
+			return member.link, true
 		}
 	}
-	for open := range f.listeners {
-		if !found {
-			link, found = open.link, true
-		}
-	}
-	f.mutex.Unlock()
-	if found {
-		_ = link.Send(introductionFrame(&lapisv1.Introduction{Wanted: true}))
+	for opened := range f.inbound {
+		return opened.link, true
 	}
+	return callmux.Link{}, false
 }
 
-// introduced takes in what another daemon says of others, and answers over link
-// where it asks.
-func (f *Fleet) introduced(introduction *lapisv1.Introduction, link callmux.Link) {
+// recordIntroduction records what another daemon says of others and of the instances that
+// left beside this one, and answers over link where it asks.
+func (f *Fleet) recordIntroduction(introduction *lapisv1.Introduction, link callmux.Link) {
 	for _, member := range introduction.GetMembers() {
-		f.learnHearsay(Member{
+		f.recordIntroduced(Member{
 			Node: member.GetNode(), Address: member.GetAddress(), Zone: member.GetZone(), Region: member.GetRegion(), Service: member.GetService(),
 		})
 	}
@@ -62,21 +64,19 @@
 		f.config.Observer.Withdraw(instance)
 	}
 	if introduction.GetWanted() {
-		go func() { _ = link.Send(introductionFrame(f.introduction())) }()
+		go func() { f.send(link, introductionFrame(f.introduction())) }()
 	}
 }
 
-// introduction names the daemons that are in reach or were a while ago, and
-// this one.
+// introduction names the daemons that may be in reach. This daemon itself is known to the
+// other side by its greeting.
 func (f *Fleet) introduction() *lapisv1.Introduction {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
+	now := boottime.Now()
 	introduction := &lapisv1.Introduction{}
 	for _, member := range f.members {
-		if member.displaced(boottime.Now()) {
-			continue
-		}
-		if member.stop == nil || member.connected || boottime.Since(member.lostAt) < forgetAfter {
+		if member.introducible(now) {
 			introduction.Members = append(introduction.Members, &lapisv1.PeerAddress{
 				Node: member.Node, Address: member.Address, Zone: member.Zone, Region: member.Region, Service: member.Service,
 			})
@@ -84,3 +84,13 @@
 	}
 	return introduction
 }
+
+// introducible reports whether a daemon is named to others: not while another one answers
+// at its address, and not once a wanted link to it has been lost for
+// endpointsForgottenAfter; Fleet.mutex is held.
+func (p *peer) introducible(now time.Time) bool {
+	if p.displaced(now) {
+		return false
+	}
+	return p.stopMaintaining == nil || p.connected || now.Sub(p.lostAt) < endpointsForgottenAfter
+}
--- a/internal/distribution/fleet/wanted_test.go
+++ b/internal/distribution/fleet/linkchoice_test.go
@@ -24,14 +24,14 @@
 
 func TestSmallSiteIsConnectedWhole(t *testing.T) {
 	candidates := site(4, 3)
-	chosen := wanted(Member{Node: "self", Zone: "zone-0"}, candidates)
+	chosen := chooseFrom(Member{Node: "self", Zone: "zone-0"}, candidates)
 	assert.Equal(t, len(chosen), len(candidates))
 }
 
 func TestConnectionsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, perZone := range []int{10, 100, 1000} {
 		candidates := site(4, perZone)
-		chosen := wanted(candidates[0].Member, candidates)
+		chosen := chooseFrom(candidates[0].Member, candidates)
 		assert.Equal(t, len(chosen), 2*linksPerService, "%d daemons a zone", perZone)
 	}
 }
@@ -43,15 +43,15 @@
 		candidates := site(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "daemons"))
 		soundOnes := map[string]int{}
 		for index := range candidates {
-			candidates[index].doubtful = rapid.Bool().Draw(t, "doubtful")
-			if !candidates[index].doubtful {
+			candidates[index].unreachable = rapid.Bool().Draw(t, "doubtful")
+			if !candidates[index].unreachable {
 				soundOnes[candidates[index].Service]++
 			}
 		}
-		chosen := wanted(Member{Node: "self", Zone: "zone-0"}, candidates)
+		chosen := chooseFrom(Member{Node: "self", Zone: "zone-0"}, candidates)
 		taken := map[string]int{}
 		for _, member := range candidates {
-			if chosen[member.Node] && !member.doubtful {
+			if chosen[member.Node] && !member.unreachable {
 				taken[member.Service]++
 			}
 		}
@@ -67,7 +67,7 @@
 	candidates := site(4, 50)
 	chosenBy := map[string]int{}
 	for _, member := range candidates {
-		for node := range wanted(member.Member, candidates) {
+		for node := range chooseFrom(member.Member, candidates) {
 			chosenBy[node]++
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 // standIn is a site of peers of which some are dead, with the keeping of
-// connections as reviewWanted does it, second by second.
+// connections as reconcileLinks does it, second by second.
 type standIn struct {
 	self  Member
 	peers []*peer
@@ -91,20 +91,20 @@
 func (s *standIn) review() (kept int) {
 	var candidates []candidate
 	for _, known := range s.peers {
-		candidates = append(candidates, candidate{Member: known.Member, doubtful: known.doubtful(s.now)})
+		candidates = append(candidates, candidate{Member: known.Member, unreachable: known.unreachable(s.now)})
 	}
-	chosen := wanted(s.self, candidates)
+	chosen := chooseFrom(s.self, candidates)
 	for _, known := range s.peers {
 		switch {
-		case chosen[known.Node] && known.stop == nil:
-			known.stop = func() {}
-			known.keptSince = s.now
-		case !chosen[known.Node] && known.stop != nil:
-			known.stop = nil
+		case chosen[known.Node] && known.stopMaintaining == nil:
+			known.stopMaintaining = func() {}
+			known.maintainedSince = s.now
+		case !chosen[known.Node] && known.stopMaintaining != nil:
+			known.stopMaintaining = nil
 			known.lostAt = s.now
 		}
-		known.connected = known.stop != nil && !s.dead[known.Node]
-		if known.stop != nil {
+		known.connected = known.stopMaintaining != nil && !s.dead[known.Node]
+		if known.stopMaintaining != nil {
 			kept++
 		}
 	}
@@ -155,12 +155,12 @@
 		candidates = append(candidates, candidate{Member: member})
 	}
 	self := Member{Node: "self", Zone: "zone-0"}
-	before := wantedBeside(self, candidates)
-	assert.DeepEqual(t, before, wanted(self, candidates))
+	before := chooseLinks(self, candidates)
+	assert.DeepEqual(t, before, chooseFrom(self, candidates))
 	for index := range candidates {
 		candidates[index].evacuated = candidates[index].Zone == "zone-0"
 	}
-	after := wantedBeside(self, candidates)
+	after := chooseLinks(self, candidates)
 	callable := 0
 	for _, member := range candidates {
 		if after[member.Node] && !member.evacuated {
--- a/internal/distribution/fleet/orders.go
+++ b/internal/distribution/fleet/orders.go
@@ -6,18 +6,18 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// SpreadOrders sends the orders in force to all daemons in touch. Each daemon to which
-// they are news passes them on.
+// SpreadOrders has the orders in force sent to all linked daemons. Each daemon to which
+// they are new passes them on. It does not wait.
 func (f *Fleet) SpreadOrders() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, member := range f.members {
 		if member.connected {
-			signal(member.ordered)
+			signal(member.ordersChanged)
 		}
 	}
-	for opened := range f.listeners {
-		signal(opened.ordered)
+	for opened := range f.inbound {
+		signal(opened.ordersChanged)
 	}
 	signal(f.review)
 }
@@ -27,18 +27,6 @@
 	return f.config.Orders != nil && f.config.Orders().Evacuated(zone)
 }
 
-// ZoneKnown reports whether a daemon of a zone is known, this one included.
-func (f *Fleet) ZoneKnown(zone string) bool {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	for _, member := range f.members {
-		if member.Zone == zone {
-			return true
-		}
-	}
-	return f.config.Self.Zone == zone
-}
-
 // sendOrders sends the orders in force, if there are any.
 func (f *Fleet) sendOrders(link callmux.Link) {
 	if f.config.Orders == nil {
@@ -48,12 +36,12 @@
 	if set == nil {
 		return
 	}
-	// A session that is over says so itself.
-	_ = link.Send(&lapisv1.CallFrame{Body: &lapisv1.CallFrame_Orders{Orders: set.Message()}})
+	f.send(link, &lapisv1.CallFrame{Body: &lapisv1.CallFrame_Orders{Orders: set.Message()}})
 }
 
-// tookOrders takes in the orders that another daemon follows.
-func (f *Fleet) tookOrders(from string, message *lapisv1.Orders) {
+// receiveOrders gives the observer the orders that another daemon follows. They are
+// ignored where operators give none, and when they name no revision.
+func (f *Fleet) receiveOrders(from string, message *lapisv1.Orders) {
 	if f.config.Orders == nil || message.GetRevision() == 0 {
 		return
 	}
--- a/internal/distribution/fleet/orders_test.go
+++ b/internal/distribution/fleet/orders_test.go
@@ -137,10 +137,10 @@
 func TestOrdersArePassedOver(t *testing.T) {
 	hears := &follower{}
 	none := New(Config{Observer: hears})
-	none.tookOrders("x", evacuating(7, "b").Message())
+	none.receiveOrders("x", evacuating(7, "b").Message())
 	some := New(Config{Observer: hears, Orders: hears.orders.Load})
-	some.tookOrders("x", evacuating(0, "b").Message())
+	some.receiveOrders("x", evacuating(0, "b").Message())
 	assert.Equal(t, hears.heard.Load(), int64(0))
-	some.tookOrders("x", evacuating(7, "b").Message())
+	some.receiveOrders("x", evacuating(7, "b").Message())
 	assert.Equal(t, hears.heard.Load(), int64(1))
 }
--- /dev/null
+++ b/internal/distribution/fleet/peer.go
@@ -0,0 +1,147 @@
+package fleet
+
+import (
+	"context"
+	"maps"
+	"time"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/transport/callmux"
+)
+
+// maxMembers bounds the daemons that are remembered, so that a directory full of junk
+// cannot use up the memory. Chosen, not measured; it must be larger than any fleet.
+const maxMembers = 32768
+
+// peer is what is known of another daemon; Fleet.mutex protects its fields.
+type peer struct {
+	Member
+	// stopMaintaining ends the goroutine that keeps a link to the peer; nil while the peer
+	// is not chosen. maintainedSince is when that goroutine was started.
+	stopMaintaining context.CancelFunc
+	maintainedSince time.Time
+	// connected is true while calls can be sent to the peer over link.
+	connected bool
+	// stalled is true while the daemon does not answer on an open link.
+	stalled bool
+	link    callmux.Link
+	// generation numbers the links opened; what arrives late on an earlier one is
+	// dropped.
+	generation uint64
+	// lostAt is when the link was last open, or when the peer became known.
+	lostAt       time.Time
+	announcement *lapisv1.Announcement
+	// revision is the newest revision of the configuration that the peer said is in force
+	// there.
+	revision uint64
+	// dialNow asks for a link to be dialed at once, ordersChanged for the orders to be
+	// sent on the one that is open.
+	dialNow, ordersChanged chan struct{}
+	// pendingSuspects wait to be sent on the link.
+	pendingSuspects pendingSuspects
+	// displacedAt is when another daemon was found at the address; zero while none
+	// was.
+	displacedAt time.Time
+	// listed is what the directory said of the daemon while it was connected
+	// elsewhere; nil when it said nothing else.
+	listed *Member
+	// withdrawn are the peer's instances that it said left for good, in this
+	// or an earlier incarnation, with the time when it last said so.
+	withdrawn map[string]time.Time
+}
+
+func newPeer(now time.Time) *peer {
+	return &peer{
+		dialNow: make(chan struct{}, 1), ordersChanged: make(chan struct{}, 1),
+		pendingSuspects: newPendingSuspects(), withdrawn: map[string]time.Time{}, lostAt: now,
+	}
+}
+
+// peerOf returns the peer of a member's name, a new one if it was not known; the
+// caller holds mutex. It returns nil for an entry that names no daemon, this daemon, or an
+// earlier owner of this daemon's address, and for a new name beyond maxMembers.
+func (f *Fleet) peerOf(member Member) *peer {
+	if member.Node == "" || member.Address == "" {
+		return nil
+	}
+	if member.Node == f.config.Self.Node || member.Address == f.config.Self.Address {
+		return nil
+	}
+	if known, ok := f.members[member.Node]; ok {
+		return known
+	}
+	if len(f.members) >= maxMembers {
+		return nil
+	}
+	known := newPeer(boottime.Now())
+	f.members[member.Node] = known
+	f.config.Logger.V(1).Info("fleet.member_known", "member", member.Node, "address", member.Address, "zone", member.Zone)
+	signal(f.changed)
+	f.move(known, member)
+	return known
+}
+
+// Connected returns the number of daemons that calls can be sent to.
+func (f *Fleet) Connected() int {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	count := 0
+	for _, member := range f.members {
+		if member.connected {
+			count++
+		}
+	}
+	return count
+}
+
+// Known returns the number of other daemons known.
+func (f *Fleet) Known() int {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return len(f.members)
+}
+
+// ZoneKnown reports whether a daemon of a zone is known, this one included.
+func (f *Fleet) ZoneKnown(zone string) bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for _, member := range f.members {
+		if member.Zone == zone {
+			return true
+		}
+	}
+	return f.config.Self.Zone == zone
+}
+
+// Stalled notes that the daemon at an address stopped answering on its open link, or
+// answers again.
+func (f *Fleet) Stalled(address string, stalled bool) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for _, member := range f.members {
+		if member.Address != address || member.stalled == stalled {
+			continue
+		}
+		member.stalled = stalled
+		f.config.Logger.Info("fleet.stalled", "member", member.Node, "stalled", stalled)
+		signal(f.changed)
+	}
+}
+
+// recordWithdrawn records which instances a peer says have left, and forgets those
+// that it has not named for withdrawnMemory; Fleet.mutex is held.
+func (p *peer) recordWithdrawn(instances []string, now time.Time) {
+	for _, instance := range instances {
+		p.withdrawn[instance] = now
+	}
+	maps.DeleteFunc(p.withdrawn, func(_ string, said time.Time) bool { return now.Sub(said) > withdrawnMemory })
+}
+
+// recordRevision records what a daemon has in force; the caller holds mutex.
+func (f *Fleet) recordRevision(member *peer, revision uint64) {
+	member.revision = max(member.revision, revision)
+	if revision > f.revision() {
+		signal(f.behind)
+	}
+}
--- a/internal/distribution/fleet/regions_test.go
+++ b/internal/distribution/fleet/regions_test.go
@@ -12,8 +12,8 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// formerlyWanted is the choice as it was before regions counted.
-func formerlyWanted(self Member, candidates []candidate) map[string]bool {
+// chooseWithoutRegions is the choice as it was before regions counted.
+func chooseWithoutRegions(self Member, candidates []candidate) map[string]bool {
 	services := map[string][]candidate{}
 	for _, known := range candidates {
 		services[known.Service] = append(services[known.Service], known)
@@ -28,8 +28,8 @@
 				remote = append(remote, member)
 			}
 		}
-		taken := take(chosen, self, local, max(localLinks, linksPerService-sound(remote)))
-		take(chosen, self, remote, linksPerService-taken)
+		taken := addHighestRanked(chosen, self, local, max(localLinks, linksPerService-countReachable(remote)))
+		addHighestRanked(chosen, self, remote, linksPerService-taken)
 	}
 	return chosen
 }
@@ -39,11 +39,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := site(rapid.IntRange(1, 5).Draw(t, "zones"), rapid.IntRange(1, 40).Draw(t, "daemons"))
 		for index := range candidates {
-			candidates[index].doubtful = rapid.Bool().Draw(t, "doubtful")
+			candidates[index].unreachable = rapid.Bool().Draw(t, "doubtful")
 			candidates[index].Region = rapid.SampledFrom([]string{"", "r1"}).Draw(t, "region")
 		}
 		self := Member{Node: "self", Zone: "zone-0", Region: rapid.SampledFrom([]string{"", "r1"}).Draw(t, "own region")}
-		assert.DeepEqual(t, wanted(self, candidates), formerlyWanted(self, candidates))
+		assert.DeepEqual(t, chooseFrom(self, candidates), chooseWithoutRegions(self, candidates))
 	})
 }
 
@@ -62,7 +62,7 @@
 func linksTo(chosen map[string]bool, candidates []candidate, service string, of func(Member) string) map[string]int {
 	counts := map[string]int{}
 	for _, known := range candidates {
-		if known.Service == service && chosen[known.Node] && !known.doubtful {
+		if known.Service == service && chosen[known.Node] && !known.unreachable {
 			counts[of(known.Member)]++
 		}
 	}
@@ -76,7 +76,7 @@
 // where a call may have its home.
 func TestLinksAcrossRegions(t *testing.T) {
 	candidates := regional(20)
-	chosen := wanted(Member{Node: "self", Zone: "zone-0", Region: "region-0"}, candidates)
+	chosen := chooseFrom(Member{Node: "self", Zone: "zone-0", Region: "region-0"}, candidates)
 	for _, service := range []string{"service-0", "service-1"} {
 		assert.DeepEqual(t, linksTo(chosen, candidates, service, regionOf), map[string]int{"region-0": 6, "region-1": 2, "region-2": 2})
 		zones := linksTo(chosen, candidates, service, zoneOf)
@@ -93,13 +93,13 @@
 		"region-1": {"region-0": 6, "region-2": 2},
 	} {
 		candidates := regional(20)
-		before := wanted(self, candidates)
+		before := chooseFrom(self, candidates)
 		for index := range candidates {
-			candidates[index].doubtful = candidates[index].Region == lost
+			candidates[index].unreachable = candidates[index].Region == lost
 		}
 		atOnce := linksTo(before, candidates, "service-0", regionOf)
 		assert.DeepEqual(t, atOnce, want)
-		after := linksTo(wanted(self, candidates), candidates, "service-0", regionOf)
+		after := linksTo(chooseFrom(self, candidates), candidates, "service-0", regionOf)
 		total := 0
 		for region, count := range after {
 			assert.Assert(t, count >= atOnce[region])
@@ -116,12 +116,12 @@
 		candidates := regional(rapid.IntRange(1, 20).Draw(t, "daemons"))
 		soundOnes := 0
 		for index := range candidates {
-			candidates[index].doubtful = rapid.Bool().Draw(t, "doubtful")
-			if !candidates[index].doubtful && strings.HasSuffix(candidates[index].Service, "0") {
+			candidates[index].unreachable = rapid.Bool().Draw(t, "doubtful")
+			if !candidates[index].unreachable && strings.HasSuffix(candidates[index].Service, "0") {
 				soundOnes++
 			}
 		}
-		chosen := wanted(Member{Node: "self", Zone: "zone-0", Region: "region-0"}, candidates)
+		chosen := chooseFrom(Member{Node: "self", Zone: "zone-0", Region: "region-0"}, candidates)
 		links := 0
 		for _, count := range linksTo(chosen, candidates, "service-0", regionOf) {
 			links += count
@@ -139,15 +139,15 @@
 	other.Zone = "b"
 	playAddresses(t, []Member{asker, other}, entries, 4*time.Second, func(daemons map[string]*Fleet) {
 		hearing := behindAt(1)
-		hearing.introduced(daemons["asker"].introduction(), callmux.Link{})
+		hearing.recordIntroduction(daemons["asker"].introduction(), callmux.Link{})
 		assert.Equal(t, hearing.members["other"].Region, "r2")
 		daemons["other"].mutex.Lock()
 		defer daemons["other"].mutex.Unlock()
 		assert.Equal(t, daemons["other"].announcement().GetRegion(), "r2")
 		assert.Equal(t, daemons["other"].members["asker"].Region, "r1")
-		for opened := range daemons["other"].listeners {
+		for opened := range daemons["other"].inbound {
 			assert.Equal(t, opened.place, asker.place())
 		}
-		assert.Equal(t, len(daemons["other"].listeners), 1)
+		assert.Equal(t, len(daemons["other"].inbound), 1)
 	})
 }
--- a/internal/distribution/fleet/suspects.go
+++ b/internal/distribution/fleet/suspects.go
@@ -6,54 +6,59 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// maxUntold bounds the records that wait to be told on one connection; beyond, all that is
-// known is told anew.
-const maxUntold = 1024
+// maxPendingSuspects bounds the records that wait to be sent on one link; beyond, all that
+// is known is sent anew. Chosen, not measured; it must be smaller than
+// the 4096 suspects that a quarantine registry holds, or it would save nothing.
+const maxPendingSuspects = 1024
 
-// untold is what is to be told of suspects on one connection; Fleet.mutex protects it.
-type untold struct {
+// pendingSuspects are the records of suspects that wait to be sent on one link; Fleet.mutex
+// protects them.
+type pendingSuspects struct {
 	records []quarantine.Record
-	// all is true where everything known is to be told.
+	// all is true where everything known is to be sent.
 	all bool
-	// wake asks for it to be sent.
+	// wake asks for them to be sent.
 	wake chan struct{}
 }
 
-func newUntold() untold { return untold{all: true, wake: make(chan struct{}, 1)} }
+func newPendingSuspects() pendingSuspects {
+	return pendingSuspects{all: true, wake: make(chan struct{}, 1)}
+}
 
-func (u *untold) add(records []quarantine.Record) {
-	u.records = append(u.records, records...)
-	if len(u.records) > maxUntold {
-		u.records, u.all = nil, true
+func (p *pendingSuspects) add(records []quarantine.Record) {
+	p.records = append(p.records, records...)
+	if len(p.records) > maxPendingSuspects {
+		p.records, p.all = nil, true
 	}
-	signal(u.wake)
+	signal(p.wake)
 }
 
-// SpreadSuspects tells all daemons in touch what is news of suspects, but the one that it
-// came from. Each daemon to which it is news passes it on.
+// SpreadSuspects has records that changed here sent to all linked daemons but from, which
+// they came from; from is empty for a crash found by this daemon. Each daemon to which they
+// are new passes them on. It does not wait.
 func (f *Fleet) SpreadSuspects(records []quarantine.Record, from string) {
 	if len(records) == 0 {
 		return
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	told := map[string]bool{from: true}
+	notified := map[string]bool{from: true}
 	for node, member := range f.members {
-		if member.connected && !told[node] {
-			told[node] = true
-			member.untold.add(records)
+		if member.connected && !notified[node] {
+			notified[node] = true
+			member.pendingSuspects.add(records)
 		}
 	}
-	for opened := range f.listeners {
-		if !told[opened.node] {
-			told[opened.node] = true
-			opened.untold.add(records)
+	for opened := range f.inbound {
+		if !notified[opened.node] {
+			notified[opened.node] = true
+			opened.pendingSuspects.add(records)
 		}
 	}
 }
 
-// sendSuspects sends what is to be told on a connection.
-func (f *Fleet) sendSuspects(link callmux.Link, pending *untold) {
+// sendSuspects sends what is pending on a link.
+func (f *Fleet) sendSuspects(link callmux.Link, pending *pendingSuspects) {
 	f.mutex.Lock()
 	records, all := pending.records, pending.all
 	pending.records, pending.all = nil, false
@@ -67,12 +72,11 @@
 	if len(records) == 0 {
 		return
 	}
-	// A session that is over says so itself.
-	_ = link.Send(&lapisv1.CallFrame{Body: &lapisv1.CallFrame_Suspects{Suspects: quarantine.Message(records)}})
+	f.send(link, &lapisv1.CallFrame{Body: &lapisv1.CallFrame_Suspects{Suspects: quarantine.Message(records)}})
 }
 
-// toldSuspects takes in what another daemon knows of suspects.
-func (f *Fleet) toldSuspects(from string, message *lapisv1.Suspects) {
+// receiveSuspects gives the observer what another daemon knows of suspects.
+func (f *Fleet) receiveSuspects(from string, message *lapisv1.Suspects) {
 	if f.config.Suspects != nil {
 		f.config.Observer.Suspected(quarantine.Records(message), from)
 	}
--- a/internal/distribution/fleet/suspended_test.go
+++ b/internal/distribution/fleet/suspension_test.go
@@ -18,14 +18,14 @@
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
 		lost := at("lost", "a", 5)
-		lost.connected, lost.lostAt, lost.stop = false, boottime.Now(), func() {}
+		lost.connected, lost.lostAt, lost.stopMaintaining = false, boottime.Now(), func() {}
 		lost.announcement = &lapisv1.Announcement{Endpoints: []*lapisv1.Endpoint{{Service: "desk", Instance: "i-1"}}}
 		known := behindAt(5, lost)
 		time.Sleep(time.Second)
 		assert.Equal(t, len(known.Endpoints("desk")), 1)
-		gap = forgetAfter
+		gap = endpointsForgottenAfter
 		time.Sleep(time.Second)
 		assert.Equal(t, len(known.Endpoints("desk")), 0)
-		assert.Assert(t, lost.doubtful(boottime.Now()))
+		assert.Assert(t, lost.unreachable(boottime.Now()))
 	})
 }
