--- a/internal/distribution/fleet/directory.go
+++ b/internal/distribution/fleet/directory.go
@@ -112,7 +112,7 @@
 func (s *listSchedule) afterSuccess(known int) time.Duration {
 	s.retry = directoryRetryMin
 	wait := min(s.relist, max(directoryInterval, time.Duration(known)*intervalPerMember))
-	s.relist *= 2
+	s.relist = min(2*s.relist, maxListInterval)
 	return wait
 }
 
--- a/internal/distribution/fleet/timing.go
+++ b/internal/distribution/fleet/timing.go
@@ -108,4 +108,9 @@
 	// intervalPerMember makes that time longer where the list is long, so that the rate of
 	// entries listed by one daemon is bounded by ten a second. Chosen, not measured.
 	intervalPerMember = 100 * time.Millisecond
+	// maxListInterval is the longest that the time between two lists can be, that of the
+	// largest fleet. It bounds the doubling: without it the number overflowed after 55
+	// lists, which took 10 minutes under virtual time, and the directory was then listed
+	// without any wait.
+	maxListInterval = maxMembers * intervalPerMember
 )
