--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -19,7 +19,7 @@
 // logSourceError writes why a request to the object API failed. The requests are
 // repeated, so the line is for debugging only.
 func (n *Node) logSourceError(request string, err error) {
-	n.config.Logger.V(1).Info("source.lost", "request", request, "error", err)
+	n.config.Logger.V(1).Info("source.request_failed", "request", request, "error", err)
 }
 
 // sawSource notes that the object API can be read; the caller holds mutex.
