--- a/internal/lab/emulator/day/play.go
+++ b/internal/lab/emulator/day/play.go
@@ -43,9 +43,9 @@
 	FaultZoneEmptiedCold FaultKind = "zone-evacuated-back-cold"
 	FaultZoneCold        FaultKind = "zone-restarted-cold"
 	FaultInstanceHangs   FaultKind = "instance-hangs-when-full"
-	// FaultDeadlyRequest is a request that ends each instance which runs it, and comes
+	// FaultPoisonRequest is a request that ends each instance which runs it, and comes
 	// again and again.
-	FaultDeadlyRequest FaultKind = "deadly-request"
+	FaultPoisonRequest FaultKind = "deadly-request"
 )
 
 // FaultKinds lists all disturbances.
@@ -53,7 +53,7 @@
 	FaultDaemonKill, FaultDaemonStop, FaultHerdKill, FaultInstanceCrash, FaultInstanceRelease, FaultInstanceSlow,
 	FaultAnswersLost, FaultAnswersSpoiled, FaultAnswersFail, FaultIdleForgotten, FaultStoreDown, FaultStoreSilent, FaultStoreSlow, FaultStoreForgets, FaultStoreRefuses, FaultStoreIgnores,
 	FaultWritesLost, FaultConfigStorm, FaultZoneEvacuated, FaultZoneEmptiedCold, FaultZoneCold, FaultInstanceHangs,
-	FaultDeadlyRequest,
+	FaultPoisonRequest,
 }
 
 // Fault is one disturbance of a day.
@@ -144,7 +144,7 @@
 	plan  Plan
 	tally *client.Tally
 
-	// visits counts those of deadly requests.
+	// visits counts those of poison requests.
 	visits atomic.Int64
 	// stores is held by the one fault of the store that is in force.
 	stores sync.Mutex
@@ -212,8 +212,8 @@
 		p.note(err)
 	case FaultConfigStorm:
 		p.storm(ctx, fault.For)
-	case FaultDeadlyRequest:
-		p.sendDeadly(ctx, random)
+	case FaultPoisonRequest:
+		p.sendPoison(ctx, random)
 	case FaultZoneEvacuated, FaultZoneEmptiedCold, FaultZoneCold:
 		p.disturbZone(ctx, fault, machine.Zone)
 	case FaultInstanceSlow, FaultAnswersLost, FaultAnswersSpoiled, FaultAnswersFail, FaultIdleForgotten, FaultInstanceHangs:
@@ -225,19 +225,19 @@
 	}
 }
 
-// deadlyPause is the time between two visits of a deadly request.
-const deadlyPause = 200 * time.Millisecond
+// poisonPause is the time between two visits of a poison request.
+const poisonPause = 200 * time.Millisecond
 
-// sendDeadly has a deadly request come to one machine after the other, until the day ends:
+// sendPoison has a poison request come to one machine after the other, until the day ends:
 // it must be known by then for as long as it comes.
-func (p *play) sendDeadly(ctx context.Context, random *rand.Rand) {
-	requests := DeadlyRequests()
+func (p *play) sendPoison(ctx context.Context, random *rand.Rand) {
+	requests := PoisonRequests()
 	names := slices.Sorted(maps.Keys(requests))
-	deadly := requests[names[random.IntN(len(names))]]
-	for sleep.For(ctx, deadlyPause) {
+	poison := requests[names[random.IntN(len(names))]]
+	for sleep.For(ctx, poisonPause) {
 		machine := p.site.Machines[random.IntN(len(p.site.Machines))]
 		if machine.Caller() != "" {
-			deadly.Visit(ctx, p.site, machine, int(p.visits.Add(1)))
+			poison.Visit(ctx, p.site, machine, int(p.visits.Add(1)))
 		}
 	}
 }
--- a/internal/lab/emulator/day/deadly.go
+++ b/internal/lab/emulator/day/poison.go
@@ -15,24 +15,24 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// deadlyWait is how long the client of a deadly request waits.
-const deadlyWait = 2 * time.Second
+// poisonWait is how long the client of a poison request waits.
+const poisonWait = 2 * time.Second
 
-// DeadlyRequest is one that ends each instance which runs it.
-type DeadlyRequest struct {
+// PoisonRequest is one that ends each instance which runs it.
+type PoisonRequest struct {
 	Name, method, path string
 	service            string
 	safe               bool
 	body               []byte
-	// callPath makes the instance that runs it call what is deadly itself.
+	// callPath makes the instance that runs it call what is poison itself.
 	callPath string
 }
 
-// DeadlyRequests returns one of each kind: a read, an order, an upload that is passed on in
-// pieces, and a read whose instance makes a call that is deadly.
-func DeadlyRequests() map[string]DeadlyRequest {
-	requests := map[string]DeadlyRequest{}
-	for _, request := range []DeadlyRequest{
+// PoisonRequests returns one of each kind: a read, an order, an upload that is passed on in
+// pieces, and a read whose instance makes a call that is poison.
+func PoisonRequests() map[string]PoisonRequest {
+	requests := map[string]PoisonRequest{}
+	for _, request := range []PoisonRequest{
 		{Name: "read", method: http.MethodGet, path: "/look/deadly", service: "desk", safe: true},
 		{Name: "order", method: http.MethodPost, path: "/order/deadly", service: "desk", body: []byte("one of each")},
 		{Name: "upload", method: http.MethodPost, path: "/file/deadly", service: "yard", body: bytes.Repeat([]byte("gerber "), 20_000)},
@@ -45,7 +45,7 @@
 
 // Visit sends the request to a machine's daemon, under an id of its own, and returns the
 // answer, nil for none.
-func (d DeadlyRequest) Visit(ctx context.Context, site *Site, machine *Machine, number int) *http.Response {
+func (d PoisonRequest) Visit(ctx context.Context, site *Site, machine *Machine, number int) *http.Response {
 	id := fmt.Sprintf("deadly-%s-%d", d.Name, number)
 	sent := promise.Request{ID: id, Safe: d.safe, Caller: machine.Service, SentAt: time.Now(), Services: map[string]bool{d.service: true}}
 	if len(d.body) > 0 {
@@ -53,7 +53,7 @@
 		sent.BodyDigest = hex.EncodeToString(sum[:])
 	}
 	site.Ledger.Sent(sent)
-	ctx, cancel := context.WithTimeout(ctx, deadlyWait)
+	ctx, cancel := context.WithTimeout(ctx, poisonWait)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, d.method, "http://"+machine.Caller()+d.path, bytes.NewReader(d.body))
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	request.Host = standardHost
 	request.Header.Set(platform.HeaderRequestID, id)
-	request.Header.Set(platform.HeaderDeadline, fmt.Sprint(deadlyWait.Milliseconds()))
+	request.Header.Set(platform.HeaderDeadline, fmt.Sprint(poisonWait.Milliseconds()))
 	if d.callPath == "" {
 		request.Header.Set(instance.HeaderCrash, d.Name)
 	} else {
--- a/internal/lab/emulator/day/deadly_test.go
+++ b/internal/lab/emulator/day/poison_test.go
@@ -16,14 +16,14 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-var deadlyRequests = day.DeadlyRequests()
+var poisonRequests = day.PoisonRequests()
 
 // visitAll sends the request so often, to one daemon after the other, with a pause after
 // each in which instances come back.
-func visitAll(t *testing.T, site *day.Site, deadly day.DeadlyRequest, first, count int) (last *http.Response) {
+func visitAll(t *testing.T, site *day.Site, poison day.PoisonRequest, first, count int) (last *http.Response) {
 	t.Helper()
 	for number := range count {
-		last = deadly.Visit(t.Context(), site, site.Machines[number%len(site.Machines)], first+number)
+		last = poison.Visit(t.Context(), site, site.Machines[number%len(site.Machines)], first+number)
 		time.Sleep(300 * time.Millisecond)
 	}
 	return last
@@ -32,11 +32,11 @@
 // A request that ends each instance which runs it comes again and again, at any daemon.
 // Once three instances have ended it reaches hardly any more.
 func TestRequestThatEndsInstancesIsStopped(t *testing.T) {
-	for name, deadly := range deadlyRequests {
+	for name, poison := range poisonRequests {
 		t.Run(name, func(t *testing.T) {
 			site, tally, stop := start(t)
 			awaitServed(t, tally, 50)
-			visitAll(t, site, deadly, 0, 24)
+			visitAll(t, site, poison, 0, 24)
 			stop()
 			assert.Assert(t, site.Ledger.EndedUnder(name) >= 1)
 			keepsPromises(t, site)
@@ -48,9 +48,9 @@
 // once with the time after which it may come back.
 func TestWhatEndsInstancesIsRememberedPastAllDaemons(t *testing.T) {
 	site, tally, stop := start(t)
-	deadly := deadlyRequests["read"]
+	poison := poisonRequests["read"]
 	awaitServed(t, tally, 50)
-	visitAll(t, site, deadly, 0, 6)
+	visitAll(t, site, poison, 0, 6)
 	awaitStored(t, site)
 	killAll(t, site)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -59,7 +59,7 @@
 	awaitServed(t, tally, 50)
 	awaitQuarantined(t, site)
 	ended := site.Ledger.EndedUnder("read")
-	last := visitAll(t, site, deadly, 100, 12)
+	last := visitAll(t, site, poison, 100, 12)
 	stop()
 	assert.Equal(t, site.Ledger.EndedUnder("read"), ended)
 	assert.Equal(t, last.StatusCode, http.StatusServiceUnavailable)
@@ -101,10 +101,10 @@
 // ends; they are answered elsewhere, and go on being served.
 func TestOthersAreServedBesideWhatEndsInstances(t *testing.T) {
 	site, tally, stop := start(t)
-	deadly := deadlyRequests["read"]
+	poison := poisonRequests["read"]
 	awaitServed(t, tally, 50)
 	for visit := range 4 {
-		deadly.Visit(t.Context(), site, site.Machines[visit%len(site.Machines)], visit)
+		poison.Visit(t.Context(), site, site.Machines[visit%len(site.Machines)], visit)
 		site.Ledger.Disturbed(time.Now())
 	}
 	awaitServed(t, tally, 300)
--- a/internal/lab/emulator/instance/cold.go
+++ b/internal/lab/emulator/instance/cold.go
@@ -61,12 +61,12 @@
 
 // reached notes a request that is meant for the instance, which may be the one too
 // many.
-func (i *Instance) reached(id, deadly string) {
+func (i *Instance) reached(id, poison string) {
 	now := time.Now()
 	i.received.Add(1)
 	bound, count := i.cold.arrived(now)
 	i.options.Ledger.Reached(promise.Arrival{
-		Request: id, Instance: i.id, Zone: i.options.Zone, Region: i.options.Region, Cold: bound, Deadly: deadly, At: now,
+		Request: id, Instance: i.id, Zone: i.options.Zone, Region: i.options.Region, Cold: bound, Poison: poison, At: now,
 	})
 	if bound && i.options.FallsAbove > 0 && float64(count) > i.options.FallsAbove {
 		// The instance cannot end while its own request waits for that.
--- a/internal/lab/emulator/instance/serve.go
+++ b/internal/lab/emulator/instance/serve.go
@@ -270,8 +270,8 @@
 	}
 	request.Host = parent.Host
 	request.Header.Set(platform.HeaderRequestID, id)
-	if deadly := parent.Header.Get(HeaderCall + "-Crash"); deadly != "" {
-		request.Header.Set(HeaderCrash, deadly)
+	if poison := parent.Header.Get(HeaderCall + "-Crash"); poison != "" {
+		request.Header.Set(HeaderCrash, poison)
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		request.Header.Set(platform.HeaderDeadline, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -15,51 +15,16 @@
 	"golang.org/x/time/rate"
 
 	"github.com/lapisvane/lapisvane/internal/shared/result"
-	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Bounds of the stand-in.
+// Bounds of the stand-in. Chosen, not measured.
 const (
+	// maxWait bounds the wait of a watch.
 	maxWait      = 30 * time.Second
 	maxBodyBytes = 2 << 20
-	lateMin      = 50 * time.Millisecond
-	lateSpread   = 200 * time.Millisecond
 )
 
-// Faults are the disturbances that can be switched on. The zero value is a
-// healthy store.
-type Faults struct {
-	// Down answers every call with 503; nothing is done.
-	Down bool
-	// Silent answers nothing until the caller gives up; nothing is done.
-	Silent bool
-	// Reset closes the connection of every call; nothing is done.
-	Reset bool
-	// Delay slows every answer.
-	Delay time.Duration
-	// LoseWrites is the share of the writes that are done and not answered;
-	// with Late they are done only a moment later.
-	LoseWrites float64
-	Late       bool
-	// Deaf keeps the watches from hearing of changes.
-	Deaf bool
-	// Only are the addresses, as ListenAlso returned them, at which the faults
-	// strike while the store serves all others; empty for everywhere.
-	Only map[string]bool
-}
-
-// struck reports whether calls are not served.
-func (f Faults) struck() bool { return f.Down || f.Silent || f.Reset }
-
-// at returns the faults as they strike at an address.
-func (f Faults) at(address string) Faults {
-	if len(f.Only) > 0 && !f.Only[address] {
-		return Faults{}
-	}
-	return f
-}
-
 // Options configure a Server.
 type Options struct {
 	// Address is where to listen; "127.0.0.1:0" picks a port.
@@ -133,36 +98,6 @@
 // Close ends the server and all watches.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// SetFaults replaces the faults in force. Watches that wait end when the store
-// goes down.
-func (s *Server) SetFaults(faults Faults) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.faults = faults
-	if faults.Down || faults.Reset || faults.Silent {
-		s.cutWatches(faults)
-	}
-}
-
-// Forget drops the history of changes and cuts the watches.
-func (s *Server) Forget() {
-	s.table.forget()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.cutWatches(Faults{Reset: true})
-}
-
-// cutWatches ends the watches that wait where the faults strike; the caller holds
-// mutex.
-func (s *Server) cutWatches(faults Faults) {
-	for address, cut := range s.cuts {
-		if faults.at(address).struck() {
-			close(cut)
-			delete(s.cuts, address)
-		}
-	}
-}
-
 // Objects returns the objects of a kind, whatever the faults.
 func (s *Server) Objects(kind string) []platform.Object { return s.table.list(kind, "").Items }
 
@@ -197,31 +132,7 @@
 // Remove deletes an object as an operator does, whatever the faults.
 func (s *Server) Remove(kind, name string) { s.table.remove(kind, name, 0) }
 
-// disturbance is what the faults do to one call.
-type disturbance struct {
-	faults  Faults
-	lose    bool
-	late    time.Duration
-	cut     <-chan struct{}
-	address string
-}
-
-// disturb returns what the faults do to a call at an address.
-func (s *Server) disturb(address string) disturbance {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.cuts[address] == nil {
-		s.cuts[address] = make(chan struct{})
-	}
-	faults := s.faults.at(address)
-	disturbed := disturbance{faults: faults, cut: s.cuts[address], address: address}
-	disturbed.lose = s.random.Float64() < faults.LoseWrites
-	if faults.Late {
-		disturbed.late = lateMin + time.Duration(s.random.Float64()*float64(lateSpread))
-	}
-	return disturbed
-}
-
+// serve answers one call.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	disturbed := s.disturb(localAddress(r))
@@ -236,32 +147,7 @@
 	s.write(w, r, disturbed, kind, name, part)
 }
 
-// admit applies the faults that keep a call from being done, and the rates.
-func (s *Server) admit(w http.ResponseWriter, r *http.Request, disturbed disturbance) bool {
-	faults := disturbed.faults
-	switch {
-	case faults.Silent:
-		<-r.Context().Done()
-		return false
-	case faults.Reset:
-		hangUp(w)
-		return false
-	case faults.Down:
-		w.WriteHeader(http.StatusServiceUnavailable)
-		return false
-	}
-	limit := s.writes
-	if r.Method == http.MethodGet {
-		limit = s.reads
-	}
-	if r.URL.Query().Get("stale") == "" && !limit.Allow() {
-		s.refused.Add(1)
-		w.WriteHeader(http.StatusTooManyRequests)
-		return false
-	}
-	return sleep.For(r.Context(), faults.Delay)
-}
-
+// read answers GET: one object, a list, or a watch.
 func (s *Server) read(w http.ResponseWriter, r *http.Request, disturbed disturbance, kind, name string) {
 	if name != "" {
 		object, ok := s.table.get(kind, name)
@@ -281,6 +167,7 @@
 	s.tell(w, kind, page.At, page)
 }
 
+// watch answers with the changes of a kind after a revision, once there are any or the wait is over.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, disturbed disturbance, kind, from string) {
 	after, err := strconv.ParseUint(from, 10, 64)
 	wait, waitErr := strconv.Atoi(r.URL.Query().Get("wait-ms"))
@@ -318,6 +205,7 @@
 	}
 }
 
+// write performs a change, which the faults may delay and leave unanswered.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, disturbed disturbance, kind, name, part string) {
 	var object platform.Object
 	if r.Method != http.MethodDelete {
@@ -356,6 +244,7 @@
 	}
 }
 
+// perform makes the change that a call asks for.
 func (s *Server) perform(method, kind, name, part string, object platform.Object, expected uint64) writeResult {
 	if object.Metadata.Revision == 0 {
 		object.Metadata.Revision = expected
--- a/internal/lab/emulator/promise/deadly.go
+++ b/internal/lab/emulator/promise/poison.go
@@ -7,18 +7,18 @@
 
 // Bounds of what ends the instances that run it.
 const (
-	// deadlyEnds is the number of ended instances from which the system must know.
-	deadlyEnds = 3
-	// deadlyLater is the number of times that instances may get it after the system must
+	// poisonEnds is the number of ended instances from which the system must know.
+	poisonEnds = 3
+	// poisonLater is the number of times that instances may get it after the system must
 	// know.
-	deadlyLater = 3
+	poisonLater = 3
 )
 
-// deadly is what is known of requests that ask for the same and end each instance that
+// poison is what is known of requests that ask for the same and end each instance that
 // runs them.
-type deadly struct {
+type poison struct {
 	// ended are the instances that ended under it, provenAt is when the last of the first
-	// deadlyEnds did, and later counts what came when the system had to know.
+	// poisonEnds did, and later counts what came when the system had to know.
 	ended    map[string]bool
 	provenAt time.Time
 	later    int
@@ -28,13 +28,13 @@
 func (l *Ledger) Ended(name, instance string, at time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.deadly[name]
+	known := l.poison[name]
 	if known == nil {
-		known = &deadly{ended: map[string]bool{}}
-		l.deadly[name] = known
+		known = &poison{ended: map[string]bool{}}
+		l.poison[name] = known
 	}
 	known.ended[instance] = true
-	if len(known.ended) == deadlyEnds && known.provenAt.IsZero() {
+	if len(known.ended) == poisonEnds && known.provenAt.IsZero() {
 		known.provenAt = at
 	}
 }
@@ -43,7 +43,7 @@
 func (l *Ledger) EndedUnder(name string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if known := l.deadly[name]; known != nil {
+	if known := l.poison[name]; known != nil {
 		return len(known.ended)
 	}
 	return 0
@@ -60,15 +60,15 @@
 // checkDeadly checks that a request under which enough instances ended is held back. The
 // caller holds mutex.
 func (l *Ledger) checkDeadly(arrival Arrival) {
-	known := l.deadly[arrival.Deadly]
-	if arrival.Deadly == "" || known == nil || known.provenAt.IsZero() {
+	known := l.poison[arrival.Poison]
+	if arrival.Poison == "" || known == nil || known.provenAt.IsZero() {
 		return
 	}
 	if arrival.At.Sub(known.provenAt) <= l.bounds.Contact || arrival.At.Sub(l.disturbedAt) <= l.bounds.Contact {
 		return
 	}
 	known.later++
-	if known.later == deadlyLater+1 {
-		l.note(Budget, arrival.Request, fmt.Sprintf("%s got it although %d instances had ended under %s", arrival.Instance, len(known.ended), arrival.Deadly))
+	if known.later == poisonLater+1 {
+		l.note(Budget, arrival.Request, fmt.Sprintf("%s got it although %d instances had ended under %s", arrival.Instance, len(known.ended), arrival.Poison))
 	}
 }
--- a/internal/lab/emulator/promise/promise.go
+++ b/internal/lab/emulator/promise/promise.go
@@ -118,9 +118,9 @@
 	inTouch   time.Time
 	// cold counts what cold instances got.
 	cold map[string]*Second
-	// deadly is what ends the instances that run it, and disturbedAt when daemons were
+	// poison is what ends the instances that run it, and disturbedAt when daemons were
 	// last disturbed.
-	deadly      map[string]*deadly
+	poison      map[string]*poison
 	disturbedAt time.Time
 	breaches    []Breach
 }
@@ -144,7 +144,7 @@
 	return &Ledger{
 		bounds: bounds, requests: map[string]Request{}, runs: map[string][]Run{},
 		answers: map[string]Answer{}, arrivals: map[string]int{}, left: map[string]time.Time{},
-		evacuated: map[string]time.Time{}, cold: map[string]*Second{}, deadly: map[string]*deadly{},
+		evacuated: map[string]time.Time{}, cold: map[string]*Second{}, poison: map[string]*poison{},
 	}
 }
 
--- a/internal/lab/emulator/promise/reached.go
+++ b/internal/lab/emulator/promise/reached.go
@@ -15,9 +15,9 @@
 	Region   string
 	// Cold is true when the instance is cold and daemons had time to hear of it.
 	Cold bool
-	// Deadly names what the request asks for where each instance that runs it ends;
+	// Poison names what the request asks for where each instance that runs it ends;
 	// empty for any other.
-	Deadly string
+	Poison string
 	At     time.Time
 }
 
