--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -298,7 +298,7 @@
 	path := p.path
 	p.draining.Store(true)
 	path.gateway.Leave(endsBy)
-	path.origin.Leave(endsBy)
+	path.origin.ShutdownBy(endsBy)
 	return time.AfterFunc(instancesDrain, func() {
 		path.origin.Stop()
 		p.SetLocalEndpoints(path.origin.Advertised())
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -51,14 +51,14 @@
 	}
 }
 
-// Crashed implements origin.Crashes.
+// Crashed implements origin.CrashReporter.
 func (s *suspects) Crashed(instance string, id uint64, had []quarantine.InFlight) {
 	changed := s.Registry.Crashed(id, had)
 	s.spread(changed, "")
 	s.noteChanged(changed, "instance "+instance)
 }
 
-// Answered implements origin.Crashes.
+// Answered implements origin.CrashReporter.
 func (s *suspects) Answered(keys []fingerprint.Key) {
 	changed := s.Registry.Answered(keys)
 	s.spread(changed, "")
--- a/internal/daemon/requestpath.go
+++ b/internal/daemon/requestpath.go
@@ -73,10 +73,10 @@
 		suspects: newSuspects(config.logger, config.way.quarantineStore, config.spread),
 	}
 	p.origin = origin.New(origin.Config{
-		Incarnation: config.way.incarnation, Backends: backendsOf(values), Crashes: p.suspects,
+		Backends: backendsOf(values), Crashes: p.suspects,
 		QueueLength: values.Calls.QueueLength, QueueTime: values.Calls.QueueTime.Get(),
 		Envelope: config.way.envelope, Changed: config.announce, Decisions: decisions, Logger: config.logger, Region: values.Region,
-		Cold: origin.ColdBound{Overshoot: values.ColdStarts.Overshoot, Slack: values.ColdStarts.Slack},
+		Cold: origin.ColdBound{Overshoot: values.ColdStarts.Overshoot, Allowance: values.ColdStarts.Slack},
 	})
 	p.calls = &callmux.Client{
 		Network: config.network, Counters: config.callCounters, Timing: config.way.timing, Maintained: config.way.maintained,
--- /dev/null
+++ b/internal/requestpath/origin/crash.go
@@ -0,0 +1,131 @@
+package origin
+
+import (
+	"context"
+	"math/rand/v2"
+	"syscall"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+)
+
+// CrashReporter receives the crashes of instances beside the daemon, and knows which requests are
+// quarantined because of crashes anywhere. Its methods are safe for concurrent use.
+type CrashReporter interface {
+	// Crashed records that an instance crashed with calls in flight; id is that of the crash.
+	// It returns when all of the daemon goes by it.
+	Crashed(instance string, id uint64, inFlight []quarantine.InFlight)
+	// Suspected reports whether instances crashed under calls with the head of the line.
+	Suspected(line fingerprint.Line) bool
+	// Answered records that an instance answered a suspected call with the keys.
+	Answered(keys []fingerprint.Key)
+	// Count returns the number of instances that crashed under calls with the keys.
+	Count(keys []fingerprint.Key) int
+	// Judge tells whether a call of a caller is quarantined.
+	Judge(keys []fingerprint.Key, caller string) quarantine.Verdict
+}
+
+// noReporter is used where nobody follows crashes.
+type noReporter struct{}
+
+func (noReporter) Crashed(string, uint64, []quarantine.InFlight) {}
+
+func (noReporter) Suspected(fingerprint.Line) bool { return false }
+
+func (noReporter) Answered([]fingerprint.Key) {}
+
+func (noReporter) Count([]fingerprint.Key) int { return 0 }
+
+func (noReporter) Judge([]fingerprint.Key, string) quarantine.Verdict { return quarantine.Verdict{} }
+
+// noteUnanswered takes a call off that got no answer, and returns the error that it ends with.
+func (o *Origin) noteUnanswered(ctx context.Context, instance *Instance, sent *inFlightCall, err error) error {
+	if callapi.OutcomeOf(err) != callapi.OutcomeNotRun {
+		return o.noteBroken(ctx, instance, sent, err)
+	}
+	instance.inFlight.remove(sent)
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		// It crashed after the calls that it had were given up.
+		o.reportCrash(instance)
+	}
+	return err
+}
+
+// noteBroken finds out whether a call broke off because its instance crashed; the error that it
+// returns then says so, and how many crashed under such calls.
+func (o *Origin) noteBroken(ctx context.Context, instance *Instance, lost *inFlightCall, err error) error {
+	instance.inFlight.removeUnanswered(lost, time.Now())
+	if !isBreak(err) || !o.hasCrashed(ctx, instance) {
+		return err
+	}
+	crashed := result.Errorf(result.CallInstanceCrashed, "instance %s ended", instance.Name)
+	crashed.Cause = err
+	crashed.Crashes = max(o.config.Crashes.Count(lost.keys()), 1)
+	return crashed
+}
+
+// isBreak reports whether a call was handed over and its connection broke.
+func isBreak(err error) bool {
+	return result.Is(err, result.CallUnknownOutcome) || result.Is(err, result.CallTruncated)
+}
+
+// hasCrashed carries out what nextCrashCheck asks for, for an instance of which a call broke off.
+// It takes up to crashPolls times crashPollInterval, and crashProbeTimeout.
+func (o *Origin) hasCrashed(ctx context.Context, instance *Instance) bool {
+	seen := crashEvidence{}
+	for {
+		switch nextCrashCheck(seen) {
+		case crashPoll:
+			time.Sleep(crashPollInterval)
+			seen.polls++
+			seen.inFlight, seen.reported = instance.inFlight.poll()
+		case crashProbe:
+			seen.probed, seen.refused = true, o.probeCrash(ctx, instance)
+		case crashConfirmed:
+			return true
+		default:
+			return false
+		}
+	}
+}
+
+// probeCrash reports whether the port of an instance refuses connections, and takes the instance
+// as crashed then. Of several calls one probes; the others learn what it found.
+func (o *Origin) probeCrash(ctx context.Context, instance *Instance) (refused bool) {
+	instance.inFlight.probing.Lock()
+	defer instance.inFlight.probing.Unlock()
+	if _, crashed := instance.inFlight.poll(); crashed {
+		return true
+	}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
+	defer cancel()
+	if !errors.Is(instance.backend.connect(ctx), syscall.ECONNREFUSED) {
+		return false
+	}
+	o.reportCrash(instance)
+	instance.noteCrash()
+	return true
+}
+
+// reportCrash records that an instance crashed with the calls that it had, once for each crash.
+func (o *Origin) reportCrash(instance *Instance) {
+	calls, first := instance.inFlight.markCrashed(time.Now())
+	if !first {
+		return
+	}
+	suspects := make([]quarantine.InFlight, 0, len(calls))
+	for _, call := range calls {
+		suspects = append(suspects, quarantine.InFlight{
+			Head: fingerprint.HeadOf(fingerprint.LineOf(call.open)), Keys: call.keys(), Caller: call.open.GetCallerService(),
+		})
+	}
+	o.config.Logger.Info("instance.crashed", "instance", instance.Name, "service", instance.Service, "in_flight", len(suspects))
+	if len(suspects) > 0 {
+		o.config.Crashes.Crashed(instance.Name, rand.Uint64(), suspects)
+	}
+}
--- a/internal/requestpath/origin/inflight_test.go
+++ b/internal/requestpath/origin/crash_test.go
@@ -3,11 +3,8 @@
 import (
 	"bufio"
 	"context"
-	"fmt"
-	"io"
 	"net"
 	"net/http"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -126,7 +123,7 @@
 }
 
 // An instance that ends takes all its calls with it: each is told so, and all are named.
-func TestEndOfAnInstanceIsNoticed(t *testing.T) {
+func TestCrashOfAnInstanceIsNoticed(t *testing.T) {
 	instance, origin, crashes := startOrigin(t)
 	beside := make(chan error, 1)
 	go func() { beside <- ask(origin, "/wait") }()
@@ -147,7 +144,7 @@
 }
 
 // A call that breaks off alone is no end, whether others are in flight or not.
-func TestBrokenCallIsNoEnd(t *testing.T) {
+func TestBrokenCallIsNoCrash(t *testing.T) {
 	instance, origin, crashes := startOrigin(t)
 	assert.Assert(t, result.Is(ask(origin, "/break"), result.CallUnknownOutcome))
 	go func() { _ = ask(origin, "/wait") }()
@@ -155,76 +152,3 @@
 	assert.Assert(t, result.Is(ask(origin, "/break"), result.CallUnknownOutcome))
 	assert.Equal(t, len(crashes.seen()), 0)
 }
-
-// What is held back does not reach the instance, and an answer clears what is suspected.
-func TestHeldBackBesideTheInstance(t *testing.T) {
-	_, origin, crashes := startOrigin(t)
-	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
-	had := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
-	crashes.Crashed("other", 1, had)
-	crashes.Crashed("other", 2, had)
-	assert.NilError(t, ask(origin, "/answer"))
-	assert.Assert(t, !crashes.Suspected(line))
-	for end := range uint64(3) {
-		crashes.Crashed("other", 3+end, had)
-	}
-	err := ask(origin, "/answer")
-	assert.Assert(t, result.Is(err, result.CallNotRunQuarantined))
-	assert.Equal(t, callapi.OutcomeOf(err), callapi.OutcomeNotRun)
-}
-
-// A short body from another daemon, which comes in pieces, is judged beside the instance too.
-func TestShortBodiesAreJudgedBesideTheInstance(t *testing.T) {
-	_, origin, crashes := startOrigin(t)
-	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/answer"}
-	had := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, []byte("deadly")).Whole(), Caller: "shop"}}
-	for end := range uint64(3) {
-		crashes.Crashed("other", end, had)
-	}
-	for body, code := range map[string]result.Code{"deadly": result.CallNotRunQuarantined, "harmless": result.OK} {
-		answer, err := origin.Handle(context.Background(), &callapi.Call{Body: strings.NewReader(body), Open: &lapisv1.CallOpen{
-			Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host, ContentLength: int64(len(body)),
-			AttemptId: body, CallerService: "shop",
-		}})
-		if err == nil {
-			_ = answer.Body.Close()
-		}
-		got, _ := result.CodeOf(err)
-		assert.Equal(t, got, code, body)
-	}
-}
-
-// A call that makes the daemon panic ends alone.
-func TestPanicEndsOneCall(t *testing.T) {
-	_, origin, _ := startOrigin(t)
-	for try := range 2 * DefaultSlots {
-		_, err := origin.Handle(context.Background(), &callapi.Call{Body: panicking{}, Buffered: true, Open: &lapisv1.CallOpen{
-			Service: "desk", Instance: "desk-1", Method: http.MethodPost, Target: "/answer", Host: "a.example", ContentLength: 5, AttemptId: fmt.Sprint(try),
-		}})
-		assert.Assert(t, result.Is(err, result.CallUnknownOutcome))
-	}
-	assert.NilError(t, ask(origin, "/answer"))
-	assert.Equal(t, origin.InFlight(), 0)
-}
-
-// panicking is a body whose reading panics.
-type panicking struct{}
-
-func (panicking) Read([]byte) (int, error) { panic("on purpose") }
-
-// An answer that comes before the body clears nothing.
-func TestEarlyAnswerClearsNothing(t *testing.T) {
-	_, origin, crashes := startOrigin(t)
-	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/early"}
-	key := fingerprint.PartialOf(line, maxJudgedBody+1)
-	crashes.Crashed("other", 1, []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: []fingerprint.Key{key}, Caller: "shop"}})
-	reader, writer := io.Pipe()
-	answer, err := origin.Handle(context.Background(), &callapi.Call{Body: reader, Open: &lapisv1.CallOpen{
-		Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host, ContentLength: maxJudgedBody + 1,
-		AttemptId: "early", CallerService: "shop",
-	}})
-	assert.NilError(t, err)
-	_ = writer.Close()
-	_ = answer.Body.Close()
-	assert.Equal(t, crashes.Count([]fingerprint.Key{key}), 1)
-}
--- a/internal/requestpath/origin/decisions.go
+++ b/internal/requestpath/origin/decisions.go
@@ -47,18 +47,18 @@
 	var occupancy admission.Occupancy
 	var cold admission.PaceUse
 	var state State
-	beatAge := time.Duration(0)
+	heartbeatAge := time.Duration(0)
 	if instance, ok := o.instance(open.GetService(), open.GetInstance()); ok {
 		occupancy = instance.queue.Occupancy()
 		cold = instance.queue.PaceUse()
 		state = instance.State()
-		beatAge = instance.beatAge()
+		heartbeatAge = instance.heartbeatAge()
 	}
 	code, _ := result.CodeOf(err)
 	o.config.Decisions.Failure(event, o.requestID(call),
 		"attempt", open.GetAttemptId(), "instance", open.GetInstance(), "state", string(state),
 		"code", uint32(code), "name", code, "running", occupancy.Running, "waiting", occupancy.Waiting,
-		"limit", occupancy.Limit, "service_ms", occupancy.MeanService.Milliseconds(), "beat_age_ms", beatAge.Milliseconds(),
+		"limit", occupancy.Limit, "service_ms", occupancy.MeanService.Milliseconds(), "beat_age_ms", heartbeatAge.Milliseconds(),
 		"cold_rate", cold.PerSecond, "cold_tokens", cold.Tokens,
 		"priority", open.GetPriority(), "due_ms", open.GetTargetMillis(),
 		"may_wait_ms", open.GetMaxWaitMillis(), "given_ms", open.GetDeadlineMillis(),
@@ -75,14 +75,3 @@
 		}
 	})
 }
-
-// beatAge returns how long ago the instance stated itself; 0 for one that does
-// not.
-func (i *Instance) beatAge() time.Duration {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	if i.lastBeat.IsZero() {
-		return 0
-	}
-	return time.Since(i.lastBeat)
-}
--- a/internal/requestpath/origin/evacuation.go
+++ b/internal/requestpath/origin/evacuation.go
@@ -1,16 +1,9 @@
 package origin
 
-import (
-	"slices"
-
-	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/shared/result"
-)
-
 // SetEvacuated makes all instances beside the daemon drain, those included that register
 // later, or ends that. From the return of SetEvacuated(true) on no call starts here; those
-// that run are seen through. The callers' daemons choose other instances by themselves:
-// this is the guard against those that have not heard of the order.
+// that run go on to their end. The callers' daemons choose other instances by themselves: this
+// guards against those that do not know the order yet.
 func (o *Origin) SetEvacuated(evacuated bool) {
 	o.evacuating.Lock()
 	defer o.evacuating.Unlock()
@@ -33,13 +26,3 @@
 	o.config.Logger.Info("instances.evacuated", "evacuated", evacuated, "instances", len(instances))
 	o.config.Changed()
 }
-
-// checkRegion refuses a call that may not run in the daemon's region. Neither that nor
-// the call's list changes while the call waits. Errors: CallNotRunRegion.
-func (o *Origin) checkRegion(open *lapisv1.CallOpen) error {
-	allowed := open.GetAllowedRegions()
-	if len(allowed) == 0 || (o.config.Region != "" && slices.Contains(allowed, o.config.Region)) {
-		return nil
-	}
-	return result.Errorf(result.CallNotRunRegion, "the call may run in %q, the instance is in %q", allowed, o.config.Region)
-}
--- a/internal/requestpath/origin/evacuation_test.go
+++ b/internal/requestpath/origin/evacuation_test.go
@@ -144,7 +144,7 @@
 
 // Calls are told the reason that weighs most, in whatever order the reasons came: one that
 // leaves for good does not come back with the end of the evacuation.
-func TestCallsAreToldTheFirstReason(t *testing.T) {
+func TestCallsAreRefusedWithTheFirstReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := running(t)
 		slots := fill(t, instanceOf(t, o, "desk-1"))
--- /dev/null
+++ b/internal/requestpath/origin/handle.go
@@ -0,0 +1,180 @@
+package origin
+
+import (
+	"context"
+	"fmt"
+	"runtime/debug"
+	"time"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
+	"github.com/lapisvane/lapisvane/internal/shared/boottime"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+)
+
+// Fence makes sure that an attempt is not started from now on, and reports
+// whether it was started before.
+func (o *Origin) Fence(attempt string) (started bool) { return o.attempts.Fence(attempt) }
+
+// Handle implements callapi.Handler: it refuses the call, with an error that proves that it did not
+// run, or hands it to its instance once. refusal.go has the order of the conditions.
+func (o *Origin) Handle(ctx context.Context, call *callapi.Call) (*callapi.Answer, error) {
+	began := time.Now()
+	answer, err := o.contained(ctx, call)
+	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
+		o.count(func(c *Counts) { c.Refused++ })
+	}
+	if err != nil {
+		o.logFailure(call, err, began)
+	}
+	return answer, err
+}
+
+// contained carries a call out, and has a panic end that call only: the daemon would take all
+// its calls with it, and the request come again at the next one.
+func (o *Origin) contained(ctx context.Context, call *callapi.Call) (answer *callapi.Answer, err error) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			answer, err = nil, result.Errorf(result.CallUnknownOutcome, "panic: %v", cause)
+			o.config.Decisions.Failure(eventPanicked, o.requestID(call), "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
+		}
+	}()
+	return o.handle(ctx, call)
+}
+
+func (o *Origin) handle(ctx context.Context, call *callapi.Call) (*callapi.Answer, error) {
+	open := call.Open
+	instance, err := o.checkArrival(open)
+	if err != nil {
+		return nil, err
+	}
+	if _, known := o.attempts.Claim(open.GetAttemptId(), attemptWaiting); known {
+		o.count(func(c *Counts) { c.Duplicates++ })
+		return nil, result.Errorf(result.CallNotRunDuplicate, "attempt %s came before", open.GetAttemptId())
+	}
+	release, err := o.claimKey(open)
+	if err != nil {
+		return nil, err
+	}
+	answer, err := o.admitAndRun(ctx, instance, call)
+	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
+		release()
+	}
+	return answer, err
+}
+
+// checkArrival returns the instance of a call, or why the call is refused as it arrives. Errors:
+// CallNotRunUnknownHere, CallNotRunDraining, CallNotRunStopping, CallNotRunRegion.
+func (o *Origin) checkArrival(open *lapisv1.CallOpen) (*Instance, error) {
+	instance, ok := o.instance(open.GetService(), open.GetInstance())
+	if !ok {
+		return nil, unknownRefusal(open, o.isWithdrawn(open.GetInstance()))
+	}
+	if err := checkShutdown(open, time.Now(), o.shutdownTime()); err != nil {
+		return nil, err
+	}
+	return instance, checkRegion(open, o.config.Region)
+}
+
+// claimKey refuses a call whose idempotency key was seen here. release forgets
+// the key again when the call did not run.
+func (o *Origin) claimKey(open *lapisv1.CallOpen) (release func(), err error) {
+	if open.GetIdempotencyKey() == "" {
+		return func() {}, nil
+	}
+	key := open.GetService() + "\x00" + open.GetGroup() + "\x00" + open.GetIdempotencyKey()
+	if _, known := o.keys.Claim(key, attemptStarted); known {
+		o.count(func(c *Counts) { c.Duplicates++ })
+		return nil, result.Errorf(result.CallNotRunDuplicate, "the idempotency key was used before")
+	}
+	return func() { o.keys.Forget(key) }, nil
+}
+
+// admissionRequest states what a call that came at the given time asks of the instance's queue.
+func admissionRequest(open *lapisv1.CallOpen, came time.Time) admission.Request {
+	request := admission.Request{
+		Group: open.GetGroup(), Background: open.GetBackground(), Upload: open.GetUpload(), Priority: open.GetPriority(),
+		Headroom: time.Duration(open.GetSlackMillis()) * time.Millisecond,
+		MaxWait:  time.Duration(open.GetMaxWaitMillis()) * time.Millisecond,
+		NoWait:   open.GetNoWait(),
+	}
+	if open.GetExpiresAfterMillis() > 0 {
+		request.StartBy = came.Add(time.Duration(open.GetExpiresAfterMillis()) * time.Millisecond)
+	}
+	if open.GetTargetMillis() > 0 {
+		request.Due = came.Add(time.Duration(open.GetTargetMillis()) * time.Millisecond)
+	}
+	return request
+}
+
+// admitAndRun waits for a slot and hands the call over.
+func (o *Origin) admitAndRun(ctx context.Context, instance *Instance, call *callapi.Call) (*callapi.Answer, error) {
+	came, suspendedBefore := time.Now(), boottime.Suspended()
+	slot, err := instance.queue.Acquire(ctx, admissionRequest(call.Open, came))
+	if err != nil {
+		return nil, err
+	}
+	passedOn := false
+	defer func() {
+		if !passedOn {
+			// A panic must not keep the slot.
+			slot.Release(false)
+		}
+	}()
+	waited := time.Since(came)
+	err = checkSuspended(call.Open, waited, boottime.Suspended()-suspendedBefore)
+	if err == nil {
+		err = o.begin(call, came)
+	}
+	if err != nil {
+		return nil, err
+	}
+	answer, err := o.run(ctx, instance, slot, call)
+	passedOn = true
+	if err == nil {
+		o.logAnswer(instance, call, answer, waited)
+	}
+	return answer, err
+}
+
+// begin records that a call, which came at the given time, starts; from then on it may have
+// run. Errors, all proving that it did not start: CallNotRunStopping, CallNotRunQuarantined,
+// CallNotRunDuplicate.
+func (o *Origin) begin(call *callapi.Call, came time.Time) error {
+	open := call.Open
+	if err := o.checkQuarantine(call); err != nil {
+		return err
+	}
+	if err := checkShutdown(open, came, o.shutdownTime()); err != nil {
+		return err
+	}
+	if !o.attempts.Start(open.GetAttemptId()) {
+		return result.Errorf(result.CallNotRunDuplicate, "attempt %s was fenced", open.GetAttemptId())
+	}
+	return nil
+}
+
+// RepeatShare returns the share, 0 to 1, of the calls that instances have now which are
+// repeats.
+func (o *Origin) RepeatShare() float64 {
+	executing := o.executing.Load()
+	if executing <= 0 {
+		return 0
+	}
+	return min(float64(o.repeating.Load())/float64(executing), 1)
+}
+
+// execute counts a call as one that an instance has, until done is called.
+func (o *Origin) execute(call *callapi.Call) (done func()) {
+	repeats := int64(0)
+	if call.Open.GetRepeat() {
+		repeats = 1
+	}
+	o.executing.Add(1)
+	o.repeating.Add(repeats)
+	return func() {
+		o.executing.Add(-1)
+		o.repeating.Add(-repeats)
+	}
+}
--- /dev/null
+++ b/internal/requestpath/origin/handle_test.go
@@ -0,0 +1,32 @@
+package origin
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+)
+
+// A call that makes the daemon panic ends alone.
+func TestPanicEndsOneCall(t *testing.T) {
+	_, origin, _ := startOrigin(t)
+	for try := range 2 * DefaultSlots {
+		_, err := origin.Handle(context.Background(), &callapi.Call{Body: panicking{}, Buffered: true, Open: &lapisv1.CallOpen{
+			Service: "desk", Instance: "desk-1", Method: http.MethodPost, Target: "/answer", Host: "a.example", ContentLength: 5, AttemptId: fmt.Sprint(try),
+		}})
+		assert.Assert(t, result.Is(err, result.CallUnknownOutcome))
+	}
+	assert.NilError(t, ask(origin, "/answer"))
+	assert.Equal(t, origin.InFlight(), 0)
+}
+
+// panicking is a body whose reading panics.
+type panicking struct{}
+
+func (panicking) Read([]byte) (int, error) { panic("on purpose") }
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -19,7 +19,7 @@
 	response, err := instance.backend.roundTrip(ctx, call, func() { instance.inFlight.add(sent) })
 	if err != nil {
 		err = o.noteUnanswered(ctx, instance, sent, err)
-		instance.noteCall(err, func() { o.ask(instance) })
+		instance.noteCall(err, func() { o.probe(instance) })
 		slot.Release(false)
 		if callapi.OutcomeOf(err) == callapi.OutcomeUnknown {
 			o.count(func(c *Counts) { c.HandedOver++; c.Broken++ })
@@ -30,16 +30,16 @@
 	instance.inFlight.remove(sent)
 	instance.noteCall(nil, nil)
 	if refusal := o.refusalOf(instance, response); refusal != nil {
-		_ = response.Body.Close()
+		_ = response.Body.Close() // It only ends the exchange, and never fails.
 		slot.Release(result.Is(refusal, result.CallNotRunShed))
 		return nil, refusal
 	}
-	o.cleared(sent, response.StatusCode)
+	o.noteRefuted(sent, response.StatusCode)
 	head := headOf(response)
 	head.Load = instance.queue.Load()
 	head.ServiceMicros = uint32(time.Since(handed).Microseconds())
 	broke := func(err error) {
-		instance.noteCall(err, func() { o.ask(instance) })
+		instance.noteCall(err, func() { o.probe(instance) })
 		o.logFailure(call, err, handed)
 	}
 	body := &answerBody{body: response.Body, slot: slot, broke: broke}
@@ -49,31 +49,15 @@
 	}, nil
 }
 
-// refusalOf returns the error for an answer which states that the back end did
-// not run the request, nil for any other. An instance that is not the one the
-// request was meant for has taken its address.
+// refusalOf returns the error for an answer which states that the back end did not run the request,
+// nil for any other. An instance that is not the one the request was meant for (421) has taken its
+// address.
 func (o *Origin) refusalOf(instance *Instance, response *http.Response) error {
 	if o.config.Envelope.ExpectedInstance != "" && response.StatusCode == http.StatusMisdirectedRequest {
 		o.replaced(instance)
 		return result.Errorf(result.CallNotRunUnknownHere, "another instance answers at the address of %s", instance.Name)
 	}
-	if response.Header.Get(o.config.Envelope.NotRun) == "" {
-		return nil
-	}
-	switch response.StatusCode {
-	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return shedError(response)
-	default:
-		return nil
-	}
-}
-
-func shedError(response *http.Response) error {
-	refusal := result.Errorf(result.CallNotRunShed, "the back end answered %d", response.StatusCode)
-	if seconds, err := time.ParseDuration(response.Header.Get("Retry-After") + "s"); err == nil {
-		refusal.RetryAfter = seconds
-	}
-	return refusal
+	return instanceRefusal(response, &o.config.Envelope)
 }
 
 // answerBody gives the slot back when the answer has been read.
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"fmt"
-	"runtime/debug"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,7 +13,6 @@
 	"github.com/lapisvane/lapisvane/internal/model/snapshot"
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 	"github.com/lapisvane/lapisvane/internal/requestpath/decision"
-	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
@@ -28,8 +25,7 @@
 
 // Config configures an Origin.
 type Config struct {
-	Incarnation uint64
-	Backends    []BackendConfig
+	Backends []BackendConfig
 	// Region is that of the daemon and of the instances beside it; empty where it is
 	// not known.
 	Region string
@@ -40,8 +36,8 @@
 	Cold ColdBound
 	// Envelope names the header fields; the zero value stands for the default.
 	Envelope callapi.Envelope
-	// Crashes hears of instances that ended; nil where nobody wants to know.
-	Crashes Crashes
+	// Crashes receives the crashes of instances; nil where nobody follows them.
+	Crashes CrashReporter
 	// Changed is called when the state of an instance changed.
 	Changed func()
 	// Decisions receives the lines about requests, nil for none, and Logger
@@ -55,13 +51,13 @@
 
 // Origin serves calls for the back ends beside the daemon.
 type Origin struct {
-	config    Config
-	coldFalls coldFalls
-	attempts  *memory
-	keys      *memory
-	running   sync.WaitGroup
-	counts    Counts
-	countLock sync.Mutex
+	config      Config
+	coldCrashes coldCrashes
+	attempts    *dedupCache
+	keys        *dedupCache
+	running     sync.WaitGroup
+	counts      Counts
+	countLock   sync.Mutex
 	// executing counts the calls that instances have, repeating those of them
 	// that are repeats.
 	executing, repeating atomic.Int64
@@ -69,12 +65,12 @@
 	// mutex protects everything below.
 	mutex     sync.RWMutex
 	instances map[instanceKey]*Instance
-	// withdrawn are instances that left for good, with the time of the news.
+	// withdrawn are instances that left for good, with the time of that report.
 	withdrawn map[string]time.Time
 	current   *snapshot.Snapshot
 	stopping  bool
-	// endsBy is when all calls here must be over; zero while the daemon is not stopping.
-	endsBy time.Time
+	// shutdownBy is when all calls here must be over; zero while the daemon is not stopping.
+	shutdownBy time.Time
 	// evacuated is true while no instance here may get work.
 	evacuated bool
 	// evacuating is held while evacuated changes and the instances follow.
@@ -97,14 +93,14 @@
 		config.Logger = logr.Discard()
 	}
 	if config.Crashes == nil {
-		config.Crashes = noCrashes{}
+		config.Crashes = noReporter{}
 	}
 	if config.Changed == nil {
 		config.Changed = func() {}
 	}
 	origin := &Origin{
 		config: config, instances: map[instanceKey]*Instance{}, withdrawn: map[string]time.Time{},
-		attempts: newMemory(attemptMemory, time.Now), keys: newMemory(keyMemory, time.Now),
+		attempts: newDedupCache(attemptMemory, time.Now), keys: newDedupCache(keyMemory, time.Now),
 	}
 	limits := admission.Limits{Slots: DefaultSlots, QueueLength: config.QueueLength, QueueTime: config.QueueTime}
 	for _, backend := range config.Backends {
@@ -127,7 +123,7 @@
 	o.running.Wait()
 }
 
-// watch follows an instance while the origin runs, and drops it once it is over;
+// watch follows an instance while the origin runs, and drops it once it ended;
 // the caller holds mutex.
 func (o *Origin) watch(instance *Instance) {
 	ctx := o.runContext
@@ -142,7 +138,7 @@
 	})
 }
 
-// drop forgets an instance that is over and closes its connections.
+// drop forgets an instance that ended and closes its connections.
 func (o *Origin) drop(instance *Instance) {
 	o.mutex.Lock()
 	delete(o.instances, instanceKey{instance.Service, instance.Name})
@@ -174,7 +170,7 @@
 	return endpoints
 }
 
-// Configure takes limits, shares and drains from a snapshot.
+// Configure applies the limits, shares and drains of a snapshot.
 func (o *Origin) Configure(current *snapshot.Snapshot) {
 	o.mutex.Lock()
 	o.current = current
@@ -209,27 +205,19 @@
 	}
 }
 
-// Leave bounds the calls that still start, those included that wait already: from now on
-// only those whose whole time is over by the given time. Stop ends that too.
-func (o *Origin) Leave(by time.Time) {
+// ShutdownBy bounds the calls that still start, those included that wait already: from now on
+// only those whose whole time is over by the given time. After Stop none does.
+func (o *Origin) ShutdownBy(by time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.endsBy = by
+	o.shutdownBy = by
 }
 
-// checkLeaving refuses a call, which came at the given time, that may go on after the time
-// when all must be over. Errors: CallNotRunStopping.
-func (o *Origin) checkLeaving(open *lapisv1.CallOpen, came time.Time) error {
+// shutdownTime returns when all calls must be over; zero while the daemon is not stopping.
+func (o *Origin) shutdownTime() time.Time {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
-	if o.endsBy.IsZero() {
-		return nil
-	}
-	lasts := time.Duration(open.GetDeadlineMillis()) * time.Millisecond
-	if lasts == 0 || came.Add(lasts).After(o.endsBy) {
-		return result.Errorf(result.CallNotRunStopping, "the daemon stops before the call must be over")
-	}
-	return nil
+	return o.shutdownBy
 }
 
 // Stop drains all instances because the daemon is stopping.
@@ -263,177 +251,3 @@
 	defer o.countLock.Unlock()
 	change(&o.counts)
 }
-
-// Fence makes sure that an attempt is not started from now on, and reports
-// whether it was started before.
-func (o *Origin) Fence(attempt string) (started bool) { return o.attempts.Fence(attempt) }
-
-// Handle implements callapi.Handler.
-func (o *Origin) Handle(ctx context.Context, call *callapi.Call) (*callapi.Answer, error) {
-	began := time.Now()
-	answer, err := o.contained(ctx, call)
-	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
-		o.count(func(c *Counts) { c.Refused++ })
-	}
-	if err != nil {
-		o.logFailure(call, err, began)
-	}
-	return answer, err
-}
-
-// contained carries a call out, and has a panic end that call only: the daemon would take all
-// its calls with it, and the request come again at the next one.
-func (o *Origin) contained(ctx context.Context, call *callapi.Call) (answer *callapi.Answer, err error) {
-	defer func() {
-		if cause := recover(); cause != nil {
-			answer, err = nil, result.Errorf(result.CallUnknownOutcome, "panic: %v", cause)
-			o.config.Decisions.Failure(eventPanicked, o.requestID(call), "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
-		}
-	}()
-	return o.handle(ctx, call)
-}
-
-func (o *Origin) handle(ctx context.Context, call *callapi.Call) (*callapi.Answer, error) {
-	open := call.Open
-	instance, ok := o.instance(open.GetService(), open.GetInstance())
-	if !ok {
-		return nil, o.unknown(open)
-	}
-	if err := o.checkLeaving(open, time.Now()); err != nil {
-		return nil, err
-	}
-	if err := o.checkRegion(open); err != nil {
-		return nil, err
-	}
-	if _, known := o.attempts.Claim(open.GetAttemptId(), attemptWaiting); known {
-		o.count(func(c *Counts) { c.Duplicates++ })
-		return nil, result.Errorf(result.CallNotRunDuplicate, "attempt %s came before", open.GetAttemptId())
-	}
-	release, err := o.claimKey(open)
-	if err != nil {
-		return nil, err
-	}
-	answer, err := o.admitAndRun(ctx, instance, call)
-	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
-		release()
-	}
-	return answer, err
-}
-
-// unknown tells why there is no such instance as a call is for.
-func (o *Origin) unknown(open *lapisv1.CallOpen) error {
-	o.mutex.RLock()
-	defer o.mutex.RUnlock()
-	if _, left := o.withdrawn[open.GetInstance()]; left {
-		return result.Errorf(result.CallNotRunDraining, "instance %s left", open.GetInstance())
-	}
-	return result.Errorf(result.CallNotRunUnknownHere, "no instance %s/%s here", open.GetService(), open.GetInstance())
-}
-
-// claimKey refuses a call whose idempotency key was seen here. release forgets
-// the key again when the call did not run.
-func (o *Origin) claimKey(open *lapisv1.CallOpen) (release func(), err error) {
-	if open.GetIdempotencyKey() == "" {
-		return func() {}, nil
-	}
-	key := open.GetService() + "\x00" + open.GetGroup() + "\x00" + open.GetIdempotencyKey()
-	if _, known := o.keys.Claim(key, attemptStarted); known {
-		o.count(func(c *Counts) { c.Duplicates++ })
-		return nil, result.Errorf(result.CallNotRunDuplicate, "the idempotency key was used before")
-	}
-	return func() { o.keys.Forget(key) }, nil
-}
-
-func (o *Origin) admitAndRun(ctx context.Context, instance *Instance, call *callapi.Call) (*callapi.Answer, error) {
-	open := call.Open
-	request := admission.Request{
-		Group: open.GetGroup(), Background: open.GetBackground(), Upload: open.GetUpload(), Priority: open.GetPriority(),
-	}
-	now, suspendedBefore := time.Now(), boottime.Suspended()
-	if open.GetExpiresAfterMillis() > 0 {
-		request.StartBy = now.Add(time.Duration(open.GetExpiresAfterMillis()) * time.Millisecond)
-	}
-	if open.GetTargetMillis() > 0 {
-		request.Due = now.Add(time.Duration(open.GetTargetMillis()) * time.Millisecond)
-	}
-	request.Headroom = time.Duration(open.GetSlackMillis()) * time.Millisecond
-	request.MaxWait = time.Duration(open.GetMaxWaitMillis()) * time.Millisecond
-	request.NoWait = open.GetNoWait()
-	slot, err := instance.queue.Acquire(ctx, request)
-	if err != nil {
-		return nil, err
-	}
-	over := false
-	defer func() {
-		if !over {
-			// A panic must not keep the slot.
-			slot.Release(false)
-		}
-	}()
-	waited := time.Since(now)
-	err = checkSuspended(open, waited, boottime.Suspended()-suspendedBefore)
-	if err == nil {
-		err = o.begin(call, now)
-	}
-	if err != nil {
-		return nil, err
-	}
-	answer, err := o.run(ctx, instance, slot, call)
-	over = true
-	if err == nil {
-		o.logAnswer(instance, call, answer, waited)
-	}
-	return answer, err
-}
-
-// checkSuspended refuses a call whose time passed while it waited and the machine was
-// suspended: the clock that its time is bounded by stood then, and its caller is gone.
-// Errors: CallNotRunExpired.
-func checkSuspended(open *lapisv1.CallOpen, waited, suspended time.Duration) error {
-	lasts := time.Duration(open.GetDeadlineMillis()) * time.Millisecond
-	if suspended > 0 && lasts > 0 && waited+suspended >= lasts {
-		return result.Errorf(result.CallNotRunExpired, "the machine was suspended for %s while the call waited", suspended)
-	}
-	return nil
-}
-
-// begin notes that a call, which came at the given time, starts; from then on it may have
-// run. Errors, all proving that it did not start: CallNotRunStopping, CallNotRunQuarantined,
-// CallNotRunDuplicate.
-func (o *Origin) begin(call *callapi.Call, came time.Time) error {
-	open := call.Open
-	if err := o.checkQuarantine(call); err != nil {
-		return err
-	}
-	if err := o.checkLeaving(open, came); err != nil {
-		return err
-	}
-	if !o.attempts.Start(open.GetAttemptId()) {
-		return result.Errorf(result.CallNotRunDuplicate, "attempt %s was fenced", open.GetAttemptId())
-	}
-	return nil
-}
-
-// RepeatShare returns the share of the calls that instances have now which are
-// repeats.
-func (o *Origin) RepeatShare() float64 {
-	executing := o.executing.Load()
-	if executing <= 0 {
-		return 0
-	}
-	return min(float64(o.repeating.Load())/float64(executing), 1)
-}
-
-// execute counts a call as one that an instance has, until done is called.
-func (o *Origin) execute(call *callapi.Call) (done func()) {
-	repeats := int64(0)
-	if call.Open.GetRepeat() {
-		repeats = 1
-	}
-	o.executing.Add(1)
-	o.repeating.Add(repeats)
-	return func() {
-		o.executing.Add(-1)
-		o.repeating.Add(-repeats)
-	}
-}
--- a/internal/requestpath/origin/inflight_bench_test.go
+++ b/internal/requestpath/origin/quarantine_bench_test.go
@@ -20,6 +20,6 @@
 		if err := origin.checkQuarantine(call); err != nil {
 			b.Fatal(err)
 		}
-		origin.cleared(track(call), 200)
+		origin.noteRefuted(track(call), 200)
 	}
 }
--- /dev/null
+++ b/internal/requestpath/origin/quarantine_test.go
@@ -0,0 +1,72 @@
+package origin
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/model/quarantine"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+)
+
+// What is held back does not reach the instance, and an answer clears what is suspected.
+func TestQuarantineBesideTheInstance(t *testing.T) {
+	_, origin, crashes := startOrigin(t)
+	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
+	had := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
+	crashes.Crashed("other", 1, had)
+	crashes.Crashed("other", 2, had)
+	assert.NilError(t, ask(origin, "/answer"))
+	assert.Assert(t, !crashes.Suspected(line))
+	for end := range uint64(3) {
+		crashes.Crashed("other", 3+end, had)
+	}
+	err := ask(origin, "/answer")
+	assert.Assert(t, result.Is(err, result.CallNotRunQuarantined))
+	assert.Equal(t, callapi.OutcomeOf(err), callapi.OutcomeNotRun)
+}
+
+// A short body from another daemon, which comes in pieces, is judged beside the instance too.
+func TestShortBodiesAreCheckedBesideTheInstance(t *testing.T) {
+	_, origin, crashes := startOrigin(t)
+	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/answer"}
+	had := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, []byte("deadly")).Whole(), Caller: "shop"}}
+	for end := range uint64(3) {
+		crashes.Crashed("other", end, had)
+	}
+	for body, code := range map[string]result.Code{"deadly": result.CallNotRunQuarantined, "harmless": result.OK} {
+		answer, err := origin.Handle(context.Background(), &callapi.Call{Body: strings.NewReader(body), Open: &lapisv1.CallOpen{
+			Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host, ContentLength: int64(len(body)),
+			AttemptId: body, CallerService: "shop",
+		}})
+		if err == nil {
+			_ = answer.Body.Close()
+		}
+		got, _ := result.CodeOf(err)
+		assert.Equal(t, got, code, body)
+	}
+}
+
+// An answer that comes before the body clears nothing.
+func TestEarlyAnswerRefutesNothing(t *testing.T) {
+	_, origin, crashes := startOrigin(t)
+	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/early"}
+	key := fingerprint.PartialOf(line, maxShortBody+1)
+	crashes.Crashed("other", 1, []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: []fingerprint.Key{key}, Caller: "shop"}})
+	reader, writer := io.Pipe()
+	answer, err := origin.Handle(context.Background(), &callapi.Call{Body: reader, Open: &lapisv1.CallOpen{
+		Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host, ContentLength: maxShortBody + 1,
+		AttemptId: "early", CallerService: "shop",
+	}})
+	assert.NilError(t, err)
+	_ = writer.Close()
+	_ = answer.Body.Close()
+	assert.Equal(t, crashes.Count([]fingerprint.Key{key}), 1)
+}
--- a/internal/requestpath/origin/registration.go
+++ b/internal/requestpath/origin/registration.go
@@ -8,15 +8,10 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
-// withdrawnMemory is how long it is remembered that an instance left, so that
-// a late heartbeat does not bring it back.
+// withdrawnMemory is how long it is remembered that an instance left, so that a late heartbeat does
+// not bring it back. Chosen, not measured; it must be longer than a heartbeat may be held up.
 const withdrawnMemory = 10 * time.Minute
 
-// presentFor is how long after its newest heartbeat an instance is taken as the one at
-// its address, whatever a late heartbeat of an earlier one says. It is three intervals of
-// the users' heartbeats (heartbeat-ms, 1.5 s).
-const presentFor = 4500 * time.Millisecond
-
 // Registration is what an instance states of itself with each heartbeat.
 type Registration struct {
 	Service string
@@ -36,11 +31,11 @@
 	ColdFor time.Duration
 }
 
-// Register takes in a heartbeat. From its return on, a draining instance gets
-// no call that it did not have before.
+// Register records a heartbeat, the first of which makes the instance known. From its return on, a
+// draining instance gets no call that it did not have before.
 func (o *Origin) Register(registration Registration) {
 	instance, fresh := o.registered(registration)
-	changed := instance != nil && instance.beat(registration, fresh)
+	changed := instance != nil && instance.noteHeartbeat(registration, fresh)
 	if registration.Draining {
 		o.Withdraw(registration.Instance)
 		return
@@ -83,8 +78,8 @@
 	return instance, true
 }
 
-// newRegistered returns the instance that a first heartbeat states, which does from the
-// start what is known of its pool, of the daemon and of its zone; the caller holds mutex.
+// newRegistered returns the instance that a first heartbeat states. From the start it follows what
+// is known of its pool, of the daemon and of its zone; the caller holds mutex.
 func (o *Origin) newRegistered(registration Registration) *Instance {
 	limits := admission.Limits{Slots: max(registration.Slots, 1), QueueLength: o.config.QueueLength, QueueTime: o.config.QueueTime}
 	instance := newInstance(registration.Service, registration.Instance, registration.Address, limits, DefaultConnections, &o.config.Envelope)
@@ -92,7 +87,7 @@
 	instance.slots = registration.Slots
 	instance.logger = o.config.Logger
 	instance.coldness.bound = o.config.Cold
-	instance.coldness.falls = &o.coldFalls
+	instance.coldness.crashes = &o.coldCrashes
 	instance.version = registration.Version
 	if o.current != nil {
 		instance.configure(o.current)
@@ -110,7 +105,7 @@
 // presentAt returns the instance that registered at an address and was heard lately, nil
 // when there is none; the caller holds mutex. An unknown instance there whose heartbeat is
 // not its first is an earlier one, which this daemon has forgotten and whose heartbeat
-// was held up. If it is the later one after all, it is taken in once the other is silent.
+// was held up. If it is the later one after all, it is accepted once the other is silent.
 func (o *Origin) presentAt(address string) *Instance {
 	for _, instance := range o.instances {
 		if instance.registered && instance.backend.address == address && instance.presentNow() {
@@ -123,7 +118,7 @@
 // presentNow reports whether the instance was heard lately and takes work, or would but
 // for an evacuation.
 func (i *Instance) presentNow() bool {
-	if i.beatAge() >= presentFor {
+	if !isPresent(i.heartbeatAge()) {
 		return false
 	}
 	i.mutex.Lock()
@@ -161,6 +156,14 @@
 	}
 }
 
+// isWithdrawn reports whether an instance left for good.
+func (o *Origin) isWithdrawn(name string) bool {
+	o.mutex.RLock()
+	defer o.mutex.RUnlock()
+	_, left := o.withdrawn[name]
+	return left
+}
+
 // Withdrawn returns the instances that left.
 func (o *Origin) Withdrawn() []string {
 	o.mutex.RLock()
@@ -172,7 +175,7 @@
 	return names
 }
 
-// retireOthersAt ends the part of the instances whose address a new one has.
+// retireOthersAt ends the instances whose address a new one has.
 func (o *Origin) retireOthersAt(address string, except *Instance) {
 	for _, instance := range o.Instances() {
 		if instance != except && instance.backend.address == address && instance.registered {
@@ -181,7 +184,7 @@
 	}
 }
 
-// replaced ends the part of an instance whose address another one has.
+// replaced ends an instance whose address another one has.
 func (o *Origin) replaced(instance *Instance) {
 	instance.Drain(DrainReplaced)
 	o.Withdraw(instance.Name)
@@ -204,8 +207,9 @@
 	return newest.Service
 }
 
-// beat takes in a heartbeat; it reports whether what is announced changed.
-func (i *Instance) beat(registration Registration, fresh bool) (changed bool) {
+// noteHeartbeat records a heartbeat; it reports whether what is announced changed. One with a lower
+// sequence than the newest was held up on its way and counts for nothing.
+func (i *Instance) noteHeartbeat(registration Registration, fresh bool) (changed bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if registration.Sequence < i.sequence {
@@ -213,19 +217,19 @@
 	}
 	now := time.Now()
 	i.sequence = registration.Sequence
-	i.lastBeat = now
+	i.lastHeartbeat = now
 	source := coldByHeartbeat
 	if fresh {
 		source = coldByStart
 	}
-	i.coldness.heard(registration.ColdFor, registration.Sequence, now)
+	i.coldness.noteHeartbeat(registration.ColdFor, registration.Sequence, now)
 	changed = i.followCold(source, now)
 	if registration.Slots > 0 && registration.Slots != i.slots {
 		i.slots = registration.Slots
 		changed = true
 	}
 	before := i.lifecycle.MustState()
-	i.comeUp()
+	i.markUp()
 	return changed || before != i.lifecycle.MustState()
 }
 
@@ -241,7 +245,7 @@
 	}
 }
 
-// configure takes limits, shares and drains from a snapshot.
+// configure applies the limits, shares and drains of a snapshot.
 func (i *Instance) configure(current *snapshot.Snapshot) {
 	service, ok := current.Service(i.Service)
 	if !ok {
--- a/internal/requestpath/origin/registration_test.go
+++ b/internal/requestpath/origin/registration_test.go
@@ -151,10 +151,10 @@
 
 // A daemon that is about to stop takes the calls that end before it does, so that the
 // instance beside it does not idle, and refuses the others as not run.
-func TestLeavingDaemonTakesOnlyCallsThatEndBeforeIt(t *testing.T) {
+func TestStoppingDaemonTakesOnlyCallsThatEndBeforeIt(t *testing.T) {
 	leaving := origin.New(origin.Config{QueueLength: 8, QueueTime: time.Second})
 	leaving.Register(registration("desk-1", "127.0.0.1:1"))
-	leaving.Leave(time.Now().Add(time.Hour))
+	leaving.ShutdownBy(time.Now().Add(time.Hour))
 	for name, test := range map[string]struct {
 		lasts time.Duration
 		code  result.Code
