--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -205,9 +205,9 @@
 	}
 }
 
-// ShutdownBy bounds the calls that still start, those included that wait already: from now on
+// Drain bounds the calls that still start, those included that wait already: from now on
 // only those whose whole time is over by the given time. After Stop none does.
-func (o *Origin) ShutdownBy(by time.Time) {
+func (o *Origin) Drain(by time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.shutdownBy = by
--- a/internal/requestpath/origin/refusal_test.go
+++ b/internal/requestpath/origin/refusal_test.go
@@ -36,7 +36,7 @@
 				ended <- err
 			}()
 			synctest.Wait()
-			o.ShutdownBy(time.Now().Add(5 * time.Second))
+			o.Drain(time.Now().Add(5 * time.Second))
 			time.Sleep(time.Second)
 			for _, slot := range slots {
 				slot.Release(false)
--- a/internal/requestpath/origin/registration_test.go
+++ b/internal/requestpath/origin/registration_test.go
@@ -154,7 +154,7 @@
 func TestStoppingDaemonTakesOnlyCallsThatEndBeforeIt(t *testing.T) {
 	leaving := origin.New(origin.Config{QueueLength: 8, QueueTime: time.Second})
 	leaving.Register(registration("desk-1", "127.0.0.1:1"))
-	leaving.ShutdownBy(time.Now().Add(time.Hour))
+	leaving.Drain(time.Now().Add(time.Hour))
 	for name, test := range map[string]struct {
 		lasts time.Duration
 		code  result.Code
