--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -95,7 +95,7 @@
 	granted, err := s.store.Try(ctx, verdict.Key, verdict.Trials)
 	s.logger.Info("request.trial", "key", verdict.Key, "ended", verdict.Crashes, "trials", verdict.Trials, "granted", granted, "error", err)
 	// The trial counts whoever was granted it, and also when the store did not answer.
-	s.spread(s.NoteTried(verdict.Key, verdict.Trials+1), "")
+	s.spread(s.NoteTrial(verdict.Key, verdict.Trials+1), "")
 	return granted
 }
 
@@ -183,7 +183,7 @@
 		k.spread([]quarantine.Record{record}, "")
 		k.logger.Info("quarantine.stored", "key", record.Key, "ended", record.Count())
 	}
-	for _, key := range k.Cleared() {
+	for _, key := range k.TakeRemovals() {
 		if err := k.store.Remove(ctx, key); err != nil {
 			k.logger.Info("quarantine.not_removed", "key", key, "error", err)
 		}
@@ -194,9 +194,9 @@
 // dueAt returns when this daemon stores a record.
 func (k *keeper) dueAt(record quarantine.Record) time.Time {
 	at, known := k.due[record.Key]
-	if !known || record.Here {
+	if !known || record.Local {
 		at = time.Now()
-		if !record.Here {
+		if !record.Local {
 			at = at.Add(othersSave + time.Duration(rand.Float64()*float64(othersSpread)))
 		}
 		k.due[record.Key] = at
--- a/internal/model/quarantine/doc.go
+++ b/internal/model/quarantine/doc.go
@@ -1,15 +1,22 @@
-// Package quarantine decides which requests are held back because instances ended while
-// they ran them.
+// Package quarantine decides which requests are held back because instances crashed while they
+// ran them (poison requests).
 //
-// A request may end every instance that begins to run it, and come again under another id
-// at any daemon. Only the daemon beside an instance sees it end; it cannot see which of the
-// calls in flight did it. So all of them are suspects, under the names of what they ask for
-// (package fingerprint). An answer clears: what an instance has answered does not end each
-// instance. A suspect under which quarantineAt instances ended without such an answer is held
-// back; one under which repeatBelow did is not repeated by itself.
+// A request may crash every instance that begins to run it, and come again under another id
+// at any daemon. Only the daemon beside an instance sees it crash; it cannot see which of the
+// calls in flight did it. So all of them become suspects, under the keys of what they ask for
+// (package fingerprint). An answer refutes: what an instance has answered does not crash each
+// instance. From notRepeatedAt crashes on a suspect is not sent to another instance by itself, from
+// quarantineAt on it is quarantined: no instance gets it, but for one trial.
 //
-// What is known is a set of crashes and a set of refuted ones for each suspect, which merge
-// by union, so that daemons may tell each other in any order and more than once.
+// The vocabulary: a suspect is a key under which an instance crashed; it is quarantined once held
+// back, and refuted once answered; a trial is the one run of a quarantined request that may
+// refute it.
 //
-// The package does no I/O: time is passed in, and what is news is returned.
+// The package owns the registry of a daemon, in memory. It has no goroutines and does no I/O:
+// the time is passed in, what changed is returned for the caller to spread to other daemons, and
+// what must outlast all daemons is kept by the caller in a Store.
+//
+// What must hold: records merge by union, so that daemons may exchange them in any order and
+// more than once; a request is quarantined for those callers only of which one was in flight in
+// a crash; memory is bounded, and a caller that fills it makes the registry forget its own.
 package quarantine
--- a/internal/model/quarantine/message.go
+++ b/internal/model/quarantine/message.go
@@ -7,7 +7,7 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// Message returns records as daemons tell them to each other.
+// Message returns records as daemons exchange them.
 func Message(records []Record) *lapisv1.Suspects {
 	message := &lapisv1.Suspects{}
 	for _, record := range records {
@@ -23,8 +23,8 @@
 	return message
 }
 
-// Records returns what a message tells. Names that are no keys are passed over, and so is
-// what goes beyond the bounds of a record.
+// Records returns the records of a message. Those whose key has the wrong length are left out,
+// and so is what goes beyond the bounds of a record.
 func Records(message *lapisv1.Suspects) []Record {
 	var records []Record
 	for _, suspect := range message.GetSuspects() {
--- a/internal/model/quarantine/record.go
+++ b/internal/model/quarantine/record.go
@@ -7,40 +7,41 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// Crash is the end of an instance that had a request.
+// Crash is the crash of an instance with a request in flight.
 type Crash struct {
-	// ID is unique for each end of an instance.
+	// ID is unique to the crash of the instance.
 	ID uint64
 	// Caller is the service of the machine where the request started.
 	Caller string
 }
 
-// Record is what is known of one suspect.
+// Record is what is known of one suspect. It is not safe for concurrent use.
 type Record struct {
 	Key     fingerprint.Key
 	Head    fingerprint.Head
 	Crashes []Crash
 	// Refuted are the crashes after which an instance answered such a request.
 	Refuted []uint64
-	// Trials counts how often one was let through to see.
+	// Trials counts the requests that ran as trials.
 	Trials uint32
 	// Age is the time since the newest crash.
 	Age time.Duration
 	// Stored is true once the platform's store has the crashes.
 	Stored bool
-	// Here is true where this daemon is the one beside the instance that ended last. It is
-	// not told to others.
-	Here bool
+	// Local is true where this daemon is the one beside the instance that crashed last. It
+	// does not leave the daemon.
+	Local bool
 }
 
-// Bounds of one record. Three crashes decide; more are kept so that callers of several
-// services are each found among them.
+// Bounds of one record. Chosen, not measured: maxCrashes above quarantineAt, so that callers of
+// several services are each found among the crashes; maxRefuted above maxCrashes, so that an answer
+// refutes all of a full record.
 const (
 	maxCrashes = 12
 	maxRefuted = 24
 )
 
-// Count returns the number of instances that ended, those refuted left out.
+// Count returns the number of instances that crashed, those refuted left out.
 func (r *Record) Count() int {
 	distinct := 0
 	for index, crash := range r.Crashes {
@@ -56,7 +57,7 @@
 	return slices.ContainsFunc(r.Crashes, func(crash Crash) bool { return crash.Caller == caller })
 }
 
-// add takes in a crash; it reports whether that is news. In a full record one from a caller
+// add adds a crash; it reports whether the record changed. In a full record one from a caller
 // that is in none yet takes the place of the oldest.
 func (r *Record) add(crash Crash) bool {
 	if slices.Contains(r.Refuted, crash.ID) || slices.Contains(r.Crashes, crash) {
@@ -72,7 +73,7 @@
 	return true
 }
 
-// refute takes in that a crash shows nothing; it reports whether that is news.
+// refute takes a crash out for good; it reports whether the record changed.
 func (r *Record) refute(id uint64) bool {
 	if slices.Contains(r.Refuted, id) {
 		return false
@@ -85,18 +86,19 @@
 	return true
 }
 
-// Merge takes in what another daemon or the store knows; it reports whether that is news.
-func (r *Record) Merge(other Record) (news bool) {
+// Merge adds the crashes, refuted crashes and trials of another record of the key; it reports
+// whether the record changed.
+func (r *Record) Merge(other Record) (changed bool) {
 	for _, id := range other.Refuted {
-		news = r.refute(id) || news
+		changed = r.refute(id) || changed
 	}
 	for _, crash := range other.Crashes {
-		news = r.add(crash) || news
+		changed = r.add(crash) || changed
 	}
 	if other.Trials > r.Trials {
-		r.Trials, news = other.Trials, true
+		r.Trials, changed = other.Trials, true
 	}
-	return news
+	return changed
 }
 
 // clone returns a copy that shares nothing.
--- a/internal/model/quarantine/registry_test.go
+++ b/internal/model/quarantine/registry_test.go
@@ -11,16 +11,16 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// bench is a registry with a clock of its own.
-type bench struct {
+// clocked is a registry with a clock of its own.
+type clocked struct {
 	*Registry
 	now time.Time
 }
 
-func newBench() *bench {
-	b := &bench{now: time.Unix(1000, 0)}
-	b.Registry = NewRegistry(func() time.Time { return b.now })
-	return b
+func newClocked() *clocked {
+	registry := &clocked{now: time.Unix(1000, 0)}
+	registry.Registry = NewRegistry(func() time.Time { return registry.now })
+	return registry
 }
 
 func lineOf(path string) fingerprint.Line {
@@ -32,115 +32,115 @@
 	return InFlight{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: caller}
 }
 
-func TestHeldBackFromTheThirdEnd(t *testing.T) {
-	b, guilty := newBench(), inFlightOf("/deadly", "desk")
-	for end := range uint64(3) {
-		assert.Assert(t, !b.Judge(guilty.Keys, "desk").Quarantined)
-		assert.Equal(t, MayRepeat(b.Count(guilty.Keys)), end < 2)
-		b.Registry.Crashed(end, []InFlight{guilty})
-		// The same end, told again, counts once.
-		b.Registry.Crashed(end, []InFlight{guilty})
+func TestQuarantinedFromTheThirdCrash(t *testing.T) {
+	registry, guilty := newClocked(), inFlightOf("/deadly", "desk")
+	for crash := range uint64(3) {
+		assert.Assert(t, !registry.Judge(guilty.Keys, "desk").Quarantined)
+		assert.Equal(t, MayRepeat(registry.Count(guilty.Keys)), crash < 2)
+		registry.Crashed(crash, []InFlight{guilty})
+		// The same crash, reported again, counts once.
+		registry.Crashed(crash, []InFlight{guilty})
 	}
-	verdict := b.Judge(guilty.Keys, "desk")
+	verdict := registry.Judge(guilty.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && !verdict.TrialDue)
 	assert.Equal(t, verdict.RetryAfter, trialAfter)
-	assert.Assert(t, b.Suspected(lineOf("/deadly")))
-	assert.Assert(t, !b.Suspected(lineOf("/other")))
+	assert.Assert(t, registry.Suspected(lineOf("/deadly")))
+	assert.Assert(t, !registry.Suspected(lineOf("/other")))
 }
 
-// Requests that only ran beside a guilty one are cleared by their next answer, and not
+// Requests that only ran beside a guilty one are refuted by their next answer, and not
 // suspected any more once the guilty one stands out.
-func TestOnesThatRanBesideAreCleared(t *testing.T) {
-	b, guilty, beside, late := newBench(), inFlightOf("/deadly", "desk"), inFlightOf("/fine", "desk"), inFlightOf("/late", "desk")
-	b.Registry.Crashed(1, []InFlight{guilty, beside})
-	assert.Equal(t, len(b.Answered(beside.Keys)), 1)
-	assert.Equal(t, b.Count(beside.Keys), 0)
-	assert.Assert(t, !b.Suspected(lineOf("/fine")))
-	b.Registry.Crashed(2, []InFlight{guilty, beside})
-	b.Registry.Crashed(3, []InFlight{guilty, late})
-	assert.Equal(t, b.Count(late.Keys), 0)
-	assert.Equal(t, b.Count(guilty.Keys), 3)
-	// News of an end that was refuted does not count again.
-	b.Merge([]Record{{Key: beside.Keys[0], Head: beside.Head, Crashes: []Crash{{ID: 1, Caller: "desk"}}}})
-	assert.Equal(t, b.Count(beside.Keys), 1)
+func TestOnesThatRanBesideAreRefuted(t *testing.T) {
+	registry, guilty, beside, late := newClocked(), inFlightOf("/deadly", "desk"), inFlightOf("/fine", "desk"), inFlightOf("/late", "desk")
+	registry.Crashed(1, []InFlight{guilty, beside})
+	assert.Equal(t, len(registry.Answered(beside.Keys)), 1)
+	assert.Equal(t, registry.Count(beside.Keys), 0)
+	assert.Assert(t, !registry.Suspected(lineOf("/fine")))
+	registry.Crashed(2, []InFlight{guilty, beside})
+	registry.Crashed(3, []InFlight{guilty, late})
+	assert.Equal(t, registry.Count(late.Keys), 0)
+	assert.Equal(t, registry.Count(guilty.Keys), 3)
+	// A refuted crash that is reported again does not count.
+	registry.Merge([]Record{{Key: beside.Keys[0], Head: beside.Head, Crashes: []Crash{{ID: 1, Caller: "desk"}}}})
+	assert.Equal(t, registry.Count(beside.Keys), 1)
 }
 
 // Nobody can have another caller's requests held back, nor make the registry forget.
 func TestCallersDoNotReachEachOther(t *testing.T) {
-	b, theirs := newBench(), inFlightOf("/same", "attacker")
-	for end := range uint64(5) {
-		b.Registry.Crashed(end, []InFlight{theirs})
+	registry, theirs := newClocked(), inFlightOf("/same", "attacker")
+	for crash := range uint64(5) {
+		registry.Crashed(crash, []InFlight{theirs})
 	}
-	assert.Assert(t, b.Judge(theirs.Keys, "attacker").Quarantined)
-	assert.Assert(t, !b.Judge(theirs.Keys, "victim").Quarantined)
-	// An end under the victim's own is enough then.
-	b.Registry.Crashed(10, []InFlight{inFlightOf("/same", "victim")})
-	assert.Assert(t, b.Judge(theirs.Keys, "victim").Quarantined)
+	assert.Assert(t, registry.Judge(theirs.Keys, "attacker").Quarantined)
+	assert.Assert(t, !registry.Judge(theirs.Keys, "victim").Quarantined)
+	// A crash under the victim's own is enough then.
+	registry.Crashed(10, []InFlight{inFlightOf("/same", "victim")})
+	assert.Assert(t, registry.Judge(theirs.Keys, "victim").Quarantined)
 
 	guilty := inFlightOf("/deadly", "victim")
-	for end := range uint64(3) {
-		b.Registry.Crashed(20+end, []InFlight{guilty})
+	for crash := range uint64(3) {
+		registry.Crashed(20+crash, []InFlight{guilty})
 	}
-	for flood := range uint64(maxSuspects + 100) {
-		b.Registry.Crashed(100+flood, []InFlight{inFlightOf(fmt.Sprintf("/flood/%d", flood), "attacker")})
+	for flood := range uint64(maxEntries + 100) {
+		registry.Crashed(100+flood, []InFlight{inFlightOf(fmt.Sprintf("/flood/%d", flood), "attacker")})
 	}
-	assert.Assert(t, b.Judge(guilty.Keys, "victim").Quarantined)
-	suspects, _ := b.Sizes()
-	assert.Assert(t, suspects <= maxSuspects)
+	assert.Assert(t, registry.Judge(guilty.Keys, "victim").Quarantined)
+	suspects, _ := registry.Sizes()
+	assert.Assert(t, suspects <= maxEntries)
 }
 
 // A query that changes with every try does not hide what is asked for, and others that ask
 // for the path with other queries are not held back while they are answered.
 func TestQueries(t *testing.T) {
-	b := newBench()
-	for end := range uint64(3) {
-		b.Registry.Crashed(end, []InFlight{inFlightOf(fmt.Sprintf("/deadly?page=%d", end), "desk")})
+	registry := newClocked()
+	for crash := range uint64(3) {
+		registry.Crashed(crash, []InFlight{inFlightOf(fmt.Sprintf("/deadly?page=%d", crash), "desk")})
 	}
-	assert.Assert(t, b.Judge(inFlightOf("/deadly?page=9", "desk").Keys, "desk").Quarantined)
+	assert.Assert(t, registry.Judge(inFlightOf("/deadly?page=9", "desk").Keys, "desk").Quarantined)
 
-	other := newBench()
-	for end := range uint64(3) {
-		other.Registry.Crashed(end, []InFlight{inFlightOf("/search?q=deadly", "desk")})
+	other := newClocked()
+	for crash := range uint64(3) {
+		other.Registry.Crashed(crash, []InFlight{inFlightOf("/search?q=deadly", "desk")})
 		other.Answered(inFlightOf("/search?q=fine", "desk").Keys)
 	}
 	assert.Assert(t, other.Judge(inFlightOf("/search?q=deadly", "desk").Keys, "desk").Quarantined)
 	assert.Assert(t, !other.Judge(inFlightOf("/search?q=fine", "desk").Keys, "desk").Quarantined)
 }
 
-// One may run after a while, to see; another end holds it back until it is forgotten, and an
-// answer frees it.
-func TestTrial(t *testing.T) {
-	b, guilty := newBench(), inFlightOf("/deadly", "desk")
-	for end := range uint64(3) {
-		b.Registry.Crashed(end, []InFlight{guilty})
+// One may run as a trial after a while; another crash holds it back until it is forgotten, and
+// an answer refutes it.
+func TestOneTrialRuns(t *testing.T) {
+	registry, guilty := newClocked(), inFlightOf("/deadly", "desk")
+	for crash := range uint64(3) {
+		registry.Crashed(crash, []InFlight{guilty})
 	}
-	b.now = b.now.Add(trialAfter)
-	verdict := b.Judge(guilty.Keys, "desk")
+	registry.now = registry.now.Add(trialAfter)
+	verdict := registry.Judge(guilty.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && verdict.TrialDue)
-	assert.Equal(t, len(b.NoteTried(verdict.Key, verdict.Trials+1)), 1)
-	assert.Assert(t, !b.Judge(guilty.Keys, "desk").TrialDue)
-	b.Registry.Crashed(9, []InFlight{guilty})
-	verdict = b.Judge(guilty.Keys, "desk")
+	assert.Equal(t, len(registry.NoteTrial(verdict.Key, verdict.Trials+1)), 1)
+	assert.Assert(t, !registry.Judge(guilty.Keys, "desk").TrialDue)
+	registry.Crashed(9, []InFlight{guilty})
+	verdict = registry.Judge(guilty.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && !verdict.TrialDue)
 	assert.Equal(t, verdict.RetryAfter, memory)
-	b.Answered(guilty.Keys)
-	assert.Assert(t, !b.Judge(guilty.Keys, "desk").Quarantined)
+	registry.Answered(guilty.Keys)
+	assert.Assert(t, !registry.Judge(guilty.Keys, "desk").Quarantined)
 }
 
-func TestForgotten(t *testing.T) {
-	b, guilty := newBench(), inFlightOf("/deadly", "desk")
-	for end := range uint64(3) {
-		b.Registry.Crashed(end, []InFlight{guilty})
+func TestCrashesAreForgotten(t *testing.T) {
+	registry, guilty := newClocked(), inFlightOf("/deadly", "desk")
+	for crash := range uint64(3) {
+		registry.Crashed(crash, []InFlight{guilty})
 	}
-	b.now = b.now.Add(memory + time.Second)
-	assert.Assert(t, !b.Judge(guilty.Keys, "desk").Quarantined)
-	b.Registry.Crashed(9, nil)
-	suspects, _ := b.Sizes()
+	registry.now = registry.now.Add(memory + time.Second)
+	assert.Assert(t, !registry.Judge(guilty.Keys, "desk").Quarantined)
+	registry.Crashed(9, nil)
+	suspects, _ := registry.Sizes()
 	assert.Equal(t, suspects, 0)
-	assert.Assert(t, !b.Suspected(lineOf("/deadly")))
+	assert.Assert(t, !registry.Suspected(lineOf("/deadly")))
 }
 
-// What daemons tell each other ends the same in whatever order it comes, and more than once.
+// Records that daemons exchange merge to the same in whatever order they come, and more than once.
 func TestMergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := inFlightOf("/deadly", "").Keys[0]
@@ -152,12 +152,12 @@
 			made.Refuted = rapid.SliceOfNDistinct(rapid.Uint64Range(1, 6), 0, 3, rapid.ID).Draw(t, "refuted")
 			return made
 		})
-		told := rapid.SliceOfN(record, 1, 5).Draw(t, "told")
-		one, other := newBench(), newBench()
-		one.Merge(told)
-		for _, index := range rapid.Permutation(indices(len(told))).Draw(t, "order") {
-			other.Merge([]Record{told[index]})
-			other.Merge([]Record{told[index]})
+		records := rapid.SliceOfN(record, 1, 5).Draw(t, "records")
+		one, other := newClocked(), newClocked()
+		one.Merge(records)
+		for _, index := range rapid.Permutation(indices(len(records))).Draw(t, "order") {
+			other.Merge([]Record{records[index]})
+			other.Merge([]Record{records[index]})
 		}
 		assert.Equal(t, one.Count([]fingerprint.Key{key}), other.Count([]fingerprint.Key{key}))
 		assert.Equal(t, len(Records(Message(one.Known()))), 1)
@@ -172,26 +172,26 @@
 	return all
 }
 
-// What changed without the store's knowing is stored, and what was cleared taken out.
+// What changed without the store's knowing is stored, and what was refuted is removed there.
 func TestWhatTheStoreLacks(t *testing.T) {
-	b, guilty := newBench(), inFlightOf("/deadly", "desk")
-	b.Registry.Crashed(1, []InFlight{guilty})
-	assert.Equal(t, len(b.Unstored()), 0)
-	b.Registry.Crashed(2, []InFlight{guilty})
-	lacking := b.Unstored()
+	registry, guilty := newClocked(), inFlightOf("/deadly", "desk")
+	registry.Crashed(1, []InFlight{guilty})
+	assert.Equal(t, len(registry.Unstored()), 0)
+	registry.Crashed(2, []InFlight{guilty})
+	lacking := registry.Unstored()
 	assert.Equal(t, len(lacking), 1)
-	assert.Assert(t, lacking[0].Here)
-	b.NoteStored(lacking[0])
-	assert.Equal(t, len(b.Unstored()), 0)
-	b.Registry.Crashed(3, []InFlight{guilty})
-	assert.Equal(t, len(b.Unstored()), 1)
-	assert.Equal(t, len(b.Cleared()), 0)
-	b.Answered(guilty.Keys)
-	assert.DeepEqual(t, b.Cleared(), guilty.Keys)
-	assert.Equal(t, len(b.Cleared()), 0)
-
-	// Another daemon that hears that it is stored does not store it.
-	other := newBench()
+	assert.Assert(t, lacking[0].Local)
+	registry.NoteStored(lacking[0])
+	assert.Equal(t, len(registry.Unstored()), 0)
+	registry.Crashed(3, []InFlight{guilty})
+	assert.Equal(t, len(registry.Unstored()), 1)
+	assert.Equal(t, len(registry.TakeRemovals()), 0)
+	registry.Answered(guilty.Keys)
+	assert.DeepEqual(t, registry.TakeRemovals(), guilty.Keys)
+	assert.Equal(t, len(registry.TakeRemovals()), 0)
+
+	// Another daemon that learns that it is stored does not store it.
+	other := newClocked()
 	other.Merge([]Record{lacking[0]})
 	assert.Equal(t, len(other.Unstored()), 1)
 	stored := lacking[0]
@@ -201,16 +201,16 @@
 	assert.Equal(t, len(other.Merge([]Record{stored})), 0)
 }
 
-// However many instances ended under what one caller sends, another one is held back from its
+// However many instances crashed under what one caller sends, another one is held back from its
 // first on.
 func TestFullRecordKnowsEachCaller(t *testing.T) {
-	b := newBench()
-	for end := range uint64(2 * maxCrashes) {
-		b.Registry.Crashed(end, []InFlight{inFlightOf("/deadly", "one")})
+	registry := newClocked()
+	for crash := range uint64(2 * maxCrashes) {
+		registry.Crashed(crash, []InFlight{inFlightOf("/deadly", "one")})
 	}
 	other := inFlightOf("/deadly", "other")
-	assert.Assert(t, !b.Judge(other.Keys, "other").Quarantined)
-	b.Registry.Crashed(1000, []InFlight{other})
-	assert.Assert(t, b.Judge(other.Keys, "other").Quarantined)
-	assert.Assert(t, b.Judge(other.Keys, "one").Quarantined)
+	assert.Assert(t, !registry.Judge(other.Keys, "other").Quarantined)
+	registry.Crashed(1000, []InFlight{other})
+	assert.Assert(t, registry.Judge(other.Keys, "other").Quarantined)
+	assert.Assert(t, registry.Judge(other.Keys, "one").Quarantined)
 }
--- a/internal/model/quarantine/store.go
+++ b/internal/model/quarantine/store.go
@@ -7,13 +7,13 @@
 )
 
 // Store keeps records where they outlast all daemons. An error means that it is not known
-// whether anything was done; doing it again does no harm.
+// whether anything was done; doing it again does no harm. It is safe for concurrent use.
 type Store interface {
 	// Load returns all records. They may be some seconds old.
 	Load(ctx context.Context) ([]Record, error)
-	// Save adds what a record tells to what is there.
+	// Save merges a record into the stored one.
 	Save(ctx context.Context, record Record) error
-	// Remove takes a record out.
+	// Remove deletes the record of a key; one that is not there is no error.
 	Remove(ctx context.Context, key fingerprint.Key) error
 	// Try counts one more trial of a record. It succeeds for one daemon only, and for
 	// none where the record has more trials already or is not there.
