--- a/internal/model/callapi/callapi.go
+++ b/internal/model/callapi/callapi.go
@@ -1,5 +1,10 @@
 // Package callapi defines what the parts of the request path hand to each
-// other: a call with a streamed body, and its answer.
+// other: a call with a streamed body, its answer, and the names of the header fields that
+// accompany them. It owns nothing; its types are plain values, and a Call or Answer belongs to the
+// goroutine that carries it out.
+//
+// What must hold: an error of a Handler proves by its code whether the call ran (OutcomeOf), and
+// a body is whole only once it was read to io.EOF.
 package callapi
 
 import (
@@ -29,17 +34,17 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// Outcomes of a call.
+// Outcomes of a call, as they stand in HeaderOutcome.
 const (
 	OutcomeDone    = "done"
 	OutcomeNotRun  = "not-run"
 	OutcomeUnknown = "unknown"
 )
 
-// FirstServerError is the least status of a back end's answer that says that it failed.
+// FirstServerError is the least HTTP status of a back end's answer that says that it failed.
 const FirstServerError = 500
 
-// HostName returns a host as routes name it: in lower case and without port.
+// HostName returns a host in the form of routes: in lower case and without port.
 func HostName(host string) string {
 	host = strings.ToLower(host)
 	if name, _, err := net.SplitHostPort(host); err == nil {
@@ -50,23 +55,26 @@
 
 // Call is one attempt at a call.
 type Call struct {
+	// Open is the head of the call. Its deadline is the time left, in milliseconds.
 	Open *lapisv1.CallOpen
 	// Body is the request body, nil when there is none.
 	Body io.Reader
-	// Buffered is true when Body is small and at hand, so that it may be sent
-	// before the call is admitted.
+	// Buffered is true when Body is short and in memory, so that it may be sent before the call is
+	// admitted.
 	Buffered bool
 	// Trailers returns the request trailers once Body is at its end; it may be
 	// nil.
 	Trailers func() []*lapisv1.HeaderField
-	// StaysWithSilent tells, when the daemon beside the instance falls silent,
-	// whether the call waits on there; nil means that it ends, so that another
-	// instance may be tried.
+	// StaysWithSilent reports, once the daemon beside the instance falls silent, whether the call
+	// goes on waiting there; nil means that it ends, so that another instance may be tried. It must
+	// not block.
 	StaysWithSilent func() bool
 }
 
 // Answer is a back end's answer.
 type Answer struct {
+	// Head holds the status, the header fields, the time that the instance took in microseconds
+	// and its load in calls per slot.
 	Head *lapisv1.CallHead
 	// Body must be read to io.EOF for the answer to be whole; any other error
 	// means that it broke off. It must be closed.
@@ -75,13 +83,15 @@
 	Trailers func() []*lapisv1.HeaderField
 }
 
-// Handler carries out one attempt. A returned error carries a result code; if
-// its code proves that the call did not run, no back end saw the call.
+// Handler carries out one attempt; it is safe for concurrent use. It returns once the answer's
+// head is there, at the latest soon after ctx ends. Errors carry a call's result code (5xxx); where
+// Code.NotRun is true for it no back end saw the call. One without a code counts as unknown.
 type Handler interface {
 	Handle(ctx context.Context, call *Call) (*Answer, error)
 }
 
-// OutcomeOf returns the outcome that an error stands for.
+// OutcomeOf returns the outcome that an error of a call stands for: OutcomeDone for nil, and
+// OutcomeUnknown for an error without a code, since nothing proves then that the call did not run.
 func OutcomeOf(err error) string {
 	if err == nil {
 		return OutcomeDone
--- a/internal/model/callapi/envelope.go
+++ b/internal/model/callapi/envelope.go
@@ -4,7 +4,8 @@
 
 // Envelope names the header fields that accompany a request and its answer.
 // An empty name means that the field is neither read nor written. The default
-// is lapisvane's own; a platform adapter supplies that of its platform.
+// is lapisvane's own; a platform adapter supplies that of its platform. It is not changed after
+// the start, so that it is safe for concurrent use.
 type Envelope struct {
 	// RequestID names the request; it is forwarded as the caller sent it.
 	RequestID string
--- a/internal/model/digest/digest.go
+++ b/internal/model/digest/digest.go
@@ -1,6 +1,10 @@
 // Package digest computes the digests by which received configuration is
 // verified: one over the content of each bundle, and one over a set of bundles
 // that can be kept up to date bundle by bundle and taken over any subset.
+//
+// It owns nothing and relies on SHA-256. What must hold: equal contents and equal sets have
+// equal digests in every process and release, since the digests are stored and sent. Values are not
+// safe for concurrent use while they are changed.
 package digest
 
 import (
@@ -8,7 +12,7 @@
 	"encoding/binary"
 )
 
-// Size is the length of a digest in bytes.
+// Size is the length of a digest in bytes: half of a SHA-256, which is enough against corruption.
 const Size = 16
 
 // Sum is a digest of one content or of a set.
@@ -29,12 +33,13 @@
 	low, high uint64
 }
 
-// Member is what a named content adds to a set.
+// Member is what one named content adds to a set.
 type Member struct {
 	low, high uint64
 }
 
-// MemberOf returns the member for a name and the digest of its content.
+// MemberOf returns the member for a name and the digest of its content. The name goes in with its
+// length, so that no two pairs run into one another.
 func MemberOf(name string, content []byte) Member {
 	hasher := sha256.New()
 	var length [4]byte
@@ -52,7 +57,8 @@
 	s.high += member.high
 }
 
-// Remove removes a member that was added before.
+// Remove removes a member that was added before; the digest of what was not added is wrong
+// from then on.
 func (s *Set) Remove(member Member) {
 	s.low -= member.low
 	s.high -= member.high
--- a/internal/model/fingerprint/fingerprint.go
+++ b/internal/model/fingerprint/fingerprint.go
@@ -1,8 +1,9 @@
-// Package fingerprint names requests by what they ask for, so that one that comes again
+// Package fingerprint derives keys of requests from what they ask for, so that one that comes again
 // under another request id, from another client and at another daemon, is recognised.
 //
-// The names are made by a cryptographic hash: whoever sends requests cannot make one that
-// has the name of another.
+// It owns nothing and relies on SHA-256 and on callapi.HostName. What must hold: every daemon
+// derives the same keys, and the stored ones stay valid over releases; whoever sends requests cannot
+// make one that has the key of another, hence a cryptographic hash.
 package fingerprint
 
 import (
@@ -17,13 +18,13 @@
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
 )
 
-// Head names the method, host and path of a request; it is known before the body is.
+// Head identifies the method, host and path of a request; it is known before the body is.
 type Head uint64
 
 // String returns the head in hexadecimal digits.
 func (h Head) String() string { return strconv.FormatUint(uint64(h), 16) }
 
-// Key names a request as precisely as its level tells.
+// Key identifies a request at one level of Keys. It is half of a SHA-256.
 type Key [16]byte
 
 // String returns the key in hexadecimal digits.
@@ -43,7 +44,7 @@
 	return Line{Method: open.GetMethod(), Host: open.GetHost(), Target: open.GetTarget()}
 }
 
-// Keys name one request at several levels. The zero value of a level means that it is
+// Keys are those of one request at several levels. The zero value of a level means that it is
 // not known.
 type Keys struct {
 	Head Head
@@ -64,7 +65,7 @@
 	return []Key{k.Full, k.Path}
 }
 
-// HeadOf returns the name of a request's method, host and path.
+// HeadOf returns the head of a request. It costs one hash.
 func HeadOf(line Line) Head {
 	path, _ := line.split()
 	sum := digestOf("head", line.Method, line.host(), path)
@@ -81,14 +82,14 @@
 // Of returns all keys of a request with the given body.
 func Of(line Line, body []byte) Keys {
 	digest := NewBody()
-	_, _ = digest.Write(body)
+	_, _ = digest.Write(body) // A hash never returns an error.
 	return OfDigest(line, int64(len(body)), digest)
 }
 
-// NewBody returns the hash that a body's bytes are written to.
+// NewBody returns the hash that a body's bytes are written to. It is not safe for concurrent use.
 func NewBody() hash.Hash { return sha256.New() }
 
-// OfDigest returns all keys of a request whose body was written to digest.
+// OfDigest returns all keys of a request whose body, of length bytes, was written to digest.
 func OfDigest(line Line, length int64, digest hash.Hash) Keys {
 	path, query := line.split()
 	body := string(digest.Sum(nil))
--- a/internal/model/fingerprint/fingerprint_test.go
+++ b/internal/model/fingerprint/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-func TestWhatIsAskedForNamesARequest(t *testing.T) {
+func TestRequestsForTheSameShareTheirKeys(t *testing.T) {
 	line := fingerprint.Line{Method: "POST", Host: "a.example", Target: "/orders/7?page=1"}
 	keys := fingerprint.Of(line, []byte("body"))
 	same := line
--- a/internal/model/locality/locality.go
+++ b/internal/model/locality/locality.go
@@ -1,7 +1,11 @@
-// Package locality tells how far instances and daemons are from one another.
+// Package locality tells how far instances and daemons are from one another, by zone and
+// region. It owns nothing; its values may be used by several goroutines.
+//
+// What must hold: where regions are not known nothing is far, so that a fleet of one region, or
+// of none, behaves as if there were no regions.
 package locality
 
-// Tier is how far something is.
+// Tier is how far something is: the nearer, the less.
 type Tier int
 
 // Tiers, nearest first.
@@ -16,7 +20,7 @@
 	Zone, Region string
 }
 
-// TierOf tells how far other is from here. A region that is not known counts as the own
+// TierOf returns how far other is from p. A region that is not known counts as the own
 // one, so that where none is known nothing is far.
 func (p Place) TierOf(other Place) Tier {
 	switch {
--- /dev/null
+++ b/internal/model/meshconfig/key.go
@@ -0,0 +1,59 @@
+package meshconfig
+
+import "github.com/lapisvane/lapisvane/api/lapisv1"
+
+// Kind is the kind of a configuration object.
+type Kind string
+
+// Kinds of objects.
+const (
+	KindPool   Kind = "pool"
+	KindRoute  Kind = "route"
+	KindSecret Kind = "secret"
+	KindShare  Kind = "share"
+)
+
+// ObjectKey names one configuration object as "kind/name".
+type ObjectKey string
+
+// KeyOf returns the key of an object.
+func KeyOf(kind Kind, name string) ObjectKey {
+	return ObjectKey(string(kind) + "/" + name)
+}
+
+func (k ObjectKey) split() (Kind, string) {
+	for index := range len(k) {
+		if k[index] == '/' {
+			return Kind(k[:index]), string(k[index+1:])
+		}
+	}
+	return "", string(k)
+}
+
+// Kind returns the kind of the object.
+func (k ObjectKey) Kind() Kind {
+	kind, _ := k.split()
+	return kind
+}
+
+// Name returns the name of the object.
+func (k ObjectKey) Name() string {
+	_, name := k.split()
+	return name
+}
+
+// ChangeKey returns the object that change replaces or removes.
+func ChangeKey(change *lapisv1.Change) ObjectKey {
+	switch object := change.GetObject().(type) {
+	case *lapisv1.Change_Pool:
+		return KeyOf(KindPool, object.Pool.GetName())
+	case *lapisv1.Change_Route:
+		return KeyOf(KindRoute, object.Route.GetName())
+	case *lapisv1.Change_Secret:
+		return KeyOf(KindSecret, object.Secret.GetName())
+	case *lapisv1.Change_Share:
+		return KeyOf(KindShare, object.Share.GetName())
+	default:
+		return KeyOf(Kind(change.GetRemovedKind()), change.GetRemovedName())
+	}
+}
--- a/internal/model/meshconfig/state.go
+++ b/internal/model/meshconfig/state.go
@@ -4,39 +4,23 @@
 	"maps"
 	"slices"
 
-	"google.golang.org/protobuf/proto"
-
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/digest"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Kind is the kind of a configuration object.
-type Kind string
-
-// Kinds of objects.
 const (
-	KindPool   Kind = "pool"
-	KindRoute  Kind = "route"
-	KindSecret Kind = "secret"
-	KindShare  Kind = "share"
+	// HistoryWindow is the number of revisions for which removed objects and operation ids
+	// are remembered. A proposal written against an older base is refused as stale. Chosen, not
+	// measured.
+	HistoryWindow = 4096
+	// forgetEvery is the number of revisions between two rounds of forgetting, each of which
+	// looks at all objects. Chosen, not measured: far below HistoryWindow.
+	forgetEvery = HistoryWindow / 16
 )
 
-// ObjectKey names one configuration object as "kind/name".
-type ObjectKey string
-
-// KeyOf returns the key of an object.
-func KeyOf(kind Kind, name string) ObjectKey {
-	return ObjectKey(string(kind) + "/" + name)
-}
-
-// HistoryWindow is the number of revisions for which removed objects and
-// operation ids are remembered. A proposal written against an older base is
-// refused as stale.
-const HistoryWindow = 4096
-
-// State is the whole configuration at one revision. A State is immutable:
-// Apply returns a new one.
+// State is the whole configuration at one revision. It is not changed once it is made, so that it
+// may be read by several goroutines: Accept and Advance return a new one.
 type State struct {
 	Revision uint64
 	Pools    map[string]*lapisv1.Pool
@@ -137,7 +121,7 @@
 	return nil
 }
 
-// adoptBundle takes the objects of a verified bundle into the state.
+// adoptBundle adds a verified bundle and its objects to the state.
 func (s *State) adoptBundle(encoded *lapisv1.EncodedBundle) error {
 	bundle, err := DecodeBundle(encoded)
 	if err != nil {
@@ -158,50 +142,13 @@
 	return nil
 }
 
-// Advance applies an accepted revision read from the log. It verifies that the
-// revision follows s, that every bundle has its digest and that the whole has
-// the digest that the acceptor wrote. Errors: DistributionWrongBase,
-// DistributionDigestMismatch, DistributionBadBundle.
-func (s *State) Advance(revision *lapisv1.Revision) (*State, error) {
-	if revision.GetNumber() != s.Revision+1 {
-		return nil, result.Errorf(result.DistributionWrongBase,
-			"revision %d cannot follow %d", revision.GetNumber(), s.Revision)
-	}
-	next := s.clone()
-	next.Revision = revision.GetNumber()
-	next.AcceptedUnixMillis = revision.GetAcceptedUnixMillis()
-	next.applyChanges(revision.GetProposal().GetChanges())
-	next.recordOperation(revision.GetProposal().GetOperationId())
-	for _, encoded := range revision.GetBundles() {
-		if err := next.replaceBundle(encoded); err != nil {
-			return nil, err
-		}
-	}
-	return next, next.checkDigest(revision.GetDigest())
-}
-
-func (s *State) replaceBundle(encoded *lapisv1.EncodedBundle) error {
-	service := encoded.GetService()
-	if previous, ok := s.Bundles[service]; ok {
-		s.Digest.Remove(digest.MemberOf(service, previous.GetDigest()))
-		delete(s.Bundles, service)
-	}
-	if encoded.GetRemoved() {
-		return nil
-	}
-	if _, err := DecodeBundle(encoded); err != nil {
-		return err
-	}
-	s.Bundles[service] = encoded
-	s.Digest.Add(digest.MemberOf(service, encoded.GetDigest()))
-	return nil
-}
-
+// recordOperation remembers the id of the operation that made the revision, and forgets old ones
+// now and then.
 func (s *State) recordOperation(operation string) {
 	if operation != "" {
 		s.Operations[operation] = s.Revision
 	}
-	if s.Revision%(HistoryWindow/16) != 0 || s.Revision < HistoryWindow {
+	if s.Revision%forgetEvery != 0 || s.Revision < HistoryWindow {
 		return
 	}
 	s.forgetBefore(s.Revision - HistoryWindow)
@@ -220,59 +167,3 @@
 		}
 	}
 }
-
-// EncodeBundle serializes bundle and takes its digest.
-func EncodeBundle(bundle *lapisv1.Bundle, revision uint64) (*lapisv1.EncodedBundle, error) {
-	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(bundle)
-	if err != nil {
-		return nil, result.Wrap(result.DistributionBadBundle, err, "encoding %s", bundle.GetPool().GetName())
-	}
-	sum := digest.OfContent(content)
-	return &lapisv1.EncodedBundle{
-		Service:         bundle.GetPool().GetName(),
-		Content:         content,
-		Digest:          sum[:],
-		ChangedRevision: revision,
-	}, nil
-}
-
-// DecodeBundle verifies the digest and closure of encoded and decodes it.
-// Errors: DistributionDigestMismatch, DistributionBadBundle,
-// DistributionNotClosed.
-func DecodeBundle(encoded *lapisv1.EncodedBundle) (*lapisv1.Bundle, error) {
-	sum := digest.OfContent(encoded.GetContent())
-	if string(sum[:]) != string(encoded.GetDigest()) {
-		return nil, result.Errorf(result.DistributionDigestMismatch, "bundle %s", encoded.GetService())
-	}
-	bundle := &lapisv1.Bundle{}
-	if err := proto.Unmarshal(encoded.GetContent(), bundle); err != nil {
-		return nil, result.Wrap(result.DistributionBadBundle, err, "bundle %s", encoded.GetService())
-	}
-	return bundle, CheckClosed(encoded.GetService(), bundle)
-}
-
-// CheckClosed reports DistributionNotClosed when a route or share of the
-// bundle refers to a pool or secret that the bundle lacks.
-func CheckClosed(service string, bundle *lapisv1.Bundle) error {
-	if bundle.GetPool().GetName() != service {
-		return result.Errorf(result.DistributionNotClosed, "bundle %s holds pool %q", service, bundle.GetPool().GetName())
-	}
-	secrets := map[string]bool{"": true}
-	for _, secret := range bundle.GetSecrets() {
-		secrets[secret.GetName()] = true
-	}
-	for _, route := range bundle.GetRoutes() {
-		if route.GetPool() != service {
-			return result.Errorf(result.DistributionNotClosed, "route %s lacks pool %s", route.GetName(), route.GetPool())
-		}
-		if !secrets[route.GetSecret()] {
-			return result.Errorf(result.DistributionNotClosed, "route %s lacks secret %s", route.GetName(), route.GetSecret())
-		}
-	}
-	for _, share := range bundle.GetShares() {
-		if share.GetPool() != service {
-			return result.Errorf(result.DistributionNotClosed, "share %s lacks pool %s", share.GetName(), share.GetPool())
-		}
-	}
-	return nil
-}
--- a/internal/model/meshconfig/validate.go
+++ b/internal/model/meshconfig/validate.go
@@ -13,13 +13,17 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Limits of configuration values.
+// Limits of configuration values. All but maxSharePercent are chosen, not measured.
 const (
-	maxNameLength      = 63
-	maxSlots           = 4096
+	// maxNameLength is in bytes: that of a DNS label.
+	maxNameLength = 63
+	// maxSlots bounds the calls that one instance runs at once.
+	maxSlots = 4096
+	// maxConnectionLimit bounds the connections of one instance, by the number of ports.
 	maxConnectionLimit = 65535
 	maxSharePercent    = 100
-	maxDeadlineMillis  = 24 * 60 * 60 * 1000
+	// maxDeadlineMillis is a day.
+	maxDeadlineMillis = 24 * 60 * 60 * 1000
 )
 
 var (
--- a/internal/model/orders/orders.go
+++ b/internal/model/orders/orders.go
@@ -1,6 +1,13 @@
-// Package orders holds what operators ask for beside the configuration: today
-// the evacuation of zones. Orders are known as a whole, at a revision of the
-// store that they are written to; a daemon follows the newest that it has heard of.
+// Package orders holds what operators ask for beside the configuration: the evacuation of
+// zones. Orders are known as a whole, at a revision of the store that they are written to; a
+// daemon follows the newest that it learned of.
+//
+// The package owns the orders in force on a daemon (Current), in memory. It does no I/O: what
+// other daemons and the store answer is passed in, what must be spread is returned. It relies on the
+// store's revisions to grow.
+//
+// What must hold: orders that were taken back do not come back from a daemon that missed it;
+// every daemon that learned of the same revisions follows the same orders.
 package orders
 
 import (
@@ -12,14 +19,14 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Set is all orders that stand at one revision of the store. It is immutable; nil
-// is the set of a daemon that has not heard of any yet.
+// Set is all orders in force at one revision of the store. It is immutable and safe for
+// concurrent use; nil is the set of a daemon that has not learned of any yet.
 type Set struct {
 	message   *lapisv1.Orders
 	evacuated map[string]bool
 }
 
-// NewSet returns the set that a message states. The message must not be changed
+// NewSet returns the set of a message. The message must not be changed
 // afterwards.
 func NewSet(message *lapisv1.Orders) *Set {
 	evacuated := make(map[string]bool, len(message.GetEvacuations()))
@@ -35,7 +42,7 @@
 // Revision returns the store's revision at which the orders stood so, 0 for nil.
 func (s *Set) Revision() uint64 { return s.Message().GetRevision() }
 
-// Message returns the message that states the set, nil for nil.
+// Message returns the message of the set, nil for nil.
 func (s *Set) Message() *lapisv1.Orders {
 	if s == nil {
 		return nil
@@ -88,7 +95,7 @@
 type Current struct {
 	set atomic.Pointer[Set]
 
-	// mutex is held while set is replaced and protects read, the store's revision up
+	// mutex is held while set is replaced and protects read: the store's revision up
 	// to which this daemon has read the orders itself.
 	mutex sync.Mutex
 	read  uint64
@@ -100,13 +107,13 @@
 // Evacuated reports whether the instances of a zone get no calls.
 func (c *Current) Evacuated(zone string) bool { return c.Load().Evacuated(zone) }
 
-// Replace takes in another daemon's set if it is newer than the present one, and
+// Replace applies another daemon's set if it is newer than the present one, and
 // returns the one before. One that is older than what this daemon has read from the
 // store since, and asks for something else, is a change that was taken back
 // meanwhile: the present orders are then stated anew at the revision read, so that
-// whoever follows the older ones learns better. taken is true where the present set
-// has another revision now.
-func (c *Current) Replace(set *Set) (before *Set, taken bool) {
+// whoever follows the older ones learns better. changed is true where the present set
+// has another revision now, which must be spread.
+func (c *Current) Replace(set *Set) (before *Set, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	before = c.Load()
@@ -120,10 +127,10 @@
 	return before, true
 }
 
-// Read takes in what the store has answered to this daemon. Where it asks for the
+// Read applies what the store has answered to this daemon. Where it asks for the
 // same as the present set, that one keeps its revision, so that nothing is spread
-// anew, and taken is false.
-func (c *Current) Read(set *Set) (before *Set, taken bool) {
+// anew, and changed is false.
+func (c *Current) Read(set *Set) (before *Set, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	before = c.Load()
--- a/internal/model/snapshot/snapshot.go
+++ b/internal/model/snapshot/snapshot.go
@@ -1,5 +1,12 @@
 // Package snapshot holds the configuration in force on a daemon: an immutable
 // Snapshot, prepared for routing, that is replaced by one atomic swap.
+//
+// The package owns the snapshot in force (Store), in memory only; after a restart there is none until
+// the distribution plane brings one. It has no goroutines. It relies on package meshconfig to
+// decode and verify bundles.
+//
+// What must hold: a call sees one snapshot over all its attempts; a revision is put in force whole
+// or not at all, and never after a higher one.
 package snapshot
 
 import (
@@ -13,13 +20,13 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Service is one pool with its routes and shares.
+// Service is one pool with its routes and shares. It is immutable and safe for concurrent use.
 type Service struct {
 	Bundle *lapisv1.Bundle
 	// Drained and Retired are the pool's instances that take no new work.
 	Drained map[string]bool
 	Retired map[string]bool
-	// Shares gives the percentage of each group.
+	// Shares gives the percentage of each group, 1 to 100 in all.
 	Shares map[string]uint32
 	// source is the bundle that the service was decoded from.
 	source *lapisv1.EncodedBundle
@@ -27,9 +34,11 @@
 	certificates map[string]*tls.Certificate
 }
 
-// Snapshot is an immutable configuration version.
+// Snapshot is an immutable configuration version. It is safe for concurrent use.
 type Snapshot struct {
-	Revision           uint64
+	Revision uint64
+	// AcceptedUnixMillis is when the revision was accepted, by the acceptor's clock in
+	// milliseconds since 1970; 0 where the source does not state it.
 	AcceptedUnixMillis int64
 	services           map[string]*Service
 	// Limits bound what callers may send; nil where the source states none.
@@ -42,7 +51,7 @@
 
 // Build decodes and checks bundles into a snapshot; what did not change is
 // taken from previous, which may be nil. Errors: DistributionDigestMismatch,
-// DistributionBadBundle, DistributionNotClosed.
+// DistributionBadBundle (also for a key pair that cannot be used), DistributionNotClosed.
 func Build(revision uint64, acceptedUnixMillis int64, bundles map[string]*lapisv1.EncodedBundle, previous *Snapshot) (*Snapshot, error) {
 	next := &Snapshot{
 		Revision: revision, AcceptedUnixMillis: acceptedUnixMillis,
@@ -201,7 +210,8 @@
 	return s.certificates[""]
 }
 
-// TakesNewWork reports whether operators let an instance take new work.
+// TakesNewWork reports whether an instance may take new work: it is neither drained nor retired
+// by operators.
 func (s *Service) TakesNewWork(instance string) bool {
 	return !s.Drained[instance] && !s.Retired[instance]
 }
--- a/internal/model/snapshot/store.go
+++ b/internal/model/snapshot/store.go
@@ -10,8 +10,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Store holds the snapshot in force. Readers take it without a lock; only one
-// goroutine may call Replace.
+// Store holds the snapshot in force. It is safe for concurrent use, but that only one goroutine
+// at a time may replace the snapshot. Readers take it without a lock.
 type Store struct {
 	current atomic.Pointer[Snapshot]
 
@@ -27,14 +27,14 @@
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
 // Await returns the snapshot in force. Before the first it waits for that, at most for
-// the given time and until ctx ends, and returns nil when none came.
-func (s *Store) Await(ctx context.Context, most time.Duration) *Snapshot {
+// timeout and until ctx ends, and returns nil when none came.
+func (s *Store) Await(ctx context.Context, timeout time.Duration) *Snapshot {
 	if current := s.current.Load(); current != nil {
 		return current
 	}
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-s.first():
@@ -69,7 +69,7 @@
 
 // Replace puts a version in force, whole or not at all. Errors:
 // DistributionBelowFloor for a revision not above the one in force, and those
-// of Build.
+// of Build; the snapshot in force stays then. acceptedUnixMillis is in milliseconds since 1970.
 func (s *Store) Replace(revision uint64, acceptedUnixMillis int64, bundles map[string]*lapisv1.EncodedBundle) error {
 	return s.replace(revision, acceptedUnixMillis, bundles, nil)
 }
