--- a/internal/distribution/changelog/accept.go
+++ b/internal/distribution/changelog/accept.go
@@ -15,11 +15,15 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Bounds of an accept.
+// Bounds of an accept. Both are chosen, not measured; together the waits must stay well
+// under the time that the operators' interface gives a request (20 s).
 const (
-	// maxAcceptAttempts bounds the compare-and-swap attempts of one accept.
+	// maxAcceptAttempts bounds the compare-and-swap attempts of one accept. It must be
+	// larger than the number of operators that write at the same time, since each round
+	// has one winner.
 	maxAcceptAttempts = 50
-	// acceptBackoff is the longest wait between two attempts.
+	// acceptBackoff is the longest wait between two attempts; it is random, so that
+	// racing operators spread.
 	acceptBackoff = 100 * time.Millisecond
 )
 
@@ -36,6 +40,8 @@
 	if err == nil {
 		return nil
 	}
+	// The write may have taken effect although it failed, or an earlier one of the same
+	// proposal did.
 	present, getErr := l.store.Get(ctx, key)
 	switch {
 	case getErr == nil && bytes.Equal(present.Value, encoded):
@@ -82,11 +88,15 @@
 	return open, nil
 }
 
-// Accept makes proposal the next revision and returns its number. The
-// proposal's operation id makes it take effect once, however often it is
-// called; an answer that the platform lost is settled by reading the register
-// again. Errors: OperatorConflict naming the other change, a *result.List of
-// validation faults, OperatorStaleProposal, OperatorOutcomeUnknown.
+// Accept makes proposal the next revision and returns its number. Each attempt reads the
+// accept register first, so that the proposal's operation id makes it take effect once,
+// however often Accept is called and whichever answers are lost. In this order an attempt
+// ends with: the revision that has the operation id already; a conflict with a later
+// change of the same object; validation faults; the outcome of the compare-and-swap
+// write. It is repeated only when the object API did not answer or another write was
+// first. Errors: OperatorConflict naming the other change, a *result.List of validation
+// faults, OperatorStaleProposal, and OperatorOutcomeUnknown when any attempt may have
+// written.
 func (l *Log) Accept(ctx context.Context, proposal *lapisv1.Proposal) (uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -112,6 +122,7 @@
 	return 0, lastErr
 }
 
+// retryable reports whether an attempt that ended with err may have another outcome.
 func retryable(err error) bool {
 	return result.Is(err, result.PlatformUnavailable) || result.Is(err, result.PlatformConflict)
 }
@@ -167,15 +178,12 @@
 	return err
 }
 
-// conflictError names the accepted change that the proposal collides with.
+// conflictError names the accepted change that the proposal collides with; the caller
+// holds mutex.
 func (l *Log) conflictError(ctx context.Context, conflict meshconfig.Conflict) error {
-	other := l.head
-	if other.GetNumber() != conflict.Revision {
-		object, err := l.store.Get(ctx, revisionKey(conflict.Revision))
-		if err == nil {
-			other = &lapisv1.Revision{}
-			_ = proto.Unmarshal(object.Value, other)
-		}
+	other, err := l.readRevision(ctx, l.head, conflict.Revision)
+	if err != nil {
+		return result.Errorf(result.OperatorConflict, "%s was changed by revision %d, which cannot be read: %v", conflict.Key, conflict.Revision, err)
 	}
 	return result.Errorf(result.OperatorConflict, "%s was changed by revision %d (operation %s by %s)",
 		conflict.Key, conflict.Revision, other.GetProposal().GetOperationId(), other.GetProposal().GetAuthor())
--- a/internal/distribution/changelog/compact.go
+++ b/internal/distribution/changelog/compact.go
@@ -11,22 +11,28 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Bounds of what is kept in the object API.
+// Bounds of what is kept in the object API. All are chosen, not measured.
 const (
-	// SnapshotEvery is the number of revisions between stored snapshots.
+	// SnapshotEvery is the number of revisions between stored snapshots. A reader that
+	// starts reads a snapshot and at most about as many revisions.
 	SnapshotEvery = 256
-	// keptRevisions is the number of archived revisions kept for 'diff' and
-	// for readers that were away.
+	// keptRevisions is the number of archived revisions kept for 'diff' and for readers
+	// that were away. It must be at least the revisions since the oldest snapshot kept,
+	// or a reader that loads that one finds a gap.
 	keptRevisions = 1024
-	// keptSnapshots is the number of stored snapshots kept.
+	// keptSnapshots is the number of stored snapshots kept; a reader may still be reading
+	// the older one.
 	keptSnapshots = 2
-	// deletesPerCompaction bounds the writes of one compaction.
+	// deletesPerCompaction bounds the writes of one compaction. It must be at least
+	// SnapshotEvery, or the archive grows without end.
 	deletesPerCompaction = 300
 )
 
-// Compact stores a snapshot when one is due and deletes what is no longer
-// kept. One reader calls it now and then; two callers at once do no harm,
-// because snapshots are immutable and deletions are of fixed keys.
+// Compact stores a snapshot when SnapshotEvery revisions were accepted since the newest
+// one, and then deletes, in this order, older snapshots, revisions and proposals. One
+// reader calls it periodically; two callers at once do no harm, because snapshots are
+// immutable and deletions are of fixed keys. Errors: platform codes; the next call goes
+// on where this one stopped.
 func (l *Log) Compact(ctx context.Context) error {
 	state := l.State()
 	snapshots, err := l.store.List(ctx, snapshotPrefix, "", 0)
@@ -35,6 +41,8 @@
 	}
 	newest := uint64(0)
 	if count := len(snapshots.Objects); count > 0 {
+		// A key without a number, which nothing here writes, counts as 0: then a snapshot
+		// is stored although none is due, which does no harm.
 		newest, _ = parseNumber(snapshots.Objects[count-1].Key)
 	}
 	if state.Revision < newest+SnapshotEvery {
@@ -92,6 +100,7 @@
 	for _, object := range list.Objects {
 		proposal := &lapisv1.Proposal{}
 		if proto.Unmarshal(object.Value, proposal) != nil {
+			// Kept: Proposals reports the fault to whoever lists them.
 			continue
 		}
 		_, accepted := state.Operations[proposal.GetOperationId()]
--- a/internal/distribution/changelog/log.go
+++ b/internal/distribution/changelog/log.go
@@ -13,7 +13,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// listPage bounds one list request for archived revisions.
+// listPage bounds one list request for archived revisions. Chosen, not measured.
 const listPage = 500
 
 // Log reads and extends the log of accepted configurations. It is safe for
@@ -29,7 +29,8 @@
 	headVersion int64
 }
 
-// New returns a log over store; now gives the time written into revisions.
+// New returns a log over store; now gives the time written into revisions, which counts
+// for display only.
 func New(store objectapi.Store, now func() time.Time) *Log {
 	return &Log{store: store, now: now, state: meshconfig.NewState()}
 }
@@ -41,8 +42,9 @@
 	return l.state
 }
 
-// Refresh reads the accept register and returns the state that was in it at
-// some moment after the call began.
+// Refresh reads the accept register and returns the state that was in it at some moment
+// after the call began. Errors: platform codes, PlatformBadAnswer when the register
+// vanished or cannot be decoded.
 func (l *Log) Refresh(ctx context.Context) (*meshconfig.State, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -63,8 +65,9 @@
 	return l.adoptHead(ctx, object)
 }
 
-// Observe takes in a watch event of the accept register and returns the newest
-// state. Events may come late, twice or crossed.
+// Observe applies a watch event of the accept register and returns the newest state.
+// Events may come late, twice or crossed. Errors: platform codes, PlatformBadAnswer,
+// DistributionWrongBase when revisions between are no longer kept.
 func (l *Log) Observe(ctx context.Context, object objectapi.Object) (*meshconfig.State, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -193,6 +196,11 @@
 	l.mutex.Lock()
 	head := l.head
 	l.mutex.Unlock()
+	return l.readRevision(ctx, head, number)
+}
+
+// readRevision returns one revision, from head when it is that one.
+func (l *Log) readRevision(ctx context.Context, head *lapisv1.Revision, number uint64) (*lapisv1.Revision, error) {
 	if head.GetNumber() == number && number > 0 {
 		return head, nil
 	}
--- a/internal/distribution/endpoint/registry.go
+++ b/internal/distribution/endpoint/registry.go
@@ -1,8 +1,14 @@
-// Package endpoint keeps what a daemon knows of back-end instances. Statements
-// of the daemon beside an instance are ordered by its incarnation and sequence
-// number; another daemon may only raise suspicion about a statement, which the
-// owner refutes with a newer one. Merging is commutative, so that statements
-// may come late, twice or crossed.
+// Package endpoint keeps what a daemon knows of back-end instances. Statements of the daemon
+// beside an instance, its owner, are ordered by that daemon's incarnation and sequence
+// number; another daemon may only suspect an instance or mark it as draining, which the
+// owner refutes with a newer statement.
+//
+// It owns one daemon's registry, in memory; no goroutines, connections or files. It relies
+// on package tree to call it under the node's lock and to pass on what changed.
+//
+// What must hold: merging is commutative and idempotent, so that statements may come late,
+// twice or crossed; an entry is replaced and never changed in place; every change has a
+// number of its own, from which a link computes what its peer lacks.
 package endpoint
 
 import (
@@ -36,8 +42,8 @@
 	ChangedAt time.Time
 }
 
-// viaObserver marks an entry that this daemon itself suspects, so that the
-// suspicion is sent upward like a statement from below.
+// viaObserver marks an entry whose state this daemon itself changed, so that the change
+// is sent to the parent like a statement from the own subtree. No node has this name.
 const viaObserver = "."
 
 // Registry holds endpoints. It is not safe for concurrent use. Entries are
@@ -65,9 +71,10 @@
 // ServiceChange returns the number of the last change in a service.
 func (r *Registry) ServiceChange(service string) uint64 { return r.serviceChange[service] }
 
-// Newer reports whether statement a supersedes statement b about the same
-// instance. States rank as in the enumeration: suspicion supersedes the
-// owner's statement of the same sequence, and gone supersedes suspicion.
+// Newer reports whether statement a supersedes statement b about the same instance. It
+// looks at the incarnation first, then the sequence number, then the state. States rank
+// as in the enumeration, so that draining, suspect and gone, in this order, supersede the
+// owner's statement of the same sequence.
 func Newer(a, b *lapisv1.Endpoint) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
@@ -78,8 +85,9 @@
 	return a.GetState() > b.GetState()
 }
 
-// Merge takes in a statement that came through child via, "" for none, and
-// reports whether it was news. The way an entry came is updated in any case.
+// Merge applies a statement that came through child via, "" for none, and reports whether
+// it superseded what was known. An equal statement that came through another child updates
+// Via, because that child is the one whose loss matters.
 func (r *Registry) Merge(endpoint *lapisv1.Endpoint, via string, now time.Time) bool {
 	key := KeyOf(endpoint)
 	present, known := r.entries[key]
@@ -174,9 +182,9 @@
 	return endpoints
 }
 
-// Keep makes endpoints the complete set of service as known from above:
-// entries that are neither in it nor from below are dropped.
-func (r *Registry) Keep(service, self string, endpoints []*lapisv1.Endpoint) {
+// SetComplete makes endpoints the complete set of service as the parent knows it: entries
+// that are neither in it nor come from the own subtree are dropped.
+func (r *Registry) SetComplete(service, self string, endpoints []*lapisv1.Endpoint) {
 	named := map[string]bool{}
 	for _, endpoint := range endpoints {
 		if endpoint.GetService() == service {
@@ -192,9 +200,9 @@
 	}
 }
 
-// LostVia returns the keys of the entries that came through child, and marks
-// them as no longer coming from below.
-func (r *Registry) LostVia(child string) []Key {
+// ChildLost returns the keys of the entries that came through child and marks them as no
+// longer coming from the own subtree.
+func (r *Registry) ChildLost(child string) []Key {
 	var lost []Key
 	for key, entry := range r.entries {
 		if entry.Via == child {
@@ -206,8 +214,9 @@
 	return lost
 }
 
-// Suspect marks the entry as suspect unless a newer statement came since the
-// given one. It reports whether it did.
+// Suspect marks the entry as suspect and reports whether it did. It does not when the
+// entry came through a child again, when a newer statement than that of incarnation and
+// sequence arrived, or when it is suspect or gone already.
 func (r *Registry) Suspect(key Key, incarnation, sequence uint64, now time.Time) bool {
 	entry, ok := r.entries[key]
 	if !ok || entry.Via != "" || entry.Endpoint.GetIncarnation() != incarnation || entry.Endpoint.GetSequence() != sequence {
@@ -238,8 +247,8 @@
 	return entry.Endpoint, ok
 }
 
-// Expire drops entries that have been suspect or gone since before deadline,
-// and reports how many.
+// Expire drops entries that have been suspect or gone since before deadline and reports
+// how many. Until then a late statement about them is recognised as old.
 func (r *Registry) Expire(deadline time.Time) int {
 	count := 0
 	for key, entry := range r.entries {
--- a/internal/distribution/endpoint/registry_test.go
+++ b/internal/distribution/endpoint/registry_test.go
@@ -42,7 +42,7 @@
 func TestSuspicionIsRefutedByTheOwner(t *testing.T) {
 	registry := endpoint.NewRegistry()
 	registry.Merge(statement(1, 1, lapisv1.Endpoint_STATE_READY), "child", now)
-	lost := registry.LostVia("child")
+	lost := registry.ChildLost("child")
 	assert.Equal(t, len(lost), 1)
 	assert.Assert(t, registry.Suspect(lost[0], 1, 1, now))
 	suspected, _ := registry.Get(lost[0])
@@ -57,7 +57,7 @@
 func TestSuspicionWaitsForADaemonThatMoved(t *testing.T) {
 	registry := endpoint.NewRegistry()
 	registry.Merge(statement(1, 1, lapisv1.Endpoint_STATE_READY), "old-parent", now)
-	lost := registry.LostVia("old-parent")
+	lost := registry.ChildLost("old-parent")
 	registry.Merge(statement(1, 1, lapisv1.Endpoint_STATE_READY), "new-parent", now)
 	assert.Assert(t, !registry.Suspect(lost[0], 1, 1, now))
 }
@@ -68,7 +68,7 @@
 	own := statement(1, 1, lapisv1.Endpoint_STATE_READY)
 	own.Instance, own.Node = "own", "self"
 	registry.Merge(own, "", now)
-	registry.Keep("s", "self", nil)
+	registry.SetComplete("s", "self", nil)
 	assert.Equal(t, len(registry.Service("s")), 1)
 	assert.Equal(t, registry.Service("s")[0].GetInstance(), "own")
 }
--- a/internal/distribution/holdings/holdings.go
+++ b/internal/distribution/holdings/holdings.go
@@ -11,7 +11,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// keptRemovals bounds the remembered removals; older ones force full updates.
+// keptRemovals bounds the remembered removals of services. Beyond it they are all
+// forgotten, and receivers that were away longer get the removals of all absent services
+// or a full update. Chosen, not measured; the size of the history kept elsewhere.
 const keptRemovals = 4096
 
 // Holdings is what a daemon holds. It is not safe for concurrent use; the
@@ -82,10 +84,11 @@
 	return len(h.bundles), bytes
 }
 
-// Delta returns the update that brings a receiver that holds the services of
-// interest, except those in added, at revision from to the present revision.
-// It returns a full update when no delta can be made, and nil when the
-// receiver is ahead, or when the holdings do not cover interest.
+// Delta returns the update that brings a receiver that holds the services of interest,
+// except those in added, from the given revision to the present one. It returns nil when
+// the receiver is ahead or the holdings do not cover interest, and a full update when the
+// receiver holds nothing, starts to follow all services, or has been away for longer than
+// removals are remembered.
 func (h *Holdings) Delta(interest, added Interest, from uint64) *lapisv1.Update {
 	if from > h.revision || !h.interest.Covers(interest) {
 		return nil
@@ -118,7 +121,7 @@
 }
 
 // visit calls function for each held bundle in interest, in no order.
-func (h *Holdings) visit(interest Interest, function func(string, held)) {
+func (h *Holdings) visit(interest Interest, function func(service string, entry held)) {
 	if interest.All {
 		for service, entry := range h.bundles {
 			function(service, entry)
@@ -159,7 +162,7 @@
 	return removals
 }
 
-// holdsAll reports whether every service of interest has a bundle here.
+// holdsAll reports whether every service of interest has a bundle.
 func (h *Holdings) holdsAll(interest Interest) bool {
 	for service := range interest.Services {
 		if _, ok := h.bundles[service]; !ok {
@@ -169,7 +172,8 @@
 	return true
 }
 
-// Apply takes in an update for the services of interest, whole or not at all.
+// Apply applies an update for the services of interest, whole or not at all. The checks
+// come in this order: revision, base, bundles, digest of the whole.
 // Errors: DistributionBelowFloor for an older revision, DistributionWrongBase,
 // DistributionDigestMismatch, DistributionBadBundle, DistributionNotClosed;
 // after an error the holdings are unchanged.
--- a/internal/distribution/objectapi/client.go
+++ b/internal/distribution/objectapi/client.go
@@ -16,20 +16,28 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Bounds of the client.
+// Bounds of the client. All are chosen, not measured.
 const (
-	// RequestTimeout bounds one request that is not a watch.
+	// RequestTimeout bounds one request that is not a watch, and the opening of a watch.
+	// It must be shorter than a reader's lease.
 	RequestTimeout = 5 * time.Second
-	// WatchSilence is the time without event or bookmark after which a watch
-	// is taken as broken. The platform sends bookmarks every second.
+	// WatchSilence is the time without event or bookmark after which a watch is taken as
+	// broken. The platform sends bookmarks every second, so that ten in a row are missing.
 	WatchSilence = 10 * time.Second
-
-	maxAnswerBytes  = 64 << 20
+	// maxAnswerBytes bounds an answer; a new reader loads about 1 MB at 950 services.
+	maxAnswerBytes = 64 << 20
+	// maxDetailBytes bounds the text of a refusal that is kept for the error.
+	maxDetailBytes = 512
+	// idleConnections is the number of connections kept open to one address; a reader has
+	// a watch and a few requests at a time.
 	idleConnections = 4
+	// idleTimeout is how long an unused connection stays open.
+	idleTimeout = 30 * time.Second
 )
 
-// Client speaks the object API's HTTP/JSON protocol. It tries the configured
-// addresses in turn and is safe for concurrent use.
+// Client speaks the object API's HTTP/JSON protocol. Requests go to one of the configured
+// addresses until a connection to it fails, then to the next. It is safe for concurrent
+// use.
 type Client struct {
 	addresses []string
 	token     string
@@ -40,7 +48,8 @@
 	mutex sync.Mutex
 	lists map[string]machineList
 
-	// Requests counts the requests sent; BytesIn and BytesOut the payloads.
+	// Requests counts the requests sent, BytesIn and BytesOut the bytes of their bodies
+	// and of those of the answers.
 	Requests, BytesIn, BytesOut atomic.Int64
 }
 
@@ -52,7 +61,7 @@
 func NewClient(addresses []string, token string, dial DialFunc) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: idleConnections,
-		IdleConnTimeout:     30 * time.Second,
+		IdleConnTimeout:     idleTimeout,
 		DialContext:         dial,
 	}
 	return &Client{
@@ -102,11 +111,27 @@
 	if response.StatusCode == http.StatusOK {
 		return response, nil
 	}
-	defer func() { _ = response.Body.Close() }()
-	detail, _ := io.ReadAll(io.LimitReader(response.Body, 512))
+	defer closeBody(response.Body)
+	// The status decides; a detail that broke off is kept as far as it came.
+	detail, _ := io.ReadAll(io.LimitReader(response.Body, maxDetailBytes))
 	return nil, statusError(response.StatusCode, string(detail))
 }
 
+// closeBody closes the body of an answer. An error of closing is dropped: what was read is
+// whole by then or its own error was returned.
+func closeBody(body io.Closer) { _ = body.Close() }
+
+// readBody reads the whole body of an answer and closes it. Errors: PlatformUnavailable.
+func (c *Client) readBody(response *http.Response, path string) ([]byte, error) {
+	defer closeBody(response.Body)
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	if err != nil {
+		return nil, result.Wrap(result.PlatformUnavailable, err, "reading the answer to %s", path)
+	}
+	c.BytesIn.Add(int64(len(content)))
+	return content, nil
+}
+
 func statusError(status int, detail string) error {
 	switch status {
 	case http.StatusNotModified:
@@ -133,14 +158,9 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
-	if err != nil {
-		return result.Wrap(result.PlatformUnavailable, err, "reading the answer to %s %s", method, path)
-	}
-	c.BytesIn.Add(int64(len(content)))
-	if answer == nil {
-		return nil
+	content, err := c.readBody(response, path)
+	if err != nil || answer == nil {
+		return err
 	}
 	return result.Wrap(result.PlatformBadAnswer, json.Unmarshal(content, answer), "decoding the answer to %s", path)
 }
@@ -199,12 +219,10 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	content, err := c.readBody(response, "/v1/machines")
 	if err != nil {
-		return nil, result.Wrap(result.PlatformUnavailable, err, "reading the machine list")
+		return nil, err
 	}
-	c.BytesIn.Add(int64(len(content)))
 	read := machineList{tag: response.Header.Get("ETag")}
 	if err := json.Unmarshal(content, &read.machines); err != nil {
 		return nil, result.Wrap(result.PlatformBadAnswer, err, "decoding the machine list")
@@ -258,5 +276,5 @@
 // Close implements Watch.
 func (w *clientWatch) Close() {
 	w.cancel()
-	_ = w.body.Close()
+	closeBody(w.body)
 }
--- a/internal/distribution/objectapi/types.go
+++ b/internal/distribution/objectapi/types.go
@@ -65,11 +65,12 @@
 	State   MachineState `json:"state"`
 }
 
-// Store is the object API. Errors carry the codes PlatformUnavailable,
+// Store is the object API. It is safe for concurrent use. Errors carry the codes PlatformUnavailable,
 // PlatformConflict, PlatformNotFound, PlatformCompacted, PlatformTooManyWatch
-// and PlatformBadAnswer. After PlatformUnavailable a write may have taken
-// effect.
+// and PlatformBadAnswer. After PlatformUnavailable or
+// PlatformBadAnswer a write may have taken effect.
 type Store interface {
+	// Get returns an object. Errors: PlatformNotFound and those above.
 	Get(ctx context.Context, key string) (Object, error)
 	// Put writes value if the object's version is expected, and returns the
 	// new version.
@@ -77,18 +78,23 @@
 	// PutStatus writes the status part if the object's version is expected,
 	// so that a former lease holder cannot write.
 	PutStatus(ctx context.Context, key string, status []byte, expected int64) error
+	// Delete removes an object if its version is expected. Errors: PlatformNotFound and
+	// those above.
 	Delete(ctx context.Context, key string, expected int64) error
 	// List returns objects whose key has prefix and is not below start, in
 	// order of key; limit 0 means no limit.
 	List(ctx context.Context, prefix, start string, limit int) (ListResult, error)
-	// Watch streams the events after version for keys with one of prefixes.
+	// Watch streams the events after version for keys with one of prefixes, until ctx ends
+	// or Close is called. Errors: PlatformCompacted when events after version are no
+	// longer kept, PlatformTooManyWatch, and those above.
 	Watch(ctx context.Context, prefixes []string, version int64) (Watch, error)
 	// Machines returns the machine list; zone "" means all zones.
 	Machines(ctx context.Context, zone string) ([]Machine, error)
 }
 
-// Watch is a stream of events. Next blocks until an event, an error, or the
-// end of the context given to Store.Watch.
+// Watch is a stream of events. Next blocks until an event, an error, or the end of the
+// context given to Store.Watch; one goroutine may call it. Close may be called from
+// another.
 type Watch interface {
 	Next() (Event, error)
 	Close()
--- a/internal/distribution/revisionfloor/broker.go
+++ b/internal/distribution/revisionfloor/broker.go
@@ -1,8 +1,15 @@
-// Package revisionfloor decides which revision a starting daemon may apply at the
-// least. Machines keep nothing, so a daemon that was replaced cannot know what
-// it had in force before; it asks for a floor: a revision not older than any
-// accepted before the question. A reader answers from the accept register; one
-// read answers all questions that came before it began.
+// Package revisionfloor decides which revision a starting daemon may apply at the least.
+// Machines keep nothing, so a daemon that was replaced cannot know what it had in force
+// before; it asks for a floor: a revision that is not older than any accepted before the
+// request. A reader answers from the accept register; one read answers all requests that
+// came before it began.
+//
+// It owns the pending requests of one daemon (Broker); no goroutines, connections or
+// files. It relies on package tree to send requests up the tree, to read the register and
+// to hand over the answers.
+//
+// What must hold: no request is answered by a read that began before it came, and no
+// request is lost when the parent is.
 package revisionfloor
 
 import "github.com/lapisvane/lapisvane/api/lapisv1"
@@ -10,9 +17,10 @@
 // Waiter receives one answer.
 type Waiter func(*lapisv1.FloorReply)
 
-// Broker merges floor requests so that at most one is under way. It is not
-// safe for concurrent use. The caller starts a read whenever Ask or Answer
-// returns true, and reports the outcome with Answer.
+// Broker merges floor requests so that at most one read is under way. It is not safe for
+// concurrent use. A read must be started when Ask, Answer or Abort returns true, or as
+// soon afterwards as there is somebody to ask; Pending says so again. Its outcome is
+// reported with Answer, or with Abort when it will not come.
 type Broker struct {
 	// waiting came after the read under way began and must not be answered
 	// by it.
@@ -49,7 +57,7 @@
 	return b.begin()
 }
 
-// Pending reports whether a read is wanted or under way.
+// Pending reports whether a read must be started or is under way.
 func (b *Broker) Pending() bool { return b.busy }
 
 func (b *Broker) begin() bool {
@@ -68,18 +76,20 @@
 	Head uint64
 	// SubtreeHighest is the highest revision reported from below.
 	SubtreeHighest uint64
-	// PeerHeads are the newest revisions of the other readers in contact.
+	// PeerHeads are the newest revisions of the other readers to which there is a link, each
+	// as old as that reader's last heartbeat.
 	PeerHeads []uint64
 	// KnownReaders is the number of readers last seen in the seats, this one
 	// included.
 	KnownReaders int
 }
 
-// DuringOutage decides the floor while the accept register cannot be read:
-// nothing can be accepted then, and every revision that any daemon has in
-// force came through a reader, so the highest revision among a majority of the
-// readers and all that hang below them is a floor. Without a majority nobody
-// vouches.
+// DuringOutage decides the floor while the accept register cannot be read. Nothing can be
+// accepted then, and every revision that any daemon has in force came through a reader, so
+// the highest revision among a majority of the last known readers and all daemons below
+// them is a floor. Without a majority there is no answer, and the daemon that asked stays
+// without a version. What remains uncovered is a revision that reached a daemon only
+// through readers that were lost before any other had it.
 func DuringOutage(view ReaderView) *lapisv1.FloorReply {
 	inContact := 1 + len(view.PeerHeads)
 	if 2*inContact <= view.KnownReaders {
--- a/internal/distribution/status/aggregate.go
+++ b/internal/distribution/status/aggregate.go
@@ -1,6 +1,11 @@
-// Package status sums up, level by level, which revision is in force on how
-// many daemons, so that a reader can report a whole subtree in one bounded
-// message.
+// Package status sums up, level by level, which revision is in force on how many daemons, so
+// that a reader can report a whole subtree in one message of bounded size.
+//
+// It owns nothing; Merge is a pure function and safe for concurrent use. It relies on the
+// children's reports being disjoint, because each daemon has one parent.
+//
+// What must hold: the number of nodes and the lowest and highest revision of a report are
+// exact, whatever is left out to bound it.
 package status
 
 import (
@@ -10,7 +15,8 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Bounds of a report.
+// Bounds of a report. All are chosen, not measured; each level of the tree sends one
+// report at each status interval at the most.
 const (
 	// MaxSample bounds the nodes named in the report of a large subtree; only
 	// nodes that refused a version or are behind are named there.
@@ -22,7 +28,7 @@
 	MaxCounts = 8
 )
 
-// Merge returns the report of a node with its children's reports.
+// Merge returns the report of a node with its children's reports; it changes none of them.
 func Merge(self *lapisv1.NodeStatus, children []*lapisv1.StatusReport) *lapisv1.StatusReport {
 	counts := map[uint64]uint32{self.GetRevision(): 1}
 	merged := &lapisv1.StatusReport{
@@ -46,6 +52,8 @@
 	return merged
 }
 
+// boundCounts returns the counts in order of revision, at most MaxCounts of them. The
+// highest are merged downward, so that the lowest revision stays exact.
 func boundCounts(counts map[uint64]uint32) []*lapisv1.RevisionCount {
 	list := make([]*lapisv1.RevisionCount, 0, len(counts))
 	for revision, nodes := range counts {
@@ -60,7 +68,8 @@
 	return list
 }
 
-// boundSample keeps nodes with refusals first, then those furthest behind.
+// boundSample keeps at most MaxSample of the nodes that refused a version or are behind:
+// those with refusals first, then those furthest behind, then by name.
 func boundSample(sample []*lapisv1.NodeStatus, highest uint64) []*lapisv1.NodeStatus {
 	sample = slices.DeleteFunc(slices.Clone(sample), func(node *lapisv1.NodeStatus) bool {
 		return node.GetRefusalCode() == 0 && node.GetRevision() >= highest
--- a/internal/distribution/tree/endpoints.go
+++ b/internal/distribution/tree/endpoints.go
@@ -124,7 +124,7 @@
 func (n *Node) dropUnknownEndpoints(batch *lapisv1.EndpointBatch) {
 	for _, service := range batch.GetCompleteServices() {
 		before := n.registry.ServiceChange(service)
-		n.registry.Keep(service, n.config.Node, batch.GetEndpoints())
+		n.registry.SetComplete(service, n.config.Node, batch.GetEndpoints())
 		if n.registry.ServiceChange(service) != before {
 			n.endpointChanged(service)
 		}
@@ -161,7 +161,7 @@
 // SuspectAfter, unless they are announced again before; the caller holds mutex.
 func (n *Node) suspectLater(child string) {
 	var lost []lostEndpoint
-	for _, key := range n.registry.LostVia(child) {
+	for _, key := range n.registry.ChildLost(child) {
 		if statement, ok := n.registry.Get(key); ok {
 			lost = append(lost, lostEndpoint{key, statement.GetIncarnation(), statement.GetSequence()})
 		}
