--- a/internal/operators/ctl/client.go
+++ b/internal/operators/ctl/client.go
@@ -1,5 +1,12 @@
-// Package ctl is the operators' client: it runs commands of the query language
+// Package ctl is the operators' client, lapisctl: it runs commands of the query language
 // against a daemon and prints the answers.
+//
+// It owns one HTTP client and reads proposal and token files; it keeps nothing. It relies on
+// package query for the language and the conditions, and on any daemon's operators'
+// interface (package operator).
+//
+// What must hold: a change is sent under one operation id however often it is repeated, and
+// a failure is shown with its numbered codes.
 package ctl
 
 import (
@@ -19,17 +26,14 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Times of the client.
-const (
-	requestTimeout = 30 * time.Second
-	defaultWait    = 30 * time.Second
-	// attempts bounds how often a change is sent whose answer was lost; its
-	// operation id makes it take effect once.
-	attempts = 3
-)
+// maxAttempts bounds how often a change is sent while its outcome is unknown. Chosen, not
+// measured; the operator may repeat the command afterwards.
+const maxAttempts = 3
 
-// Client talks to the operators' interface of one daemon.
+// Client sends commands to the operators' interface of one daemon. It is safe for
+// concurrent use.
 type Client struct {
+	// Address is IP:port.
 	Address string
 	Token   string
 	HTTP    *http.Client
@@ -40,7 +44,9 @@
 	return &Client{Address: address, Token: token, HTTP: &http.Client{}}
 }
 
-// Run carries out one command. file reads a proposal file.
+// Run carries out one command. Errors: OperatorBadCommand, ConfigUnreadable for a proposal
+// file that cannot be read, OperatorOutcomeUnknown without a whole answer, and a
+// *result.List of what the daemon answered.
 func (c *Client) Run(ctx context.Context, command *query.Command) (*opapi.Table, error) {
 	switch {
 	case command.Show != nil:
@@ -82,7 +88,7 @@
 }
 
 func (c *Client) wait(ctx context.Context, wait *query.WaitFor) (*opapi.Table, error) {
-	limit := defaultWait
+	limit := opapi.DefaultWait
 	if wait.Limit != "" {
 		parsed, err := time.ParseDuration(wait.Limit)
 		if err != nil {
@@ -91,7 +97,7 @@
 		limit = parsed
 	}
 	values := url.Values{"revision": {strconv.FormatUint(wait.Revision, 10)}, "timeout": {limit.String()}}
-	ctx, cancel := context.WithTimeout(ctx, limit+requestTimeout)
+	ctx, cancel := context.WithTimeout(ctx, limit+opapi.ClientTimeout)
 	defer cancel()
 	table := &opapi.Table{}
 	return table, c.exchange(ctx, http.MethodGet, opapi.PathWait, values, nil, table)
@@ -127,7 +133,8 @@
 	}, nil
 }
 
-// repeat sends a change again while its outcome is unknown.
+// repeat sends a change again while its outcome is unknown, at most maxAttempts times. Its
+// operation id makes it take effect once.
 func (c *Client) repeat(ctx context.Context, path string, request, answer any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -135,17 +142,22 @@
 	}
 	for attempt := 1; ; attempt++ {
 		err = c.exchange(ctx, http.MethodPost, path, nil, body, answer)
-		unknown := result.Is(err, result.OperatorOutcomeUnknown) || result.Is(err, result.PlatformUnavailable)
-		if !unknown || attempt == attempts || ctx.Err() != nil {
+		if !outcomeUnknown(err) || attempt == maxAttempts || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
+// outcomeUnknown reports whether a change that ended with err may or may not have taken
+// effect.
+func outcomeUnknown(err error) bool {
+	return result.Is(err, result.OperatorOutcomeUnknown) || result.Is(err, result.PlatformUnavailable)
+}
+
 // exchange sends one request. A failure answer becomes a *result.List.
 func (c *Client) exchange(ctx context.Context, method, path string, values url.Values, body []byte, answer any) error {
 	if _, bounded := ctx.Deadline(); !bounded {
-		bound, cancel := context.WithTimeout(ctx, requestTimeout)
+		bound, cancel := context.WithTimeout(ctx, opapi.ClientTimeout)
 		defer cancel()
 		ctx = bound
 	}
@@ -158,6 +170,7 @@
 	if err != nil {
 		return result.Wrap(result.OperatorOutcomeUnknown, err, "no answer from %s", c.Address)
 	}
+	// Reading the body has its own error; closing it adds nothing.
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -169,6 +182,7 @@
 	return failureOf(response.StatusCode, content)
 }
 
+// failureOf decodes the answer to a request that was refused.
 func failureOf(status int, content []byte) error {
 	var failure opapi.Failure
 	if json.Unmarshal(content, &failure) != nil || len(failure.Faults) == 0 {
--- a/internal/operators/ctl/session.go
+++ b/internal/operators/ctl/session.go
@@ -10,16 +10,18 @@
 	"github.com/lapisvane/lapisvane/internal/operators/query"
 )
 
-// Session runs commands one after the other.
+// Session runs commands one after the other. It is not safe for concurrent use.
 type Session struct {
 	Client *Client
+	// Format is OutputTable or OutputJSON.
 	Format string
-	Out    io.Writer
-	Err    io.Writer
+	// Out gets answers and the prompt, Err the failures.
+	Out io.Writer
+	Err io.Writer
 }
 
-// Execute runs one command line and prints its answer. quit reports that the
-// session should end.
+// Execute runs one command line and prints its answer. quit reports that the session should
+// end. Errors: those of query.Parse and Client.Run, and of writing to Out.
 func (s *Session) Execute(ctx context.Context, line string) (quit bool, err error) {
 	command, err := query.Parse(line)
 	if err != nil {
@@ -35,12 +37,14 @@
 	return false, Print(s.Out, table, s.Format)
 }
 
-// Interactive reads commands from in until its end or quit. Failures are
-// printed and do not end the session.
+// Interactive reads commands from in until its end or quit. Failures of commands are
+// printed and do not end the session; one to read or to print does.
 func (s *Session) Interactive(ctx context.Context, in io.Reader) error {
 	scanner := bufio.NewScanner(in)
 	for {
-		_, _ = fmt.Fprint(s.Out, "lapis> ")
+		if _, err := fmt.Fprint(s.Out, "lapis> "); err != nil {
+			return err
+		}
 		if !scanner.Scan() {
 			return scanner.Err()
 		}
@@ -50,7 +54,9 @@
 		}
 		quit, err := s.Execute(ctx, line)
 		if err != nil {
-			_, _ = fmt.Fprintln(s.Err, err)
+			if _, printing := fmt.Fprintln(s.Err, err); printing != nil {
+				return printing
+			}
 		}
 		if quit {
 			return nil
--- a/internal/operators/opapi/opapi.go
+++ b/internal/operators/opapi/opapi.go
@@ -1,7 +1,13 @@
-// Package opapi defines the requests and answers between lapisctl and the
-// operators' interface of a daemon. They are JSON over HTTP.
+// Package opapi defines the requests and answers between lapisctl and the operators'
+// interface of a daemon, which are JSON over HTTP, and the times and sizes that both sides
+// must agree on. It owns no state and relies on nothing.
+//
+// What must hold: field names and paths are the protocol and stay, because operators'
+// scripts and older clients use them; the client waits for longer than the daemon serves.
 package opapi
 
+import "time"
+
 // Paths of the interface.
 const (
 	PathShow     = "/v1/show"
@@ -13,8 +19,23 @@
 	PathWait     = "/v1/wait"
 )
 
-// MaxRequestBytes bounds a request body.
-const MaxRequestBytes = 8 << 20
+// Bounds of a request. All are chosen, not measured.
+const (
+	// MaxRequestBytes bounds a request body. It is larger than a proposal of a whole
+	// configuration.
+	MaxRequestBytes = 8 << 20
+	// ServeTimeout is how long a daemon works on one request; a wait gets its own limit
+	// besides.
+	ServeTimeout = 20 * time.Second
+	// ClientTimeout is how long a client waits for an answer; a wait gets its own limit
+	// besides. It must be larger than ServeTimeout, or the client gives up a request that
+	// the daemon still carries out.
+	ClientTimeout = 30 * time.Second
+	// DefaultWait is how long a wait for a revision lasts when the operator names no time,
+	// MaxWait the longest that a daemon accepts.
+	DefaultWait = 30 * time.Second
+	MaxWait     = 5 * time.Minute
+)
 
 // Column describes one column of a table.
 type Column struct {
--- a/internal/operators/operator/auth.go
+++ b/internal/operators/operator/auth.go
@@ -21,7 +21,8 @@
 // AdminGroup may change the objects of every group.
 const AdminGroup = "*"
 
-// tokensLifetime is how long read tokens are used before they are read again.
+// tokensLifetime is how long read tokens are used before they are read again; a token that
+// is taken away works for so long. Chosen, not measured.
 const tokensLifetime = 5 * time.Second
 
 // Operator is one operator as kept in the platform.
@@ -42,6 +43,8 @@
 type authenticator struct {
 	store objectapi.Store
 
+	// mutex protects the cache and is held while it is read anew, so that requests that
+	// come together read the operators once.
 	mutex     sync.Mutex
 	operators []Operator
 	readAt    time.Time
@@ -85,10 +88,11 @@
 	return operators, nil
 }
 
-// authorize checks that every change touches only objects of the operator's
-// group. A share belongs to the group that owns the pool it divides, so that
-// no group can raise its own share. Errors: a *result.List of
-// OperatorForbidden.
+// authorize checks that every change touches only objects of the operator's group, before
+// the change and after it. A share belongs to the group that owns the pool it divides, so
+// that no group can raise its own share; a pool that the same proposal creates counts. A
+// share of an unknown pool has no owner: validation refuses it. An administrator may change
+// everything. Errors: a *result.List of OperatorForbidden.
 func authorize(operator Operator, state *meshconfig.State, changes []*lapisv1.Change) error {
 	if operator.Group == AdminGroup {
 		return nil
@@ -139,6 +143,7 @@
 	return groups
 }
 
+// poolOwner returns the group of a pool that exists or is proposed, none for an unknown one.
 func poolOwner(state *meshconfig.State, proposed map[string]string, pool string) []string {
 	if present, ok := state.Pools[pool]; ok {
 		return []string{present.GetGroup()}
--- a/internal/operators/operator/server.go
+++ b/internal/operators/operator/server.go
@@ -13,7 +13,6 @@
 	"github.com/cloudwego/hertz/pkg/app/server"
 	"github.com/cloudwego/hertz/pkg/network/standard"
 	"github.com/go-logr/logr"
-	"github.com/pkg/errors"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/distribution/changelog"
@@ -22,71 +21,78 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Bounds of the interface.
+// Bounds of the interface. Both are chosen, not measured.
 const (
-	maxConcurrent  = 16
-	requestTimeout = 20 * time.Second
-	maxWait        = 5 * time.Minute
+	// maxConcurrent bounds the requests that are served at a time; one more is answered
+	// with OperatorBusy. Waits for a revision count too.
+	maxConcurrent = 16
+	// idleTimeout is how long an unused connection of a client stays open.
+	idleTimeout = time.Minute
 )
 
-// EndpointSource tells what is known of a service's instances.
+// EndpointSource returns what is known of a service's instances. It must be safe for
+// concurrent use.
 type EndpointSource interface {
 	Endpoints(service string) []*lapisv1.Endpoint
 }
 
-// Config configures a Server.
+// Config is what a Server needs from its surroundings.
 type Config struct {
+	// Store is the object API.
 	Store     objectapi.Store
 	Endpoints EndpointSource
 	Logger    logr.Logger
 }
 
-// Server serves operators.
+// Server serves operators. It is safe for concurrent use.
 type Server struct {
 	config Config
 	log    *changelog.Log
 	auth   *authenticator
-	busy   chan struct{}
+	// slots holds one value for each request that is being served.
+	slots chan struct{}
 }
 
-// New returns a server.
+// New returns a server that does nothing until Serve.
 func New(config Config) *Server {
 	return &Server{
 		config: config, log: changelog.New(config.Store, time.Now),
-		auth: &authenticator{store: config.Store}, busy: make(chan struct{}, maxConcurrent),
+		auth: &authenticator{store: config.Store}, slots: make(chan struct{}, maxConcurrent),
 	}
 }
 
-// Serve answers requests on listener until ctx ends.
+// Serve answers requests on listener until ctx ends, and closes listener then.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
 	engine := server.New(
 		server.WithListener(listener), server.WithTransport(standard.NewTransporter),
-		server.WithMaxRequestBodySize(opapi.MaxRequestBytes), server.WithReadTimeout(requestTimeout),
-		server.WithIdleTimeout(time.Minute), server.WithDisablePrintRoute(true), server.WithExitWaitTime(0),
+		server.WithMaxRequestBodySize(opapi.MaxRequestBytes), server.WithReadTimeout(opapi.ServeTimeout),
+		server.WithIdleTimeout(idleTimeout), server.WithDisablePrintRoute(true), server.WithExitWaitTime(0),
 	)
-	engine.GET(opapi.PathShow, s.endpoint(requestTimeout, s.serveShow))
-	engine.GET(opapi.PathDiff, s.endpoint(requestTimeout, s.serveDiff))
-	engine.GET(opapi.PathWait, s.endpoint(maxWait+requestTimeout, s.serveWait))
-	engine.POST(opapi.PathValidate, s.endpoint(requestTimeout, s.serveValidate))
-	engine.POST(opapi.PathPropose, s.endpoint(requestTimeout, s.servePropose))
-	engine.POST(opapi.PathAccept, s.endpoint(requestTimeout, s.serveAccept))
-	engine.POST(opapi.PathBackend, s.endpoint(requestTimeout, s.serveBackend))
+	engine.GET(opapi.PathShow, s.endpoint(opapi.ServeTimeout, s.serveShow))
+	engine.GET(opapi.PathDiff, s.endpoint(opapi.ServeTimeout, s.serveDiff))
+	engine.GET(opapi.PathWait, s.endpoint(opapi.MaxWait+opapi.ServeTimeout, s.serveWait))
+	engine.POST(opapi.PathValidate, s.endpoint(opapi.ServeTimeout, s.serveValidate))
+	engine.POST(opapi.PathPropose, s.endpoint(opapi.ServeTimeout, s.servePropose))
+	engine.POST(opapi.PathAccept, s.endpoint(opapi.ServeTimeout, s.serveAccept))
+	engine.POST(opapi.PathBackend, s.endpoint(opapi.ServeTimeout, s.serveBackend))
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
+	// Run ends when the listener is closed, with an error that says only that.
 	_ = engine.Run()
 }
 
 // handler answers one authenticated request with a value to encode.
 type handler func(ctx context.Context, operator Operator, rc *app.RequestContext) (any, error)
 
-// endpoint bounds, authenticates and answers a request.
+// endpoint wraps handle: it bounds the number of requests and the time of each,
+// authenticates the operator, and encodes the answer or the failure, in this order.
 func (s *Server) endpoint(timeout time.Duration, handle handler) app.HandlerFunc {
 	return func(ctx context.Context, rc *app.RequestContext) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		select {
-		case s.busy <- struct{}{}:
-			defer func() { <-s.busy }()
+		case s.slots <- struct{}{}:
+			defer func() { <-s.slots }()
 		default:
 			writeFailure(rc, result.Errorf(result.OperatorBusy, "%d requests are served now", maxConcurrent))
 			return
@@ -121,8 +127,8 @@
 func (s *Server) serveWait(ctx context.Context, _ Operator, rc *app.RequestContext) (any, error) {
 	revision, err := strconv.ParseUint(rc.Query("revision"), 10, 64)
 	limit, errLimit := time.ParseDuration(rc.Query("timeout"))
-	if err != nil || errLimit != nil || limit <= 0 || limit > maxWait {
-		return nil, result.Errorf(result.OperatorRequestMalformed, "revision and timeout (at most %s)", maxWait)
+	if err != nil || errLimit != nil || limit <= 0 || limit > opapi.MaxWait {
+		return nil, result.Errorf(result.OperatorRequestMalformed, "revision and timeout (at most %s)", opapi.MaxWait)
 	}
 	return s.wait(ctx, revision, limit)
 }
@@ -169,35 +175,3 @@
 func decode(rc *app.RequestContext, target any) error {
 	return result.Wrap(result.OperatorRequestMalformed, json.Unmarshal(rc.Request.Body(), target), "decoding the request")
 }
-
-// writeFailure answers with every fault of err.
-func writeFailure(rc *app.RequestContext, err error) {
-	failure := opapi.Failure{}
-	var list *result.List
-	if errors.As(err, &list) {
-		for _, fault := range list.Faults {
-			failure.Faults = append(failure.Faults, opapi.Fault{Code: uint32(fault.Code), Name: fault.Code.String(), Detail: fault.Detail})
-		}
-	} else {
-		code, _ := result.CodeOf(err)
-		failure.Faults = append(failure.Faults, opapi.Fault{Code: uint32(code), Name: code.String(), Detail: err.Error()})
-	}
-	rc.JSON(statusOf(result.Code(failure.Faults[0].Code)), failure)
-}
-
-func statusOf(code result.Code) int {
-	switch {
-	case code == result.OperatorUnauthenticated:
-		return http.StatusUnauthorized
-	case code == result.OperatorForbidden:
-		return http.StatusForbidden
-	case code == result.OperatorConflict || code == result.OperatorOperationReused:
-		return http.StatusConflict
-	case code >= 7000 || code == result.OperatorBusy || code == result.OperatorOutcomeUnknown:
-		return http.StatusServiceUnavailable
-	case code == result.OperatorWaitExpired:
-		return http.StatusGatewayTimeout
-	default:
-		return http.StatusUnprocessableEntity
-	}
-}
--- /dev/null
+++ b/internal/operators/operator/show_configuration.go
@@ -0,0 +1,159 @@
+package operator
+
+import (
+	"context"
+	"crypto/sha256"
+	"crypto/x509"
+	"encoding/hex"
+	"encoding/pem"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
+	"github.com/lapisvane/lapisvane/internal/operators/opapi"
+)
+
+func showRoutes(state *meshconfig.State) *opapi.Table {
+	table := &opapi.Table{Columns: []opapi.Column{
+		{Name: "name"}, {Name: "group"}, {Name: "pool"}, {Name: "host"}, {Name: "path_prefix"}, {Name: "methods"},
+		{Name: "secret"}, {Name: "class"}, {Name: "deadline_millis", Numeric: true}, {Name: "changed", Numeric: true},
+	}}
+	for _, name := range slices.Sorted(maps.Keys(state.Routes)) {
+		route := state.Routes[name]
+		table.Rows = append(table.Rows, []string{
+			name, route.GetGroup(), route.GetPool(), route.GetHost(), route.GetPathPrefix(), strings.Join(route.GetMethods(), ","),
+			route.GetSecret(), classOf(route.GetCallClass()), number(uint64(route.GetCallClass().GetDeadlineMillis())),
+			changed(state, meshconfig.KindRoute, name),
+		})
+	}
+	return table
+}
+
+// classOf renders how calls of a route may be treated.
+func classOf(class *lapisv1.CallClass) string {
+	words := []string{"once"}
+	if class.GetRepeatable() {
+		words[0] = "repeatable"
+	}
+	if class.GetBackground() {
+		words = append(words, "background")
+	}
+	if class.GetUpload() {
+		words = append(words, "upload")
+	}
+	return strings.Join(words, ",")
+}
+
+func showPools(state *meshconfig.State) *opapi.Table {
+	table := &opapi.Table{Columns: []opapi.Column{
+		{Name: "name"}, {Name: "group"}, {Name: "slots", Numeric: true}, {Name: "connection_limit", Numeric: true},
+		{Name: "drained"}, {Name: "retired"}, {Name: "changed", Numeric: true},
+	}}
+	for _, name := range slices.Sorted(maps.Keys(state.Pools)) {
+		pool := state.Pools[name]
+		table.Rows = append(table.Rows, []string{
+			name, pool.GetGroup(), number(uint64(pool.GetSlots())), number(uint64(pool.GetConnectionLimit())),
+			strings.Join(pool.GetDrained(), ","), strings.Join(pool.GetRetired(), ","), changed(state, meshconfig.KindPool, name),
+		})
+	}
+	return table
+}
+
+func showShares(state *meshconfig.State) *opapi.Table {
+	table := &opapi.Table{Columns: []opapi.Column{
+		{Name: "name"}, {Name: "group"}, {Name: "pool"}, {Name: "percent", Numeric: true}, {Name: "changed", Numeric: true},
+	}}
+	for _, name := range slices.Sorted(maps.Keys(state.Shares)) {
+		share := state.Shares[name]
+		table.Rows = append(table.Rows, []string{
+			name, share.GetGroup(), share.GetPool(), number(uint64(share.GetPercent())), changed(state, meshconfig.KindShare, name),
+		})
+	}
+	return table
+}
+
+// showSecrets shows what identifies a key pair, never its value.
+func showSecrets(state *meshconfig.State) *opapi.Table {
+	table := &opapi.Table{Columns: []opapi.Column{
+		{Name: "name"}, {Name: "group"}, {Name: "fingerprint"}, {Name: "expires"}, {Name: "changed", Numeric: true},
+	}}
+	for _, name := range slices.Sorted(maps.Keys(state.Secrets)) {
+		fingerprint, expires := identify(state.Secrets[name])
+		table.Rows = append(table.Rows, []string{
+			name, state.Secrets[name].GetGroup(), fingerprint, expires, changed(state, meshconfig.KindSecret, name),
+		})
+	}
+	return table
+}
+
+// identify returns the start of the SHA-256 of a secret's certificate and when it expires.
+// Both are empty for what is not a certificate, which validation refuses before.
+func identify(secret *lapisv1.Secret) (fingerprint, expires string) {
+	block, _ := pem.Decode(secret.GetCertificatePem())
+	if block == nil {
+		return "", ""
+	}
+	sum := sha256.Sum256(block.Bytes)
+	fingerprint = hex.EncodeToString(sum[:8])
+	if certificate, err := x509.ParseCertificate(block.Bytes); err == nil {
+		expires = certificate.NotAfter.UTC().Format(time.RFC3339)
+	}
+	return fingerprint, expires
+}
+
+// changed returns the revision that last changed an object.
+func changed(state *meshconfig.State, kind meshconfig.Kind, name string) string {
+	return number(state.ObjectRevisions[meshconfig.KeyOf(kind, name)])
+}
+
+func (s *Server) showBackends(state *meshconfig.State) *opapi.Table {
+	table := &opapi.Table{
+		Columns: []opapi.Column{{Name: "pool"}, {Name: "instance"}, {Name: "zone"}, {Name: "node"}, {Name: "address"}, {Name: "state"}, {Name: "operator"}},
+		Notes:   []string{"as seen by this daemon; a daemon with services [\"*\"] sees all"},
+	}
+	for _, name := range slices.Sorted(maps.Keys(state.Pools)) {
+		pool := state.Pools[name]
+		for _, endpoint := range s.config.Endpoints.Endpoints(name) {
+			instance := endpoint.GetInstance()
+			order := ""
+			if slices.Contains(pool.GetDrained(), instance) {
+				order = "drained"
+			}
+			if slices.Contains(pool.GetRetired(), instance) {
+				order = "retired"
+			}
+			table.Rows = append(table.Rows, []string{
+				name, instance, endpoint.GetZone(), endpoint.GetNode(), endpoint.GetAddress(), stateName(endpoint.GetState()), order,
+			})
+		}
+	}
+	return table
+}
+
+func stateName(state lapisv1.Endpoint_State) string {
+	return strings.ToLower(strings.TrimPrefix(state.String(), "STATE_"))
+}
+
+func (s *Server) showProposals(ctx context.Context) (*opapi.Table, error) {
+	if _, err := s.log.Refresh(ctx); err != nil {
+		return nil, err
+	}
+	proposals, err := s.log.Proposals(ctx)
+	if err != nil {
+		return nil, err
+	}
+	table := &opapi.Table{Columns: []opapi.Column{
+		{Name: "proposal"}, {Name: "author"}, {Name: "group"}, {Name: "base", Numeric: true}, {Name: "changes", Numeric: true},
+	}}
+	for _, proposal := range proposals {
+		table.Rows = append(table.Rows, []string{
+			proposal.GetOperationId(), proposal.GetAuthor(), proposal.GetGroup(),
+			number(proposal.GetBaseRevision()), strconv.Itoa(len(proposal.GetChanges())),
+		})
+	}
+	return table, nil
+}
--- a/internal/operators/query/filter.go
+++ b/internal/operators/query/filter.go
@@ -10,7 +10,8 @@
 )
 
 // Filter returns the table with only the rows that meet all conditions.
-// Errors: OperatorBadCommand for an unknown field or a bad number.
+// Errors: OperatorBadCommand for an unknown field or a bad number in a condition,
+// OperatorRequestMalformed for a bad number in the table.
 func Filter(table *opapi.Table, conditions []*Condition) (*opapi.Table, error) {
 	filtered := &opapi.Table{Columns: table.Columns, Notes: table.Notes}
 	tests := make([]rowTest, 0, len(conditions))
@@ -22,38 +23,47 @@
 		tests = append(tests, test)
 	}
 	for _, row := range table.Rows {
-		if meetsAll(row, tests) {
+		met, err := meetsAll(row, tests)
+		if err != nil {
+			return nil, err
+		}
+		if met {
 			filtered.Rows = append(filtered.Rows, row)
 		}
 	}
 	return filtered, nil
 }
 
-// rowTest decides on one row.
-type rowTest func(row []string) bool
+// rowTest decides on one row. Errors: OperatorRequestMalformed for a cell of a numeric
+// column that is not a number.
+type rowTest func(row []string) (bool, error)
 
-func meetsAll(row []string, tests []rowTest) bool {
+func meetsAll(row []string, tests []rowTest) (bool, error) {
 	for _, test := range tests {
-		if !test(row) {
-			return false
+		if met, err := test(row); err != nil || !met {
+			return false, err
 		}
 	}
-	return true
+	return true, nil
 }
 
+// compile returns the test that a condition makes of the rows of a table.
 func compile(columns []opapi.Column, condition *Condition) (rowTest, error) {
 	for index, column := range columns {
 		if column.Name != condition.Field {
 			continue
 		}
 		if condition.Operator == "~" {
-			return func(row []string) bool { return strings.Contains(row[index], condition.Value) }, nil
+			return func(row []string) (bool, error) { return strings.Contains(row[index], condition.Value), nil }, nil
 		}
 		compare, err := comparison(column, condition.Value)
 		if err != nil {
 			return nil, err
 		}
-		return func(row []string) bool { return holds(condition.Operator, compare(row[index])) }, nil
+		return func(row []string) (bool, error) {
+			order, err := compare(row[index])
+			return err == nil && holds(condition.Operator, order), err
+		}, nil
 	}
 	names := make([]string, 0, len(columns))
 	for _, column := range columns {
@@ -62,21 +72,26 @@
 	return nil, result.Errorf(result.OperatorBadCommand, "no field %q; there are %s", condition.Field, strings.Join(names, ", "))
 }
 
-// comparison returns a function that compares a cell with value.
-func comparison(column opapi.Column, value string) (func(cell string) int, error) {
+// comparison returns a function that compares a cell with value: below 0, 0 or above 0 for a
+// smaller, equal or larger cell.
+func comparison(column opapi.Column, value string) (func(cell string) (int, error), error) {
 	if !column.Numeric {
-		return func(cell string) int { return strings.Compare(cell, value) }, nil
+		return func(cell string) (int, error) { return strings.Compare(cell, value), nil }, nil
 	}
 	wanted, err := strconv.ParseFloat(value, 64)
 	if err != nil {
 		return nil, result.Errorf(result.OperatorBadCommand, "%s is a number, not %q", column.Name, value)
 	}
-	return func(cell string) int {
-		present, _ := strconv.ParseFloat(cell, 64)
-		return cmp.Compare(present, wanted)
+	return func(cell string) (int, error) {
+		present, err := strconv.ParseFloat(cell, 64)
+		if err != nil {
+			return 0, result.Wrap(result.OperatorRequestMalformed, err, "column %s of the answer", column.Name)
+		}
+		return cmp.Compare(present, wanted), nil
 	}, nil
 }
 
+// holds reports whether operator allows a comparison with this outcome.
 func holds(operator string, order int) bool {
 	switch operator {
 	case "=":
--- a/internal/operators/query/language.go
+++ b/internal/operators/query/language.go
@@ -1,5 +1,9 @@
-// Package query is the operators' query and command language: its grammar and
-// the evaluation of conditions on the rows of an answer.
+// Package query is the operators' query and command language: its grammar and the evaluation
+// of conditions on the rows of an answer.
+//
+// It owns no state; its functions are safe for concurrent use. It relies on participle for
+// parsing. What must hold: a text that does not parse is refused as a whole with the place
+// of the fault, and nothing is sent.
 package query
 
 import (
@@ -72,7 +76,8 @@
 
 var parser = participle.MustBuild[Command](participle.Lexer(tokens), participle.Unquote("String"))
 
-// MaxCommandBytes bounds the length of a command.
+// MaxCommandBytes bounds the length of a command. Chosen, not measured; longer than any
+// command with a few conditions.
 const MaxCommandBytes = 4096
 
 // Parse reads one command. Errors: OperatorBadCommand with the place of the
--- a/internal/operators/query/query_test.go
+++ b/internal/operators/query/query_test.go
@@ -50,6 +50,14 @@
 	}
 }
 
+func TestNumericColumnWithoutANumberIsRefused(t *testing.T) {
+	table := &opapi.Table{Columns: []opapi.Column{{Name: "slots", Numeric: true}}, Rows: [][]string{{"many"}}}
+	command, err := query.Parse("show pools where slots < 1")
+	assert.NilError(t, err)
+	_, err = query.Filter(table, command.Show.Conditions)
+	assert.Assert(t, result.Is(err, result.OperatorRequestMalformed), "%v", err)
+}
+
 func FuzzParse(f *testing.F) {
 	f.Add("show routes where name = a")
 	f.Fuzz(func(t *testing.T, line string) { _, _ = query.Parse(line) })
