--- a/internal/distribution/fleet/address_test.go
+++ b/internal/distribution/fleet/address_test.go
@@ -1,192 +1,37 @@
 package fleet
 
 import (
-	"context"
 	"fmt"
-	"net"
-	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"github.com/go-logr/logr"
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"github.com/lapisvane/lapisvane/api/lapisv1"
-	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
-	"github.com/lapisvane/lapisvane/internal/model/callapi"
-	"github.com/lapisvane/lapisvane/internal/shared/result"
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
-	accept "github.com/lapisvane/lapisvane/internal/transport/peer"
-	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// memoryNetwork connects daemons of one test without sockets, so that time may be
-// virtual.
-type memoryNetwork struct {
-	// mutex protects the rest.
-	mutex sync.Mutex
-	// accepting are the listeners by address, dials the times of the dials there.
-	accepting map[string]chan net.Conn
-	dials     map[string]int
-}
-
-// mostDials bounds the dials of a test: beyond it none succeeds, so that a storm of
-// them ends in a failure and not in a test that lasts for ever.
-const mostDials = 5000
-
-func (n *memoryNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
-	n.mutex.Lock()
-	n.dials[address]++
-	accepting := n.accepting[address]
-	n.mutex.Unlock()
-	if n.dialed() > mostDials {
-		<-ctx.Done()
-		return nil, ctx.Err()
-	}
-	if accepting == nil {
-		return nil, fmt.Errorf("nobody listens at %s", address)
-	}
-	near, far := net.Pipe()
-	select {
-	case accepting <- far:
-		return near, nil
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	}
-}
-
-func (n *memoryNetwork) Listen(address string) (net.Listener, error) {
-	accepting := make(chan net.Conn, 1)
-	n.mutex.Lock()
-	n.accepting[address] = accepting
-	n.mutex.Unlock()
-	return &memoryListener{accepting: accepting, closed: make(chan struct{})}, nil
-}
-
-func (n *memoryNetwork) dialed() int {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	total := 0
-	for _, count := range n.dials {
-		total += count
-	}
-	return total
-}
-
-type memoryListener struct {
-	accepting chan net.Conn
-	closed    chan struct{}
-	once      sync.Once
-}
-
-func (l *memoryListener) Accept() (net.Conn, error) {
-	select {
-	case conn := <-l.accepting:
-		return conn, nil
-	case <-l.closed:
-		return nil, net.ErrClosed
-	}
-}
-
-func (l *memoryListener) Close() error {
-	l.once.Do(func() { close(l.closed) })
-	return nil
-}
-
-func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
-
-// noInstances refuses all calls.
-type noInstances struct{}
-
-func (noInstances) Handle(context.Context, *callapi.Call) (*callapi.Answer, error) {
-	return nil, result.Errorf(result.CallNotRunUnknownHere, "no instance")
-}
-
-func (noInstances) Fence(string) bool { return false }
-
-// daemonAt runs a daemon's part in the fleet at the member's address until ctx ends,
-// with its configuration as adjust leaves it.
-func daemonAt(ctx context.Context, running *sync.WaitGroup, network *memoryNetwork, self Member, directory Directory, adjust ...func(*Config)) *Fleet {
-	incarnation := uint64(len(self.Node)) + uint64(self.Node[0])<<8
-	timing := callmux.Timing{KeepAlive: time.Second, Silence: 2500 * time.Millisecond, Write: time.Second}
-	calls := &callmux.Client{
-		Network: network, Maintained: true, Timing: timing,
-		Hello: &lapisv1.Hello{
-			ProtocolVersion: wire.ProtocolVersion, Purpose: lapisv1.Hello_PURPOSE_CALLS,
-			Node: self.Node, Incarnation: incarnation, Zone: self.Zone, Region: self.Region, Address: self.Address, Service: self.Service,
-		},
-	}
-	config := Config{
-		Self: self, Incarnation: incarnation, Directory: directory, Calls: calls, Observer: offerFunc(func(*lapisv1.Configuration) {}),
-		InForce: func() *lapisv1.Configuration { return nil }, Freshness: &configsource.Freshness{},
-		Withdrawn: func() []string { return nil }, Random: func() float64 { return 0.5 }, Logger: logr.Discard(),
-	}
-	for _, change := range adjust {
-		change(&config)
-	}
-	daemon := New(config)
-	server := &callmux.Server{Node: self.Node, Incarnation: incarnation, Origin: noInstances{}, Timing: timing, Accepted: daemon.Accepted}
-	listener, _ := network.Listen(self.Address)
-	accepting := &accept.Server{Node: self.Node, Logger: logr.Discard(), Handlers: map[lapisv1.Hello_Purpose]accept.Handler{lapisv1.Hello_PURPOSE_CALLS: server.Serve}}
-	running.Go(func() { accepting.Serve(ctx, listener) })
-	running.Go(func() {
-		daemon.Run(ctx)
-		calls.Close()
-	})
-	return daemon
-}
-
 // playAddresses runs the members given, each following a directory with entries for a
-// time, and returns the daemons by name and the number of dials of the last half.
+// time, and returns the number of dials of the last half. check gets the daemons by name.
 func playAddresses(t *testing.T, members, entries []Member, lasts time.Duration, check func(daemons map[string]*Fleet)) (lateDials int) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		directory := &scriptedDirectory{published: map[Member]time.Time{}}
-		for _, entry := range entries {
-			directory.published[entry] = time.Now()
-		}
-		network := &memoryNetwork{accepting: map[string]chan net.Conn{}, dials: map[string]int{}}
-		var running sync.WaitGroup
+	playDaemons(t, entries, func(network *memoryNetwork, start func(Member, ...func(*Config)) *Fleet) {
 		daemons := map[string]*Fleet{}
 		for _, member := range members {
-			daemons[member.Node] = daemonAt(ctx, &running, network, member, directory)
+			daemons[member.Node] = start(member)
 		}
 		time.Sleep(lasts / 2)
 		before := network.dialed()
 		time.Sleep(lasts / 2)
 		lateDials = network.dialed() - before
 		check(daemons)
-		cancel()
-		running.Wait()
-		// Greetings that nobody read end by their own time.
-		time.Sleep(time.Minute)
 	})
 	return lateDials
 }
 
-func memberAt(node, address string) Member {
-	return Member{Node: node, Address: address, Zone: "a", Service: "desk"}
-}
-
-// connectedTo returns whom a daemon can send calls to.
-func connectedTo(daemon *Fleet) map[string]string {
-	daemon.mutex.Lock()
-	defer daemon.mutex.Unlock()
-	connected := map[string]string{}
-	for node, member := range daemon.members {
-		if member.connected {
-			connected[node] = member.Address
-		}
-	}
-	return connected
-}
-
 // A machine was replaced at an address that another one had before, whose entry is
 // still in the directory: both names led to the new daemon, and each dial took the
-// place of the other's connection, 8,000 times a second in a fleet of 14 (small twin of
-// swancycle-hq-now-grown trouble-3: 399,911 connections in a day, LOST 2).
+// place of the other's connection, 8,000 times a second in a fleet of 14.
 func TestMachineReplacedAtAUsedAddress(t *testing.T) {
 	members := []Member{memberAt("asker", "x:1"), memberAt("newcomer", "x:2"), memberAt("third", "x:3")}
 	entries := append([]Member{memberAt("former", "x:2")}, members...)
@@ -261,7 +106,7 @@
 		}, "x:2"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			knows := behindAt(0, &peer{Member: former, connected: row.connected, dialNow: make(chan struct{}, 1)})
+			knows := newTestFleet(0, &peer{Member: former, connected: row.connected, dialNow: make(chan struct{}, 1)})
 			row.heard(knows)
 			assert.Equal(t, knows.members["moved"].Address, row.want)
 		})
@@ -273,7 +118,7 @@
 func TestDisplacedDaemonIsTriedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := memberAt("ended", "x:1")
-		knows := behindAt(0, &peer{Member: ended, dialNow: make(chan struct{}, 1)})
+		knows := newTestFleet(0, &peer{Member: ended, dialNow: make(chan struct{}, 1)})
 		other := &callmux.OtherDaemonError{Address: "x:1", Expected: "ended", Found: "newcomer"}
 		displaced := func() bool { return knows.members["ended"].displaced(time.Now()) }
 
--- a/internal/distribution/fleet/directory_test.go
+++ b/internal/distribution/fleet/directory_test.go
@@ -9,58 +9,9 @@
 	"time"
 
 	"github.com/go-logr/logr"
-	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
 )
 
-// scriptedDirectory is a directory whose answers are old by lag.
-type scriptedDirectory struct {
-	lag time.Duration
-
-	// mutex protects the rest.
-	mutex     sync.Mutex
-	down      bool
-	published map[Member]time.Time
-	lists     []time.Time
-	writes    int
-}
-
-var errDirectoryDown = errors.New("the directory is down")
-
-func (d *scriptedDirectory) Publish(_ context.Context, member Member) error {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.writes++
-	if d.down {
-		return errDirectoryDown
-	}
-	d.published[member] = time.Now()
-	return nil
-}
-
-func (d *scriptedDirectory) Members(context.Context) ([]Member, error) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.lists = append(d.lists, time.Now())
-	if d.down {
-		return nil, errDirectoryDown
-	}
-	var members []Member
-	for member, at := range d.published {
-		if time.Since(at) >= d.lag {
-			members = append(members, member)
-		}
-	}
-	return members, nil
-}
-
-// calls returns the numbers of lists and of writes.
-func (d *scriptedDirectory) calls() (lists, writes int) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return len(d.lists), d.writes
-}
-
 // visit lets a daemon follow directory until test returns.
 func visit(t *testing.T, directory *scriptedDirectory, test func(self Member, visitor *Fleet)) {
 	synctest.Test(t, func(t *testing.T) {
@@ -132,3 +83,19 @@
 		assert.Assert(t, slices.IsSortedFunc(directory.lists, time.Time.Compare))
 	})
 }
+
+// The wait between two lists stays at its longest however long the daemon runs. It grew
+// until the number that holds it overflowed: the daemon then listed the
+// directory without any wait, 10 minutes after its start.
+func TestDirectoryIsListedSeldomByALongRunningDaemon(t *testing.T) {
+	for name, schedule := range map[string]*listSchedule{"listed at its start": newListSchedule(), "published": {relist: relistMin}} {
+		t.Run(name, func(t *testing.T) {
+			for range 10 {
+				schedule.afterSuccess(12)
+			}
+			for range 500 {
+				assert.Equal(t, schedule.afterSuccess(12), directoryInterval)
+			}
+		})
+	}
+}
--- a/internal/distribution/fleet/linkchoice_test.go
+++ b/internal/distribution/fleet/linkchoice_test.go
@@ -36,16 +36,16 @@
 	}
 }
 
-// Whatever is out of reach, a daemon is connected to as many sound ones as it
+// Whatever is out of reach, a daemon is connected to as many reachable ones as it
 // may be, and to the own zone first.
-func TestDoubtfulDaemonsAreReplaced(t *testing.T) {
+func TestUnreachableDaemonsAreReplaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := site(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "daemons"))
-		soundOnes := map[string]int{}
+		reachableOnes := map[string]int{}
 		for index := range candidates {
-			candidates[index].unreachable = rapid.Bool().Draw(t, "doubtful")
+			candidates[index].unreachable = rapid.Bool().Draw(t, "unreachable")
 			if !candidates[index].unreachable {
-				soundOnes[candidates[index].Service]++
+				reachableOnes[candidates[index].Service]++
 			}
 		}
 		chosen := chooseFrom(Member{Node: "self", Zone: "zone-0"}, candidates)
@@ -55,9 +55,9 @@
 				taken[member.Service]++
 			}
 		}
-		for service, count := range soundOnes {
+		for service, count := range reachableOnes {
 			if taken[service] < min(count, linksPerService) {
-				t.Fatalf("%s: %d of %d sound daemons are connected", service, taken[service], count)
+				t.Fatalf("%s: %d of %d reachable daemons are connected", service, taken[service], count)
 			}
 		}
 	})
@@ -77,9 +77,9 @@
 	}
 }
 
-// standIn is a site of peers of which some are dead, with the keeping of
+// simulatedLinks is a site of peers of which some are dead, with the keeping of
 // connections as reconcileLinks does it, second by second.
-type standIn struct {
+type simulatedLinks struct {
 	self  Member
 	peers []*peer
 	dead  map[string]bool
@@ -88,7 +88,7 @@
 
 // review starts and ends the keeping of connections, and connects whom it can.
 // It returns how many are kept.
-func (s *standIn) review() (kept int) {
+func (s *simulatedLinks) review() (kept int) {
 	var candidates []candidate
 	for _, known := range s.peers {
 		candidates = append(candidates, candidate{Member: known.Member, unreachable: known.unreachable(s.now)})
@@ -113,12 +113,12 @@
 }
 
 // One daemon that dies is replaced by one. Those that were not wanted had counted
-// as doubtful because they were not connected, so that a daemon connected to all
-// others of the service to find one, and again after each loss: on incident
-// inc-7abc of swancycle-hq-grown to 47 of 72, three times in ten seconds.
+// as unreachable because they were not connected, so that a daemon connected to all
+// others of the service to find one, and again after each loss: to 47 of 72, three times
+// in ten seconds.
 func TestOneLossIsReplacedByOne(t *testing.T) {
 	candidates := site(4, 50)
-	s := &standIn{self: candidates[0].Member, dead: map[string]bool{}, now: time.Unix(1000, 0)}
+	s := &simulatedLinks{self: candidates[0].Member, dead: map[string]bool{}, now: time.Unix(1000, 0)}
 	for _, known := range candidates[1:] {
 		s.peers = append(s.peers, &peer{Member: known.Member, lostAt: s.now})
 	}
--- a/internal/distribution/fleet/orders_test.go
+++ b/internal/distribution/fleet/orders_test.go
@@ -1,79 +1,15 @@
 package fleet
 
 import (
-	"context"
-	"fmt"
 	"net"
-	"sync"
-	"sync/atomic"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gotest.tools/v3/assert"
 
-	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/orders"
-	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 )
 
-// follower is a daemon's observer that follows the orders it hears of.
-type follower struct {
-	offerFunc
-	fleet   atomic.Pointer[Fleet]
-	orders  orders.Current
-	takenAt atomic.Pointer[time.Time]
-	heard   atomic.Int64
-	// registry is what it knows of suspects, and told counts what it was told of them.
-	registry *quarantine.Registry
-	told     atomic.Int64
-}
-
-// Ordered implements Observer.
-func (f *follower) Ordered(set *orders.Set, _ string) {
-	f.heard.Add(1)
-	if _, taken := f.orders.Replace(set); taken {
-		now := time.Now()
-		f.takenAt.Store(&now)
-		if spreading := f.fleet.Load(); spreading != nil {
-			spreading.SpreadOrders()
-		}
-	}
-}
-
-// evacuating are orders at a revision that evacuate a zone.
-func evacuating(revision uint64, zone string) *orders.Set {
-	return orders.NewSet(&lapisv1.Orders{Revision: revision, Evacuations: []*lapisv1.Evacuation{{Zone: zone, Revision: revision}}})
-}
-
-// playFollowers runs test with a function that starts a daemon which follows orders, in
-// a fleet of its own; one that knows orders from its start is given them, and one that
-// cannot dial is given a network without listeners.
-func playFollowers(t *testing.T, test func(start func(index int, known *orders.Set, adjust ...func(*Config)) *follower)) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		directory := &scriptedDirectory{published: map[Member]time.Time{}}
-		network := &memoryNetwork{accepting: map[string]chan net.Conn{}, dials: map[string]int{}}
-		var running sync.WaitGroup
-		test(func(index int, known *orders.Set, adjust ...func(*Config)) *follower {
-			joined := &follower{offerFunc: func(*lapisv1.Configuration) {}, registry: quarantine.NewRegistry(time.Now)}
-			if known != nil {
-				joined.orders.Replace(known)
-			}
-			member := memberAt(fmt.Sprintf("%c-%d", 'A'+index, index), fmt.Sprintf("x:%d", index))
-			follow := func(config *Config) {
-				config.Observer, config.Orders, config.Suspects = joined, joined.orders.Load, joined.registry.Known
-			}
-			joined.fleet.Store(daemonAt(ctx, &running, network, member, directory, append(adjust, follow)...))
-			return joined
-		})
-		cancel()
-		running.Wait()
-		// Greetings that nobody read end by their own time.
-		time.Sleep(time.Minute)
-	})
-}
-
 // Orders reach all of a fleet in which nobody is connected to everybody, each daemon
 // hears of them a bounded number of times, and a daemon that starts has them from its
 // neighbours.
--- a/internal/distribution/fleet/regions_test.go
+++ b/internal/distribution/fleet/regions_test.go
@@ -39,7 +39,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := site(rapid.IntRange(1, 5).Draw(t, "zones"), rapid.IntRange(1, 40).Draw(t, "daemons"))
 		for index := range candidates {
-			candidates[index].unreachable = rapid.Bool().Draw(t, "doubtful")
+			candidates[index].unreachable = rapid.Bool().Draw(t, "unreachable")
 			candidates[index].Region = rapid.SampledFrom([]string{"", "r1"}).Draw(t, "region")
 		}
 		self := Member{Node: "self", Zone: "zone-0", Region: rapid.SampledFrom([]string{"", "r1"}).Draw(t, "own region")}
@@ -58,7 +58,7 @@
 	return candidates
 }
 
-// linksTo counts the sound links of one service by what of gives.
+// linksTo counts the links to reachable daemons of one service by what of gives.
 func linksTo(chosen map[string]bool, candidates []candidate, service string, of func(Member) string) map[string]int {
 	counts := map[string]int{}
 	for _, known := range candidates {
@@ -70,7 +70,8 @@
 }
 
 func regionOf(member Member) string { return member.Region }
-func zoneOf(member Member) string   { return member.Zone }
+
+func zoneOf(member Member) string { return member.Zone }
 
 // Links go to the own zone first, then to the own region, and a few to each other region,
 // where a call may have its home.
@@ -109,16 +110,16 @@
 	}
 }
 
-// Whatever is doubtful, the number of links is bounded and no sound daemon is left out
+// Whatever is unreachable, the number of links is bounded and no reachable daemon is left out
 // while there is room.
 func TestLinksAcrossRegionsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := regional(rapid.IntRange(1, 20).Draw(t, "daemons"))
-		soundOnes := 0
+		reachableOnes := 0
 		for index := range candidates {
-			candidates[index].unreachable = rapid.Bool().Draw(t, "doubtful")
+			candidates[index].unreachable = rapid.Bool().Draw(t, "unreachable")
 			if !candidates[index].unreachable && strings.HasSuffix(candidates[index].Service, "0") {
-				soundOnes++
+				reachableOnes++
 			}
 		}
 		chosen := chooseFrom(Member{Node: "self", Zone: "zone-0", Region: "region-0"}, candidates)
@@ -126,19 +127,19 @@
 		for _, count := range linksTo(chosen, candidates, "service-0", regionOf) {
 			links += count
 		}
-		assert.Assert(t, links >= min(soundOnes, linksPerService) && links <= linksPerService+2*regionLinks, "%d links, %d sound", links, soundOnes)
+		assert.Assert(t, links >= min(reachableOnes, linksPerService) && links <= linksPerService+2*regionLinks, "%d links, %d reachable", links, reachableOnes)
 	})
 }
 
 // Daemons learn each other's region by their greetings and announcements, and name it to
 // others, whatever the directory lacks.
-func TestRegionsAreToldBetweenDaemons(t *testing.T) {
+func TestRegionsAreExchangedBetweenDaemons(t *testing.T) {
 	asker, other := memberAt("asker", "x:1"), memberAt("other", "x:2")
 	entries := []Member{asker, other}
 	asker.Region, other.Region = "r1", "r2"
 	other.Zone = "b"
 	playAddresses(t, []Member{asker, other}, entries, 4*time.Second, func(daemons map[string]*Fleet) {
-		hearing := behindAt(1)
+		hearing := newTestFleet(1)
 		hearing.recordIntroduction(daemons["asker"].introduction(), callmux.Link{})
 		assert.Equal(t, hearing.members["other"].Region, "r2")
 		daemons["other"].mutex.Lock()
--- a/internal/distribution/fleet/suspects_test.go
+++ b/internal/distribution/fleet/suspects_test.go
@@ -11,18 +11,6 @@
 	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 )
 
-// Suspected implements Observer.
-func (f *follower) Suspected(records []quarantine.Record, from string) {
-	f.told.Add(1)
-	f.tell(f.registry.Merge(records), from)
-}
-
-func (f *follower) tell(records []quarantine.Record, from string) {
-	if spreading := f.fleet.Load(); spreading != nil {
-		spreading.SpreadSuspects(records, from)
-	}
-}
-
 // What the daemon beside an instance that ended found reaches all of a fleet in which nobody
 // is connected to everybody, each hears of it a bounded number of times, and a daemon that
 // starts has it from its neighbours.
--- a/internal/distribution/fleet/suspension_test.go
+++ b/internal/distribution/fleet/suspension_test.go
@@ -17,10 +17,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
-		lost := at("lost", "a", 5)
+		lost := peerIn("lost", "a", 5)
 		lost.connected, lost.lostAt, lost.stopMaintaining = false, boottime.Now(), func() {}
 		lost.announcement = &lapisv1.Announcement{Endpoints: []*lapisv1.Endpoint{{Service: "desk", Instance: "i-1"}}}
-		known := behindAt(5, lost)
+		known := newTestFleet(5, lost)
 		time.Sleep(time.Second)
 		assert.Equal(t, len(known.Endpoints("desk")), 1)
 		gap = endpointsForgottenAfter
--- /dev/null
+++ b/internal/distribution/fleet/timing_test.go
@@ -0,0 +1,51 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/lapisvane/lapisvane/internal/daemon/settings"
+	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
+)
+
+// heartbeatInterval is the interval of the regular heartbeats, as the tests' daemons have it.
+const heartbeatInterval = time.Second
+
+// The times of the fleet hang together; each row says which must be below which, and why.
+func TestTimes(t *testing.T) {
+	applyBound := settings.DefaultDaemon().Platform.ApplyBound.Get()
+	partOfBound := func(part float64) time.Duration { return time.Duration(part * float64(applyBound)) }
+	for _, row := range []struct {
+		why          string
+		lower, upper time.Duration
+	}{
+		{"a first dial has all its time before it is replaced", connectTimeout, unansweredDialReplacedAfter},
+		{"a dial that leads nowhere is noticed at a review", reviewInterval, unansweredDialReplacedAfter},
+		{"a lost daemon is dialed more than once before it is replaced", reconnectMin + reconnectMax + connectTimeout, lostLinkReplacedAfter},
+		{"a daemon that is not there is dialed less and less often", reconnectMin, reconnectMax},
+		{"a link that fails at once is dialed no more often than a daemon that is not there", reconnectMax, stableAfter + 1},
+		{"instances of a lost daemon are known until its link is replaced", lostLinkReplacedAfter, endpointsForgottenAfter},
+		{"instances that left are remembered for longer than those that are lost", endpointsForgottenAfter, withdrawnMemory},
+		{"a corrected directory entry is read before a displaced one is dialed", directoryInterval + directoryInterval/jitterParts, displacedRecheck},
+		{"others have answered before this daemon polls the source", zoneWait + answerWait, partOfBound(configsource.EarliestPart)},
+		{"the own zone has a version before another zone is asked twice", answerWait, zoneWait},
+		{"a zone's confirmation goes out several times before the source is polled again", 4 * zoneGain, partOfBound(configsource.LeadPart) + 1},
+		{"between zones two regular heartbeats bring a confirmation first", heartbeatInterval, regionGain - heartbeatInterval + 1},
+		{"bytes cost more between regions than between zones", regionGain, otherRegionGain},
+		{"a failing directory is called less and less often", directoryRetryMin, directoryRetryMax},
+		{"a failing directory is called more often than one that answers", directoryRetryMax, directoryInterval},
+		{"a daemon that was published lists again soon", relistMin, directoryInterval},
+		{"the longest interval is that of the largest fleet", directoryInterval, maxListInterval},
+	} {
+		assert.Check(t, row.lower < row.upper, "%s: %s is not below %s", row.why, row.lower, row.upper)
+	}
+}
+
+// A part of the links to a service goes to other zones, and to each other region.
+func TestLinkNumbers(t *testing.T) {
+	assert.Assert(t, localLinks < linksPerService)
+	assert.Assert(t, regionLinks >= 2, "one of a region's daemons may be lost")
+	assert.Assert(t, regionLinks < linksPerService-localLinks+1, "other regions leave the own zone its links")
+}
