--- a/internal/distribution/fleet/wanted_test.go
+++ b/internal/distribution/fleet/linkchoice_test.go
@@ -24,40 +24,40 @@
 
 func TestSmallSiteIsConnectedWhole(t *testing.T) {
 	candidates := site(4, 3)
-	chosen := wanted(Member{Node: "self", Zone: "zone-0"}, candidates)
+	chosen := chooseFrom(Member{Node: "self", Zone: "zone-0"}, candidates)
 	assert.Equal(t, len(chosen), len(candidates))
 }
 
 func TestConnectionsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, perZone := range []int{10, 100, 1000} {
 		candidates := site(4, perZone)
-		chosen := wanted(candidates[0].Member, candidates)
+		chosen := chooseFrom(candidates[0].Member, candidates)
 		assert.Equal(t, len(chosen), 2*linksPerService, "%d daemons a zone", perZone)
 	}
 }
 
-// Whatever is out of reach, a daemon is connected to as many sound ones as it
+// Whatever is out of reach, a daemon is connected to as many reachable ones as it
 // may be, and to the own zone first.
-func TestDoubtfulDaemonsAreReplaced(t *testing.T) {
+func TestUnreachableDaemonsAreReplaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := site(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "daemons"))
-		soundOnes := map[string]int{}
+		reachableOnes := map[string]int{}
 		for index := range candidates {
-			candidates[index].doubtful = rapid.Bool().Draw(t, "doubtful")
-			if !candidates[index].doubtful {
-				soundOnes[candidates[index].Service]++
+			candidates[index].unreachable = rapid.Bool().Draw(t, "unreachable")
+			if !candidates[index].unreachable {
+				reachableOnes[candidates[index].Service]++
 			}
 		}
-		chosen := wanted(Member{Node: "self", Zone: "zone-0"}, candidates)
+		chosen := chooseFrom(Member{Node: "self", Zone: "zone-0"}, candidates)
 		taken := map[string]int{}
 		for _, member := range candidates {
-			if chosen[member.Node] && !member.doubtful {
+			if chosen[member.Node] && !member.unreachable {
 				taken[member.Service]++
 			}
 		}
-		for service, count := range soundOnes {
+		for service, count := range reachableOnes {
 			if taken[service] < min(count, linksPerService) {
-				t.Fatalf("%s: %d of %d sound daemons are connected", service, taken[service], count)
+				t.Fatalf("%s: %d of %d reachable daemons are connected", service, taken[service], count)
 			}
 		}
 	})
@@ -67,7 +67,7 @@
 	candidates := site(4, 50)
 	chosenBy := map[string]int{}
 	for _, member := range candidates {
-		for node := range wanted(member.Member, candidates) {
+		for node := range chooseFrom(member.Member, candidates) {
 			chosenBy[node]++
 		}
 	}
@@ -77,9 +77,9 @@
 	}
 }
 
-// standIn is a site of peers of which some are dead, with the keeping of
-// connections as reviewWanted does it, second by second.
-type standIn struct {
+// simulatedLinks is a site of peers of which some are dead, with the keeping of
+// connections as reconcileLinks does it, second by second.
+type simulatedLinks struct {
 	self  Member
 	peers []*peer
 	dead  map[string]bool
@@ -88,23 +88,23 @@
 
 // review starts and ends the keeping of connections, and connects whom it can.
 // It returns how many are kept.
-func (s *standIn) review() (kept int) {
+func (s *simulatedLinks) review() (kept int) {
 	var candidates []candidate
 	for _, known := range s.peers {
-		candidates = append(candidates, candidate{Member: known.Member, doubtful: known.doubtful(s.now)})
+		candidates = append(candidates, candidate{Member: known.Member, unreachable: known.unreachable(s.now)})
 	}
-	chosen := wanted(s.self, candidates)
+	chosen := chooseFrom(s.self, candidates)
 	for _, known := range s.peers {
 		switch {
-		case chosen[known.Node] && known.stop == nil:
-			known.stop = func() {}
-			known.keptSince = s.now
-		case !chosen[known.Node] && known.stop != nil:
-			known.stop = nil
+		case chosen[known.Node] && known.stopMaintaining == nil:
+			known.stopMaintaining = func() {}
+			known.maintainedSince = s.now
+		case !chosen[known.Node] && known.stopMaintaining != nil:
+			known.stopMaintaining = nil
 			known.lostAt = s.now
 		}
-		known.connected = known.stop != nil && !s.dead[known.Node]
-		if known.stop != nil {
+		known.connected = known.stopMaintaining != nil && !s.dead[known.Node]
+		if known.stopMaintaining != nil {
 			kept++
 		}
 	}
@@ -113,12 +113,12 @@
 }
 
 // One daemon that dies is replaced by one. Those that were not wanted had counted
-// as doubtful because they were not connected, so that a daemon connected to all
-// others of the service to find one, and again after each loss: on incident
-// inc-7abc of swancycle-hq-grown to 47 of 72, three times in ten seconds.
+// as unreachable because they were not connected, so that a daemon connected to all
+// others of the service to find one, and again after each loss: to 47 of 72, three times
+// in ten seconds.
 func TestOneLossIsReplacedByOne(t *testing.T) {
 	candidates := site(4, 50)
-	s := &standIn{self: candidates[0].Member, dead: map[string]bool{}, now: time.Unix(1000, 0)}
+	s := &simulatedLinks{self: candidates[0].Member, dead: map[string]bool{}, now: time.Unix(1000, 0)}
 	for _, known := range candidates[1:] {
 		s.peers = append(s.peers, &peer{Member: known.Member, lostAt: s.now})
 	}
@@ -155,12 +155,12 @@
 		candidates = append(candidates, candidate{Member: member})
 	}
 	self := Member{Node: "self", Zone: "zone-0"}
-	before := wantedBeside(self, candidates)
-	assert.DeepEqual(t, before, wanted(self, candidates))
+	before := chooseLinks(self, candidates)
+	assert.DeepEqual(t, before, chooseFrom(self, candidates))
 	for index := range candidates {
 		candidates[index].evacuated = candidates[index].Zone == "zone-0"
 	}
-	after := wantedBeside(self, candidates)
+	after := chooseLinks(self, candidates)
 	callable := 0
 	for _, member := range candidates {
 		if after[member.Node] && !member.evacuated {
