--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// MayTry implements gateway.Quarantine.
-func (s *suspects) MayTry(ctx context.Context, verdict quarantine.Verdict) bool {
+// ClaimTrial implements gateway.Quarantine.
+func (s *suspects) ClaimTrial(ctx context.Context, verdict quarantine.Verdict) bool {
 	if s.store == nil {
 		return false
 	}
--- a/internal/requestpath/decision/log.go
+++ b/internal/requestpath/decision/log.go
@@ -9,16 +9,20 @@
 	"github.com/go-logr/logr"
 )
 
-// Tunables of the volume.
 const (
-	// successLevel makes one success of 2^successLevel be written where there is
-	// room for all failures.
+	// successLevel makes one success of 2^successLevel, 256, be written where there is room for
+	// all failures. Chosen, not measured; below maxLevel.
 	successLevel = 8
-	// maxLevel bounds the sampling: at least one request of 2^maxLevel is
-	// written.
+	// maxLevel bounds the sampling: at least one failure of 2^maxLevel is written. Chosen, not
+	// measured; maxLevel + successLevel must stay below the 64 bits of a hash.
 	maxLevel = 20
-	// window is how often the volume is looked at.
+	// window is the time after which the volume is compared with its bound. Chosen, not
+	// measured; the bound is in lines a second, and a window of that length follows a flood of
+	// failures within seconds.
 	window = time.Second
+	// sparePart is the part of the bound below which the sampling gets denser again: 1 of 3.
+	// Chosen, not measured; less than half, since a level more doubles the lines.
+	sparePart = 3
 )
 
 // Log writes lines of decisions; a nil one writes nothing. It is safe for
@@ -32,22 +36,23 @@
 
 	// mutex protects everything below.
 	mutex sync.Mutex
-	// level is the number of low bits of a request's hash that must be zero for
-	// its failures to be written.
+	// level is the number of low bits of a request's hash that must be zero for its failures
+	// to be written.
 	level uint
 	since time.Time
-	// written and kept count the lines of the window that were written, and
-	// those that were not although they tell of a failure.
-	written, kept int
+	// written and leftOut count the lines of the window that were written, and those that were
+	// not although they tell of a failure.
+	written, leftOut int
 }
 
-// New returns a log in front of logger that writes about perSecond lines a second
-// under load, none at all if that is 0.
+// New returns a log in front of logger that writes about perSecond lines a second under load,
+// none at all if that is 0. now is the clock of the sampling.
 func New(logger logr.Logger, perSecond int, now func() time.Time) *Log {
 	return &Log{logger: logger, perSecond: perSecond, now: now, since: now()}
 }
 
-// Failure writes a line about a request that was refused, repeated or failed.
+// Failure writes a line about a request that was refused, repeated or failed. pairs are keys
+// and values, alternating, as for logr.
 func (l *Log) Failure(event, request string, pairs ...any) {
 	if l.admits(request, 0) {
 		l.write(event, request, pairs)
@@ -66,14 +71,14 @@
 	l.logger.Info(event, append([]any{"request", request}, pairs...)...)
 }
 
-// Rank tells how long a request's lines are kept as the sampling gets sparser: a
-// request of rank n is among one of 2^n.
+// Rank returns the sparsest sampling that a request's lines are in: one of rank n is among
+// those of one request of 2^n.
 func Rank(request string) uint {
 	return uint(bits.TrailingZeros64(xxhash.Sum64String(request)))
 }
 
-// admits reports whether a line of a request is written; above is added to the
-// level of failures.
+// admits reports whether a line of a request is written; above is added to the level of
+// failures, and is 0 for one.
 func (l *Log) admits(request string, above uint) bool {
 	if l == nil || l.perSecond == 0 {
 		return false
@@ -84,7 +89,7 @@
 	l.review()
 	if rank < l.level+above {
 		if above == 0 {
-			l.kept++
+			l.leftOut++
 		}
 		return false
 	}
@@ -92,7 +97,7 @@
 	return true
 }
 
-// review makes the sampling sparser after a window with too many lines, and
+// review makes the sampling sparser by one level after a window with too many lines, and
 // denser after one with few; the caller holds mutex.
 func (l *Log) review() {
 	now := l.now()
@@ -100,16 +105,16 @@
 	if elapsed < window {
 		return
 	}
-	if l.kept > 0 {
-		l.logger.Info("decisions.sampled", "one_of", 1<<l.level, "not_written", l.kept, "written", l.written)
+	if l.leftOut > 0 {
+		l.logger.Info("decisions.sampled", "one_of", 1<<l.level, "not_written", l.leftOut, "written", l.written)
 	}
 	limit := int(float64(l.perSecond) * elapsed.Seconds())
 	switch {
 	case l.written > limit && l.level < maxLevel:
 		l.level++
-	case l.written < limit/3 && l.level > 0:
+	case l.written < limit/sparePart && l.level > 0:
 		l.level--
 	}
 	l.since = now
-	l.written, l.kept = 0, 0
+	l.written, l.leftOut = 0, 0
 }
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -7,8 +7,6 @@
 	"strconv"
 	"time"
 
-	"github.com/pkg/errors"
-
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
 	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
 	"github.com/lapisvane/lapisvane/internal/requestpath/retry"
@@ -144,26 +142,6 @@
 	return answer, nil
 }
 
-// observeAnswer notes what an answer shows of its instance.
-func (a *attempter) observeAnswer(target *balance.Target, answer *callapi.Answer, now time.Time) {
-	target.Reported(answer.Head.GetLoad(), now)
-	target.Succeeded()
-	if answer.Head.GetStatus() >= callapi.FirstServerError {
-		target.AnsweredFailure(now)
-		return
-	}
-	target.Answered(a.route.GetName(), time.Duration(answer.Head.GetServiceMicros())*time.Microsecond, now)
-	a.gateway.sizes.answered(a.route.GetName(), answer.Head.GetContentLength())
-}
-
-// unanswered reports whether an attempt ended without an answer although the instance had
-// all the time that one is worth most in.
-func (a *attempter) unanswered(err error, waited time.Duration) bool {
-	code, _ := result.CodeOf(err)
-	target := a.targetLatency()
-	return (code == result.CallDeadline || code == result.CallCancelled) && target > 0 && waited >= target
-}
-
 // noteOutcome remembers an attempt that an instance may have run.
 func (a *attempter) noteOutcome(err error) {
 	if a.mayHaveRun == nil && callapi.OutcomeOf(err) == callapi.OutcomeUnknown {
@@ -243,27 +221,6 @@
 	return g.config.Remote.Handle(ctx, target.Endpoint.GetAddress(), call)
 }
 
-// observe notes a failure at an instance. Refusals for load or draining are no sign of ill
-// health.
-func (g *Gateway) observe(target *balance.Target, err error) {
-	code, _ := result.CodeOf(err)
-	switch code {
-	case result.CallNotRunUnreachable, result.CallUnknownOutcome, result.CallTruncated, result.CallNotRunUnknownHere, result.CallInstanceCrashed:
-		target.Failed(time.Now())
-	case result.CallNotRunCold:
-		target.RefusedCold(retryAfterOf(err), time.Now())
-	}
-}
-
-// retryAfterOf returns the time that a refusal names; 0 where it names none.
-func retryAfterOf(err error) time.Duration {
-	var refused *result.Error
-	if !errors.As(err, &refused) {
-		return 0
-	}
-	return refused.RetryAfter
-}
-
 // nextAttemptID returns an id that no other attempt has: the node, its incarnation and a
 // count.
 func (g *Gateway) nextAttemptID() string {
--- a/internal/requestpath/gateway/framing.go
+++ b/internal/requestpath/gateway/framing.go
@@ -9,11 +9,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// checkFraming refuses requests whose framing two HTTP implementations may
-// read differently. The HTTP library has parsed the head already; what it
-// tolerates is looked for in the raw lines. Errors: CallBadRequest.
+// checkFraming refuses requests whose framing two HTTP implementations may read differently, so
+// that no part of a body is taken for a request behind this daemon. The HTTP library has parsed
+// the head already; what it tolerates is looked for in the raw lines, which are those of the
+// header fields with the empty one at the end. Errors: CallBadRequest.
 func checkFraming(raw []byte, http11 bool) error {
-	lengths, encodings, hosts := 0, 0, 0
+	var framing framing
 	for len(raw) > 0 {
 		end := bytes.IndexByte(raw, '\n')
 		if end < 0 {
@@ -28,38 +29,55 @@
 		if len(line) == 0 {
 			break
 		}
-		if line[0] == ' ' || line[0] == '\t' {
-			return result.Errorf(result.CallBadRequest, "a header line is folded")
+		if err := framing.add(line); err != nil {
+			return err
 		}
-		if bytes.IndexByte(line, '\r') >= 0 || bytes.IndexByte(line, 0) >= 0 {
-			return result.Errorf(result.CallBadRequest, "a header line has a control character")
-		}
-		name, value, found := bytes.Cut(line, []byte(":"))
-		if !found || len(name) == 0 || bytes.ContainsAny(name, " \t") {
-			return result.Errorf(result.CallBadRequest, "a header line has no proper name")
+	}
+	return framing.check(http11)
+}
+
+// framing counts the fields of a request that tell where its body ends and whom it is for.
+type framing struct{ lengths, encodings, hosts int }
+
+// add counts a field, given by its line without the end. Errors: CallBadRequest for one that
+// is not well-formed.
+func (f *framing) add(line []byte) error {
+	if line[0] == ' ' || line[0] == '\t' {
+		return result.Errorf(result.CallBadRequest, "a header line is folded")
+	}
+	if bytes.IndexByte(line, '\r') >= 0 || bytes.IndexByte(line, 0) >= 0 {
+		return result.Errorf(result.CallBadRequest, "a header line has a control character")
+	}
+	name, value, found := bytes.Cut(line, []byte(":"))
+	if !found || len(name) == 0 || bytes.ContainsAny(name, " \t") {
+		return result.Errorf(result.CallBadRequest, "a header line has no proper name")
+	}
+	value = bytes.TrimSpace(value)
+	switch strings.ToLower(string(name)) {
+	case "content-length":
+		f.lengths++
+		if _, err := strconv.ParseUint(string(value), 10, 63); err != nil || value[0] == '+' {
+			return result.Errorf(result.CallBadRequest, "the content length is not a number")
 		}
-		value = bytes.TrimSpace(value)
-		switch strings.ToLower(string(name)) {
-		case "content-length":
-			lengths++
-			if _, err := strconv.ParseUint(string(value), 10, 63); err != nil || value[0] == '+' {
-				return result.Errorf(result.CallBadRequest, "the content length is not a number")
-			}
-		case "transfer-encoding":
-			encodings++
-			if !strings.EqualFold(string(value), "chunked") {
-				return result.Errorf(result.CallBadRequest, "the transfer encoding is not chunked")
-			}
-		case "host":
-			hosts++
+	case "transfer-encoding":
+		f.encodings++
+		if !strings.EqualFold(string(value), "chunked") {
+			return result.Errorf(result.CallBadRequest, "the transfer encoding is not chunked")
 		}
+	case "host":
+		f.hosts++
 	}
+	return nil
+}
+
+// check checks the fields together. Errors: CallBadRequest.
+func (f *framing) check(http11 bool) error {
 	switch {
-	case lengths+encodings > 1:
+	case f.lengths+f.encodings > 1:
 		return result.Errorf(result.CallBadRequest, "the body's length is stated more than once")
-	case encodings > 0 && !http11:
+	case f.encodings > 0 && !http11:
 		return result.Errorf(result.CallBadRequest, "a transfer encoding needs HTTP/1.1")
-	case hosts > 1 || (http11 && hosts == 0):
+	case f.hosts > 1 || (http11 && f.hosts == 0):
 		return result.Errorf(result.CallBadRequest, "there must be one Host")
 	default:
 		return nil
--- a/internal/requestpath/gateway/headers.go
+++ b/internal/requestpath/gateway/headers.go
@@ -70,3 +70,12 @@
 	}
 	return uint32(min(attempt, maxChainAttempt))
 }
+
+// requestID returns the caller's id of a request; empty where there is none.
+func (g *Gateway) requestID(rc *app.RequestContext) string {
+	name := g.config.Envelope.RequestID
+	if name == "" {
+		return ""
+	}
+	return string(rc.Request.Header.Peek(name))
+}
--- a/internal/requestpath/gateway/lines.go
+++ b/internal/requestpath/gateway/lines.go
@@ -15,6 +15,8 @@
 
 // Names of the gateway's events; docs/OPERATIONS.md lists their keys.
 const (
+	// eventCallFailed is for a call that got no answer of an instance, eventCallAnswered for
+	// one that did, and eventAttemptFailed for each attempt without one.
 	eventCallFailed    = "call.failed"
 	eventCallAnswered  = "call.answered"
 	eventAttemptFailed = "call.attempt_failed"
@@ -22,26 +24,26 @@
 	eventCallPanicked = "call.panicked"
 )
 
-// requestID returns the caller's id of a request; empty where there is none.
-func (g *Gateway) requestID(rc *app.RequestContext) string {
-	name := g.config.Envelope.RequestID
-	if name == "" {
-		return ""
+// noteFailure counts and logs how a call ended without an answer of an instance.
+func (g *Gateway) noteFailure(rc *app.RequestContext, route *lapisv1.Route, err error, started time.Time) {
+	if name := constraintOf(err); name != "" {
+		g.metrics.constrained.WithLabelValues(name).Inc()
 	}
-	return string(rc.Request.Header.Peek(name))
+	g.logFailure(rc, route, err, started)
 }
 
-// logFailure writes the line of a call that got no answer of a back end, with
-// what decided it.
+// logFailure writes the line of a call that got no answer of an instance, with what decided
+// it.
 func (g *Gateway) logFailure(rc *app.RequestContext, route *lapisv1.Route, err error, started time.Time) {
 	code, _ := result.CodeOf(err)
 	g.config.Decisions.Failure(eventCallFailed, g.requestID(rc),
 		"route", route.GetName(), "revision", g.revision(), "code", uint32(code), "name", code,
 		"outcome", callapi.OutcomeOf(err), "took_ms", time.Since(started).Milliseconds(),
-		"come_back_ms", comeBackMillis(err), "constraint", constraintOf(err), "detail", err)
+		"come_back_ms", retryAfterMillis(err), "constraint", constraintOf(err), "detail", err)
 }
 
-func comeBackMillis(err error) int64 {
+// retryAfterMillis returns when the caller may come back, 0 where nobody named a time.
+func retryAfterMillis(err error) int64 {
 	if coded, ok := err.(*result.Error); ok {
 		return coded.RetryAfter.Milliseconds()
 	}
@@ -56,8 +58,8 @@
 	return 0
 }
 
-// logAttempt writes the line of an attempt that got no answer, with what was
-// known of the instance and whether another attempt follows.
+// logAttempt writes the line of an attempt that got no answer, with what was known of the
+// instance and whether another attempt follows.
 func (a *attempter) logAttempt(ctx context.Context, target *balance.Target, err error, again bool) {
 	code, _ := result.CodeOf(err)
 	load, age := target.Report(time.Now())
@@ -69,8 +71,8 @@
 		"took_ms", time.Since(a.started).Milliseconds(), "head", fingerprint.HeadOf(fingerprint.LineOf(a.open)), "detail", err)
 }
 
-// logAnswer writes the line of a call that a back end answered: always after a
-// failure, for a sample of the others.
+// logAnswer writes the line of a call that an instance answered: always after a failure, for a
+// sample of the others.
 func (a *attempter) logAnswer(done outcome) {
 	log := a.gateway.config.Decisions
 	if done.answer.Head.GetStatus() >= callapi.FirstServerError || len(a.tried) > 0 {
@@ -80,6 +82,7 @@
 	log.Success(eventCallAnswered, a.request, func() []any { return a.answerPairs(done) })
 }
 
+// answerPairs returns the keys and values of the line of an answered call.
 func (a *attempter) answerPairs(done outcome) []any {
 	head := done.answer.Head
 	return []any{
--- /dev/null
+++ b/internal/requestpath/gateway/observations.go
@@ -0,0 +1,59 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+)
+
+// What an attempt shows of its instance is recorded here and used by package balance.
+
+// observeAnswer records what an answer shows of its instance: the load that it states, that it
+// can be reached, and whether it failed. The service time and size count only of answers that
+// are no failure, since a quick failure is no quick service.
+func (a *attempter) observeAnswer(target *balance.Target, answer *callapi.Answer, now time.Time) {
+	target.Reported(answer.Head.GetLoad(), now)
+	target.Succeeded()
+	if answer.Head.GetStatus() >= callapi.FirstServerError {
+		target.AnsweredFailure(now)
+		return
+	}
+	target.Answered(a.route.GetName(), time.Duration(answer.Head.GetServiceMicros())*time.Microsecond, now)
+	a.gateway.sizes.answered(a.route.GetName(), answer.Head.GetContentLength())
+}
+
+// unanswered reports whether an attempt ended at its deadline, or because its caller hung up,
+// although the instance had all of the target latency. Such an attempt counts as a failed
+// answer: an instance that hangs answers nothing that would show it.
+func (a *attempter) unanswered(err error, waited time.Duration) bool {
+	code, _ := result.CodeOf(err)
+	target := a.targetLatency()
+	return (code == result.CallDeadline || code == result.CallCancelled) && target > 0 && waited >= target
+}
+
+// observe records a failure at an instance: those that show that it cannot be reached or
+// breaks connections count towards its ejection (package balance), and one of an instance in
+// slow start keeps calls away for the time that it names. Refusals for load or draining are no
+// sign of ill health.
+func (g *Gateway) observe(target *balance.Target, err error) {
+	code, _ := result.CodeOf(err)
+	switch code {
+	case result.CallNotRunUnreachable, result.CallUnknownOutcome, result.CallTruncated, result.CallNotRunUnknownHere, result.CallInstanceCrashed:
+		target.Failed(time.Now())
+	case result.CallNotRunCold:
+		target.RefusedCold(retryAfterOf(err), time.Now())
+	}
+}
+
+// retryAfterOf returns the time that a refusal names; 0 where it names none.
+func retryAfterOf(err error) time.Duration {
+	var refused *result.Error
+	if !errors.As(err, &refused) {
+		return 0
+	}
+	return refused.RetryAfter
+}
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -29,8 +29,8 @@
 )
 
 // Quarantine tells which requests must not reach an instance because instances crashed
-// under what they ask for. Its methods are safe for concurrent use; all but MayTry return
-// at once.
+// under what they ask for. Its methods are safe for concurrent use; all but
+// ClaimTrial return at once.
 type Quarantine interface {
 	// Suspected reports whether instances crashed under requests with the head of the line. It
 	// is asked for each request, and false for nearly all.
@@ -39,9 +39,10 @@
 	Judge(keys []fingerprint.Key, caller string) quarantine.Verdict
 	// Count returns the number of instances that crashed under requests with the keys.
 	Count(keys []fingerprint.Key) int
-	// MayTry asks for the grant to let one quarantined request run as a trial. One daemon
-	// of all gets it; false also when the store does not answer before ctx ends.
-	MayTry(ctx context.Context, verdict quarantine.Verdict) bool
+	// ClaimTrial asks the platform's store for the grant to let one quarantined request run
+	// as a trial. One daemon of all gets it; it returns false also when the store does not
+	// answer before ctx ends.
+	ClaimTrial(ctx context.Context, verdict quarantine.Verdict) bool
 }
 
 // heldBodies counts the bytes of bodies that are held while their requests are served. It is
@@ -81,7 +82,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	if verdict.TrialDue && suspects.MayTry(ctx, verdict) {
+	if verdict.TrialDue && suspects.ClaimTrial(ctx, verdict) {
 		call.open.Trial = true
 		return done, nil
 	}
--- a/internal/requestpath/refusal/retryafter.go
+++ b/internal/requestpath/refusal/retryafter.go
@@ -6,6 +6,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
+// The time that a refused caller is told is named first by whoever refuses the call, as the
+// time after which it expects to have room: package balance where no instance may
+// get the call, package admission for load and pace, package quarantine until the next trial,
+// and the instance itself for what it sheds. RetryAfter below replaces most of those by a time
+// within the target latency of the route. What is left without any gets DefaultRetryAfter.
+
 // DefaultRetryAfter is named to a refused caller when nothing better is known. Chosen, not
 // measured; the shortest time that callers understand which read whole seconds.
 const DefaultRetryAfter = time.Second
