--- a/internal/requestpath/gateway/attempts_test.go
+++ b/internal/requestpath/gateway/attempts_test.go
@@ -167,10 +167,9 @@
 	return nil, r.err
 }
 
-// A call that an instance may have run is not answered as one that has not run, however
-// its later attempts end (swancycle-hq-now-grown scale-2, LOST at 23.504 s: the daemon
-// beside the instance fell silent, the other instances were full, and the caller got 503
-// while the first one worked).
+// A call that an instance may have run is not answered as one that has not run, however its
+// later attempts end. Seen once: the daemon beside the instance fell silent, the other
+// instances were full, and the caller got 503 while the first one worked.
 func TestNotRunIsSaidOnlyWhenItIsTrue(t *testing.T) {
 	silent := result.Errorf(result.CallUnknownOutcome, "the daemon beside the instance does not answer")
 	full := result.Errorf(result.CallNotRunOverloaded, "no slot is free")
@@ -191,7 +190,7 @@
 	}
 }
 
-// A refusal because an instance is cold is tried elsewhere like one for load, within the
+// A refusal because an instance is in slow start is tried elsewhere like one for load, within the
 // same bound, and that instance is left alone for the time that it named.
 func TestColdRefusalsAreTriedElsewhere(t *testing.T) {
 	cold := result.Errorf(result.CallNotRunCold, "cold")
--- a/internal/requestpath/gateway/opening.go
+++ b/internal/requestpath/gateway/opening.go
@@ -25,7 +25,7 @@
 	}
 	if a.targetLatency() > 0 {
 		bounds := a.bounds(ctx, target.ServiceTime(a.route.GetName()))
-		open.SlackMillis = millisAtLeast(1, bounds.Slack)
+		open.SlackMillis = millisAtLeast(1, bounds.Headroom)
 		open.TargetMillis = millisAtLeast(0, bounds.DueIn)
 		open.MaxWaitMillis = millisAtLeast(0, bounds.MaxWait)
 	}
--- a/internal/requestpath/gateway/pipeline/connection.go
+++ b/internal/requestpath/gateway/pipeline/connection.go
@@ -132,7 +132,7 @@
 	c.caller.interrupt()
 }
 
-// disconnectUnlessSealed notes that the caller is gone, unless the reading was ended
+// disconnectUnlessSealed is disconnect, unless the reading was ended
 // from this side.
 func (c *connection) disconnectUnlessSealed() {
 	c.mutex.Lock()
--- a/internal/requestpath/gateway/pipeline/sequence_test.go
+++ b/internal/requestpath/gateway/pipeline/sequence_test.go
@@ -97,7 +97,7 @@
 
 // drawRequest returns a request's text and the answer that the model gives.
 func drawRequest(t *rapid.T, number int) (text, want string) {
-	path := fmt.Sprintf("/%d/%s", number, rapid.SampledFrom([]string{"whole", "pieces", "turn"}).Draw(t, "answer"))
+	path := fmt.Sprintf("/%d/%s", number, rapid.SampledFrom([]string{"whole", "pieces", "ordered"}).Draw(t, "answer"))
 	switch rapid.IntRange(0, kinds-1).Draw(t, "kind") {
 	case kindShort:
 		body := rapid.StringMatching(`[a-z]{1,40}`).Draw(t, "body")
@@ -138,7 +138,7 @@
 			_ = body.Flush()
 		}
 		return
-	case strings.HasSuffix(path, "turn"):
+	case strings.HasSuffix(path, "ordered"):
 		_ = exchange.AwaitEarlierAnswers(ctx)
 	}
 	reply(exchange, text)
--- a/internal/requestpath/gateway/quarantine_test.go
+++ b/internal/requestpath/gateway/quarantine_test.go
@@ -13,9 +13,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// What is held back is told the time until one may run, not one that is drawn for calls
-// that are refused for load: it would be refused again.
-func TestHeldBackIsToldItsTime(t *testing.T) {
+// The caller of a quarantined request is told the time until the next trial, not one that is
+// drawn for calls that are refused for load: it would be refused again.
+func TestQuarantinedCallerReturnsForTheTrial(t *testing.T) {
 	route := &lapisv1.Route{CallClass: &lapisv1.CallClass{TargetLatencyMillis: 200}}
 	err := withRetryAfter(origin.Quarantined(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}), route)
 	assert.Equal(t, retryAfterOf(err), 42*time.Second)
@@ -23,8 +23,8 @@
 	assert.NilError(t, origin.Quarantined(quarantine.Verdict{}))
 }
 
-// A daemon repeats after the first instance that ended, and not after the second.
-func TestRepeatsEndWithTheSecondInstance(t *testing.T) {
+// A daemon repeats after the first instance that crashed, and not after the second.
+func TestRepeatsEndWithTheSecondCrash(t *testing.T) {
 	for crashes, may := range map[int]bool{0: true, 1: true, 2: false, 3: false} {
 		attempt := newAttempter(t, &scriptedRemote{script: []any{200}}, true, retry.Limits{Fraction: 1, Burst: 10})
 		attempt.enterBudget("desk")
--- a/internal/requestpath/refusal/refusal_test.go
+++ b/internal/requestpath/refusal/refusal_test.go
@@ -15,7 +15,7 @@
 func TestRelationsBetweenTheTimes(t *testing.T) {
 	assert.Assert(t, leastWaitLater < leastWait)
 	assert.Assert(t, startMargin < leastWait)
-	assert.Assert(t, waitOfSlack < 1 && waitOfDeadline < 0.5)
+	assert.Assert(t, waitOfHeadroom < 1 && waitOfDeadline < 0.5)
 	assert.Assert(t, startOfUsual < 1)
 	assert.Assert(t, 0 < returnFrom && returnFrom < returnTo && returnTo < 1, "a return must come within the target")
 	assert.Assert(t, DefaultRetryAfter >= time.Second, "callers that read whole seconds would be told 0")
@@ -27,12 +27,12 @@
 		timing Timing
 		want   Bounds
 	}{
-		"half of the slack":        {Timing{Target: 400 * ms, ServiceTime: 100 * ms}, Bounds{300 * ms, 300 * ms, 150 * ms}},
+		"half of the headroom":     {Timing{Target: 400 * ms, ServiceTime: 100 * ms}, Bounds{300 * ms, 300 * ms, 150 * ms}},
 		"less what was spent":      {Timing{Target: 400 * ms, ServiceTime: 100 * ms, Spent: 40 * ms}, Bounds{300 * ms, 260 * ms, 110 * ms}},
 		"due from the first try":   {Timing{Target: 400 * ms, ServiceTime: 100 * ms, SpentBefore: 350 * ms}, Bounds{300 * ms, -50 * ms, 150 * ms}},
 		"the deadline is near":     {Timing{Target: 400 * ms, HasDeadline: true, Whole: 200 * ms}, Bounds{400 * ms, 400 * ms, 90 * ms}},
 		"the deadline is far":      {Timing{Target: 400 * ms, HasDeadline: true, Whole: 5 * time.Second}, Bounds{400 * ms, 400 * ms, 200 * ms}},
-		"no slack":                 {Timing{Target: 100 * ms, ServiceTime: 300 * ms}, Bounds{-200 * ms, -200 * ms, leastWait}},
+		"no headroom":              {Timing{Target: 100 * ms, ServiceTime: 300 * ms}, Bounds{-200 * ms, -200 * ms, leastWait}},
 		"all of the wait is spent": {Timing{Target: 400 * ms, Spent: 300 * ms}, Bounds{400 * ms, 100 * ms, leastWaitLater}},
 	} {
 		t.Run(name, func(t *testing.T) { assert.DeepEqual(t, BoundsOf(row.timing), row.want) })
@@ -100,13 +100,13 @@
 		whole, deadlined := time.Duration(random.Int64N(6e9)-1e9), random.IntN(2) == 0
 		timing := Timing{Target: target, ServiceTime: service, Spent: spent, SpentBefore: before, HasDeadline: deadlined, Whole: whole}
 
-		slack := target - service
-		most := time.Duration(0.5 * float64(slack))
+		headroom := target - service
+		most := time.Duration(0.5 * float64(headroom))
 		if deadlined {
 			most = min(most, time.Duration(0.45*float64(whole)))
 		}
 		most = max(most, 50*time.Millisecond)
-		assert.Equal(t, BoundsOf(timing), Bounds{Slack: slack, DueIn: slack - spent - before, MaxWait: max(most-spent, 5*time.Millisecond)})
+		assert.Equal(t, BoundsOf(timing), Bounds{Headroom: headroom, DueIn: headroom - spent - before, MaxWait: max(most-spent, 5*time.Millisecond)})
 
 		least := max(10*time.Millisecond, time.Duration(0.5*float64(service)))
 		assert.Equal(t, LeastTime(service), least)
--- a/internal/requestpath/refusal/wait.go
+++ b/internal/requestpath/refusal/wait.go
@@ -4,16 +4,16 @@
 
 // Bounds of the time within which a call may wait and start.
 const (
-	// waitOfSlack is the part of its slack that a call may wait for a slot, over all
+	// waitOfHeadroom is the part of its headroom that a call may wait for a slot, over all
 	// attempts. Measured against a quarter of the target followed by a second wait up to 0.6
 	// targets, on the first 16 s of a busy day: worth 0.643 for both (docs/design/0015). Half
-	// of the slack tells callers sooner and needs no second wait.
-	waitOfSlack = 0.5
+	// of the headroom tells callers sooner and needs no second wait.
+	waitOfHeadroom = 0.5
 	// waitOfDeadline is the part of a call's time, from its arrival to its deadline, that it
 	// may wait. Chosen, not measured; below 0.5, so that a call has the larger part of its
 	// time left to run.
 	waitOfDeadline = 0.45
-	// leastWait is what a call may wait in any case, however short its slack. Measured against
+	// leastWait is what a call may wait in any case, however short its headroom. Measured against
 	// 150 ms on a whole day with failures: worth 0.671 with 50 ms, 0.667 with 150 ms, which is
 	// within noise (docs/design/0015).
 	leastWait = 50 * time.Millisecond
@@ -35,7 +35,8 @@
 type Timing struct {
 	// Target is the time inside which an answer is worth most; 0 where the route states none.
 	Target time.Duration
-	// ServiceTime is the mean time that calls of the route take at the instance.
+	// ServiceTime is the mean time that calls of the route take at the instance, without the
+	// wait for a slot; 0 where no answer was seen.
 	ServiceTime time.Duration
 	// Spent is the time since the call arrived, and SpentBefore the time that its caller
 	// had been waiting until then, since its first try.
@@ -48,9 +49,9 @@
 
 // Bounds is how long a call may wait at an instance.
 type Bounds struct {
-	// Slack is the target latency less the service time: how long the call may wait for its
+	// Headroom is the target latency less the service time: how long the call may wait for its
 	// answer to be in time.
-	Slack time.Duration
+	Headroom time.Duration
 	// DueIn is the time in which the call must start for its answer to be in time, counted
 	// from its caller's first try; negative once it is late.
 	DueIn time.Duration
@@ -58,19 +59,22 @@
 	MaxWait time.Duration
 }
 
-// BoundsOf returns the bounds of a call with a target latency.
+// BoundsOf returns the bounds of a call with a target latency. The wait is at most half of the
+// headroom; then at most a part of the time to the deadline, where there is one; then at least
+// leastWait, all counted from the call's arrival and less what was spent; and last at least
+// leastWaitLater.
 func BoundsOf(timing Timing) Bounds {
-	slack := timing.Target - timing.ServiceTime
+	headroom := timing.Target - timing.ServiceTime
 	return Bounds{
-		Slack:   slack,
-		DueIn:   slack - timing.Spent - timing.SpentBefore,
-		MaxWait: max(timing.wait(slack)-timing.Spent, leastWaitLater),
+		Headroom: headroom,
+		DueIn:    headroom - timing.Spent - timing.SpentBefore,
+		MaxWait:  max(timing.wait(headroom)-timing.Spent, leastWaitLater),
 	}
 }
 
 // wait returns how long after its arrival a call may get a slot, over all attempts.
-func (t Timing) wait(slack time.Duration) time.Duration {
-	most := time.Duration(waitOfSlack * float64(slack))
+func (t Timing) wait(headroom time.Duration) time.Duration {
+	most := time.Duration(waitOfHeadroom * float64(headroom))
 	if t.HasDeadline {
 		most = min(most, time.Duration(waitOfDeadline*float64(t.Whole)))
 	}
--- a/internal/requestpath/retry/budget_model_test.go
+++ b/internal/requestpath/retry/budget_model_test.go
@@ -106,9 +106,8 @@
 	return worst
 }
 
-// On day own-budget of swancycle-hq-grown the back service got 1700 repeats in
-// ten seconds of 1606 allowed: each service kept to its fraction, but what
-// repeated runs of the other one called came on top.
+// A service that another one calls got 1,700 repeats in ten seconds of 1,606 allowed: each
+// service kept to its fraction, but what repeated runs of the other one called came on top.
 func TestCallsOfRepeatedRunsAreChargedToTheBudget(t *testing.T) {
 	for seed := range uint64(20) {
 		excess := newBudgetModel(seed, true).excess()
