--- a/internal/pages_test.go
+++ b/internal/pages_test.go
@@ -147,3 +147,49 @@
 		}
 	}
 }
+
+// functionName is a function as pages name it: package, dot, function or method.
+var functionName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z][a-zA-Z]+)`")
+
+// functionsOf returns the functions and methods of the daemons' packages, as "package.Name".
+func functionsOf(t *testing.T) (functions, packages map[string]bool) {
+	t.Helper()
+	functions, packages = map[string]bool{}, map[string]bool{}
+	for _, root := range []string{".", "../platform"} {
+		err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			packages[file.Name.Name] = true
+			for _, declaration := range file.Decls {
+				if function, ok := declaration.(*ast.FuncDecl); ok {
+					functions[file.Name.Name+"."+function.Name.Name] = true
+				}
+			}
+			return nil
+		})
+		assert.NilError(t, err)
+	}
+	return functions, packages
+}
+
+// The pages that lead from a question to the code name functions that exist. A name that
+// is an event or a setting as well is left alone.
+func TestPagesNameFunctionsThatExist(t *testing.T) {
+	functions, packages := functionsOf(t)
+	events := literalsOf(t, eventName)
+	for _, page := range []string{"../docs/operations/on-call.md", "../docs/DECISIONS.md"} {
+		content, err := os.ReadFile(page)
+		assert.NilError(t, err)
+		for _, match := range functionName.FindAllStringSubmatch(string(content), -1) {
+			name := match[1] + "." + match[2]
+			if packages[match[1]] && !events[name] {
+				assert.Check(t, functions[name], "%s names %s", page, name)
+			}
+		}
+	}
+}
