--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -63,7 +63,7 @@
 			}
 			return a.giveUp(err)
 		}
-		a.open.Service = pool
+		a.opening.Service = pool
 		if a.hopeless(ctx, a.usualTime(target)) {
 			return a.giveUp(result.Errorf(result.CallNotRunExpired, "too little time is left for an answer"))
 		}
@@ -106,7 +106,7 @@
 		return nil, result.Errorf(result.CallNoEndpoint, "route %s has no pool here", a.route.GetName())
 	}
 	return a.gateway.balancer.Pick(service, balance.Choice{
-		Exclude: a.tried, Key: a.open.GetIdempotencyKey(), Route: a.route.GetName(),
+		Exclude: a.tried, Key: a.opening.GetIdempotencyKey(), Route: a.route.GetName(),
 		Target: a.targetLatency(), Spent: time.Since(a.started) + a.waitedBefore, Bytes: a.gateway.sizes.of(a.route.GetName(), a.body),
 		Constraints: a.constraints(),
 	})
@@ -115,7 +115,7 @@
 // once makes one attempt at target. The caller ends the load of an answered one with
 // Target.End.
 func (a *attempter) once(ctx context.Context, target *balance.Target) (*callapi.Answer, error) {
-	open := a.openFor(ctx, target)
+	open := a.openingFor(ctx, target)
 	a.attemptID = open.GetAttemptId()
 	call := &callapi.Call{Open: open, StaysWithSilent: a.gateway.draining}
 	a.attach(call)
@@ -170,7 +170,7 @@
 	case retry.AgainElsewhere:
 		return true
 	case retry.AgainWithinBudget:
-		return a.gateway.budget.Spend(a.open.GetService())
+		return a.gateway.budget.Spend(a.opening.GetService())
 	default:
 		return false
 	}
@@ -179,7 +179,7 @@
 // mayReplace reports whether an answer is a failure that another instance may do better on.
 func (a *attempter) mayReplace(answer *callapi.Answer) bool {
 	facts := retry.Answer{Status: answer.Head.GetStatus(), Length: answer.Head.GetContentLength(), Kept: a.kept != nil}
-	return retry.MayReplace(a.retryCall(), facts, func() bool { return a.gateway.balancer.MostlySound(a.open.GetService()) })
+	return retry.MayReplace(a.retryCall(), facts, func() bool { return a.gateway.balancer.MostlySound(a.opening.GetService()) })
 }
 
 // setAside reads a failed answer whole and keeps it, so that its instance is free again. It
--- a/internal/requestpath/gateway/call.go
+++ b/internal/requestpath/gateway/call.go
@@ -19,9 +19,10 @@
 type call struct {
 	current *snapshot.Snapshot
 	route   *lapisv1.Route
-	// open is the opening that the attempts copy; its service is the pool drawn last.
-	open *lapisv1.CallOpen
-	body *requestBody
+	// opening is the head of the call as it goes to the daemon beside an instance, which each
+	// attempt copies; its service is the pool drawn last.
+	opening *lapisv1.CallOpen
+	body    *requestBody
 	// attach prepares an attempt's body.
 	attach func(*callapi.Call)
 	// request is the caller's id of the request, empty where there is none.
@@ -43,7 +44,7 @@
 // retryCall returns what the retry rule needs of the call.
 func (c *call) retryCall() retry.Call {
 	return retry.Call{
-		Repeatable: c.open.GetRepeatable(), ChainRetries: c.open.GetAttempt(),
+		Repeatable: c.opening.GetRepeatable(), ChainRetries: c.opening.GetAttempt(),
 		MaxAttempts: int(c.route.GetCallClass().GetMaxAttempts()),
 	}
 }
--- a/internal/requestpath/gateway/deliver.go
+++ b/internal/requestpath/gateway/deliver.go
@@ -42,7 +42,7 @@
 	// An error of closing an answer tells no more than reading it did.
 	defer func() { _ = done.answer.Body.Close() }()
 	head := done.answer.Head
-	method := attempt.open.GetMethod()
+	method := attempt.opening.GetMethod()
 	if hasNoBody(method, head.GetStatus()) {
 		// A body that is not passed on is read and dropped; how it ends does not matter.
 		_, _ = readWhole(done.answer)
--- a/internal/requestpath/gateway/lines.go
+++ b/internal/requestpath/gateway/lines.go
@@ -67,8 +67,8 @@
 		"attempt", a.attemptID, "instance", target.Endpoint.GetInstance(), "member", target.Endpoint.GetNode(),
 		"state", target.Endpoint.GetState(), "code", uint32(code), "name", code, "again", again,
 		"revision", a.current.Revision, "load", load, "load_age_ms", age.Milliseconds(),
-		"budget", a.gateway.budget.Left(a.open.GetService()), "left_ms", leftMillis(ctx),
-		"took_ms", time.Since(a.started).Milliseconds(), "head", fingerprint.HeadOf(fingerprint.LineOf(a.open)), "detail", err)
+		"budget", a.gateway.budget.Left(a.opening.GetService()), "left_ms", leftMillis(ctx),
+		"took_ms", time.Since(a.started).Milliseconds(), "head", fingerprint.HeadOf(fingerprint.LineOf(a.opening)), "detail", err)
 }
 
 // logAnswer writes the line of a call that an instance answered: always after a failure, for a
--- a/internal/requestpath/gateway/opening.go
+++ b/internal/requestpath/gateway/opening.go
@@ -9,10 +9,10 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/refusal"
 )
 
-// openFor returns the opening of one attempt, with an attempt id of its own and the times
+// openingFor returns the opening of one attempt, with an attempt id of its own and the times
 // that bound it.
-func (a *attempter) openFor(ctx context.Context, target *balance.Target) *lapisv1.CallOpen {
-	template := a.open
+func (a *attempter) openingFor(ctx context.Context, target *balance.Target) *lapisv1.CallOpen {
+	template := a.opening
 	open := &lapisv1.CallOpen{
 		Service: template.GetService(), Instance: target.Endpoint.GetInstance(), Group: template.GetGroup(),
 		Method: template.GetMethod(), Target: template.GetTarget(), Host: template.GetHost(),
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -66,7 +66,7 @@
 func (g *Gateway) checkQuarantine(ctx context.Context, rc *app.RequestContext, call *call) (done func(), err error) {
 	done = func() {}
 	suspects := g.config.Quarantine
-	line := fingerprint.LineOf(call.open)
+	line := fingerprint.LineOf(call.opening)
 	if suspects == nil || !suspects.Suspected(line) {
 		return done, nil
 	}
@@ -76,14 +76,14 @@
 		}
 	}
 	call.keys = keysOf(line, call.body)
-	verdict := suspects.Judge(call.keys, call.open.GetCallerService())
+	verdict := suspects.Judge(call.keys, call.opening.GetCallerService())
 	if !verdict.Quarantined {
 		return done, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	if verdict.TrialDue && suspects.ClaimTrial(ctx, verdict) {
-		call.open.Trial = true
+		call.opening.Trial = true
 		return done, nil
 	}
 	return done, origin.Quarantined(verdict)
--- a/internal/requestpath/gateway/quarantine_test.go
+++ b/internal/requestpath/gateway/quarantine_test.go
@@ -28,7 +28,7 @@
 	for crashes, may := range map[int]bool{0: true, 1: true, 2: false, 3: false} {
 		attempt := newAttempter(t, &scriptedRemote{script: []any{200}}, true, retry.Limits{Fraction: 1, Burst: 10})
 		attempt.enterBudget("desk")
-		attempt.open.Service = "desk"
+		attempt.opening.Service = "desk"
 		err := result.Errorf(result.CallInstanceCrashed, "crashed")
 		err.Crashes = crashes
 		assert.Equal(t, attempt.tryAgain(attempt.failureOf(t.Context(), err)), may, "after %d", crashes)
--- a/internal/requestpath/gateway/serve.go
+++ b/internal/requestpath/gateway/serve.go
@@ -133,7 +133,7 @@
 	// A caller that states no deadline counts as one on its first try.
 	stated, _ := g.statedDeadline(rc)
 	return call{
-		current: current, route: route, open: g.openOf(rc, route, current.Revision, body), body: body,
+		current: current, route: route, opening: g.openingOf(rc, route, current.Revision, body), body: body,
 		attach:  func(call *callapi.Call) { body.attach(call, rc) },
 		request: g.requestID(rc), local: exchange.Local(),
 		started: exchange.Arrived, suspendedBefore: boottime.Suspended(),
@@ -141,8 +141,8 @@
 	}
 }
 
-// openOf returns the opening common to all attempts at a call.
-func (g *Gateway) openOf(rc *app.RequestContext, route *lapisv1.Route, revision uint64, body *requestBody) *lapisv1.CallOpen {
+// openingOf returns the opening common to all attempts at a call.
+func (g *Gateway) openingOf(rc *app.RequestContext, route *lapisv1.Route, revision uint64, body *requestBody) *lapisv1.CallOpen {
 	class := route.GetCallClass()
 	return &lapisv1.CallOpen{
 		Group: route.GetGroup(), Priority: class.GetPriority(), CallerService: g.callerService(),
--- a/internal/requestpath/refusal/retryafter.go
+++ b/internal/requestpath/refusal/retryafter.go
@@ -18,8 +18,9 @@
 
 // A call that was refused may come back after a random time between these parts of its target
 // latency: soon, because its worth counts from its first try, and spread, so that the returns
-// find slots free. Measured on the first 16 s of a busy day: worth 0.653 with 0.15 to 0.6 targets,
-// 0.643 with 0.4 to 1.2 (docs/design/0015).
+// find slots free. Measured on the first 16 s of a busy day (docs/design/0015): worth 0.653 with
+// 0.15 to 0.6 targets and 0.643 with 0.4 to 1.2, both beside a longer wait for a slot than that of
+// wait.go; beside that one 0.643 with either, where the sooner return was kept.
 const (
 	returnFrom = 0.15
 	returnTo   = 0.6
