--- a/internal/requestpath/origin/connection.go
+++ b/internal/requestpath/origin/connection.go
@@ -4,9 +4,6 @@
 	"bufio"
 	"context"
 	"net"
-	"net/http"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -15,15 +12,20 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Bounds of the connections to a back end.
+// Bounds of the connections to a back end. All are chosen, not measured.
 const (
+	// backendDialTimeout bounds the opening of a connection. The back end is on the same machine;
+	// a call waits for it, so that it must be well below the usual deadlines, and above
+	// crashProbeTimeout.
 	backendDialTimeout = 300 * time.Millisecond
 	// backendIdleTimeout is how long an unused connection is kept where the
 	// back end does not say. It is short because a back end that closes one
 	// just as a call is written to it makes that call's outcome unknown.
 	backendIdleTimeout = 4 * time.Second
-	// keepAliveMargin is taken off the time that a back end states.
-	keepAliveMargin    = 2 * time.Second
+	// keepAliveMargin is taken off the time that a back end states, but not more than half of
+	// it.
+	keepAliveMargin = 2 * time.Second
+	// backendBufferBytes is the size of each of a connection's two buffers: a usual head fits.
 	backendBufferBytes = 4 << 10
 )
 
@@ -42,7 +44,9 @@
 	rest    time.Duration
 }
 
-// connectionPool keeps the connections to one back end.
+// connectionPool keeps the connections to one back end. It is safe for concurrent use. How long a
+// connection rested is measured by the time since boot: the back end's clock may go on while this
+// daemon's stands.
 type connectionPool struct {
 	address string
 	dialer  net.Dialer
@@ -140,17 +144,17 @@
 
 // discard closes a connection.
 func (p *connectionPool) discard(conn *connection) {
-	_ = conn.Close()
+	_ = conn.Close() // It is given up either way, and nothing is in flight on it.
 	p.mutex.Lock()
 	p.open--
 	p.mutex.Unlock()
 }
 
-// broke takes in that a connection broke before an answer came, so long after
+// noteBroken records that a connection broke before an answer came, so long after
 // the request was sent over it.
-func (p *connectionPool) broke(conn *connection, after time.Duration) {
+func (p *connectionPool) noteBroken(conn *connection, after time.Duration) {
 	if conn.reused && after < forgottenWithin {
-		p.resting.forgotten(conn.rest, boottime.Now())
+		p.resting.noteForgotten(conn.rest, boottime.Now())
 	}
 }
 
@@ -176,7 +180,8 @@
 }
 
 // quiet reports whether a resting connection is open and nothing has arrived
-// on it: bytes there belong to no request.
+// on it: bytes there belong to no request. One of a kind without a descriptor
+// counts as quiet.
 func quiet(conn net.Conn) bool {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
@@ -195,20 +200,3 @@
 	})
 	return err == nil && calm
 }
-
-// keepAliveOf returns how long the back end keeps a connection after this
-// answer, less a margin; ok is false when it does not say.
-func keepAliveOf(header http.Header) (keep time.Duration, ok bool) {
-	for _, value := range header.Values("Keep-Alive") {
-		for _, part := range strings.Split(value, ",") {
-			name, seconds, found := strings.Cut(strings.TrimSpace(part), "=")
-			if !found || !strings.EqualFold(name, "timeout") {
-				continue
-			}
-			if count, err := strconv.Atoi(seconds); err == nil {
-				return max(time.Duration(count)*time.Second-keepAliveMargin, time.Duration(count)*time.Second/2), true
-			}
-		}
-	}
-	return 0, false
-}
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"net/http"
 	"time"
 
@@ -12,6 +11,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
+// run hands a call that has a slot to its instance and returns the answer. The slot is given back
+// with the error, or at the end of the answer. Errors: those of roundTrip, CallInstanceCrashed where
+// the instance ended under the call, and the instance's own refusal.
 func (o *Origin) run(ctx context.Context, instance *Instance, slot *admission.Slot, call *callapi.Call) (*callapi.Answer, error) {
 	handed := time.Now()
 	defer o.execute(call)()
@@ -59,29 +61,3 @@
 	}
 	return instanceRefusal(response, &o.config.Envelope)
 }
-
-// answerBody gives the slot back when the answer has been read.
-type answerBody struct {
-	body io.ReadCloser
-	slot *admission.Slot
-	// broke is called when the answer breaks off.
-	broke func(error)
-}
-
-func (a *answerBody) Read(buffer []byte) (int, error) {
-	count, err := a.body.Read(buffer)
-	if err != nil {
-		a.slot.Release(false)
-	}
-	if err != nil && err != io.EOF {
-		err = result.Wrap(result.CallTruncated, err, "the answer broke off")
-		a.broke(err)
-	}
-	return count, err
-}
-
-func (a *answerBody) Close() error {
-	err := a.body.Close()
-	a.slot.Release(false)
-	return err
-}
--- a/internal/requestpath/origin/idlebound.go
+++ b/internal/requestpath/origin/idlebound.go
@@ -5,18 +5,21 @@
 	"time"
 )
 
-// Tunables of what is learned about resting connections.
+// Constants of what is learned about resting connections. Both are chosen, not measured.
 const (
 	// forgottenWithin is the time after a request was sent in which a broken
-	// connection counts as one that the back end had given up while it rested.
+	// connection counts as one that the back end had given up while it rested. It must be
+	// above a round trip on the machine and below the usual service time, or calls that the
+	// back end broke off itself are counted.
 	forgottenWithin = 20 * time.Millisecond
-	// idleMemory is how long a lowered bound holds.
+	// idleMemory is how long a lowered bound holds. It must be above backendIdleTimeout, or a
+	// connection outlives what was learned.
 	idleMemory = 10 * time.Second
 )
 
 // idleBound learns how long a back end's connections may rest. A back end may
-// give one up without a word, and a request that is then sent over it is lost
-// without proof that it did not run.
+// give one up without closing it, and a request that is then sent over it is lost
+// without proof that it did not run. It is safe for concurrent use.
 type idleBound struct {
 	// mutex protects everything below.
 	mutex sync.Mutex
@@ -24,9 +27,9 @@
 	until time.Time
 }
 
-// forgotten notes that a connection was given up while it rested for so long.
-// Half of that is allowed from now on.
-func (b *idleBound) forgotten(rested time.Duration, now time.Time) {
+// noteForgotten records that a connection was given up while it rested for so long.
+// Half of that is allowed from now on, or less where less was learned before.
+func (b *idleBound) noteForgotten(rested time.Duration, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	limit := rested / 2
--- a/internal/requestpath/origin/instance.go
+++ b/internal/requestpath/origin/instance.go
@@ -52,8 +52,8 @@
 	lifecycle     *stateless.StateMachine
 	reasons       map[DrainReason]bool
 	// reachability is what its calls show, and downByCalls true while the instance is down by
-	// that. It is no state of the lifecycle: it outlasts a drain, after which the instance
-	// stays closed until it is heard.
+	// that. It is no state of the lifecycle, because it outlasts a drain: after that the instance
+	// is announced as ready only once it is heard.
 	reachability reachability
 	downByCalls  bool
 }
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -16,7 +16,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// BackendConfig names one back end beside the daemon.
+// BackendConfig names one back end beside the daemon, which sends no heartbeats.
 type BackendConfig struct {
 	Service  string
 	Instance string
@@ -38,7 +38,7 @@
 	Envelope callapi.Envelope
 	// Crashes receives the crashes of instances; nil where nobody follows them.
 	Crashes CrashReporter
-	// Changed is called when the state of an instance changed.
+	// Changed is called, from any goroutine, when what Advertised returns changed.
 	Changed func()
 	// Decisions receives the lines about requests, nil for none, and Logger
 	// those about instances.
@@ -49,7 +49,7 @@
 // instanceKey names an instance.
 type instanceKey struct{ service, instance string }
 
-// Origin serves calls for the back ends beside the daemon.
+// Origin serves calls for the back ends beside the daemon. It is safe for concurrent use.
 type Origin struct {
 	config      Config
 	coldCrashes coldCrashes
@@ -79,7 +79,7 @@
 	runContext context.Context
 }
 
-// Counts are totals since the start.
+// Counts are totals of calls since the start.
 type Counts struct {
 	HandedOver, Refused, Duplicates, Broken int64
 }
--- a/internal/requestpath/origin/refusal.go
+++ b/internal/requestpath/origin/refusal.go
@@ -130,13 +130,3 @@
 		return nil
 	}
 }
-
-// retryAfterOf returns the time of a Retry-After field in seconds; 0 where there is none, or one
-// that is no number (a date), which counts as not known.
-func retryAfterOf(header http.Header) time.Duration {
-	seconds, err := time.ParseDuration(header.Get("Retry-After") + "s")
-	if err != nil {
-		return 0
-	}
-	return seconds
-}
