--- a/internal/requestpath/admission/limit_test.go
+++ b/internal/requestpath/admission/limit_test.go
@@ -44,8 +44,7 @@
 }
 
 // Every instance of a service shed half of its calls for 8.5 s whatever its load: the
-// limit of each fell to one slot (swancycle-hq-now-grown scale-1, 13 to 21.5 s, 35,879
-// answers of 503).
+// limit of each fell to one slot (35,879 answers of 503).
 func TestSheddingWithoutLoadLeavesTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		queue := newQueue(13, nil)
--- a/internal/requestpath/admission/pace_test.go
+++ b/internal/requestpath/admission/pace_test.go
@@ -23,9 +23,9 @@
 	priorities []uint32
 }
 
-// ask wants a slot, notes when it got one and gives it back at once: what failed at once
+// try acquires a slot, notes when it got one and gives it back at once: what failed at once
 // counts all the same.
-func (a *admissions) ask(queue *admission.Queue, request admission.Request) error {
+func (a *admissions) try(queue *admission.Queue, request admission.Request) error {
 	slot, err := queue.Acquire(context.Background(), request)
 	if err != nil {
 		return err
@@ -94,7 +94,7 @@
 				}
 				for range random.IntN(8) {
 					wanted++
-					go func() { _ = seen.ask(queue, admission.Request{MaxWait: 800 * time.Millisecond}) }()
+					go func() { _ = seen.try(queue, admission.Request{MaxWait: 800 * time.Millisecond}) }()
 				}
 				time.Sleep(time.Duration(random.IntN(200)) * time.Millisecond)
 				if random.IntN(10) == 0 {
@@ -122,14 +122,14 @@
 			queue.SetPace(pace)
 			time.Sleep(500 * time.Millisecond)
 			for range 20 {
-				_ = seen.ask(queue, admission.Request{NoWait: true})
+				_ = seen.try(queue, admission.Request{NoWait: true})
 			}
 		}
 		assert.Equal(t, seen.count(), 4)
 		assert.Assert(t, seen.most() <= 6)
 		fresh := newQueue(100, nil)
 		fresh.SetPace(pace)
-		assert.Assert(t, result.Is(seen.ask(fresh, admission.Request{NoWait: true}), result.CallNotRunCold))
+		assert.Assert(t, result.Is(seen.try(fresh, admission.Request{NoWait: true}), result.CallNotRunCold))
 	})
 }
 
@@ -142,7 +142,7 @@
 		queue.SetPace(pace)
 		seen := &admissions{}
 		for _, priority := range []uint32{3, 1, 2, 0} {
-			go func() { _ = seen.ask(queue, admission.Request{Priority: priority, MaxWait: time.Minute}) }()
+			go func() { _ = seen.try(queue, admission.Request{Priority: priority, MaxWait: time.Minute}) }()
 			synctest.Wait()
 		}
 		for range 30 {
@@ -162,11 +162,11 @@
 		queue.SetPace(admission.Pace{PerSecond: 1, Burst: 1})
 		seen := &admissions{}
 		for range 2 {
-			go func() { _ = seen.ask(queue, admission.Request{MaxWait: 2500 * time.Millisecond}) }()
+			go func() { _ = seen.try(queue, admission.Request{MaxWait: 2500 * time.Millisecond}) }()
 			synctest.Wait()
 		}
 		before := time.Now()
-		err := seen.ask(queue, admission.Request{MaxWait: 2500 * time.Millisecond})
+		err := seen.try(queue, admission.Request{MaxWait: 2500 * time.Millisecond})
 		assert.Equal(t, time.Since(before), time.Duration(0))
 		assert.Assert(t, result.Is(err, result.CallNotRunCold), "%v", err)
 		assert.Equal(t, err.(*result.Error).RetryAfter.Round(10*time.Millisecond), 3*time.Second)
@@ -195,7 +195,7 @@
 				seen := &admissions{}
 				errs := make(chan error, 5)
 				for range 5 {
-					go func() { errs <- seen.ask(queue, admission.Request{MaxWait: 10 * time.Second}) }()
+					go func() { errs <- seen.try(queue, admission.Request{MaxWait: 10 * time.Second}) }()
 				}
 				time.Sleep(row.at - time.Millisecond)
 				assert.Equal(t, len(errs), 0)
@@ -210,8 +210,7 @@
 }
 
 // Calls that are held up between their admission and the back end, by a daemon that gets no
-// processor, arrive together with later ones. On a users' day 15 arrived in a second of 13.25
-// admitted, of 14.75 allowed: held up by 0.16 s.
+// processor, arrive together with later ones. Once 15 arrived in a second of 13.25 admitted, of 14.75 allowed: held up by 0.16 s.
 func TestHeldUpCallsStayWithinTheBound(t *testing.T) {
 	const heldUp = 0.2
 	pace := admission.PaceWithin(4.5, 1.5, 8, false)
--- a/internal/requestpath/origin/coldness.go
+++ b/internal/requestpath/origin/coldness.go
@@ -27,7 +27,7 @@
 	rateUnknown = 1
 	// cautiousFor is how long after a crash of a cold instance those beside the daemon are
 	// admitted no more while cold than their pool states. Chosen, not measured; it must be
-	// longer than instances stay cold, so that the one that comes back is spared.
+	// longer than instances stay cold, so that it covers the one that comes back.
 	cautiousFor = time.Minute
 )
 
--- a/internal/requestpath/origin/coldness_test.go
+++ b/internal/requestpath/origin/coldness_test.go
@@ -13,7 +13,7 @@
 // cold reports whether the instance is announced as cold.
 func (b *fixture) cold() bool { return b.Advertised()[0].GetColdMillis() > 0 }
 
-// An instance is paced while its last word is that it is cold, and only where its pool
+// An instance is paced while its newest heartbeat says that it is cold, and only where its pool
 // states a rate.
 func TestInstanceIsPacedWhileItSaysThatItIsCold(t *testing.T) {
 	for name, row := range map[string]struct {
@@ -21,30 +21,30 @@
 		steps func(*fixture)
 		paced bool
 	}{
-		"cold from its start":        {4, func(b *fixture) { b.beat(coldTime, 0) }, true},
-		"no rate":                    {0, func(b *fixture) { b.beat(coldTime, 0) }, false},
-		"warm from its start":        {4, func(b *fixture) { b.beat(0, 0) }, false},
-		"cold anew":                  {4, func(b *fixture) { b.beat(0, 0); b.beat(coldTime, 0) }, true},
-		"warm at once by word":       {4, func(b *fixture) { b.beat(coldTime, 0); b.beat(0, 0) }, false},
-		"late word that it is warm":  {4, func(b *fixture) { b.beat(0, 0); b.beat(coldTime, 0); b.beat(0, 2) }, true},
-		"late word that it is cold":  {4, func(b *fixture) { b.beat(coldTime, 0); b.beat(0, 0); b.beat(coldTime, 2) }, false},
-		"its time is over":           {4, func(b *fixture) { b.beat(coldTime, 0); time.Sleep(coldTime) }, false},
-		"the rate is taken away":     {4, func(b *fixture) { b.beat(coldTime, 0); b.rate(0) }, false},
-		"the rate comes later":       {0, func(b *fixture) { b.beat(coldTime, 0); b.rate(4) }, true},
-		"no configuration yet":       {-1, func(b *fixture) { b.beat(coldTime, 0) }, true},
-		"warm, no configuration yet": {-1, func(b *fixture) { b.beat(0, 0) }, false},
-		"a rate after none":          {-1, func(b *fixture) { b.beat(coldTime, 0); b.rate(4) }, true},
-		"no rate after none":         {-1, func(b *fixture) { b.beat(coldTime, 0); b.rate(0) }, false},
-		"nothing known, no bound":    {-1, func(b *fixture) { b.config.Cold = ColdBound{}; b.beat(coldTime, 0) }, false},
-		"to be heard first":          {4, func(b *fixture) { b.beat(0, 0); b.mustBeHeard() }, true},
-		"heard since":                {4, func(b *fixture) { b.beat(0, 0); b.mustBeHeard(); b.beat(0, 0) }, false},
-		"heard with an old word":     {4, func(b *fixture) { b.beat(0, 0); b.mustBeHeard(); b.beat(0, 1) }, true},
-		"not heard for long":         {4, func(b *fixture) { b.beat(0, 0); b.mustBeHeard(); time.Sleep(coldTime) }, false},
-		"heard first, none known":    {-1, func(b *fixture) { b.beat(0, 0); b.mustBeHeard() }, true},
-		"heard since, none known":    {-1, func(b *fixture) { b.beat(0, 0); b.mustBeHeard(); b.beat(0, 0) }, false},
-		"to be heard, a rate after":  {-1, func(b *fixture) { b.beat(0, 0); b.mustBeHeard(); b.rate(4) }, true},
-		"not heard, none known":      {-1, func(b *fixture) { b.beat(0, 0); b.mustBeHeard(); time.Sleep(heartbeatSilence) }, false},
-		"no rate, to be heard first": {0, func(b *fixture) { b.beat(0, 0); b.mustBeHeard() }, false},
+		"cold from its start":        {4, func(b *fixture) { b.heartbeat(coldTime, 0) }, true},
+		"no rate":                    {0, func(b *fixture) { b.heartbeat(coldTime, 0) }, false},
+		"warm from its start":        {4, func(b *fixture) { b.heartbeat(0, 0) }, false},
+		"cold anew":                  {4, func(b *fixture) { b.heartbeat(0, 0); b.heartbeat(coldTime, 0) }, true},
+		"warm at once as it says":    {4, func(b *fixture) { b.heartbeat(coldTime, 0); b.heartbeat(0, 0) }, false},
+		"late heartbeat says warm":   {4, func(b *fixture) { b.heartbeat(0, 0); b.heartbeat(coldTime, 0); b.heartbeat(0, 2) }, true},
+		"late heartbeat says cold":   {4, func(b *fixture) { b.heartbeat(coldTime, 0); b.heartbeat(0, 0); b.heartbeat(coldTime, 2) }, false},
+		"its time is over":           {4, func(b *fixture) { b.heartbeat(coldTime, 0); time.Sleep(coldTime) }, false},
+		"the rate is taken away":     {4, func(b *fixture) { b.heartbeat(coldTime, 0); b.rate(0) }, false},
+		"the rate comes later":       {0, func(b *fixture) { b.heartbeat(coldTime, 0); b.rate(4) }, true},
+		"no configuration yet":       {-1, func(b *fixture) { b.heartbeat(coldTime, 0) }, true},
+		"warm, no configuration yet": {-1, func(b *fixture) { b.heartbeat(0, 0) }, false},
+		"a rate after none":          {-1, func(b *fixture) { b.heartbeat(coldTime, 0); b.rate(4) }, true},
+		"no rate after none":         {-1, func(b *fixture) { b.heartbeat(coldTime, 0); b.rate(0) }, false},
+		"nothing known, no bound":    {-1, func(b *fixture) { b.config.Cold = ColdBound{}; b.heartbeat(coldTime, 0) }, false},
+		"to be heard first":          {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation() }, true},
+		"heard since":                {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.heartbeat(0, 0) }, false},
+		"heard with an old one":      {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.heartbeat(0, 1) }, true},
+		"not heard for long":         {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); time.Sleep(coldTime) }, false},
+		"heard first, none known":    {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation() }, true},
+		"heard since, none known":    {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.heartbeat(0, 0) }, false},
+		"to be heard, a rate after":  {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.rate(4) }, true},
+		"not heard, none known":      {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); time.Sleep(heartbeatSilence) }, false},
+		"no rate, to be heard first": {0, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation() }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// mustBeHeard is the end of an evacuation of the instance's zone.
-func (b *fixture) mustBeHeard() {
+// endEvacuation is the end of an evacuation of the instance's zone.
+func (b *fixture) endEvacuation() {
 	instance, _ := b.instance("desk", "desk-1")
 	instance.coldUntilHeard()
 }
@@ -69,17 +69,17 @@
 func TestRestartedDaemonKeepsTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, after := newFixture(t, 4), newFixture(t, 4)
-		before.beat(coldTime, 0)
+		before.heartbeat(coldTime, 0)
 		time.Sleep(500 * time.Millisecond)
 		admitted := before.press(300 * time.Millisecond)
-		after.beat(coldTime, 0)
+		after.heartbeat(coldTime, 0)
 		admitted += after.press(600 * time.Millisecond)
 		assert.Assert(t, admitted >= 4 && admitted <= boundOfSecond, "%d admitted", admitted)
 	})
 }
 
 // A new instance is paced from when calls find it, which is before the rest of its first
-// heartbeat is taken in.
+// heartbeat is recorded.
 func TestNewColdInstanceIsPacedWhenCallsFindIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
@@ -96,16 +96,16 @@
 func TestChangesOfColdnessAreAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
-		fixture.beat(coldTime, 0)
+		fixture.heartbeat(coldTime, 0)
 		assert.Assert(t, fixture.cold())
 		changes := fixture.changes
 		fixture.press(time.Second)
-		fixture.beat(time.Second, 0)
+		fixture.heartbeat(time.Second, 0)
 		assert.Equal(t, fixture.changes, changes, "nothing changed")
-		fixture.beat(0, 0)
+		fixture.heartbeat(0, 0)
 		assert.Equal(t, fixture.changes, changes+1)
 		assert.Assert(t, !fixture.cold())
-		fixture.mustBeHeard()
+		fixture.endEvacuation()
 		assert.Assert(t, fixture.cold())
 		assert.Equal(t, len(fixture.lines), 4, "%q", fixture.lines)
 		assert.Assert(t, contains(fixture.lines[1], `"instance.cold"`, `"source"="start"`, `"rate"=4`, `"pace"=8.2`, `"burst"=2`, `"cold_ms"=3000`), "%s", fixture.lines[1])
@@ -115,7 +115,7 @@
 }
 
 // The end of the time for which an instance said that it is cold is announced too: what
-// was announced before is told again to each daemon that connects, however late.
+// was announced before is announced again to each daemon that connects, however late.
 func TestEndOfTheColdTimeIsAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
@@ -126,39 +126,39 @@
 		go func() { defer close(done); fixture.Run(ctx) }()
 		defer func() { cancel(); <-done }()
 		synctest.Wait()
-		fixture.beat(coldTime, 0)
+		fixture.heartbeat(coldTime, 0)
 		time.Sleep(coldTime / 2)
-		fixture.beat(coldTime/2, 0)
+		fixture.heartbeat(coldTime/2, 0)
 		assert.Assert(t, announced.Load() > 0)
 		time.Sleep(coldTime)
-		fixture.beat(0, 0)
+		fixture.heartbeat(0, 0)
 		synctest.Wait()
 		assert.Equal(t, announced.Load(), uint32(0))
 	})
 }
 
-// After an instance fell over while it was cold, those that start beside the daemon get no
-// more than their pool says that they bear; after a while, and after a fall of a warm one,
+// After an instance crashed while it was cold, those that start beside the daemon get no
+// more than the rate of their pool; after a while, and after the crash of a warm one,
 // they get more again.
 func TestColdInstancesArePacedCautiouslyAfterACrash(t *testing.T) {
 	for name, row := range map[string]struct {
 		coldFor, later time.Duration
 		least, most    int
 	}{
-		"fell while cold":           {coldTime, 0, 2, 4},
-		"fell while cold, long ago": {coldTime, cautiousFor, 7, 9},
-		"fell while warm":           {0, 0, 7, 9},
+		"crashed while cold":           {coldTime, 0, 2, 4},
+		"crashed while cold, long ago": {coldTime, cautiousFor, 7, 9},
+		"crashed while warm":           {0, 0, 7, 9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fixture := newFixture(t, 4)
-				fixture.beat(row.coldFor, 0)
+				fixture.heartbeat(row.coldFor, 0)
 				instance, _ := fixture.instance("desk", "desk-1")
 				instance.mutex.Lock()
 				instance.takeDown(downBroke)
 				instance.mutex.Unlock()
 				time.Sleep(row.later)
-				fixture.beat(coldTime, 0)
+				fixture.heartbeat(coldTime, 0)
 				admitted := fixture.press(time.Second)
 				assert.Assert(t, admitted >= row.least && admitted <= row.most, "%d admitted", admitted)
 			})
--- a/internal/requestpath/origin/constants_test.go
+++ b/internal/requestpath/origin/constants_test.go
@@ -35,7 +35,7 @@
 		{"a lowered rest holds for more than one rest", backendIdleTimeout, idleMemory},
 		{"an attempt is remembered for as long as it may wait", admission.BackgroundFactor * queueTime, attemptMemory},
 		{"a caller's key outlasts its attempts", attemptMemory, keyMemory},
-		{"an instance that comes back after a cold crash is spared", heartbeatSilence, cautiousFor},
+		{"an instance that comes back after a cold crash is paced cautiously", heartbeatSilence, cautiousFor},
 	} {
 		assert.Check(t, row.lower < row.upper, "%s: %s is not below %s", row.why, row.lower, row.upper)
 	}
--- a/internal/requestpath/origin/crash_test.go
+++ b/internal/requestpath/origin/crash_test.go
@@ -19,18 +19,18 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// recorder is an Crashes that counts as a registry does, and remembers what ended.
+// recorder is a CrashReporter that counts as a registry does, and remembers the crashes.
 type recorder struct {
 	*quarantine.Registry
-	mutex sync.Mutex
-	ends  [][]quarantine.InFlight
+	mutex   sync.Mutex
+	crashes [][]quarantine.InFlight
 }
 
-func (r *recorder) Crashed(_ string, id uint64, had []quarantine.InFlight) {
+func (r *recorder) Crashed(_ string, id uint64, inFlight []quarantine.InFlight) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.ends = append(r.ends, had)
-	r.Registry.Crashed(id, had)
+	r.crashes = append(r.crashes, inFlight)
+	r.Registry.Crashed(id, inFlight)
 }
 
 func (r *recorder) Answered(keys []fingerprint.Key) { r.Registry.Answered(keys) }
@@ -38,11 +38,11 @@
 func (r *recorder) seen() [][]quarantine.InFlight {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.ends
+	return r.crashes
 }
 
 // breaking is an instance of which calls break: all of them with the instance where they
-// ask for /end, one alone where they ask for /break.
+// request /end, one alone where they ask for /break.
 type breaking struct {
 	listener net.Listener
 	mutex    sync.Mutex
@@ -99,8 +99,8 @@
 	}
 }
 
-// ask hands a call over and returns how it ended.
-func ask(origin *Origin, path string) error {
+// send hands a call over and returns how it ended.
+func send(origin *Origin, path string) error {
 	answer, err := origin.Handle(context.Background(), &callapi.Call{Open: &lapisv1.CallOpen{
 		Service: "desk", Instance: "desk-1", Method: http.MethodGet, Target: path, Host: "a.example",
 		AttemptId: path + time.Now().String(), CallerService: "shop",
@@ -122,33 +122,33 @@
 	return instance, origin, crashes
 }
 
-// An instance that ends takes all its calls with it: each is told so, and all are named.
+// An instance that crashes takes all its calls with it: each error says so, and all are reported.
 func TestCrashOfAnInstanceIsNoticed(t *testing.T) {
 	instance, origin, crashes := startOrigin(t)
 	beside := make(chan error, 1)
-	go func() { beside <- ask(origin, "/wait") }()
+	go func() { beside <- send(origin, "/wait") }()
 	<-instance.waiting
-	for _, err := range []error{ask(origin, "/end"), <-beside} {
+	for _, err := range []error{send(origin, "/end"), <-beside} {
 		var ended *result.Error
 		assert.Assert(t, errors.As(err, &ended))
 		assert.Equal(t, ended.Code, result.CallInstanceCrashed)
 		assert.Equal(t, ended.Crashes, 1)
 		assert.Equal(t, callapi.OutcomeOf(err), callapi.OutcomeUnknown)
 	}
-	ends := crashes.seen()
-	assert.Equal(t, len(ends), 1)
-	assert.Equal(t, len(ends[0]), 2)
-	for _, had := range ends[0] {
-		assert.Equal(t, had.Caller, "shop")
+	seen := crashes.seen()
+	assert.Equal(t, len(seen), 1)
+	assert.Equal(t, len(seen[0]), 2)
+	for _, call := range seen[0] {
+		assert.Equal(t, call.Caller, "shop")
 	}
 }
 
-// A call that breaks off alone is no end, whether others are in flight or not.
+// A call that breaks off alone is no crash, whether others are in flight or not.
 func TestBrokenCallIsNoCrash(t *testing.T) {
 	instance, origin, crashes := startOrigin(t)
-	assert.Assert(t, result.Is(ask(origin, "/break"), result.CallUnknownOutcome))
-	go func() { _ = ask(origin, "/wait") }()
+	assert.Assert(t, result.Is(send(origin, "/break"), result.CallUnknownOutcome))
+	go func() { _ = send(origin, "/wait") }()
 	<-instance.waiting
-	assert.Assert(t, result.Is(ask(origin, "/break"), result.CallUnknownOutcome))
+	assert.Assert(t, result.Is(send(origin, "/break"), result.CallUnknownOutcome))
 	assert.Equal(t, len(crashes.seen()), 0)
 }
--- a/internal/requestpath/origin/evacuation_test.go
+++ b/internal/requestpath/origin/evacuation_test.go
@@ -80,11 +80,11 @@
 		slots := fill(t, instance)
 		waiting := call(o, "waits")
 		synctest.Wait()
-		ordered, told := time.Now(), 0
-		o.config.Changed = func() { told++ }
+		ordered, announced := time.Now(), 0
+		o.config.Changed = func() { announced++ }
 		o.SetEvacuated(true)
 		o.SetEvacuated(true)
-		assert.Equal(t, told, 1, "other daemons are told at once, and once")
+		assert.Equal(t, announced, 1, "it is announced at once, and once")
 		assertCode(t, <-waiting, result.CallNotRunEvacuated)
 		assertCode(t, <-call(o, "comes later"), result.CallNotRunEvacuated)
 		assert.Equal(t, time.Since(ordered), time.Duration(0))
@@ -116,8 +116,8 @@
 	})
 }
 
-// An instance takes work again when the last of its reasons to drain is gone, in whatever
-// order; until then calls are told a reason that holds.
+// An instance takes work again when the last of its reasons to drain ended, in whatever
+// order; until then calls are refused with a reason that holds.
 func TestTwoReasonsToDrain(t *testing.T) {
 	for name, evacuationEndsFirst := range map[string]bool{"evacuation ends first": true, "drain ends first": false} {
 		t.Run(name, func(t *testing.T) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// Calls are told the reason that weighs most, in whatever order the reasons came: one that
+// Calls are refused with the reason that weighs most, in whatever order the reasons came: one that
 // leaves for good does not come back with the end of the evacuation.
 func TestCallsAreRefusedWithTheFirstReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/requestpath/origin/fixture_test.go
+++ b/internal/requestpath/origin/fixture_test.go
@@ -24,27 +24,27 @@
 	boundOfSecond = 12
 )
 
-// fixture is an origin with one instance, whose heartbeats the test makes up.
+// fixture is an origin with one instance, whose heartbeats the test sends.
 type fixture struct {
 	*Origin
 	t        *testing.T
 	sequence uint64
 
-	// told protects everything below.
-	told    sync.Mutex
+	// noted protects everything below.
+	noted   sync.Mutex
 	changes int
 	lines   []string
 }
 
-// newFixture returns an origin whose pool bears perSecond calls of a cold instance; one
+// newFixture returns an origin whose pool states perSecond calls a second of a cold instance; one
 // without a configuration where that is negative.
 func newFixture(t *testing.T, perSecond float64) *fixture {
 	t.Helper()
 	made := &fixture{t: t}
 	made.Origin = New(Config{
 		QueueLength: 64, QueueTime: time.Second, Cold: ColdBound{Overshoot: 1.5, Allowance: 6},
-		Changed: func() { made.tell(func() { made.changes++ }) },
-		Logger:  funcr.New(func(_, line string) { made.tell(func() { made.lines = append(made.lines, line) }) }, funcr.Options{}),
+		Changed: func() { made.note(func() { made.changes++ }) },
+		Logger:  funcr.New(func(_, line string) { made.note(func() { made.lines = append(made.lines, line) }) }, funcr.Options{}),
 	})
 	if perSecond >= 0 {
 		made.rate(perSecond)
@@ -52,10 +52,10 @@
 	return made
 }
 
-func (b *fixture) tell(note func()) {
-	b.told.Lock()
-	defer b.told.Unlock()
-	note()
+func (b *fixture) note(change func()) {
+	b.noted.Lock()
+	defer b.noted.Unlock()
+	change()
 }
 
 // rate puts a configuration in force.
@@ -70,9 +70,9 @@
 	b.Configure(store.Current())
 }
 
-// beat has the instance state that it stays cold for so long; older tells how many
+// heartbeat has the instance state that it stays cold for so long; older tells how many
 // heartbeats ago it was sent.
-func (b *fixture) beat(coldFor time.Duration, older uint64) {
+func (b *fixture) heartbeat(coldFor time.Duration, older uint64) {
 	b.sequence++
 	b.Register(Registration{
 		Service: "desk", Instance: "desk-1", Address: "127.0.0.1:1", Slots: 100,
@@ -80,7 +80,7 @@
 	})
 }
 
-// press asks for calls without end, for so long, and returns how many were admitted.
+// press tries to start calls without a pause, for so long, and returns how many were admitted.
 func (b *fixture) press(during time.Duration) (admitted int) {
 	b.t.Helper()
 	instance, ok := b.instance("desk", "desk-1")
--- a/internal/requestpath/origin/handle_test.go
+++ b/internal/requestpath/origin/handle_test.go
@@ -22,7 +22,7 @@
 		}})
 		assert.Assert(t, result.Is(err, result.CallUnknownOutcome))
 	}
-	assert.NilError(t, ask(origin, "/answer"))
+	assert.NilError(t, send(origin, "/answer"))
 	assert.Equal(t, origin.InFlight(), 0)
 }
 
--- a/internal/requestpath/origin/health_test.go
+++ b/internal/requestpath/origin/health_test.go
@@ -14,12 +14,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// What waits for an instance that falls over is refused at once, and nothing is sent to
+// What waits for an instance that crashes is refused at once, and nothing is sent to
 // it until its next heartbeat.
 func TestCrashedInstanceGetsNothingUntilItsHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
-		fixture.beat(coldTime, 0)
+		fixture.heartbeat(coldTime, 0)
 		instance, _ := fixture.instance("desk", "desk-1")
 		waiting := make(chan error, 1)
 		go func() {
@@ -36,7 +36,7 @@
 		instance.noteCall(nil, nil)
 		assert.Equal(t, fixture.press(2*time.Second), 0, "an answer that was on its way brings it up")
 		assert.Assert(t, contains(fixture.lines[len(fixture.lines)-1], `"instance.down"`, `"cause"="no_connections"`, `"waiting"=1`))
-		fixture.beat(0, 0)
+		fixture.heartbeat(0, 0)
 		assert.Assert(t, fixture.press(time.Second) > boundOfSecond)
 	})
 }
@@ -45,7 +45,7 @@
 // tried any more.
 func TestCallsToADownInstanceAreNotTried(t *testing.T) {
 	fixture := newFixture(t, 0)
-	fixture.beat(0, 0)
+	fixture.heartbeat(0, 0)
 	var err error
 	for range downAfterFailures + 1 {
 		attempt := fixture.newAttempt()
@@ -61,25 +61,25 @@
 }
 
 // An instance that drains while it is down stays closed when it is heard, and takes calls
-// when the reason is gone and it is heard.
+// when the reason ended and it is heard.
 func TestDownInstanceThatDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 0)
-		fixture.beat(0, 0)
+		fixture.heartbeat(0, 0)
 		instance, _ := fixture.instance("desk", "desk-1")
 		for range downAfterFailures {
 			instance.noteCall(result.Errorf(result.CallNotRunUnreachable, "refused"), nil)
 		}
 		instance.Drain(DrainOperator)
-		fixture.beat(0, 0)
+		fixture.heartbeat(0, 0)
 		assert.Equal(t, fixture.press(10*time.Millisecond), 0)
 		instance.Resume(DrainOperator)
-		fixture.beat(0, 0)
+		fixture.heartbeat(0, 0)
 		assert.Assert(t, fixture.press(10*time.Millisecond) > 0)
 	})
 }
 
-// Calls that broke off have the instance asked, and one that does not accept a
+// Calls that broke off have the instance probed, and one that does not accept a
 // connection is down at once.
 func TestBrokenCallsHaveTheInstanceProbed(t *testing.T) {
 	fixture := newFixture(t, 0)
@@ -90,13 +90,13 @@
 	for fixture.runs() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	fixture.beat(0, 0)
+	fixture.heartbeat(0, 0)
 	instance, _ := fixture.instance("desk", "desk-1")
 	for range probeAfterBroken {
 		instance.noteCall(result.Errorf(result.CallUnknownOutcome, "reset"), func() { fixture.probe(instance) })
 	}
 	for end := time.Now().Add(5 * time.Second); instance.State() != StateDown; time.Sleep(time.Millisecond) {
-		assert.Assert(t, time.Now().Before(end), "it is not asked")
+		assert.Assert(t, time.Now().Before(end), "it is not probed")
 	}
 }
 
--- a/internal/requestpath/origin/idlebound_test.go
+++ b/internal/requestpath/origin/idlebound_test.go
@@ -13,7 +13,7 @@
 	type breakage struct{ at, rested time.Duration }
 	for name, row := range map[string]struct {
 		broken  []breakage
-		asked   time.Duration
+		after   time.Duration
 		rested  time.Duration
 		allowed bool
 	}{
@@ -21,16 +21,16 @@
 		"as long as it broke":       {broken: []breakage{{0, 300 * time.Millisecond}}, rested: 300 * time.Millisecond},
 		"shorter than it broke":     {broken: []breakage{{0, 300 * time.Millisecond}}, rested: 100 * time.Millisecond, allowed: true},
 		"the shortest counts":       {broken: []breakage{{0, 300 * time.Millisecond}, {1, 2 * time.Second}}, rested: 200 * time.Millisecond},
-		"it is tried again later":   {broken: []breakage{{0, 300 * time.Millisecond}}, asked: 11 * time.Second, rested: time.Second, allowed: true},
+		"it is tried again later":   {broken: []breakage{{0, 300 * time.Millisecond}}, after: 11 * time.Second, rested: time.Second, allowed: true},
 		"the back end's own bound":  {rested: 5 * time.Second},
-		"a break after long is new": {broken: []breakage{{0, 300 * time.Millisecond}, {11 * time.Second, 2 * time.Second}}, asked: 12 * time.Second, rested: 900 * time.Millisecond, allowed: true},
+		"a break after long is new": {broken: []breakage{{0, 300 * time.Millisecond}, {11 * time.Second, 2 * time.Second}}, after: 12 * time.Second, rested: 900 * time.Millisecond, allowed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bound := &idleBound{}
 			for _, broke := range row.broken {
 				bound.noteForgotten(broke.rested, start.Add(broke.at))
 			}
-			assert.Equal(t, bound.allows(row.rested, keep, start.Add(row.asked)), row.allowed)
+			assert.Equal(t, bound.allows(row.rested, keep, start.Add(row.after)), row.allowed)
 		})
 	}
 }
--- a/internal/requestpath/origin/liveness_test.go
+++ b/internal/requestpath/origin/liveness_test.go
@@ -10,12 +10,12 @@
 )
 
 // Connections that break do not take an instance down that accepts new ones, however
-// many; that is found out by asking once. One that refuses a connection then is down.
+// many; that is found out by one probe. One that refuses a connection then is down.
 func TestReachability(t *testing.T) {
 	const broke, answered, refused, silent, later = 'b', 'a', 'r', 's', 'l'
 	for name, row := range map[string]struct {
 		events string
-		asked  int
+		probes int
 		cause  downCause
 	}{
 		"one breaks":                        {"b", 0, ""},
@@ -33,12 +33,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			known, asked, cause := reachability{}, 0, downCause("")
+			known, probes, cause := reachability{}, 0, downCause("")
 			for _, event := range row.events {
 				switch event {
 				case broke:
 					if known.noteBroken(now) {
-						asked++
+						probes++
 					}
 				case answered:
 					known.noteAnswer()
@@ -50,7 +50,7 @@
 					now = now.Add(2 * brokenCallWindow)
 				}
 			}
-			assert.Equal(t, asked, row.asked)
+			assert.Equal(t, probes, row.probes)
 			assert.Equal(t, cause, row.cause)
 		})
 	}
--- a/internal/requestpath/origin/quarantine_test.go
+++ b/internal/requestpath/origin/quarantine_test.go
@@ -16,30 +16,30 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// What is held back does not reach the instance, and an answer clears what is suspected.
+// A quarantined request does not reach the instance, and an answer refutes a suspicion.
 func TestQuarantineBesideTheInstance(t *testing.T) {
 	_, origin, crashes := startOrigin(t)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
-	had := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
-	crashes.Crashed("other", 1, had)
-	crashes.Crashed("other", 2, had)
-	assert.NilError(t, ask(origin, "/answer"))
+	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
+	crashes.Crashed("other", 1, inFlight)
+	crashes.Crashed("other", 2, inFlight)
+	assert.NilError(t, send(origin, "/answer"))
 	assert.Assert(t, !crashes.Suspected(line))
 	for end := range uint64(3) {
-		crashes.Crashed("other", 3+end, had)
+		crashes.Crashed("other", 3+end, inFlight)
 	}
-	err := ask(origin, "/answer")
+	err := send(origin, "/answer")
 	assert.Assert(t, result.Is(err, result.CallNotRunQuarantined))
 	assert.Equal(t, callapi.OutcomeOf(err), callapi.OutcomeNotRun)
 }
 
-// A short body from another daemon, which comes in pieces, is judged beside the instance too.
+// A short body from another daemon, which comes in pieces, is checked beside the instance too.
 func TestShortBodiesAreCheckedBesideTheInstance(t *testing.T) {
 	_, origin, crashes := startOrigin(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/answer"}
-	had := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, []byte("deadly")).Whole(), Caller: "shop"}}
+	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, []byte("deadly")).Whole(), Caller: "shop"}}
 	for end := range uint64(3) {
-		crashes.Crashed("other", end, had)
+		crashes.Crashed("other", end, inFlight)
 	}
 	for body, code := range map[string]result.Code{"deadly": result.CallNotRunQuarantined, "harmless": result.OK} {
 		answer, err := origin.Handle(context.Background(), &callapi.Call{Body: strings.NewReader(body), Open: &lapisv1.CallOpen{
@@ -54,7 +54,7 @@
 	}
 }
 
-// An answer that comes before the body clears nothing.
+// An answer that comes before the body refutes nothing.
 func TestEarlyAnswerRefutesNothing(t *testing.T) {
 	_, origin, crashes := startOrigin(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/early"}
--- a/internal/requestpath/origin/registration_test.go
+++ b/internal/requestpath/origin/registration_test.go
@@ -14,7 +14,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// settle is longer than any interval in which an origin looks at its instances.
+// settle is longer than the interval in which an origin checks its instances.
 const settle = time.Second
 
 // startOrigin runs an origin in a synctest bubble until stop is called.
@@ -73,8 +73,8 @@
 	})
 }
 
-// What left stays away whatever is heard of it late, and calls for it are told
-// that it is leaving.
+// What left stays away whatever is heard of it late, and calls for it are refused
+// as for one that drains.
 func TestInstanceThatLeftDoesNotComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running, stop := startOrigin(t)
@@ -93,7 +93,7 @@
 	})
 }
 
-// One that only fell silent may come back under its name.
+// One that was only silent may come back under its name.
 func TestSilentInstanceComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running, stop := startOrigin(t)
@@ -152,9 +152,9 @@
 // A daemon that is about to stop takes the calls that end before it does, so that the
 // instance beside it does not idle, and refuses the others as not run.
 func TestStoppingDaemonTakesOnlyCallsThatEndBeforeIt(t *testing.T) {
-	leaving := origin.New(origin.Config{QueueLength: 8, QueueTime: time.Second})
-	leaving.Register(registration("desk-1", "127.0.0.1:1"))
-	leaving.Drain(time.Now().Add(time.Hour))
+	stopping := origin.New(origin.Config{QueueLength: 8, QueueTime: time.Second})
+	stopping.Register(registration("desk-1", "127.0.0.1:1"))
+	stopping.Drain(time.Now().Add(time.Hour))
 	for name, test := range map[string]struct {
 		lasts time.Duration
 		code  result.Code
@@ -167,11 +167,11 @@
 		call := &callapi.Call{Open: &lapisv1.CallOpen{
 			Service: "desk", Instance: "desk-1", AttemptId: name, DeadlineMillis: uint32(test.lasts.Milliseconds()),
 		}}
-		_, err := leaving.Handle(context.Background(), call)
+		_, err := stopping.Handle(context.Background(), call)
 		assert.Assert(t, result.Is(err, test.code), "%s: %v", name, err)
 	}
-	leaving.Stop()
+	stopping.Stop()
 	call := &callapi.Call{Open: &lapisv1.CallOpen{Service: "desk", Instance: "desk-1", AttemptId: "later", DeadlineMillis: 1000}}
-	_, err := leaving.Handle(context.Background(), call)
+	_, err := stopping.Handle(context.Background(), call)
 	assert.Assert(t, result.Is(err, result.CallNotRunStopping), "%v", err)
 }
--- a/internal/requestpath/origin/suspended_test.go
+++ b/internal/requestpath/origin/suspended_test.go
@@ -18,7 +18,7 @@
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
 		fixture := newFixture(t, 4)
-		fixture.beat(coldTime, 0)
+		fixture.heartbeat(coldTime, 0)
 		gap = heartbeatSilence + coldTime
 		time.Sleep(200 * time.Millisecond)
 		assert.Assert(t, fixture.cold())
@@ -26,7 +26,7 @@
 		assert.Assert(t, ok)
 		instance.check(t.Context())
 		assert.Equal(t, instance.State(), StateReady)
-		fixture.beat(0, 0)
+		fixture.heartbeat(0, 0)
 		assert.Assert(t, !fixture.cold())
 	})
 }
