--- a/internal/requestpath/admission/decision.go
+++ b/internal/requestpath/admission/decision.go
@@ -12,9 +12,8 @@
 	// wait. Chosen, not measured; it must be above 1, or background calls, which go last in
 	// their group, would be refused first.
 	BackgroundFactor = 8
-	// minRetryAfter is the least time named in a refusal, so that a caller does not come
-	// back at once when no wait is expected. Chosen, not measured; it must be longer than a
-	// round trip between daemons (a few milliseconds) and shorter than Limits.QueueTime.
+	// minRetryAfter is the least time named in a refusal. Chosen, not measured; it must be
+	// above 0, or a caller that is refused while no wait is expected comes back at once.
 	minRetryAfter = 50 * time.Millisecond
 	// minPartOfSlots is the least part of a slot that a group counts with when its wait is
 	// estimated. Chosen, not measured; it keeps the estimate of a group with a tiny share
--- a/internal/requestpath/admission/fairness.go
+++ b/internal/requestpath/admission/fairness.go
@@ -7,10 +7,9 @@
 )
 
 const (
-	// usageHalfLife is how fast past use of slots is forgotten. Chosen, not measured. It must
-	// be longer than a usual call (tens of milliseconds), or groups take turns by chance, and
-	// short against seconds, or a group that lent its slots takes all of them for long when
-	// it returns.
+	// usageHalfLife is how fast past use of slots is forgotten. Chosen, not measured: a
+	// shorter one forgets calls while they run, with a longer one a group that lent its slots
+	// goes before the others for longer when it returns.
 	usageHalfLife = 500 * time.Millisecond
 	// defaultWeight is the weight of a group without a declared share, in percent. Chosen,
 	// not measured; it must be above 0 for the group to be served at all.
--- a/internal/requestpath/admission/limit.go
+++ b/internal/requestpath/admission/limit.go
@@ -15,6 +15,9 @@
 	// 0.698. fewRunning must be well below 1, or real overload would not lower the limit.
 	fewRunning   = 0.25
 	unrelatedFor = 5 * time.Second
+	// slotsPerKeptOne: of so many slots one is kept free of uploads. Chosen, not measured; it
+	// must be above 1.
+	slotsPerKeptOne = 3
 )
 
 // concurrencyLimit is the number of calls that may run at once, which follows what the back
@@ -71,7 +74,3 @@
 	kept := max(1, l.current/slotsPerKeptOne)
 	return max(1, l.current-kept)
 }
-
-// slotsPerKeptOne: of so many slots one is kept free of uploads. Chosen, not measured; it must be
-// above 1.
-const slotsPerKeptOne = 3
--- a/internal/requestpath/origin/connection.go
+++ b/internal/requestpath/origin/connection.go
@@ -25,7 +25,7 @@
 	// keepAliveMargin is taken off the time that a back end states, but not more than half of
 	// it.
 	keepAliveMargin = 2 * time.Second
-	// backendBufferBytes is the size of each of a connection's two buffers: a usual head fits.
+	// backendBufferBytes is the size of each of a connection's two buffers.
 	backendBufferBytes = 4 << 10
 )
 
