--- a/internal/shared/boottime/boottime.go
+++ b/internal/shared/boottime/boottime.go
@@ -1,10 +1,16 @@
-// Package boottime tells a time that goes on while the machine is suspended.
+// Package boottime returns a time that goes on while the machine is suspended.
 //
 // The steady clock, by which time.Now measures and timers fire, stands while the machine is
 // suspended; CLOCK_BOOTTIME does not. What a daemon believes of others (that nothing newer
 // was accepted, that a lease is its own, that a member is there) grows old meanwhile, and is
-// measured by this clock. What only the own machine does (waiting for an answer, the beats
+// measured by this clock. What only the own machine does (waiting for an answer, the heartbeats
 // of an instance beside the daemon) stands still with it, and is measured by the steady one.
+//
+// The package owns one clock for the process, and relies on CLOCK_MONOTONIC and CLOCK_BOOTTIME of
+// the kernel. It has no goroutines and is safe for concurrent use.
+//
+// What must hold: the time never goes back; times of this package are compared with one another
+// only.
 package boottime
 
 import (
@@ -18,16 +24,18 @@
 const (
 	// refreshEvery bounds how often the clocks are compared, which takes two system calls:
 	// 20 a second at the most, and a time that is wrong for a tenth of a second after the
-	// machine resumes.
+	// machine resumes. Chosen, not measured.
 	refreshEvery = 100 * time.Millisecond
 	// noticed is the least difference that counts. The two clocks are read one after the
-	// other, and a thread may lose its turn between.
+	// other, and the thread may be preempted in between. Chosen, not measured: above a time slice
+	// of the scheduler, below any suspension that matters.
 	noticed = 50 * time.Millisecond
-	// readings is how often a difference is measured before it counts; the least holds.
+	// readings is how often a difference is measured before it counts; the least holds. Chosen,
+	// not measured: above 1, so that one preempted reading is no suspension.
 	readings = 3
 )
 
-// Gap returns how far the clock that goes on is ahead of the one that stands.
+// Gap returns how far CLOCK_BOOTTIME is ahead of the steady clock; only its growth counts.
 type Gap func() time.Duration
 
 // clock follows the time for which the machine was suspended.
@@ -47,8 +55,8 @@
 
 func newClock(gap Gap) *clock { return &clock{gap: gap, least: gap()} }
 
-// kernelGap compares the kernel's clocks. A clock that cannot be read counts as one that
-// stood with the other: time is then told as without this package.
+// kernelGap compares the kernel's clocks. Where one cannot be read the gap is 0: the time is
+// then that of the steady clock, as without this package.
 func kernelGap() time.Duration {
 	var steady, boot unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
@@ -80,7 +88,7 @@
 // Suspended returns the time for which the machine was suspended since the process started.
 func Suspended() time.Duration { return process.Load().refreshed() }
 
-// Now returns the time. Its differences, to other times of this package only, include the
+// Now returns the time, at most refreshEvery behind a resumption. Its differences, to other times of this package only, include the
 // time for which the machine was suspended.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
--- a/internal/shared/boottime/boottime_test.go
+++ b/internal/shared/boottime/boottime_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// A thread that loses its turn between the two readings makes the gap look longer once.
+// A thread that is preempted between the two readings makes the gap look longer once.
 func TestOneLongReadingIsNoSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		readings := 0
--- a/internal/shared/cli/cli.go
+++ b/internal/shared/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli holds what the command lines of the programs have in common.
+// Package cli holds what the command lines of the programs have in common: options, exit codes
+// and signals. It owns the process's handling of SIGTERM and SIGINT once Signals was called.
 package cli
 
 import (
@@ -38,12 +39,13 @@
 
 // Fail prints err and returns code.
 func Fail(writer io.Writer, err error, code int) int {
+	// Where the message cannot be written the exit code still says that it failed.
 	_, _ = fmt.Fprintln(writer, err)
 	return code
 }
 
-// Signals returns a channel that is closed at the first SIGTERM or SIGINT and
-// one that is closed at the second.
+// Signals returns a channel that is closed at the first SIGTERM or SIGINT (stop as planned) and
+// one that is closed at the second (stop at once). It is called once in a process.
 func Signals() (stop, force <-chan struct{}) {
 	first := make(chan struct{})
 	second := make(chan struct{})
--- a/internal/shared/logging/async.go
+++ b/internal/shared/logging/async.go
@@ -8,10 +8,12 @@
 	"time"
 )
 
-// queueLines bounds the lines that wait for a writer that is slow or stuck.
+// queueLines bounds the lines that wait for a writer that is slow or stuck. Chosen, not measured: at
+// an estimated 200 bytes a line under 1 MB.
 const queueLines = 4096
 
-// flushTimeout bounds the wait for the last lines at the end of the process.
+// flushTimeout bounds the wait for the last lines at the end of the process. Chosen, not measured:
+// below the part of the stop limit that is left for the end.
 const flushTimeout = 200 * time.Millisecond
 
 // AsyncWriter hands lines to a writer in the background, so that whoever logs
@@ -21,8 +23,7 @@
 	writer  io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	// ending is closed when nothing more is wanted, done when the last line was
-	// written.
+	// ending is closed by Close, done when the last line was written.
 	ending, done chan struct{}
 	closing      sync.Once
 }
@@ -34,7 +35,7 @@
 	return started
 }
 
-// Write implements io.Writer; it takes over the line and never fails.
+// Write implements io.Writer; it queues a copy of the line, and never waits or fails.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
@@ -48,6 +49,7 @@
 // Dropped returns the number of lines dropped and not yet reported.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
+// run writes lines until Close was called and none is left.
 func (a *AsyncWriter) run() {
 	defer close(a.done)
 	for {
@@ -66,6 +68,7 @@
 	}
 }
 
+// put writes a line. An error of the output has no place where it could be reported but the output.
 func (a *AsyncWriter) put(line []byte) {
 	_, _ = a.writer.Write(line)
 	if dropped := a.dropped.Swap(0); dropped > 0 {
@@ -73,8 +76,8 @@
 	}
 }
 
-// Close writes what waits, within a bounded time. What is written afterwards is
-// lost.
+// Close writes what waits, within flushTimeout. What is written afterwards is
+// lost. It may be called several times.
 func (a *AsyncWriter) Close() {
 	a.closing.Do(func() { close(a.ending) })
 	select {
--- a/internal/shared/logging/sink.go
+++ b/internal/shared/logging/sink.go
@@ -27,8 +27,8 @@
 	levelError = "error"
 )
 
-// New returns a logger that writes events up to verbosity to writer, each with
-// the time of day. The text handler of log/slog renders the lines.
+// New returns a logger that writes events up to verbosity (logr's V levels) to writer, each with
+// the time of day in UTC. The text handler of log/slog renders the lines.
 func New(writer io.Writer, verbosity int) logr.Logger {
 	return logr.FromSlogHandler(slog.NewTextHandler(writer, &slog.HandlerOptions{
 		// logr hands the verbosity on as a negative level.
@@ -86,6 +86,7 @@
 	return strconv.FormatFloat(value, 'f', 3, 64)
 }
 
+// levelName returns the name of a level; logr has no more than the three.
 func levelName(value slog.Value) string {
 	level, ok := value.Any().(slog.Level)
 	switch {
--- a/internal/shared/result/error.go
+++ b/internal/shared/result/error.go
@@ -8,16 +8,17 @@
 	"github.com/pkg/errors"
 )
 
-// Error is a failure with a result code.
+// Error is a failure with a result code. It is not changed once it was returned.
 type Error struct {
-	Code   Code
+	Code Code
+	// Detail is for logs; it may hold addresses and names of the inside.
 	Detail string
 	// Cause is the underlying error; nil when there is none.
 	Cause error
-	// RetryAfter tells when trying again makes sense; 0 when not known.
+	// RetryAfter is the time after which trying again makes sense; 0 when not known.
 	RetryAfter time.Duration
-	// Crashes is the number of instances that ended under what a call asks for; 0 for an
-	// error that is not about the end of one.
+	// Crashes is the number of instances that crashed under what a call asks for; 0 for an
+	// error that is not about a crash.
 	Crashes int
 }
 
@@ -38,7 +39,8 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error that keeps cause; it returns nil for a nil cause.
+// Wrap returns an Error that keeps cause; it returns nil for a nil cause, so that the result of a
+// last call may be wrapped as it is returned.
 func Wrap(code Code, cause error, format string, args ...any) error {
 	if cause == nil {
 		return nil
@@ -66,7 +68,7 @@
 }
 
 // List is a set of faults found together, such as by the validation of a
-// proposal. An empty list is no error.
+// proposal. An empty list is no error. It is not safe for concurrent use.
 type List struct {
 	Faults []*Error
 }
--- a/internal/shared/sleep/pause.go
+++ b/internal/shared/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time or the end of a context.
+// Package sleep waits for a time or the end of a context. It owns nothing.
 package sleep
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for duration; it reports false when ctx ended first. A duration of
+// For waits for duration, by the steady clock; it reports false when ctx ended first. A duration of
 // 0 or less does not wait.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
--- a/internal/transport/peer/server.go
+++ b/internal/transport/peer/server.go
@@ -89,7 +89,7 @@
 		s.report(conn, "peer.greeting_refused", err)
 		return
 	}
-	_ = raw.SetDeadline(time.Time{})
+	_ = raw.SetDeadline(time.Time{}) // As above.
 	if err := handler(ctx, conn, hello); err != nil && ctx.Err() == nil {
 		s.report(conn, "peer.connection_ended", err, "peer", hello.GetNode())
 	}
--- a/internal/transport/tlssetup/tlssetup.go
+++ b/internal/transport/tlssetup/tlssetup.go
@@ -1,5 +1,8 @@
 // Package tlssetup builds the mutual TLS configuration between daemons from
-// the files that the settings name.
+// the files that the settings name. It owns nothing: the files are read once, at the start.
+//
+// What must hold: without settings there is no TLS, and with them no connection without a
+// certificate of the authority on both sides, from TLS 1.3 on.
 package tlssetup
 
 import (
--- a/internal/transport/wire/compress.go
+++ b/internal/transport/wire/compress.go
@@ -7,11 +7,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// CompressAboveBytes is the frame size from which compression is tried.
+// CompressAboveBytes is the frame size from which compression is tried. Chosen, not measured: small
+// frames do not shrink.
 const CompressAboveBytes = 512
 
 // Compress returns frame, or an equivalent compressed frame when that is
-// smaller.
+// smaller. A frame that cannot be encoded is returned as it is, since sending it reports the error.
 func Compress(frame *lapisv1.ControlFrame) *lapisv1.ControlFrame {
 	encoded, err := proto.Marshal(frame)
 	if err != nil || len(encoded) < CompressAboveBytes {
--- a/internal/transport/wire/conn.go
+++ b/internal/transport/wire/conn.go
@@ -19,14 +19,14 @@
 // ProtocolVersion is the version that Hello carries.
 const ProtocolVersion = 1
 
-// MaxFrameBytes bounds one frame in either direction.
+// MaxFrameBytes bounds one frame in either direction. Chosen, not measured.
 const MaxFrameBytes = 8 << 20
 
 // preface starts every connection, so that another protocol is recognised
 // before any frame is read.
 var preface = []byte("LPSV1\n")
 
-// Counters counts the bytes and frames of one node. It is safe for concurrent
+// Counters counts the bytes and frames of one daemon. It is safe for concurrent
 // use; the zero value is ready.
 type Counters struct {
 	BytesIn, BytesOut   atomic.Int64
@@ -48,10 +48,11 @@
 	closeOnce  sync.Once
 }
 
-// bufferBytes is small because a node may hold hundreds of connections.
+// bufferBytes is the size of each of the two buffers of a connection; small because a daemon may hold
+// hundreds of connections. Chosen, not measured.
 const bufferBytes = 4 << 10
 
-// NewConn wraps raw; counters may be shared by all connections of a node.
+// NewConn wraps raw; counters may be shared by all connections of a daemon, or nil.
 func NewConn(raw net.Conn, counters *Counters) *Conn {
 	if counters == nil {
 		counters = &Counters{}
@@ -67,7 +68,7 @@
 	}
 }
 
-// UseCounters counts the coming traffic elsewhere, once the greeting has told
+// UseCounters counts the traffic from now on elsewhere, once the greeting has said
 // what the connection carries. No other method may run at the same time.
 func (c *Conn) UseCounters(counters *Counters) {
 	c.counters = counters
@@ -97,12 +98,13 @@
 	return nil
 }
 
-// Send writes one frame and flushes it.
+// Send writes one frame and flushes it. Errors: those of SendAll.
 func (c *Conn) Send(frame proto.Message) error {
 	return c.SendAll(frame)
 }
 
-// SendAll writes several frames with one flush.
+// SendAll writes several frames with one flush. Errors: ProtocolTimeout, whatever kept the
+// frames from being written; the connection cannot be used any more then.
 func (c *Conn) SendAll(frames ...proto.Message) error {
 	c.writeMutex.Lock()
 	defer c.writeMutex.Unlock()
@@ -128,6 +130,7 @@
 	return classify(err)
 }
 
+// classify gives an error of reading its result code.
 func classify(err error) error {
 	var tooLarge *protodelim.SizeTooLargeError
 	var network net.Error
--- a/internal/transport/wire/deflate.go
+++ b/internal/transport/wire/deflate.go
@@ -9,12 +9,14 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
+// compressors holds flate writers, whose tables are costly to make.
 var compressors = sync.Pool{New: func() any {
+	// It fails on an unknown level only.
 	writer, _ := flate.NewWriter(io.Discard, flate.DefaultCompression)
 	return writer
 }}
 
-// Deflate returns content compressed.
+// Deflate returns content compressed. It is safe for concurrent use.
 func Deflate(content []byte) ([]byte, error) {
 	var buffer bytes.Buffer
 	compressor := compressors.Get().(*flate.Writer)
--- a/internal/transport/wire/network.go
+++ b/internal/transport/wire/network.go
@@ -9,13 +9,16 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// DialTimeout bounds the time for a connection to another daemon to open.
+// DialTimeout bounds the time for a connection to another daemon to open, TLS included; a caller may
+// bound it more closely. Chosen, not measured.
 const DialTimeout = 2 * time.Second
 
-// Network opens and accepts connections. Tests put delays and
-// cuts behind it.
+// Network opens and accepts connections between daemons. Tests put delays and
+// cuts behind it. It is safe for concurrent use.
 type Network interface {
+	// Dial opens a connection to an address of the form 10.0.0.1:7400.
 	Dial(ctx context.Context, address string) (net.Conn, error)
+	// Listen accepts connections at an address. Errors: SettingsBadAddress.
 	Listen(address string) (net.Listener, error)
 }
 
