--- a/internal/daemon/quarantine_test.go
+++ b/internal/daemon/quarantine_test.go
@@ -25,10 +25,10 @@
 		for end := range uint64(3) {
 			known.Crashed("i", end, []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: keys, Caller: "desk"}})
 		}
-		verdict := known.Judge(keys, "desk")
+		verdict := known.Evaluate(keys, "desk")
 		assert.Assert(t, verdict.Quarantined && !verdict.TrialDue)
 		gap = verdict.RetryAfter
 		time.Sleep(time.Second)
-		assert.Assert(t, known.Judge(keys, "desk").TrialDue)
+		assert.Assert(t, known.Evaluate(keys, "desk").TrialDue)
 	})
 }
--- a/internal/distribution/fleet/suspects_test.go
+++ b/internal/distribution/fleet/suspects_test.go
@@ -37,6 +37,6 @@
 		}
 		newcomer := start(daemons, nil)
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, newcomer.registry.Judge(keys, "desk").Quarantined)
+		assert.Assert(t, newcomer.registry.Evaluate(keys, "desk").Quarantined)
 	})
 }
--- a/internal/model/meshconfig/bundle.go
+++ b/internal/model/meshconfig/bundle.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// affectedServices returns the services whose bundle may change, judged by the
+// affectedServices returns the services whose bundle may change, by the
 // references before the changes.
 func (s *State) affectedServices(changes []*lapisv1.Change) map[string]bool {
 	affected := map[string]bool{}
--- a/internal/model/quarantine/registry.go
+++ b/internal/model/quarantine/registry.go
@@ -86,10 +86,10 @@
 	return most
 }
 
-// Judge decides on a request of a caller. It is quarantined when enough instances crashed
+// Evaluate decides on a request of a caller. It is quarantined when enough instances crashed
 // under one of its keys, and one of them had it from the same caller: nobody can have the
 // requests of others held back by sending them himself.
-func (r *Registry) Judge(keys []fingerprint.Key, caller string) Verdict {
+func (r *Registry) Evaluate(keys []fingerprint.Key, caller string) Verdict {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
--- a/internal/model/quarantine/registry_test.go
+++ b/internal/model/quarantine/registry_test.go
@@ -35,13 +35,13 @@
 func TestQuarantinedFromTheThirdCrash(t *testing.T) {
 	registry, guilty := newClocked(), inFlightOf("/deadly", "desk")
 	for crash := range uint64(3) {
-		assert.Assert(t, !registry.Judge(guilty.Keys, "desk").Quarantined)
+		assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").Quarantined)
 		assert.Equal(t, MayRepeat(registry.Count(guilty.Keys)), crash < 2)
 		registry.Crashed(crash, []InFlight{guilty})
 		// The same crash, reported again, counts once.
 		registry.Crashed(crash, []InFlight{guilty})
 	}
-	verdict := registry.Judge(guilty.Keys, "desk")
+	verdict := registry.Evaluate(guilty.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && !verdict.TrialDue)
 	assert.Equal(t, verdict.RetryAfter, trialAfter)
 	assert.Assert(t, registry.Suspected(lineOf("/deadly")))
@@ -71,11 +71,11 @@
 	for crash := range uint64(5) {
 		registry.Crashed(crash, []InFlight{theirs})
 	}
-	assert.Assert(t, registry.Judge(theirs.Keys, "attacker").Quarantined)
-	assert.Assert(t, !registry.Judge(theirs.Keys, "victim").Quarantined)
+	assert.Assert(t, registry.Evaluate(theirs.Keys, "attacker").Quarantined)
+	assert.Assert(t, !registry.Evaluate(theirs.Keys, "victim").Quarantined)
 	// A crash under the victim's own is enough then.
 	registry.Crashed(10, []InFlight{inFlightOf("/same", "victim")})
-	assert.Assert(t, registry.Judge(theirs.Keys, "victim").Quarantined)
+	assert.Assert(t, registry.Evaluate(theirs.Keys, "victim").Quarantined)
 
 	guilty := inFlightOf("/deadly", "victim")
 	for crash := range uint64(3) {
@@ -84,7 +84,7 @@
 	for flood := range uint64(maxEntries + 100) {
 		registry.Crashed(100+flood, []InFlight{inFlightOf(fmt.Sprintf("/flood/%d", flood), "attacker")})
 	}
-	assert.Assert(t, registry.Judge(guilty.Keys, "victim").Quarantined)
+	assert.Assert(t, registry.Evaluate(guilty.Keys, "victim").Quarantined)
 	suspects, _ := registry.Sizes()
 	assert.Assert(t, suspects <= maxEntries)
 }
@@ -96,15 +96,15 @@
 	for crash := range uint64(3) {
 		registry.Crashed(crash, []InFlight{inFlightOf(fmt.Sprintf("/deadly?page=%d", crash), "desk")})
 	}
-	assert.Assert(t, registry.Judge(inFlightOf("/deadly?page=9", "desk").Keys, "desk").Quarantined)
+	assert.Assert(t, registry.Evaluate(inFlightOf("/deadly?page=9", "desk").Keys, "desk").Quarantined)
 
 	other := newClocked()
 	for crash := range uint64(3) {
 		other.Registry.Crashed(crash, []InFlight{inFlightOf("/search?q=deadly", "desk")})
 		other.Answered(inFlightOf("/search?q=fine", "desk").Keys)
 	}
-	assert.Assert(t, other.Judge(inFlightOf("/search?q=deadly", "desk").Keys, "desk").Quarantined)
-	assert.Assert(t, !other.Judge(inFlightOf("/search?q=fine", "desk").Keys, "desk").Quarantined)
+	assert.Assert(t, other.Evaluate(inFlightOf("/search?q=deadly", "desk").Keys, "desk").Quarantined)
+	assert.Assert(t, !other.Evaluate(inFlightOf("/search?q=fine", "desk").Keys, "desk").Quarantined)
 }
 
 // One may run as a trial after a while; another crash holds it back until it is forgotten, and
@@ -115,16 +115,16 @@
 		registry.Crashed(crash, []InFlight{guilty})
 	}
 	registry.now = registry.now.Add(trialAfter)
-	verdict := registry.Judge(guilty.Keys, "desk")
+	verdict := registry.Evaluate(guilty.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && verdict.TrialDue)
 	assert.Equal(t, len(registry.NoteTrial(verdict.Key, verdict.Trials+1)), 1)
-	assert.Assert(t, !registry.Judge(guilty.Keys, "desk").TrialDue)
+	assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").TrialDue)
 	registry.Crashed(9, []InFlight{guilty})
-	verdict = registry.Judge(guilty.Keys, "desk")
+	verdict = registry.Evaluate(guilty.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && !verdict.TrialDue)
 	assert.Equal(t, verdict.RetryAfter, memory)
 	registry.Answered(guilty.Keys)
-	assert.Assert(t, !registry.Judge(guilty.Keys, "desk").Quarantined)
+	assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").Quarantined)
 }
 
 func TestCrashesAreForgotten(t *testing.T) {
@@ -133,7 +133,7 @@
 		registry.Crashed(crash, []InFlight{guilty})
 	}
 	registry.now = registry.now.Add(memory + time.Second)
-	assert.Assert(t, !registry.Judge(guilty.Keys, "desk").Quarantined)
+	assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").Quarantined)
 	registry.Crashed(9, nil)
 	suspects, _ := registry.Sizes()
 	assert.Equal(t, suspects, 0)
@@ -209,8 +209,8 @@
 		registry.Crashed(crash, []InFlight{inFlightOf("/deadly", "one")})
 	}
 	other := inFlightOf("/deadly", "other")
-	assert.Assert(t, !registry.Judge(other.Keys, "other").Quarantined)
+	assert.Assert(t, !registry.Evaluate(other.Keys, "other").Quarantined)
 	registry.Crashed(1000, []InFlight{other})
-	assert.Assert(t, registry.Judge(other.Keys, "other").Quarantined)
-	assert.Assert(t, registry.Judge(other.Keys, "one").Quarantined)
+	assert.Assert(t, registry.Evaluate(other.Keys, "other").Quarantined)
+	assert.Assert(t, registry.Evaluate(other.Keys, "one").Quarantined)
 }
--- a/internal/requestpath/balance/balancer_test.go
+++ b/internal/requestpath/balance/balancer_test.go
@@ -63,7 +63,7 @@
 	t.Helper()
 	picked := 0
 	for range picks {
-		chosen, err := p.Pick(p.service, balance.Choice{Route: route, Target: target, Bytes: 5000})
+		chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: target, Bytes: 5000})
 		assert.NilError(t, err)
 		if chosen.Endpoint.GetInstance() == instance {
 			picked++
@@ -137,7 +137,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPool(zones...)
 			p.update(zones, row.states)
-			chosen, err := p.Pick(p.service, balance.Choice{Route: route, Target: target})
+			chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: target})
 			if row.chosen == "" {
 				assert.ErrorContains(t, err, "no instance")
 				return
@@ -158,7 +158,7 @@
 	long := false
 	elsewhere := 0
 	for pick := range picks {
-		chosen, err := p.Pick(p.service, balance.Choice{Route: route, Target: target, Bytes: 2000})
+		chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: target, Bytes: 2000})
 		assert.NilError(t, err)
 		p.clock.now = p.clock.now.Add(5 * time.Millisecond)
 		chosen.Succeeded()
--- a/internal/requestpath/balance/constraint_test.go
+++ b/internal/requestpath/balance/constraint_test.go
@@ -61,7 +61,7 @@
 					}
 				}
 				for range 50 {
-					chosen, err := p.Pick(p.service, balance.Choice{Route: route, Target: target, Key: key, Constraints: row.constraints})
+					chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: target, Key: key, Constraints: row.constraints})
 					if row.chosen != "" {
 						assert.NilError(t, err)
 						assert.Equal(t, chosen.Endpoint.GetInstance(), row.chosen)
@@ -110,7 +110,7 @@
 				}
 			}
 			for range 50 {
-				chosen, err := p.Pick(p.service, balance.Choice{Route: route, Target: time.Second, Bytes: 500})
+				chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: time.Second, Bytes: 500})
 				assert.NilError(t, err)
 				assert.Equal(t, chosen.Endpoint.GetZone(), row.chosen)
 			}
@@ -130,7 +130,7 @@
 		seen.Answered(route, took, p.clock.now)
 	}
 	for range 50 {
-		chosen, err := p.Pick(p.service, balance.Choice{Route: route, Target: 150 * time.Millisecond})
+		chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: 150 * time.Millisecond})
 		assert.NilError(t, err)
 		assert.Equal(t, chosen.Endpoint.GetZone(), "b")
 	}
@@ -144,7 +144,7 @@
 		p.Targets("desk")[0].Answered(route, 3*time.Second, p.clock.now)
 		p.Targets("desk")[1].Answered(route, time.Second, p.clock.now)
 		for range 50 {
-			picked, err := p.Pick(p.service, balance.Choice{Route: route, Target: 10 * time.Second, Bytes: 30_000})
+			picked, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: 10 * time.Second, Bytes: 30_000})
 			assert.NilError(t, err)
 			assert.Equal(t, picked.Endpoint.GetZone(), chosen)
 		}
--- a/internal/requestpath/balance/cost.go
+++ b/internal/requestpath/balance/cost.go
@@ -95,7 +95,7 @@
 
 // callState returns what is known of the call, the typical times from all candidates.
 func (s *selector) callState(candidates []costState) callState {
-	call := callState{target: s.choice.Target.Seconds(), bytes: s.choice.Bytes, now: s.now}
+	call := callState{target: s.choice.TargetLatency.Seconds(), bytes: s.choice.Bytes, now: s.now}
 	call.left = call.target - s.choice.Spent.Seconds()
 	call.spread = typicalSpread(candidates, s.now)
 	typical, known := typicalService(candidates)
--- a/internal/requestpath/balance/estimate_test.go
+++ b/internal/requestpath/balance/estimate_test.go
@@ -96,7 +96,7 @@
 				return
 			}
 			service := &snapshot.Service{Bundle: &lapisv1.Bundle{Pool: &lapisv1.Pool{Name: "desk", Slots: 6, ColdCallsPerSecond: row.rate}}}
-			chosen, err := balancer.Pick(service, Choice{Route: "r", Target: time.Second})
+			chosen, err := balancer.Pick(service, Choice{Route: "r", TargetLatency: time.Second})
 			assert.NilError(t, err)
 			assert.Assert(t, !chosen.cold(now))
 		})
--- a/internal/requestpath/balance/former_test.go
+++ b/internal/requestpath/balance/former_test.go
@@ -51,7 +51,7 @@
 	}
 	slots := float64(max(service.Bundle.GetPool().GetSlots(), 1))
 	coldRate := service.Bundle.GetPool().GetColdCallsPerSecond()
-	if choice.Target > 0 {
+	if choice.TargetLatency > 0 {
 		return b.cheapest(b.subset(candidates, coldRate), slots, coldRate, choice), nil
 	}
 	return b.leastLoaded(b.subset(candidates, coldRate), slots), nil
@@ -168,7 +168,7 @@
 	for index, target := range candidates {
 		conditions[index] = formerConditionOf(target, choice.Route, b.tierOf(target.Endpoint), slots, coldRate, b.now)
 	}
-	target := choice.Target.Seconds()
+	target := choice.TargetLatency.Seconds()
 	left := target - choice.Spent.Seconds()
 	spread := formerTypicalSpread(conditions, b.now)
 	typical, known := formerTypicalService(conditions)
@@ -354,7 +354,7 @@
 		return "no instance"
 	case choice.Key != "":
 		return "by key"
-	case choice.Target > 0:
+	case choice.TargetLatency > 0:
 		return "by cost"
 	default:
 		return "by load"
@@ -456,7 +456,7 @@
 		choice.Key = fmt.Sprint("key-", d.IntN(100))
 	}
 	if d.chance(0.6) {
-		choice.Target = time.Duration(1+d.IntN(2000)) * time.Millisecond
+		choice.TargetLatency = time.Duration(1+d.IntN(2000)) * time.Millisecond
 		choice.Spent = time.Duration(d.IntN(3000)) * time.Millisecond
 	}
 	for _, target := range targets {
--- a/internal/requestpath/balance/pick_bench_test.go
+++ b/internal/requestpath/balance/pick_bench_test.go
@@ -15,11 +15,11 @@
 		instances int
 		choice    balance.Choice
 	}{
-		"with target/6":    {6, balance.Choice{Route: route, Target: target, Bytes: 5000}},
-		"with target/40":   {40, balance.Choice{Route: route, Target: target, Bytes: 5000}},
+		"with target/6":    {6, balance.Choice{Route: route, TargetLatency: target, Bytes: 5000}},
+		"with target/40":   {40, balance.Choice{Route: route, TargetLatency: target, Bytes: 5000}},
 		"without target/6": {6, balance.Choice{Route: route}},
-		"with key/6":       {6, balance.Choice{Route: route, Target: target, Key: "key"}},
-		"constrained/6":    {6, balance.Choice{Route: route, Target: target, Constraints: []balance.Constraint{evacuated("b")}}},
+		"with key/6":       {6, balance.Choice{Route: route, TargetLatency: target, Key: "key"}},
+		"constrained/6":    {6, balance.Choice{Route: route, TargetLatency: target, Constraints: []balance.Constraint{evacuated("b")}}},
 	} {
 		b.Run(name, func(b *testing.B) {
 			zones := make([]string, row.instances)
--- a/internal/requestpath/balance/score.go
+++ b/internal/requestpath/balance/score.go
@@ -21,7 +21,7 @@
 		return rankFirst(feasible, s.choice.Key)
 	}
 	candidates := s.subset(feasible)
-	if s.choice.Target > 0 {
+	if s.choice.TargetLatency > 0 {
 		return s.cheapest(candidates)
 	}
 	return s.leastLoaded(candidates)
--- a/internal/requestpath/balance/selector.go
+++ b/internal/requestpath/balance/selector.go
@@ -15,10 +15,10 @@
 	// Key is the caller's idempotency key, empty for none.
 	Key   string
 	Route string
-	// Target is the target latency: the time inside which an answer is worth most, 0 where
+	// TargetLatency is the time inside which an answer is worth most, 0 where
 	// the route states none.
-	Target time.Duration
-	// Spent is the part of Target that is over already.
+	TargetLatency time.Duration
+	// Spent is the part of TargetLatency that is over already.
 	Spent time.Duration
 	// Bytes is about how many go both ways.
 	Bytes float64
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -109,7 +109,7 @@
 	}
 	return a.gateway.balancer.Pick(service, balance.Choice{
 		Exclude: a.tried, Key: a.open.GetIdempotencyKey(), Route: a.route.GetName(),
-		Target: a.targetLatency(), Spent: time.Since(a.started) + a.waitedBefore, Bytes: a.gateway.sizes.of(a.route.GetName(), a.body),
+		TargetLatency: a.targetLatency(), Spent: time.Since(a.started) + a.waitedBefore, Bytes: a.gateway.sizes.of(a.route.GetName(), a.body),
 		Constraints: a.constraints(),
 	})
 }
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -35,8 +35,8 @@
 	// Suspected reports whether instances crashed under requests with the head of the line. It
 	// is asked for each request, and false for nearly all.
 	Suspected(line fingerprint.Line) bool
-	// Judge decides on a request of a calling service.
-	Judge(keys []fingerprint.Key, caller string) quarantine.Verdict
+	// Evaluate decides on a request of a calling service.
+	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 	// Count returns the number of instances that crashed under requests with the keys.
 	Count(keys []fingerprint.Key) int
 	// MayTry asks for the grant to let one quarantined request run as a trial. One daemon
@@ -75,7 +75,7 @@
 		}
 	}
 	call.keys = keysOf(line, call.body)
-	verdict := suspects.Judge(call.keys, call.open.GetCallerService())
+	verdict := suspects.Evaluate(call.keys, call.open.GetCallerService())
 	if !verdict.Quarantined {
 		return done, nil
 	}
--- a/internal/requestpath/origin/crash.go
+++ b/internal/requestpath/origin/crash.go
@@ -26,8 +26,8 @@
 	Answered(keys []fingerprint.Key)
 	// Count returns the number of instances that crashed under calls with the keys.
 	Count(keys []fingerprint.Key) int
-	// Judge tells whether a call of a caller is quarantined.
-	Judge(keys []fingerprint.Key, caller string) quarantine.Verdict
+	// Evaluate tells whether a call of a caller is quarantined.
+	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 }
 
 // noReporter is used where nobody follows crashes.
@@ -41,7 +41,7 @@
 
 func (noReporter) Count([]fingerprint.Key) int { return 0 }
 
-func (noReporter) Judge([]fingerprint.Key, string) quarantine.Verdict { return quarantine.Verdict{} }
+func (noReporter) Evaluate([]fingerprint.Key, string) quarantine.Verdict { return quarantine.Verdict{} }
 
 // noteUnanswered takes a call off that got no answer, and returns the error that it ends with.
 func (o *Origin) noteUnanswered(ctx context.Context, instance *Instance, sent *inFlightCall, err error) error {
--- a/internal/requestpath/origin/quarantine.go
+++ b/internal/requestpath/origin/quarantine.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return result.Wrap(result.CallNotRunExpired, err, "reading the request")
 	}
-	verdict := o.config.Crashes.Judge(fingerprint.Of(line, content).Whole(), call.Open.GetCallerService())
+	verdict := o.config.Crashes.Evaluate(fingerprint.Of(line, content).Whole(), call.Open.GetCallerService())
 	return Quarantined(verdict)
 }
 
