--- a/internal/distribution/holdings/holdings.go
+++ b/internal/distribution/holdings/holdings.go
@@ -76,14 +76,6 @@
 	return selected
 }
 
-// Size returns the number of bundles and their bytes.
-func (h *Holdings) Size() (bundles, bytes int) {
-	for _, entry := range h.bundles {
-		bytes += len(entry.bundle.GetContent())
-	}
-	return len(h.bundles), bytes
-}
-
 // Delta returns the update that brings a receiver that holds the services of interest,
 // except those in added, from the given revision to the present one. It returns nil when
 // the receiver is ahead or the holdings do not cover interest, and a full update when the
--- a/internal/distribution/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -13,10 +13,10 @@
 	// maxKnown is the number of daemons remembered. Chosen, not measured; it must be
 	// larger than what one welcome names, and bounds what a long run collects.
 	maxKnown = 64
-	// failurePenalty is how long a daemon that could not be reached is avoided at the
-	// longest, at the first time; it doubles with each failure up to maxPenalty. Both are
-	// chosen, not measured. The first lies above the time in which a process restarts and
-	// greets again, the second below the time for which an address is worth keeping.
+	// failurePenalty is the longest time for which a daemon that could not be reached is
+	// avoided after the first failure; the shortest is half of it. It doubles with each
+	// failure up to maxPenalty. Both are chosen, not measured; the shortest must be larger
+	// than the wait after a refusal, so that daemons that answer are asked first.
 	failurePenalty = 3 * time.Second
 	maxPenalty     = 60 * time.Second
 	// maxPenaltyDoublings keeps the shift of failurePenalty from overflowing; maxPenalty
@@ -24,7 +24,7 @@
 	maxPenaltyDoublings = 6
 	// remoteAfter is the number of daemons without a path to a reader after which other
 	// zones are tried: then it is likely the zone that has lost its readers. Chosen, not
-	// measured. That other zones are tried at all took the loss of both readers of a zone
+	// measured; larger than the readers of a zone. That other zones are tried at all took the loss of both readers of a zone
 	// from 7296 to 565 ms (400 daemons in 4 zones on one machine of 8 cores).
 	remoteAfter = 3
 )
--- a/internal/distribution/seat/seat_test.go
+++ b/internal/distribution/seat/seat_test.go
@@ -76,7 +76,7 @@
 	assert.NilError(t, table.Observe(object(key, "a", 6), start.Add(length)))
 	assert.Equal(t, vacant(length+1), 0)
 	assert.NilError(t, table.Observe(object(key, "b", 4), start.Add(length)))
-	assert.Equal(t, table.Holder(key), "a", "a crossed older version is ignored")
+	assert.Equal(t, table.KnownHolders(key)[0].Peer.GetNode(), "a", "a crossed older version is ignored")
 	table.Resume(start.Add(time.Hour))
 	assert.Equal(t, vacant(time.Hour+length), 0, "silence during an outage proves nothing")
 	assert.Equal(t, len(table.Vacancies("z", "a", 1, start.Add(time.Hour))), 1, "a replaced holder may take its own seat back")
--- a/internal/distribution/seat/table.go
+++ b/internal/distribution/seat/table.go
@@ -121,9 +121,6 @@
 	return t.holders(prefix, func(seen observed) bool { return seen.lease.GetHolder() != "" })
 }
 
-// Holder returns the present holder of a seat, "" when there is none.
-func (t *Table) Holder(key string) string { return t.seats[key].lease.GetHolder() }
-
 // Resume restarts the count of all leases at now. The observer calls it when it can
 // read the object API again: renewals may have been impossible meanwhile, so that their
 // absence proves nothing.
--- a/internal/distribution/tree/child_send.go
+++ b/internal/distribution/tree/child_send.go
@@ -85,10 +85,6 @@
 	session.sentRevision = update.GetToRevision()
 	session.added = holdings.Interest{}
 	session.subscriptionDirty = false
-	n.counts.updates++
-	if update.GetFull() {
-		n.counts.fullUpdates++
-	}
 	return update
 }
 
--- a/internal/distribution/tree/config.go
+++ b/internal/distribution/tree/config.go
@@ -96,17 +96,13 @@
 	Rooted   bool
 	Children int
 	// Depth is the number of nodes on the path, 1 for a reader and 0 without a path.
-	Depth int
-	// Subtree is the number of nodes below and including this one.
-	Subtree   uint32
+	Depth     int
 	Endpoints int
-	Bundles   int
 	// SeatState is empty for a node that is not a reader.
 	SeatState string
 	// Joins counts accepted parents, Resyncs digest mismatches, JoinsServed
 	// children admitted and JoinsRefused children turned away.
 	Joins, Resyncs, JoinsServed, JoinsRefused int64
-	FullUpdatesSent, UpdatesSent              int64
 }
 
 func (c *Config) heartbeat() time.Duration { return c.Tunables.HeartbeatInterval.Get() }
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -90,7 +90,6 @@
 
 type nodeCounts struct {
 	joins, resyncs, joinsServed, joinsRefused int64
-	fullUpdates, updates                      int64
 }
 
 // New returns a node that does nothing until Run.
@@ -183,15 +182,13 @@
 func (n *Node) Info() Info {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	bundles, _ := n.holdings.Size()
 	info := Info{
 		Node: n.config.Node, Zone: n.config.Zone, Role: n.role(),
 		Revision: n.holdings.Revision(), InForce: n.inForce, FloorKnown: n.floorKnown,
 		Rooted: len(n.path) > 0, Children: len(n.children), Depth: len(n.path),
-		Subtree: n.report().GetNodes(), Endpoints: n.registry.Len(), Bundles: bundles,
-		Joins: n.counts.joins, Resyncs: n.counts.resyncs,
+		Endpoints: n.registry.Len(),
+		Joins:     n.counts.joins, Resyncs: n.counts.resyncs,
 		JoinsServed: n.counts.joinsServed, JoinsRefused: n.counts.joinsRefused,
-		FullUpdatesSent: n.counts.fullUpdates, UpdatesSent: n.counts.updates,
 	}
 	if n.reader {
 		info.SeatState = string(n.lease.State(boottime.Now()))
--- a/internal/operators/ctl/client.go
+++ b/internal/operators/ctl/client.go
@@ -70,8 +70,12 @@
 	}
 }
 
+// operationIDLength is the number of random characters of an operation id, 5 bits each:
+// two of a million ids are alike with a chance of 4 in 10 million.
+const operationIDLength = 12
+
 // newOperationID returns an identifier for one intent of the operator.
-func newOperationID() string { return "p-" + rand.Text()[:12] }
+func newOperationID() string { return "p-" + rand.Text()[:operationIDLength] }
 
 func (c *Client) show(ctx context.Context, show *query.Show) (*opapi.Table, error) {
 	table := &opapi.Table{}
--- a/internal/operators/operator/show_configuration.go
+++ b/internal/operators/operator/show_configuration.go
@@ -90,6 +90,10 @@
 	return table
 }
 
+// fingerprintBytes is how much of a certificate's SHA-256 is shown. Chosen; enough to tell
+// the certificates of a site apart.
+const fingerprintBytes = 8
+
 // identify returns the start of the SHA-256 of a secret's certificate and when it expires.
 // Both are empty for what is not a certificate, which validation refuses before.
 func identify(secret *lapisv1.Secret) (fingerprint, expires string) {
@@ -98,7 +102,7 @@
 		return "", ""
 	}
 	sum := sha256.Sum256(block.Bytes)
-	fingerprint = hex.EncodeToString(sum[:8])
+	fingerprint = hex.EncodeToString(sum[:fingerprintBytes])
 	if certificate, err := x509.ParseCertificate(block.Bytes); err == nil {
 		expires = certificate.NotAfter.UTC().Format(time.RFC3339)
 	}
