--- /dev/null
+++ b/internal/distribution/tree/faulty_network_test.go
@@ -0,0 +1,63 @@
+package tree_test
+
+import (
+	"context"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
+)
+
+// faultyNetwork is TCP that can pause, and corrupt what is received.
+type faultyNetwork struct {
+	wire.TCP
+	paused      *atomic.Bool
+	corruptNext atomic.Int32
+}
+
+// dialPlatform opens connections to the platform that pause along.
+func (f *faultyNetwork) dialPlatform(ctx context.Context, _, address string) (net.Conn, error) {
+	return (&faultyNetwork{paused: f.paused}).Dial(ctx, address)
+}
+
+func (f *faultyNetwork) pause(on bool) { f.paused.Store(on) }
+
+var errPaused = errors.New("paused")
+
+func (f *faultyNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+	if f.paused.Load() {
+		return nil, errPaused
+	}
+	conn, err := f.TCP.Dial(ctx, address)
+	if err != nil {
+		return nil, err
+	}
+	return &faultyConn{Conn: conn, network: f}, nil
+}
+
+// faultyConn applies its network's faults.
+type faultyConn struct {
+	net.Conn
+	network *faultyNetwork
+}
+
+func (f *faultyConn) Read(buffer []byte) (int, error) {
+	count, err := f.Conn.Read(buffer)
+	for f.network.paused.Load() {
+		time.Sleep(10 * time.Millisecond)
+	}
+	if count > 8 && f.network.corruptNext.Add(-1) >= 0 {
+		buffer[count/2] ^= 0x55
+	}
+	return count, err
+}
+
+func (f *faultyConn) Write(data []byte) (int, error) {
+	for f.network.paused.Load() {
+		time.Sleep(10 * time.Millisecond)
+	}
+	return f.Conn.Write(data)
+}
