--- a/internal/distribution/endpoint/registry.go
+++ b/internal/distribution/endpoint/registry.go
@@ -222,7 +222,7 @@
 	if !ok || entry.Via != "" || entry.Endpoint.GetIncarnation() != incarnation || entry.Endpoint.GetSequence() != sequence {
 		return false
 	}
-	if entry.Endpoint.GetState() >= lapisv1.Endpoint_STATE_SUSPECT {
+	if isDown(entry.Endpoint) {
 		return false
 	}
 	r.put(key, Entry{Endpoint: withState(entry.Endpoint, lapisv1.Endpoint_STATE_SUSPECT), Via: viaObserver, ChangedAt: now})
@@ -252,7 +252,7 @@
 func (r *Registry) Expire(deadline time.Time) int {
 	count := 0
 	for key, entry := range r.entries {
-		if entry.Endpoint.GetState() >= lapisv1.Endpoint_STATE_SUSPECT && entry.ChangedAt.Before(deadline) {
+		if isDown(entry.Endpoint) && entry.ChangedAt.Before(deadline) {
 			r.drop(key)
 			count++
 		}
--- a/internal/distribution/tree/endpoints.go
+++ b/internal/distribution/tree/endpoints.go
@@ -50,7 +50,7 @@
 	now := boottime.Now()
 	refute := false
 	for _, statement := range endpoints {
-		if n.contradicted(statement) {
+		if endpoint.MustRefute(statement, n.config.Node, n.config.Incarnation, n.local) {
 			refute = true
 			continue
 		}
@@ -61,24 +61,7 @@
 	}
 }
 
-// contradicted reports whether a statement about an instance beside this daemon is
-// wrong and must be refuted: another daemon suspects the instance or takes it as gone
-// although it is there. A statement of a newer process on this machine stands.
-func (n *Node) contradicted(statement *lapisv1.Endpoint) bool {
-	if statement.GetNode() != n.config.Node {
-		return false
-	}
-	if statement.GetIncarnation() > n.config.Incarnation {
-		return false
-	}
-	for _, own := range n.local {
-		if own.GetService() == statement.GetService() && own.GetInstance() == statement.GetInstance() {
-			return statement.GetState() >= lapisv1.Endpoint_STATE_SUSPECT && own.GetState() < lapisv1.Endpoint_STATE_SUSPECT
-		}
-	}
-	return false
-}
-
+// merge applies one statement and passes it on when it is new; the caller holds mutex.
 func (n *Node) merge(statement *lapisv1.Endpoint, via string, now time.Time) {
 	if !n.registry.Merge(statement, via, now) {
 		return
--- a/internal/distribution/tree/interest.go
+++ b/internal/distribution/tree/interest.go
@@ -53,9 +53,8 @@
 	}
 }
 
-// interestOf returns the interest that an update of the given
-// subscription version covers; ok is false for a version never requested. The
-// caller holds mutex.
+// interestOf returns the interest that an update of the given subscription version covers;
+// ok is false for a version never requested. The caller holds mutex.
 func (n *Node) interestOf(version uint64) (interest holdings.Interest, ok bool) {
 	if version == n.coveredVersion {
 		return n.holdings.Interest(), true
--- a/internal/distribution/tree/machines.go
+++ b/internal/distribution/tree/machines.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// holdDrain keeps a drain that a reader stated about an instance beside
-// this daemon for listDrainHold; the caller holds mutex.
+// holdDrain announces this daemon's instances again listDrainHold after one of them was
+// drained. When a reader drained it and the list no longer shows the machine as leaving,
+// that ends the drain; a drain by this daemon is only repeated. The caller holds mutex.
 func (n *Node) holdDrain(statement *lapisv1.Endpoint) {
 	if statement.GetNode() != n.config.Node || statement.GetState() != lapisv1.Endpoint_STATE_DRAINING {
 		return
--- a/internal/distribution/tree/reader_lease.go
+++ b/internal/distribution/tree/reader_lease.go
@@ -88,6 +88,8 @@
 	}
 }
 
+// renewOnce writes the seat once and returns an error only when the seat is lost. The lease
+// counts from before the write was sent.
 func (r *readerRole) renewOnce(ctx context.Context) error {
 	r.node.mutex.Lock()
 	version := r.node.lease.Version()
@@ -103,7 +105,7 @@
 	case err == nil:
 		r.node.lease.Renewed(sentAt, renewed)
 		return nil
-	case result.Is(err, result.DistributionSeatLost) || result.Is(err, result.PlatformNotFound):
+	case seatLost(err):
 		r.node.lease.Taken()
 		return err
 	default:
@@ -114,6 +116,14 @@
 	}
 }
 
+// seatLost reports whether a renewal that ended with err shows that the seat is no longer
+// this node's: another holder or epoch is in it, or its object is gone. Any other failure
+// leaves the question open, and nobody else could take the seat without the object API
+// either.
+func seatLost(err error) bool {
+	return result.Is(err, result.DistributionSeatLost) || result.Is(err, result.PlatformNotFound)
+}
+
 func (n *Node) isStopping() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/seat_offers.go
+++ b/internal/distribution/tree/seat_offers.go
@@ -8,8 +8,10 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/seat"
 )
 
-// offerVacancies invites children to take vacant seats of their zones. Only a
-// reader whose own lease is good does so.
+// offerVacancies invites children to take vacant seats of their zones, one child for each
+// seat. It offers nothing while the object API cannot be read, because silence of a holder
+// proves nothing then; while this node is stopping; and while its own lease has lapsed,
+// because what it knows of the seats may be as old.
 func (n *Node) offerVacancies(now time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
