--- a/internal/distribution/membership/join.go
+++ b/internal/distribution/membership/join.go
@@ -34,7 +34,7 @@
 	// ForeignExtra is the number of children of other zones that a reader accepts beyond
 	// its fan-out. A zone that lost both readers had up to 48 daemons directly below
 	// them, and the six other readers of four zones had room for 8 each. With this value,
-	// and a first question to the source after 1 s instead of 3 s, two restarts of 30% of
+	// and a first query of the object API after 1 s instead of 3 s, two restarts of 30% of
 	// 400 daemons took 622 to 1138 ms instead of 4312 and 3124 ms (all daemons on one
 	// machine of 8 cores). No other value was measured.
 	ForeignExtra = 24
--- a/internal/distribution/membership/source_backoff_test.go
+++ b/internal/distribution/membership/source_backoff_test.go
@@ -10,9 +10,9 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/membership"
 )
 
-// nextQuestion returns the wait from now until a question is due, in steps of a
+// nextQuery returns the wait until a query is due, in steps of a
 // millisecond.
-func nextQuestion(backoff *membership.SourceBackoff, from time.Time) time.Duration {
+func nextQuery(backoff *membership.SourceBackoff, from time.Time) time.Duration {
 	for wait := time.Duration(0); ; wait += time.Millisecond {
 		if backoff.Due(from.Add(wait)) {
 			return wait
@@ -20,18 +20,18 @@
 	}
 }
 
-func TestQuestionsToTheSourceWaitTwiceAsLongEachTime(t *testing.T) {
+func TestQueriesOfTheSourceWaitTwiceAsLongEachTime(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		random := rapid.Float64Range(0, 0.999).Draw(rt, "random")
 		backoff := membership.NewSourceBackoff(time.Second, 50*time.Millisecond, 2*time.Second, now, random)
-		first := nextQuestion(&backoff, now)
+		first := nextQuery(&backoff, now)
 		assert.Assert(rt, first <= time.Second+time.Millisecond)
 		at := now.Add(first)
 		middle := 100 * time.Millisecond
 		for round := 1; round <= 8; round++ {
-			backoff.Asked(at, random)
+			backoff.Queried(at, random)
 			assert.Equal(rt, backoff.Rounds(), round)
-			wait := nextQuestion(&backoff, at)
+			wait := nextQuery(&backoff, at)
 			assert.Assert(rt, wait >= middle/2 && wait <= middle*3/2+time.Millisecond, "round %d waits %s", round, wait)
 			at = at.Add(wait)
 			middle = min(2*middle, 2*time.Second)
@@ -39,9 +39,9 @@
 	})
 }
 
-func TestFirstQuestionWaitsARandomPartOfItsBound(t *testing.T) {
+func TestFirstQueryWaitsARandomPartOfItsBound(t *testing.T) {
 	backoff := membership.NewSourceBackoff(time.Second, 50*time.Millisecond, 2*time.Second, now, 0)
-	assert.Assert(t, backoff.Due(now), "a daemon may ask at once")
+	assert.Assert(t, backoff.Due(now), "a daemon may query at once")
 	backoff = membership.NewSourceBackoff(time.Second, 50*time.Millisecond, 2*time.Second, now, 0.5)
 	assert.Assert(t, !backoff.Due(now.Add(499*time.Millisecond)) && backoff.Due(now.Add(501*time.Millisecond)))
 }
--- a/internal/distribution/revisionfloor/broker.go
+++ b/internal/distribution/revisionfloor/broker.go
@@ -36,7 +36,7 @@
 	return b.begin()
 }
 
-// Answer gives reply to all whose question came before the read began, and
+// Answer gives reply to all whose request came before the read began, and
 // reports whether another read must be started.
 func (b *Broker) Answer(reply *lapisv1.FloorReply) (start bool) {
 	answered := b.reading
--- a/internal/distribution/tree/child.go
+++ b/internal/distribution/tree/child.go
@@ -108,7 +108,7 @@
 	case *lapisv1.ControlFrame_Endpoints:
 		n.mergeEndpoints(body.Endpoints.GetEndpoints(), session.node)
 	case *lapisv1.ControlFrame_FloorRequest:
-		n.askFloorFor(session, body.FloorRequest.GetId())
+		n.requestFloorFor(session, body.FloorRequest.GetId())
 	case *lapisv1.ControlFrame_Heartbeat:
 	default:
 		return result.Errorf(result.ProtocolUnexpected, "frame %T from a child", body)
--- a/internal/distribution/tree/floors.go
+++ b/internal/distribution/tree/floors.go
@@ -26,8 +26,8 @@
 	floorRetry = time.Second
 )
 
-// askOwnFloor asks for the floor of this node itself.
-func (n *Node) askOwnFloor() {
+// requestOwnFloor asks for the floor of this node itself.
+func (n *Node) requestOwnFloor() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.floors.Ask(n.applyFloor)
@@ -38,7 +38,7 @@
 func (n *Node) applyFloor(reply *lapisv1.FloorReply) {
 	if reply.GetUnavailable() {
 		n.config.Logger.Info("tree.no_floor", "code", uint32(result.DistributionNoFloor))
-		time.AfterFunc(floorRetry/2+rand.N(floorRetry), n.askOwnFloor)
+		time.AfterFunc(floorRetry/2+rand.N(floorRetry), n.requestOwnFloor)
 		return
 	}
 	n.floor = reply.GetRevision()
@@ -46,8 +46,8 @@
 	n.publish()
 }
 
-// askFloorFor asks on behalf of a child; the caller holds mutex.
-func (n *Node) askFloorFor(session *childSession, id uint64) {
+// requestFloorFor asks on behalf of a child; the caller holds mutex.
+func (n *Node) requestFloorFor(session *childSession, id uint64) {
 	n.floors.Ask(func(reply *lapisv1.FloorReply) {
 		session.floorReplies = append(session.floorReplies, &lapisv1.FloorReply{
 			Id: id, Revision: reply.GetRevision(), Authority: reply.GetAuthority(), Unavailable: reply.GetUnavailable(),
@@ -70,7 +70,7 @@
 	}
 	if n.parent != nil {
 		n.floorIssued = true
-		n.parent.askFloor = true
+		n.parent.floorRequestDue = true
 		n.parent.signal()
 	}
 }
--- a/internal/distribution/tree/known_readers.go
+++ b/internal/distribution/tree/known_readers.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// noteHolders tells the children when the set of readers changed; the caller
+// noteHolders sends the readers to the children when the set changed; the caller
 // holds mutex.
 func (n *Node) noteHolders(now time.Time) {
 	var names strings.Builder
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -122,7 +122,7 @@
 // Run takes part in the distribution until ctx ends. The node alternates
 // between being a child and, after taking a seat, being a reader.
 func (n *Node) Run(ctx context.Context) {
-	go n.askOwnFloor()
+	go n.requestOwnFloor()
 	go n.housekeep(ctx)
 	for ctx.Err() == nil {
 		vacancy, found := n.runChild(ctx)
--- a/internal/distribution/tree/parent.go
+++ b/internal/distribution/tree/parent.go
@@ -33,8 +33,8 @@
 	// sentChange is the registry change up to which endpoints were sent.
 	sentChange uint64
 	sentReport *lapisv1.StatusReport
-	// askFloor is true when a floor request must be sent.
-	askFloor bool
+	// floorRequestDue is true when a floor request must be sent.
+	floorRequestDue bool
 }
 
 // runChild is the life of a node that is not a reader. It returns a vacancy
@@ -47,7 +47,7 @@
 		}
 		choice, ok := n.nextCandidate()
 		if !ok {
-			vacancy, found = search.askSource(ctx)
+			vacancy, found = search.querySource(ctx)
 			if found {
 				return vacancy, true
 			}
@@ -120,7 +120,7 @@
 }
 
 // detach forgets a lost parent. The path is kept empty until another parent
-// accepts, and a floor question under way is asked again then.
+// accepts, and a pending floor request is sent again then.
 func (n *Node) detach(link *parentLink) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/parent_send.go
+++ b/internal/distribution/tree/parent_send.go
@@ -16,8 +16,8 @@
 	if link.sentVersion != n.requestedVersion || link.resync {
 		frames = append(frames, n.subscriptionFor(link))
 	}
-	if link.askFloor {
-		link.askFloor = false
+	if link.floorRequestDue {
+		link.floorRequestDue = false
 		frames = append(frames, &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_FloorRequest{FloorRequest: &lapisv1.FloorRequest{}}})
 	}
 	frames = n.appendOwnEndpoints(frames, &link.sentChange)
--- a/internal/distribution/tree/parent_state.go
+++ b/internal/distribution/tree/parent_state.go
@@ -14,9 +14,9 @@
 	linkSearching linkState = "searching"
 	// linkGreeting has sent a Hello and waits for the answer.
 	linkGreeting linkState = "greeting"
-	// linkAttached has a parent with a way to a reader.
+	// linkAttached has a parent with a path to a reader.
 	linkAttached linkState = "attached"
-	// linkStranded has a parent that lost its own way to a reader.
+	// linkStranded has a parent that lost its own path to a reader.
 	linkStranded linkState = "stranded"
 )
 
@@ -50,8 +50,8 @@
 	return machine
 }
 
-// fireLink moves the machine; a trigger without a place in the present state is
-// a programming error and is reported to the caller.
+// fireLink moves the machine. A trigger that the present state does not permit is a
+// programming error, which is returned and ends the link.
 func fireLink(machine *stateless.StateMachine, trigger linkTrigger) error {
 	return machine.FireCtx(context.Background(), trigger)
 }
--- a/internal/distribution/tree/search.go
+++ b/internal/distribution/tree/search.go
@@ -39,13 +39,13 @@
 	)
 }
 
-// askSource waits a little and, when it is time, asks the object API. It
-// returns a seat to take, if any.
-func (s *search) askSource(ctx context.Context) (vacancy seat.Vacancy, found bool) {
+// querySource waits for candidatePoll and then, when it is due, asks the object API who the
+// zone's readers are. It returns a seat to take, if any.
+func (s *search) querySource(ctx context.Context) (vacancy seat.Vacancy, found bool) {
 	if !sleep.For(ctx, candidatePoll/2+rand.N(candidatePoll)) || !s.backoff.Due(boottime.Now()) {
 		return seat.Vacancy{}, false
 	}
-	s.backoff.Asked(boottime.Now(), rand.Float64())
+	s.backoff.Queried(boottime.Now(), rand.Float64())
 	config := s.node.config
 	list, err := config.Store.List(ctx, seat.ZonePrefix(config.Zone), "", 0)
 	if err != nil {
--- a/internal/distribution/tunables/distribution.go
+++ b/internal/distribution/tunables/distribution.go
@@ -69,12 +69,12 @@
 	// CatchUpBurstBytes may be sent at once before the rate applies. Chosen; a full
 	// update of 950 services is 59 KB compressed.
 	CatchUpBurstBytes int `json:"catch_up_burst_bytes"`
-	// JoinBackoffMin and JoinBackoffMax bound the middle of the wait between two questions
-	// of a daemon without a parent to the object API. Chosen.
+	// JoinBackoffMin and JoinBackoffMax bound the middle of the wait between two queries of
+	// a daemon without a parent to the object API. Chosen.
 	JoinBackoffMin Duration `json:"join_backoff_min"`
 	JoinBackoffMax Duration `json:"join_backoff_max"`
 	// FirstSourceAsk bounds the random wait before a daemon without a parent asks the
-	// object API for the readers. 3 s instead of 1 s halved the questions of a cold start
+	// object API for the readers. 3 s instead of 1 s halved the queries of a cold start
 	// of 19,000 simulated daemons, 10,150 to 5,436, but made zones that lost both readers
 	// slower, so it is 1 s.
 	FirstSourceAsk Duration `json:"first_source_ask"`
