--- a/internal/distribution/fleet/linkchoice_test.go
+++ b/internal/distribution/fleet/linkchoice_test.go
@@ -56,9 +56,7 @@
 			}
 		}
 		for service, count := range reachableOnes {
-			if taken[service] < min(count, linksPerService) {
-				t.Fatalf("%s: %d of %d reachable daemons are connected", service, taken[service], count)
-			}
+			assert.Assert(t, taken[service] >= min(count, linksPerService), "%s: %d of %d reachable daemons are connected", service, taken[service], count)
 		}
 	})
 }
--- a/internal/lab/emulator/instance/instance.go
+++ b/internal/lab/emulator/instance/instance.go
@@ -248,7 +248,7 @@
 		Address: i.Address(),
 		Info:    platform.HeartbeatInfo{Service: i.options.Service, Version: "v1", Zone: i.options.Zone, Slots: i.options.Slots},
 		Status: platform.HeartbeatStatus{
-			State: state, Sequence: sequence, ColdMs: i.cold.left(time.Now()).Milliseconds(),
+			State: state, Sequence: sequence, ColdRemainingMillis: i.cold.left(time.Now()).Milliseconds(),
 		},
 	}
 	body, err := json.Marshal(beat)
--- a/internal/lab/emulator/instance/instance_test.go
+++ b/internal/lab/emulator/instance/instance_test.go
@@ -149,12 +149,12 @@
 			running := start(t, change)
 			if name == "on demand" {
 				assert.Equal(t, running.coldRemaining(t), time.Duration(0))
-				running.awaitBeat(t, func(beat platform.Heartbeat) bool { return beat.Status.ColdMs == 0 })
+				running.awaitBeat(t, func(beat platform.Heartbeat) bool { return beat.Status.ColdRemainingMillis == 0 })
 				running.Chill(never)
 			}
 			remaining := running.coldRemaining(t)
 			assert.Assert(t, remaining > 0 && remaining <= never, "%s", remaining)
-			running.awaitBeat(t, func(beat platform.Heartbeat) bool { return beat.Status.ColdMs > 0 })
+			running.awaitBeat(t, func(beat platform.Heartbeat) bool { return beat.Status.ColdRemainingMillis > 0 })
 		})
 	}
 }
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -278,7 +278,7 @@
 		return
 	}
 	page := s.table.list(kind, query.Get("after"))
-	s.tell(w, kind, page.At, page)
+	s.tell(w, kind, page.Revision, page)
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, disturbed disturbance, kind, from string) {
@@ -298,16 +298,16 @@
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(changes.Events) > 0 && !deaf:
-			s.tell(w, kind, changes.At, changes)
+			s.tell(w, kind, changes.Revision, changes)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
 			if deaf {
-				changes = platform.Changes{Events: []platform.Event{}, At: after}
+				changes = platform.Changes{Events: []platform.Event{}, Revision: after}
 			}
-			s.tell(w, kind, changes.At, changes)
+			s.tell(w, kind, changes.Revision, changes)
 			return
 		case <-disturbed.cut:
 			hangUp(w)
--- a/internal/lab/emulator/objectstore/table.go
+++ b/internal/lab/emulator/objectstore/table.go
@@ -62,7 +62,7 @@
 	next.Metadata.Name = name
 	next.Metadata.Revision = t.revision
 	if !exists {
-		next.Metadata.CreatedAt = t.revision
+		next.Metadata.CreatedRevision = t.revision
 	}
 	t.put(kind, next)
 	return writeResult{object: next}
@@ -82,7 +82,7 @@
 	} else {
 		objects[object.Metadata.Name] = object
 	}
-	t.history = append(t.history, entry{revision: t.revision, kind: kind, event: platform.Event{Object: object, Gone: gone}})
+	t.history = append(t.history, entry{revision: t.revision, kind: kind, event: platform.Event{Object: object, Deleted: gone}})
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -128,7 +128,7 @@
 func (t *table) list(kind, after string) platform.Page {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	page := platform.Page{Items: []platform.Object{}, At: t.revision}
+	page := platform.Page{Items: []platform.Object{}, Revision: t.revision}
 	for _, object := range t.kinds[kind] {
 		if object.Metadata.Name > after {
 			page.Items = append(page.Items, object)
@@ -148,7 +148,7 @@
 func (t *table) since(kind string, after uint64) (changes platform.Changes, wait <-chan struct{}, gone bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	changes = platform.Changes{Events: []platform.Event{}, At: t.revision}
+	changes = platform.Changes{Events: []platform.Event{}, Revision: t.revision}
 	if after < t.forgotten {
 		return changes, nil, true
 	}
