--- a/internal/daemon/metrics/platform.go
+++ b/internal/daemon/metrics/platform.go
@@ -48,9 +48,9 @@
 	gauge(registry, "lapisvane_members_connected", "Daemons that calls can be sent to.",
 		func() float64 { return float64(sources.Fleet.Connected()) })
 	counter(registry, "lapisvane_source_questions_total", "Questions to the configuration source.",
-		func() float64 { return float64(sources.Follower.Asked.Load()) })
+		func() float64 { return float64(sources.Follower.ConfigurationRequests.Load()) })
 	counter(registry, "lapisvane_source_failures_total", "Questions to the configuration source that failed.",
-		func() float64 { return float64(sources.Follower.Failed.Load()) })
+		func() float64 { return float64(sources.Follower.FailedPolls.Load()) })
 	registerOrders(registry, sources)
 	occupancy := func(read func(admission.Occupancy) int) func() float64 {
 		return func() float64 {
@@ -87,7 +87,7 @@
 			return boottime.Since(confirmed).Seconds()
 		})
 	counter(registry, "lapisvane_source_orders_questions_total", "Questions to the source for the operators' orders.",
-		func() float64 { return float64(sources.Follower.OrdersAsked.Load()) })
+		func() float64 { return float64(sources.Follower.OrderRequests.Load()) })
 }
 
 // registerCold adds the metrics of what cold instances get.
--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -283,8 +283,8 @@
 	p.path.gateway.ShareRetries(count)
 }
 
-// Suspected implements fleet.Observer.
-func (p *platformDistribution) Suspected(records []quarantine.Record, from string) {
+// OfferSuspects implements fleet.Observer.
+func (p *platformDistribution) OfferSuspects(records []quarantine.Record, from string) {
 	p.path.suspects.merge(records, from)
 }
 
--- a/internal/daemon/platform_orders.go
+++ b/internal/daemon/platform_orders.go
@@ -96,8 +96,8 @@
 	p.takeOrders(fromStore, func() (*orders.Set, bool) { return p.path.orders.Read(set) })
 }
 
-// Ordered implements fleet.Observer.
-func (p *platformDistribution) Ordered(set *orders.Set, from string) {
+// OfferOrders implements fleet.Observer.
+func (p *platformDistribution) OfferOrders(set *orders.Set, from string) {
 	p.takeOrders(from, func() (*orders.Set, bool) { return p.path.orders.Replace(set) })
 }
 
--- a/internal/daemon/platform_orders_test.go
+++ b/internal/daemon/platform_orders_test.go
@@ -48,7 +48,7 @@
 // not ready before it knows the orders, be it from a neighbour or from the store.
 func TestNothingIsSentBeforeTheOrdersAreKnown(t *testing.T) {
 	for name, learn := range map[string]func(*platformDistribution, *orders.Set){
-		"neighbour": func(p *platformDistribution, set *orders.Set) { p.Ordered(set, "b") },
+		"neighbour": func(p *platformDistribution, set *orders.Set) { p.OfferOrders(set, "b") },
 		"store":     func(p *platformDistribution, set *orders.Set) { p.readOrders(set) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 		}
 		*lines = nil
 	}
-	part.Ordered(evacuating(3, 3), "b")
+	part.OfferOrders(evacuating(3, 3), "b")
 	expect("none yet", `"orders.in_force" "revision"=3 "before"=0 "zones"="" "by"="b"`)
 	part.readOrders(evacuating(5, 5, "z", "nowhere"))
 	expect("given", `"orders.in_force" "revision"=5 "before"=3 "zones"="nowhere,z" "by"="store"`, `"orders.zone_unknown" "zone"="nowhere"`)
@@ -104,7 +104,7 @@
 	part.readOrders(evacuating(8, 8, "nowhere"))
 	expect("taken away and given again", `"orders.given_again" "zone"="nowhere"`, `"orders.in_force" "zones"="nowhere"`)
 	assert.Assert(t, part.path.orders.Evacuated("nowhere") && !part.path.orders.Evacuated("z"))
-	part.Ordered(evacuating(5, 5, "z"), "c")
+	part.OfferOrders(evacuating(5, 5, "z"), "c")
 	expect("older")
 	registry := prometheus.NewRegistry()
 	part.RegisterMetrics(registry)
@@ -117,6 +117,6 @@
 	assert.Equal(t, measured["lapisvane_orders_revision"], 8.0)
 	assert.Equal(t, measured["lapisvane_orders_evacuated_zones"], 1.0)
 	assert.Equal(t, measured["lapisvane_confirmation_age_seconds"], -1.0)
-	part.Ordered(evacuating(9, 9), "c")
+	part.OfferOrders(evacuating(9, 9), "c")
 	expect("taken away", `"orders.in_force" "revision"=9 "before"=8 "zones"="" "by"="c"`)
 }
--- a/internal/distribution/configsource/configsource.go
+++ b/internal/distribution/configsource/configsource.go
@@ -66,9 +66,9 @@
 	Resumed <-chan struct{}
 	Logger  logr.Logger
 
-	// Asked and OrdersAsked count the requests for the configuration and for orders,
-	// Failed the polls that were not answered.
-	Asked, OrdersAsked, Failed atomic.Int64
+	// ConfigurationRequests and OrderRequests count the requests to the source,
+	// FailedPolls the polls that were not answered.
+	ConfigurationRequests, OrderRequests, FailedPolls atomic.Int64
 
 	// The following belong to Run. position is how far the source's history is
 	// known, if it is; failing is true after a poll without an answer, the
--- a/internal/distribution/configsource/counted_source_test.go
+++ b/internal/distribution/configsource/counted_source_test.go
@@ -23,7 +23,7 @@
 	// given are those of the orders by zone.
 	configured configsource.Position
 	given      map[string]configsource.Position
-	// forgotten is up to where the history is gone.
+	// forgotten is up to where the history is deleted.
 	forgotten configsource.Position
 	// blind positions of a watch do not move with orders.
 	blind bool
@@ -97,7 +97,7 @@
 	defer s.mutex.Unlock()
 	switch {
 	case after < s.forgotten:
-		return nil, after, result.Errorf(result.PlatformCompacted, "the history is gone")
+		return nil, after, result.Errorf(result.PlatformCompacted, "the history is deleted")
 	case s.configured > after:
 		return &lapisv1.Configuration{Revision: uint64(s.configured)}, s.position, nil
 	case s.blind:
--- a/internal/distribution/configsource/fleetmates_test.go
+++ b/internal/distribution/configsource/fleetmates_test.go
@@ -17,10 +17,10 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// tellDelay is the time that a daemon's word takes to reach all others.
-const tellDelay = 30 * time.Millisecond
+// gossipDelay is the time that a daemon's gossip takes to reach all others.
+const gossipDelay = 30 * time.Millisecond
 
-// fleetmate is one daemon of a fleet whose members tell each other.
+// fleetmate is one daemon of a fleet whose members gossip.
 type fleetmate struct {
 	applied
 	freshness configsource.Freshness
@@ -29,22 +29,22 @@
 
 	orders orders.Current
 
-	// mutex protects the rest. A mute daemon tells nobody, a deaf one hears nobody,
-	// a refused one gets no answer from the source, an unordered one hears which
+	// mutex protects the rest. A mute daemon sends no gossip, a deaf one receives none,
+	// a refused one gets no answer from the source, an unordered one learns which
 	// orders others have and not the orders.
 	mutex                          sync.Mutex
 	mute, deaf, refused, unordered bool
 	orderedAt                      time.Time
 }
 
-// take takes in orders and passes them on.
-func (m *fleetmate) take(set *orders.Set, replace func(*orders.Set) (*orders.Set, bool), mates []*fleetmate) {
+// applyOrders applies orders and passes them on.
+func (m *fleetmate) applyOrders(set *orders.Set, replace func(*orders.Set) (*orders.Set, bool), mates []*fleetmate) {
 	if _, taken := replace(set); !taken {
 		return
 	}
 	m.freshness.AdvanceOrders(m.orders.Load().Revision())
 	m.set(func(m *fleetmate) { m.orderedAt = time.Now() })
-	tell(m, mates)
+	gossip(m, mates)
 }
 
 func (m *fleetmate) apply(configuration *lapisv1.Configuration) {
@@ -119,11 +119,11 @@
 		for index, mate := range mates {
 			random := rand.New(rand.NewPCG(7, uint64(index)))
 			mate.follower = mate.followerOf(reach(mate), count, random, func(follower *configsource.Follower) {
-				follower.Confirmed = func() { tell(mate, mates) }
+				follower.Confirmed = func() { gossip(mate, mates) }
 				if ordersBound > 0 {
 					mate.freshness.WithOrders = true
 					follower.OrdersBound = ordersBound
-					follower.ApplyOrders = func(set *orders.Set) { mate.take(set, mate.orders.Read, mates) }
+					follower.ApplyOrders = func(set *orders.Set) { mate.applyOrders(set, mate.orders.Read, mates) }
 				}
 			})
 			mate.stop = run(mate.follower)
@@ -144,8 +144,8 @@
 	playMates(t, count, ordersBound, reach, func(mates []*fleetmate) { test(source, mates) })
 }
 
-// tell passes a daemon's version and confirmation on to all that hear it.
-func tell(from *fleetmate, mates []*fleetmate) {
+// gossip passes a daemon's version and confirmation on to all that receive it.
+func gossip(from *fleetmate, mates []*fleetmate) {
 	if from.is(func(m *fleetmate) bool { return m.mute }) {
 		return
 	}
@@ -155,21 +155,21 @@
 		if mate == from || mate.is(func(m *fleetmate) bool { return m.deaf }) {
 			continue
 		}
-		time.AfterFunc(tellDelay, func() {
+		time.AfterFunc(gossipDelay, func() {
 			mate.freshness.Confirm(versions, confirmed)
 			if known, _ := mate.last(); versions.Configuration > known {
 				mate.apply(&lapisv1.Configuration{Revision: versions.Configuration})
 			}
 			if set != nil && !mate.is(func(m *fleetmate) bool { return m.unordered }) {
-				mate.take(set, mate.orders.Replace, mates)
+				mate.applyOrders(set, mate.orders.Replace, mates)
 			}
 		})
 	}
 }
 
-func questions(mates []*fleetmate) (total int64) {
+func requests(mates []*fleetmate) (total int64) {
 	for _, mate := range mates {
-		total += mate.follower.Asked.Load()
+		total += mate.follower.ConfigurationRequests.Load()
 	}
 	return total
 }
@@ -177,7 +177,7 @@
 // calls is what all daemons have asked.
 func calls(mates []*fleetmate) (total int64) {
 	for _, mate := range mates {
-		total += mate.follower.Asked.Load() + mate.follower.OrdersAsked.Load()
+		total += mate.follower.ConfigurationRequests.Load() + mate.follower.OrderRequests.Load()
 	}
 	return total
 }
@@ -214,12 +214,12 @@
 func leader(mates []*fleetmate) (found *fleetmate) {
 	before := map[*fleetmate]int64{}
 	for _, mate := range mates {
-		before[mate] = mate.follower.Asked.Load()
+		before[mate] = mate.follower.ConfigurationRequests.Load()
 	}
 	time.Sleep(time.Second)
 	most := int64(0)
 	for _, mate := range mates {
-		if asked := mate.follower.Asked.Load() - before[mate]; asked > most {
+		if asked := mate.follower.ConfigurationRequests.Load() - before[mate]; asked > most {
 			most, found = asked, mate
 		}
 	}
--- a/internal/distribution/configsource/follower_test.go
+++ b/internal/distribution/configsource/follower_test.go
@@ -58,9 +58,9 @@
 		revision, _ := record.last()
 		assert.Equal(t, revision, uint64(3))
 		source.mutex.Lock()
-		asked := source.questions
+		asked := source.requests
 		source.mutex.Unlock()
-		assert.Assert(t, asked <= 6, "%d questions", asked)
+		assert.Assert(t, asked <= 6, "%d requests", asked)
 		source.add(7)
 		time.Sleep(bound / 4)
 		revision, _ = record.last()
@@ -75,9 +75,9 @@
 		defer stop()
 		time.Sleep(10 * time.Second)
 		source.mutex.Lock()
-		asked := source.questions
+		asked := source.requests
 		source.mutex.Unlock()
-		assert.Assert(t, asked >= 5 && asked <= 14, "%d questions in 10 s of outage", asked)
+		assert.Assert(t, asked >= 5 && asked <= 14, "%d requests in 10 s of outage", asked)
 		source.set(func(s *scriptedSource) { s.failures = 0 })
 		time.Sleep(2 * time.Second)
 		revision, _ := record.last()
--- a/internal/distribution/configsource/freshness_test.go
+++ b/internal/distribution/configsource/freshness_test.go
@@ -43,12 +43,12 @@
 	freshness := &configsource.Freshness{}
 	freshness.Advance(1)
 	for revision := uint64(3); revision < 40; revision++ {
-		told := start.Add(time.Duration(revision) * time.Second)
-		assert.Assert(t, !freshness.Confirm(configsource.Versions{Configuration: revision}, told.Add(-time.Second/2)))
-		assert.Assert(t, !freshness.Confirm(configsource.Versions{Configuration: revision}, told))
+		statedAt := start.Add(time.Duration(revision) * time.Second)
+		assert.Assert(t, !freshness.Confirm(configsource.Versions{Configuration: revision}, statedAt.Add(-time.Second/2)))
+		assert.Assert(t, !freshness.Confirm(configsource.Versions{Configuration: revision}, statedAt))
 		freshness.Advance(revision - 2)
 		if revision > 4 {
-			want := told.Add(-2 * time.Second)
+			want := statedAt.Add(-2 * time.Second)
 			assert.Assert(t, freshness.Confirmed().Equal(want), "at revision %d: %s", revision-2, freshness.Confirmed().Sub(want))
 		}
 	}
--- a/internal/distribution/configsource/orders_test.go
+++ b/internal/distribution/configsource/orders_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// The questions about orders take the place of others: quiet times cost what they cost
+// The requests for orders take the place of others: quiet times cost what they cost
 // without orders (TestQuestionsDoNotGrowWithTheFleet).
 func TestQuietTimesCostNoMoreWithOrders(t *testing.T) {
 	for _, count := range []int{2, 12, 300} {
@@ -96,7 +96,7 @@
 				took := orderedAt(t, mates, "b").Sub(returned)
 				assert.Assert(t, took <= bound/2, "took %s", took)
 				asked := calls(mates) - before
-				assert.Assert(t, asked <= 25, "%d questions in %s", asked, ordersBound)
+				assert.Assert(t, asked <= 25, "%d requests in %s", asked, ordersBound)
 			})
 		})
 	}
@@ -117,7 +117,7 @@
 	})
 }
 
-// Slow and lost answers make orders late and do not lose them; each turn may need two
+// Slow and lost answers make orders late and do not lose them; each poll may need two
 // answers. A source whose watches do not say that orders changed is read all the same.
 func TestOrdersOfATroubledSource(t *testing.T) {
 	for name, trouble := range map[string]func(*countedSource){
@@ -156,16 +156,16 @@
 // not look fresh and asks for itself.
 func TestDaemonWithoutTheOrdersAsksForThem(t *testing.T) {
 	playOrders(t, 12, func(source *countedSource, mates []*fleetmate) {
-		told := leader(mates)
-		withheld := without(mates, told)[0]
+		poller := leader(mates)
+		withheld := without(mates, poller)[0]
 		withheld.set(func(m *fleetmate) { m.unordered = true })
-		before := withheld.follower.OrdersAsked.Load()
+		before := withheld.follower.OrderRequests.Load()
 		source.give("a")
 		changed := time.Now()
 		time.Sleep(bound)
 		took := orderedAt(t, mates, "a").Sub(changed)
 		assert.Assert(t, took <= bound, "took %s", took)
-		assert.Assert(t, withheld.follower.OrdersAsked.Load() > before)
+		assert.Assert(t, withheld.follower.OrderRequests.Load() > before)
 	})
 }
 
@@ -183,7 +183,7 @@
 }
 
 // Given, taken away and given again within a second, and the other way round: the last
-// word holds, at every daemon.
+// order holds, at every daemon.
 func TestOrderGivenAgainWithinASecond(t *testing.T) {
 	for _, pause := range []time.Duration{0, 100 * time.Millisecond, 450 * time.Millisecond} {
 		playOrders(t, 12, func(source *countedSource, mates []*fleetmate) {
--- a/internal/distribution/configsource/poll.go
+++ b/internal/distribution/configsource/poll.go
@@ -104,7 +104,7 @@
 func (f *Follower) request(ctx context.Context, position Position, known bool) (Position, error) {
 	var configuration *lapisv1.Configuration
 	var err error
-	f.Asked.Add(1)
+	f.ConfigurationRequests.Add(1)
 	if known {
 		configuration, position, err = f.Source.Next(ctx, position, shortestWait)
 	} else {
@@ -120,7 +120,7 @@
 func (f *Follower) readOrders(ctx context.Context, began time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout(f.Bound, f.failing))
 	defer cancel()
-	f.OrdersAsked.Add(1)
+	f.OrderRequests.Add(1)
 	set, err := f.Source.Orders(ctx)
 	if err != nil {
 		return err
@@ -137,7 +137,7 @@
 	}
 	f.failing = true
 	f.failedAt = boottime.Now()
-	f.Failed.Add(1)
+	f.FailedPolls.Add(1)
 }
 
 // logTakeOver logs that this daemon is the active poller from now, and how old the last
--- a/internal/distribution/configsource/schedule_test.go
+++ b/internal/distribution/configsource/schedule_test.go
@@ -14,9 +14,9 @@
 func TestQuestionsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, count := range []int{2, 12, 300} {
 		playFleet(t, count, func(source *scriptedSource, mates []*fleetmate) {
-			before := questions(mates)
+			before := requests(mates)
 			time.Sleep(20 * time.Second)
-			asked := questions(mates) - before
+			asked := requests(mates) - before
 			assert.Assert(t, asked >= 40 && asked <= 60, "%d daemons asked %d times in 20 s", count, asked)
 			changed := time.Now()
 			source.add(7)
@@ -59,7 +59,7 @@
 	}
 }
 
-// A daemon that hears nobody asks for itself in time, and so do all at once.
+// A daemon that receives no gossip polls the source itself in time, and so do all at once.
 func TestDeafDaemonsAskForThemselves(t *testing.T) {
 	for _, deaf := range []int{1, 50} {
 		playFleet(t, 50, func(source *scriptedSource, mates []*fleetmate) {
@@ -75,21 +75,21 @@
 	}
 }
 
-// While the source turns most daemons away, those that it serves tell the others.
+// While the source turns most daemons away, those that it serves inform the others.
 func TestServedDaemonsTellThoseTurnedAway(t *testing.T) {
 	playFleet(t, 50, func(source *scriptedSource, mates []*fleetmate) {
 		for _, mate := range mates[1:] {
 			mate.set(func(m *fleetmate) { m.refused = true })
 		}
 		time.Sleep(bound)
-		before := questions(mates)
+		before := requests(mates)
 		changed := time.Now()
 		source.add(7)
 		time.Sleep(5 * bound)
 		took := latest(t, mates, 7).Sub(changed)
 		assert.Assert(t, took <= bound/3, "took %s", took)
-		asked := questions(mates) - before
-		assert.Assert(t, asked <= 30, "%d questions", asked)
+		asked := requests(mates) - before
+		assert.Assert(t, asked <= 30, "%d requests", asked)
 	})
 }
 
@@ -102,11 +102,11 @@
 				mate.set(func(m *fleetmate) { m.refused = down })
 			}
 		}
-		before := questions(mates)
+		before := requests(mates)
 		down(true)
 		time.Sleep(10 * time.Second)
-		asked := questions(mates) - before
-		assert.Assert(t, asked <= 300*7, "%d questions in an outage of 10 s", asked)
+		asked := requests(mates) - before
+		assert.Assert(t, asked <= 300*7, "%d requests in an outage of 10 s", asked)
 		down(false)
 		returned := time.Now()
 		source.add(7)
@@ -121,17 +121,17 @@
 func TestStartingDaemonDoesNotAsk(t *testing.T) {
 	playFleet(t, 12, func(_ *scriptedSource, mates []*fleetmate) {
 		time.Sleep(time.Second)
-		before := questions(mates)
+		before := requests(mates)
 		newcomer := &fleetmate{}
-		told := leader(mates)
-		versions, confirmed := told.freshness.InForce()
+		poller := leader(mates)
+		versions, confirmed := poller.freshness.InForce()
 		newcomer.apply(&lapisv1.Configuration{Revision: versions.Configuration})
 		newcomer.freshness.Confirm(versions, confirmed)
 		source := ownSource{&scriptedSource{log: []uint64{versions.Configuration}}, newcomer}
 		newcomer.follower = newcomer.followerOf(source, 13, rand.New(rand.NewPCG(1, 1)), func(*configsource.Follower) {})
 		defer run(newcomer.follower)()
 		time.Sleep(bound / 5)
-		assert.Equal(t, newcomer.follower.Asked.Load(), int64(0))
-		assert.Assert(t, questions(mates) > before)
+		assert.Equal(t, newcomer.follower.ConfigurationRequests.Load(), int64(0))
+		assert.Assert(t, requests(mates) > before)
 	})
 }
--- a/internal/distribution/configsource/scripted_source_test.go
+++ b/internal/distribution/configsource/scripted_source_test.go
@@ -16,11 +16,11 @@
 	mutex sync.Mutex
 	log   []uint64
 	// silent watches hear nothing of changes until their wait is over; the
-	// history before the last change is then gone.
+	// history before the last change is then deleted.
 	silent bool
-	// failures is the number of questions that fail from now on.
-	failures  int
-	questions int
+	// failures is the number of requests that fail from now on.
+	failures int
+	requests int
 	// delay is how long an answer takes.
 	delay time.Duration
 	// unusable revisions are refused by the reader.
@@ -61,7 +61,7 @@
 func (s *scriptedSource) fail() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.questions++
+	s.requests++
 	if s.failures == 0 {
 		return nil
 	}
@@ -101,14 +101,14 @@
 		s.mutex.Lock()
 		silent := s.silent
 		s.mutex.Unlock()
-		if configuration, at, news := s.newest(after); news && !silent {
+		if configuration, at, newer := s.newest(after); newer && !silent {
 			configuration, err := s.check(configuration)
 			return configuration, at, err
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if _, _, news := s.newest(after); news {
-		return nil, after, result.Errorf(result.PlatformCompacted, "the history is gone")
+	if _, _, newer := s.newest(after); newer {
+		return nil, after, result.Errorf(result.PlatformCompacted, "the history is deleted")
 	}
 	return nil, after, ctx.Err()
 }
--- a/internal/distribution/configsource/suspension_test.go
+++ b/internal/distribution/configsource/suspension_test.go
@@ -13,7 +13,7 @@
 )
 
 // A confirmation grows old while the machine is suspended, and the source is asked as soon
-// as the machine is back, although the timer of the next question stood.
+// as the machine is back, although the timer of the next poll stood.
 func TestSuspendedFollowerAsksAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var gap atomic.Int64
@@ -27,15 +27,15 @@
 		})
 		defer run(follower)()
 		time.Sleep(time.Second)
-		asked := follower.Asked.Load()
+		asked := follower.ConfigurationRequests.Load()
 		assert.Assert(t, asked > 0)
 		gap.Store(int64(2 * time.Hour))
 		time.Sleep(time.Second)
 		assert.Assert(t, boottime.Since(freshness.Confirmed()) > 2*time.Hour)
-		assert.Equal(t, follower.Asked.Load(), asked)
+		assert.Equal(t, follower.ConfigurationRequests.Load(), asked)
 		resumed <- struct{}{}
 		time.Sleep(time.Second)
-		assert.Assert(t, follower.Asked.Load() > asked)
+		assert.Assert(t, follower.ConfigurationRequests.Load() > asked)
 		assert.Assert(t, boottime.Since(freshness.Confirmed()) < time.Minute)
 	})
 }
--- a/internal/distribution/fleet/address_test.go
+++ b/internal/distribution/fleet/address_test.go
@@ -79,14 +79,14 @@
 	})
 }
 
-// What is heard of a daemon's address is believed in the order greeting, directory, other
-// daemons; the directory's word about one that is connected waits for the connection's
+// What is stated of a daemon's address is believed in the order greeting, directory, other
+// daemons; the directory's statement about one that is connected waits for the connection's
 // end.
-func TestWhoseWordOnAnAddressCounts(t *testing.T) {
+func TestWhoseStatementOfAnAddressCounts(t *testing.T) {
 	former, present := memberAt("moved", "x:1"), memberAt("moved", "x:2")
 	for name, row := range map[string]struct {
 		connected bool
-		heard     func(f *Fleet)
+		stated    func(f *Fleet)
 		want      string
 	}{
 		"hearsay of one that is known":        {false, func(f *Fleet) { f.recordIntroduced(present) }, "x:1"},
@@ -107,7 +107,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			knows := newTestFleet(0, &peer{Member: former, connected: row.connected, dialNow: make(chan struct{}, 1)})
-			row.heard(knows)
+			row.stated(knows)
 			assert.Equal(t, knows.members["moved"].Address, row.want)
 		})
 	}
--- a/internal/distribution/fleet/directory_test.go
+++ b/internal/distribution/fleet/directory_test.go
@@ -39,9 +39,9 @@
 	})
 }
 
-// One that is not known, or known at another address, is written once, and looks
+// One that is not known, or known at another address, is written once, and lists
 // again soon: who started at the same time is missing from old answers.
-func TestNewDaemonIsPublishedAndLooksAgain(t *testing.T) {
+func TestNewDaemonIsPublishedAndListsAgain(t *testing.T) {
 	for name, before := range map[string]Member{
 		"unknown":         {Node: "other", Address: "10.0.0.2:1"},
 		"another address": {Node: "self", Address: "10.0.0.9:1", Zone: "a", Service: "desk"},
--- a/internal/distribution/fleet/endpoints_test.go
+++ b/internal/distribution/fleet/endpoints_test.go
@@ -10,13 +10,13 @@
 
 // What a daemon says of its region counts before an entry that lacks it.
 func TestAnnouncedRegionIsRecorded(t *testing.T) {
-	told := peerIn("told", "c", 0)
-	listening := newTestFleet(5, told)
+	announcing := peerIn("announcing", "c", 0)
+	listening := newTestFleet(5, announcing)
 	endpoint := &lapisv1.Endpoint{Service: "desk", Instance: "desk-1", State: lapisv1.Endpoint_STATE_READY}
-	listening.recordAnnouncement(told, 0, &lapisv1.Announcement{Node: "told", Region: "r2", Endpoints: []*lapisv1.Endpoint{endpoint}})
-	assert.Equal(t, told.Region, "r2")
+	listening.recordAnnouncement(announcing, 0, &lapisv1.Announcement{Node: "announcing", Region: "r2", Endpoints: []*lapisv1.Endpoint{endpoint}})
+	assert.Equal(t, announcing.Region, "r2")
 	assert.Equal(t, endpoint.GetRegion(), "r2")
-	assert.Equal(t, told.withReachability(endpoint).GetRegion(), "r2")
-	told.connected = false
-	assert.Equal(t, told.withReachability(endpoint).GetRegion(), "r2")
+	assert.Equal(t, announcing.withReachability(endpoint).GetRegion(), "r2")
+	announcing.connected = false
+	assert.Equal(t, announcing.withReachability(endpoint).GetRegion(), "r2")
 }
--- a/internal/distribution/fleet/fleet.go
+++ b/internal/distribution/fleet/fleet.go
@@ -23,10 +23,10 @@
 	Members(count int)
 	// Offer brings a configuration that another daemon has in force.
 	Offer(configuration *lapisv1.Configuration)
-	// Ordered brings the operators' orders that another daemon follows.
-	Ordered(set *orders.Set, from string)
-	// Suspected brings what another daemon knows of requests under which instances crashed.
-	Suspected(records []quarantine.Record, from string)
+	// OfferOrders brings the operators' orders that another daemon follows.
+	OfferOrders(set *orders.Set, from string)
+	// OfferSuspects brings what another daemon knows of requests under which instances crashed.
+	OfferSuspects(records []quarantine.Record, from string)
 	// Withdraw names an instance beside this daemon that left in an earlier
 	// incarnation of the daemon.
 	Withdraw(instance string)
--- a/internal/distribution/fleet/followers_test.go
+++ b/internal/distribution/fleet/followers_test.go
@@ -11,21 +11,21 @@
 	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 )
 
-// follower is a daemon's observer that follows the orders it hears of.
+// follower is a daemon's observer that applies the orders it is offered.
 type follower struct {
 	offerFunc
-	fleet   atomic.Pointer[Fleet]
-	orders  orders.Current
-	takenAt atomic.Pointer[time.Time]
-	heard   atomic.Int64
-	// registry is what it knows of suspects, and told counts what it was told of them.
+	fleet         atomic.Pointer[Fleet]
+	orders        orders.Current
+	takenAt       atomic.Pointer[time.Time]
+	orderMessages atomic.Int64
+	// registry is what it knows of suspects, and received counts the messages about them.
 	registry *quarantine.Registry
-	told     atomic.Int64
+	received atomic.Int64
 }
 
-// Ordered implements Observer.
-func (f *follower) Ordered(set *orders.Set, _ string) {
-	f.heard.Add(1)
+// OfferOrders implements Observer.
+func (f *follower) OfferOrders(set *orders.Set, _ string) {
+	f.orderMessages.Add(1)
 	if _, taken := f.orders.Replace(set); taken {
 		now := time.Now()
 		f.takenAt.Store(&now)
@@ -35,13 +35,13 @@
 	}
 }
 
-// Suspected implements Observer.
-func (f *follower) Suspected(records []quarantine.Record, from string) {
-	f.told.Add(1)
-	f.tell(f.registry.Merge(records), from)
+// OfferSuspects implements Observer.
+func (f *follower) OfferSuspects(records []quarantine.Record, from string) {
+	f.received.Add(1)
+	f.spread(f.registry.Merge(records), from)
 }
 
-func (f *follower) tell(records []quarantine.Record, from string) {
+func (f *follower) spread(records []quarantine.Record, from string) {
 	if spreading := f.fleet.Load(); spreading != nil {
 		spreading.SpreadSuspects(records, from)
 	}
--- a/internal/distribution/fleet/heartbeat_test.go
+++ b/internal/distribution/fleet/heartbeat_test.go
@@ -24,7 +24,7 @@
 	assert.Assert(t, !behind.config.Freshness.Confirmed().IsZero())
 }
 
-// A heartbeat that tells of newer orders, whose frame has not come, does not make what
+// A heartbeat that states newer orders, whose frame has not come, does not make what
 // is in force here look fresh.
 func TestHeartbeatOfNewerOrders(t *testing.T) {
 	ahead := peerIn("ahead", "a", 0)
@@ -38,7 +38,7 @@
 	assert.Assert(t, !behind.config.Freshness.Confirmed().IsZero())
 }
 
-// Within a zone a confirmation is told at once; over its border it waits for the
+// Within a zone a confirmation is sent at once; over its border it waits for the
 // regular heartbeats, and over that of a region for longer.
 func TestConfirmationsCrossZonesSeldom(t *testing.T) {
 	teller := newTestFleet(5)
--- a/internal/distribution/fleet/orders.go
+++ b/internal/distribution/fleet/orders.go
@@ -45,5 +45,5 @@
 	if f.config.Orders == nil || message.GetRevision() == 0 {
 		return
 	}
-	f.config.Observer.Ordered(orders.NewSet(message), from)
+	f.config.Observer.OfferOrders(orders.NewSet(message), from)
 }
--- a/internal/distribution/fleet/orders_test.go
+++ b/internal/distribution/fleet/orders_test.go
@@ -11,7 +11,7 @@
 )
 
 // Orders reach all of a fleet in which nobody is connected to everybody, each daemon
-// hears of them a bounded number of times, and a daemon that starts has them from its
+// receives them a bounded number of times, and a daemon that starts has them from its
 // neighbours.
 func TestOrdersReachAllDaemons(t *testing.T) {
 	const daemons = 50
@@ -23,15 +23,15 @@
 		time.Sleep(20 * time.Second)
 		for _, set := range []*orders.Set{evacuating(7, "a"), evacuating(9, "b")} {
 			for _, known := range followers {
-				known.heard.Store(0)
+				known.orderMessages.Store(0)
 			}
 			given := time.Now()
-			followers[3].Ordered(set, "store")
+			followers[3].OfferOrders(set, "store")
 			time.Sleep(time.Second)
 			for index, known := range followers {
 				assert.Equal(t, known.orders.Load().Revision(), set.Revision(), "daemon %d", index)
 				assert.Assert(t, known.takenAt.Load().Sub(given) < 100*time.Millisecond)
-				assert.Assert(t, known.heard.Load() <= daemons, "daemon %d heard %d times", index, known.heard.Load())
+				assert.Assert(t, known.orderMessages.Load() <= daemons, "daemon %d got %d messages", index, known.orderMessages.Load())
 			}
 		}
 		newcomer := start(daemons, nil)
@@ -59,24 +59,24 @@
 					assert.Equal(t, accepting.orders.Load().Revision(), revision)
 				}
 				expect(5)
-				dialing.Ordered(evacuating(7, "b"), "store")
+				dialing.OfferOrders(evacuating(7, "b"), "store")
 				expect(7)
-				accepting.Ordered(evacuating(9, "a"), "store")
+				accepting.OfferOrders(evacuating(9, "a"), "store")
 				expect(9)
 			})
 		})
 	}
 }
 
-// A daemon where operators give no orders passes over those that it hears of, and so
+// A daemon where operators give no orders ignores those that it receives, and so
 // does any daemon with orders that name no revision.
-func TestOrdersArePassedOver(t *testing.T) {
-	hears := &follower{}
-	none := New(Config{Observer: hears})
+func TestOrdersAreIgnored(t *testing.T) {
+	observer := &follower{}
+	none := New(Config{Observer: observer})
 	none.receiveOrders("x", evacuating(7, "b").Message())
-	some := New(Config{Observer: hears, Orders: hears.orders.Load})
+	some := New(Config{Observer: observer, Orders: observer.orders.Load})
 	some.receiveOrders("x", evacuating(0, "b").Message())
-	assert.Equal(t, hears.heard.Load(), int64(0))
+	assert.Equal(t, observer.orderMessages.Load(), int64(0))
 	some.receiveOrders("x", evacuating(7, "b").Message())
-	assert.Equal(t, hears.heard.Load(), int64(1))
+	assert.Equal(t, observer.orderMessages.Load(), int64(1))
 }
--- a/internal/distribution/fleet/scaffold_test.go
+++ b/internal/distribution/fleet/scaffold_test.go
@@ -109,9 +109,9 @@
 
 func (offerFunc) Withdraw(string) {}
 
-func (offerFunc) Suspected([]quarantine.Record, string) {}
+func (offerFunc) OfferSuspects([]quarantine.Record, string) {}
 
-func (offerFunc) Ordered(*orders.Set, string) {}
+func (offerFunc) OfferOrders(*orders.Set, string) {}
 
 // scriptedDirectory is a directory whose answers are old by lag.
 type scriptedDirectory struct {
--- a/internal/distribution/fleet/suspects.go
+++ b/internal/distribution/fleet/suspects.go
@@ -78,6 +78,6 @@
 // receiveSuspects gives the observer what another daemon knows of suspects.
 func (f *Fleet) receiveSuspects(from string, message *lapisv1.Suspects) {
 	if f.config.Suspects != nil {
-		f.config.Observer.Suspected(quarantine.Records(message), from)
+		f.config.Observer.OfferSuspects(quarantine.Records(message), from)
 	}
 }
--- a/internal/distribution/fleet/suspects_test.go
+++ b/internal/distribution/fleet/suspects_test.go
@@ -12,13 +12,13 @@
 )
 
 // What the daemon beside an instance that ended found reaches all of a fleet in which nobody
-// is connected to everybody, each hears of it a bounded number of times, and a daemon that
+// is connected to everybody, each receives it a bounded number of times, and a daemon that
 // starts has it from its neighbours.
 func TestSuspectsReachAllDaemons(t *testing.T) {
 	const daemons = 50
 	line := fingerprint.Line{Method: "GET", Host: "a", Target: "/deadly"}
 	keys := fingerprint.Of(line, nil).Whole()
-	had := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: keys, Caller: "desk"}}
+	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: keys, Caller: "desk"}}
 	playFollowers(t, func(start func(int, *orders.Set, ...func(*Config)) *follower) {
 		var known []*follower
 		for index := range daemons {
@@ -28,12 +28,12 @@
 		for end := range uint64(3) {
 			// Each instance ends beside another daemon.
 			found := known[7*end]
-			found.tell(found.registry.Crashed(end, had), "")
+			found.spread(found.registry.Crashed(end, inFlight), "")
 			time.Sleep(time.Second)
 		}
 		for index, each := range known {
 			assert.Equal(t, each.registry.Count(keys), 3, "daemon %d", index)
-			assert.Assert(t, each.told.Load() <= 3*daemons, "daemon %d was told %d times", index, each.told.Load())
+			assert.Assert(t, each.received.Load() <= 3*daemons, "daemon %d got %d messages", index, each.received.Load())
 		}
 		newcomer := start(daemons, nil)
 		time.Sleep(10 * time.Second)
