--- a/internal/requestpath/gateway/pipeline/pipeline_test.go
+++ b/internal/requestpath/gateway/pipeline/pipeline_test.go
@@ -217,6 +217,24 @@
 	}
 }
 
+// sendAhead sends requests without waiting for answers, and checks that all come in their order.
+func (c *caller) sendAhead(connection, requests int) {
+	var all strings.Builder
+	for number := range requests {
+		all.WriteString(get(fmt.Sprintf("/%d/%d", connection, number)))
+	}
+	written := make(chan error, 1)
+	go func() {
+		_, err := io.WriteString(c.conn, all.String())
+		written <- err
+	}()
+	for number := range requests {
+		_, body := c.answer()
+		assert.Check(c.t, body == fmt.Sprintf("/%d/%d", connection, number))
+	}
+	assert.Check(c.t, <-written)
+}
+
 func TestBoundsSlowTheCallerAndLoseNothing(t *testing.T) {
 	const requests = 200
 	for name, limits := range map[string]Limits{
@@ -242,22 +260,7 @@
 			var callers sync.WaitGroup
 			for connection := range 3 {
 				client := opened.dial(t)
-				callers.Go(func() {
-					var all strings.Builder
-					for number := range requests {
-						all.WriteString(get(fmt.Sprintf("/%d/%d", connection, number)))
-					}
-					written := make(chan error, 1)
-					go func() {
-						_, err := io.WriteString(client.conn, all.String())
-						written <- err
-					}()
-					for number := range requests {
-						_, body := client.answer()
-						assert.Check(t, body == fmt.Sprintf("/%d/%d", connection, number))
-					}
-					assert.Check(t, <-written)
-				})
+				callers.Go(func() { client.sendAhead(connection, requests) })
 			}
 			callers.Wait()
 			ahead := int64(min(3*(limits.RequestsPerConnection-1), limits.RequestsAhead))
--- a/internal/requestpath/refusal/refusal_test.go
+++ b/internal/requestpath/refusal/refusal_test.go
@@ -106,11 +106,19 @@
 			most = min(most, time.Duration(0.45*float64(whole)))
 		}
 		most = max(most, 50*time.Millisecond)
-		assert.Equal(t, BoundsOf(timing), Bounds{Headroom: headroom, DueIn: headroom - spent - before, MaxWait: max(most-spent, 5*time.Millisecond)})
+		// Assertions that hold are left out: they take most of the time of so many inputs.
+		bounds := Bounds{Headroom: headroom, DueIn: headroom - spent - before, MaxWait: max(most-spent, 5*time.Millisecond)}
+		if got := BoundsOf(timing); got != bounds {
+			assert.Equal(t, got, bounds)
+		}
 
 		least := max(10*time.Millisecond, time.Duration(0.5*float64(service)))
-		assert.Equal(t, LeastTime(service), least)
-		assert.Equal(t, Hopeless(whole, service), whole < least)
+		if got := LeastTime(service); got != least {
+			assert.Equal(t, got, least)
+		}
+		if got := Hopeless(whole, service); got != (whole < least) {
+			assert.Equal(t, got, whole < least)
+		}
 
 		refused := Refusal{Code: codes[random.IntN(len(codes))].Code, RetryAfter: spent, Constrained: random.IntN(4) == 0}
 		drawn := random.Float64()
@@ -119,6 +127,8 @@
 			part := 0.15 + (0.6-0.15)*drawn
 			want = time.Duration(part * float64(uint32(target.Milliseconds())) * float64(time.Millisecond))
 		}
-		assert.Equal(t, RetryAfter(refused, target, drawn), want)
+		if got := RetryAfter(refused, target, drawn); got != want {
+			assert.Equal(t, got, want)
+		}
 	}
 }
--- a/internal/requestpath/retry/reference_test.go
+++ b/internal/requestpath/retry/reference_test.go
@@ -151,10 +151,14 @@
 			var decision Decision
 			counts, decision = Decide(call, counts, failureOf(drawn))
 			again = decision == AgainElsewhere || (decision == AgainWithinBudget && ours.Spend("s"))
-			assert.Equal(t, again, reference.again(drawn), "%+v %+v %+v", call, counts, drawn)
-			assert.Equal(t, ours.Left("s"), theirs.Left("s"))
+			want := reference.again(drawn)
+			// Assertions that hold are left out: they take most of the time of so many inputs.
+			if again != want || ours.Left("s") != theirs.Left("s") {
+				assert.Equal(t, again, want, "%+v %+v %+v", call, counts, drawn)
+				assert.Equal(t, ours.Left("s"), theirs.Left("s"))
+			}
 			if again {
-				assert.Equal(t, counts.Seen > 0, reference.handed > 0)
+				assert.Assert(t, (counts.Seen > 0) == (reference.handed > 0))
 				repeats++
 			}
 			decisions++
@@ -257,8 +261,10 @@
 			ours.Earn(service)
 			theirs.earn(service)
 		case draw < 900:
-			may := ours.Spend(service)
-			assert.Equal(t, may, theirs.spend(service))
+			may, want := ours.Spend(service), theirs.spend(service)
+			if may != want {
+				assert.Equal(t, may, want)
+			}
 			if may {
 				granted++
 			}
@@ -274,7 +280,9 @@
 			ours.ShareAmong(daemons)
 			theirs.sharers = max(daemons, 1)
 		}
-		assert.Equal(t, ours.Left(service), theirs.tokens[service])
+		if left, want := ours.Left(service), theirs.tokens[service]; left != want {
+			assert.Equal(t, left, want)
+		}
 	}
 	assert.Assert(t, granted > steps/50, "%d granted", granted)
 }
