--- a/internal/requestpath/origin/crash_test.go
+++ b/internal/requestpath/origin/crash_test.go
@@ -152,3 +152,31 @@
 	assert.Assert(t, result.Is(send(origin, "/break"), result.CallUnknownOutcome))
 	assert.Equal(t, len(crashes.seen()), 0)
 }
+
+// An instance that ends after its callers gave up takes their calls with it all the same: the next
+// call finds its port closed.
+func TestCrashAfterTheCallsWereGivenUp(t *testing.T) {
+	instance, origin, crashes := startOrigin(t)
+	ctx, giveUp := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() {
+		_, err := origin.Handle(ctx, &callapi.Call{Open: &lapisv1.CallOpen{
+			Service: "desk", Instance: "desk-1", Method: http.MethodGet, Target: "/wait", Host: "a.example",
+			AttemptId: "given up", CallerService: "shop",
+		}})
+		ended <- err
+	}()
+	<-instance.waiting
+	giveUp()
+	assert.Assert(t, result.Is(<-ended, result.CallCancelled))
+	assert.Equal(t, len(crashes.seen()), 0)
+	instance.end()
+	for range 2 {
+		assert.Assert(t, result.Is(send(origin, "/wait"), result.CallNotRunUnreachable))
+	}
+	seen := crashes.seen()
+	assert.Equal(t, len(seen), 1, "a crash is reported once")
+	assert.Equal(t, len(seen[0]), 1)
+	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/wait"}
+	assert.DeepEqual(t, seen[0][0].Keys, fingerprint.Of(line, nil).Whole())
+}
--- /dev/null
+++ b/internal/requestpath/origin/inflight_test.go
@@ -0,0 +1,51 @@
+package origin
+
+import (
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+)
+
+// A call has the keys of its whole body once the instance was sent it, and until then that of the
+// length that it states.
+func TestKeysOfCallsInFlight(t *testing.T) {
+	const content = "abc"
+	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/order"}
+	whole := fingerprint.Of(line, []byte(content)).Whole()
+	for name, row := range map[string]struct {
+		body   string
+		length int64
+		read   int64
+		whole  bool
+		keys   []fingerprint.Key
+	}{
+		"without a body":                  {"", 0, 0, true, fingerprint.Of(line, nil).Whole()},
+		"nothing was read":                {content, 3, 0, false, []fingerprint.Key{fingerprint.PartialOf(line, 3)}},
+		"a part was read":                 {content, 3, 2, false, []fingerprint.Key{fingerprint.PartialOf(line, 3)}},
+		"its length was read":             {content, 3, 3, true, whole},
+		"a part of unknown length":        {content, -1, 3, false, []fingerprint.Key{fingerprint.PartialOf(line, -1)}},
+		"all of unknown length, its end ": {content, -1, 4, true, whole},
+	} {
+		t.Run(name, func(t *testing.T) {
+			call := &callapi.Call{Open: &lapisv1.CallOpen{
+				Method: line.Method, Host: line.Host, Target: line.Target, ContentLength: row.length,
+			}}
+			if row.body != "" {
+				call.Body = strings.NewReader(row.body)
+			}
+			sent := track(call)
+			if call.Body != nil {
+				_, _ = io.ReadAll(io.LimitReader(call.Body, row.read))
+			}
+			assert.Equal(t, sent.isWhole(), row.whole)
+			assert.DeepEqual(t, sent.keys(), row.keys)
+		})
+	}
+}
--- a/internal/requestpath/origin/quarantine_test.go
+++ b/internal/requestpath/origin/quarantine_test.go
@@ -70,3 +70,21 @@
 	_ = answer.Body.Close()
 	assert.Equal(t, crashes.Count([]fingerprint.Key{key}), 1)
 }
+
+// A trial of a quarantined request reaches the instance, and its answer refutes the crashes.
+func TestTrialReachesTheInstance(t *testing.T) {
+	_, origin, crashes := startOrigin(t)
+	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
+	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
+	for end := range uint64(3) {
+		crashes.Crashed("other", end, inFlight)
+	}
+	assert.Assert(t, result.Is(send(origin, "/answer"), result.CallNotRunQuarantined))
+	answer, err := origin.Handle(context.Background(), &callapi.Call{Open: &lapisv1.CallOpen{
+		Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host,
+		AttemptId: "trial", CallerService: "shop", Trial: true,
+	}})
+	assert.NilError(t, err)
+	_ = answer.Body.Close()
+	assert.NilError(t, send(origin, "/answer"))
+}
