--- a/internal/requestpath/origin/crash.go
+++ b/internal/requestpath/origin/crash.go
@@ -95,7 +95,8 @@
 }
 
 // probeCrash reports whether the port of an instance refuses connections, and takes the instance
-// as crashed then. Of several calls one probes; the others learn what it found.
+// as crashed then. Any other error of the probe, a time-out too, is no proof. Of several calls one
+// probes; the others learn what it found.
 func (o *Origin) probeCrash(ctx context.Context, instance *Instance) (refused bool) {
 	instance.inFlight.probing.Lock()
 	defer instance.inFlight.probing.Unlock()
