--- a/internal/model/callapi/envelope.go
+++ b/internal/model/callapi/envelope.go
@@ -16,7 +16,7 @@
 	Deadline string
 	// Attempt counts the retries along a chain of calls.
 	Attempt string
-	// CallerService tells a back end where the request started.
+	// CallerService names, to a back end, the service where the request started.
 	CallerService string
 	// ExpectedInstance makes every other instance refuse the request.
 	ExpectedInstance string
--- a/internal/model/locality/locality.go
+++ b/internal/model/locality/locality.go
@@ -1,4 +1,4 @@
-// Package locality tells how far instances and daemons are from one another, by zone and
+// Package locality says how far instances and daemons are from one another, by zone and
 // region. It owns nothing; its values may be used by several goroutines.
 //
 // What must hold: where regions are not known nothing is far, so that a fleet of one region, or
--- a/internal/model/orders/orders.go
+++ b/internal/model/orders/orders.go
@@ -110,7 +110,7 @@
 // Replace applies another daemon's set if it is newer than the present one, and
 // returns the one before. One that is older than what this daemon has read from the
 // store since, and asks for something else, is a change that was taken back
-// meanwhile: the present orders are then stated anew at the revision read, so that
+// meanwhile: the present orders are then restated at the revision read, so that
 // whoever follows the older ones learns better. changed is true where the present set
 // has another revision now, which must be spread.
 func (c *Current) Replace(set *Set) (before *Set, changed bool) {
--- a/internal/model/quarantine/stored.go
+++ b/internal/model/quarantine/stored.go
@@ -5,7 +5,7 @@
 // What the registry knows of the platform's store: suspects that are not repeated any more must
 // outlast all daemons, and refuted ones must not come back out of it.
 
-// noteStoredBy notes what a merged record tells of the store; updated is true where it
+// noteStoredBy notes what a merged record says of the store; updated is true where it
 // changed the crashes. It reports whether the crashes are known as stored only now.
 func (e *entry) noteStoredBy(record Record, updated bool) (newlyStored bool) {
 	stored := record.Stored && len(record.Crashes) >= len(e.Crashes)
--- a/internal/model/snapshot/snapshot.go
+++ b/internal/model/snapshot/snapshot.go
@@ -41,7 +41,7 @@
 	// milliseconds since 1970; 0 where the source does not state it.
 	AcceptedUnixMillis int64
 	services           map[string]*Service
-	// Limits bound what callers may send; nil where the source states none.
+	// Limits bound what callers may send; nil where the source sets none.
 	Limits *lapisv1.Limits
 	// routes holds the routes of each host, "" for any, sorted by descending
 	// specificity.
--- a/internal/model/snapshot/store_test.go
+++ b/internal/model/snapshot/store_test.go
@@ -32,9 +32,9 @@
 		assert.Assert(t, store.Await(context.Background(), time.Second) == nil)
 		assert.Equal(t, time.Since(began), time.Second)
 
-		gone, leave := context.WithCancel(context.Background())
-		leave()
-		assert.Assert(t, store.Await(gone, time.Minute) == nil, "the caller left")
+		ended, cancel := context.WithCancel(context.Background())
+		cancel()
+		assert.Assert(t, store.Await(ended, time.Minute) == nil, "the caller disconnected")
 
 		time.AfterFunc(300*time.Millisecond, func() { assert.NilError(t, store.ReplaceConfiguration(configurationOf(t, 3))) })
 		began = time.Now()
--- a/internal/requestpath/balance/cost.go
+++ b/internal/requestpath/balance/cost.go
@@ -39,9 +39,9 @@
 	load, slots float64
 	// failures is the share of failed attempts, 0 to 1.
 	failures float64
-	// cold is true while the instance states that it is cold; coldRate is how many calls a
+	// cold is true while the instance reports that it is cold; coldRate is how many calls a
 	// second it is admitted then, 0 where its pool does not say, and refusedFor how many
-	// seconds longer it takes none, as it stated.
+	// seconds longer it takes none, as its daemon said when it refused a call.
 	cold       bool
 	coldRate   float64
 	refusedFor float64
--- a/internal/requestpath/balance/estimate_test.go
+++ b/internal/requestpath/balance/estimate_test.go
@@ -31,7 +31,7 @@
 }
 
 // A cold instance works on what it is admitted in the time of a call, and what is above
-// waits for its turn; without a rate its slots count.
+// waits in the queue; without a rate its slots count.
 func TestExpectedTimeOfAColdInstance(t *testing.T) {
 	now := time.Unix(1000, 0)
 	known := mean{value: 0.25, at: now}
--- a/internal/requestpath/balance/health.go
+++ b/internal/requestpath/balance/health.go
@@ -8,7 +8,7 @@
 
 // Outlier detection: an instance that several attempts in a row could not reach, or that broke
 // off, is ejected for a time that doubles with each further failure. Any answer ends the row,
-// also a failure that the instance states itself: that one only raises its cost (cost.go),
+// also a failure that the instance answers itself: that one only raises its cost (cost.go),
 // because an instance that fails 40 calls in 100 answers too often to be ejected.
 const (
 	// ejectAfter is the number of failures in a row that eject an instance. Chosen, not
--- a/internal/requestpath/balance/load.go
+++ b/internal/requestpath/balance/load.go
@@ -25,7 +25,7 @@
 type loadState struct {
 	// slots is what runs at once, inFlight the calls there from this daemon now.
 	slots, inFlight float64
-	// cold is true while the instance states that it is cold.
+	// cold is true while the instance reports that it is cold.
 	cold bool
 	// reported is the load in calls per slot that its daemon reported, 0 where that is older
 	// than reportLifetime.
--- a/internal/requestpath/balance/observed.go
+++ b/internal/requestpath/balance/observed.go
@@ -4,7 +4,7 @@
 
 // What was observed of an instance, read for a choice and for the lines of decisions.
 
-// Report returns the load that the instance's daemon stated last, in calls per
+// Report returns the load that the instance's daemon reported last, in calls per
 // slot, and how old that is; 0 and 0 before the first.
 func (t *Target) Report(now time.Time) (load float64, age time.Duration) {
 	t.mutex.Lock()
@@ -55,7 +55,7 @@
 	return t.failure.faded(0, failureMemory, now)
 }
 
-// cold reports whether the instance stated that it is still cold.
+// cold reports whether the instance reported that it is still cold.
 func (t *Target) cold(now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/requestpath/balance/relations_test.go
+++ b/internal/requestpath/balance/relations_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"testing"
-	"time"
 
 	"gotest.tools/v3/assert"
 
@@ -29,25 +28,3 @@
 	assert.Assert(t, otherRegionTaken < otherRegionPart && otherRegionPart < subsetSize && leastWarm < subsetSize)
 	assert.Assert(t, minSpread < usualSpread && spreadMemory > serviceMemory && spreadSmoothing < serviceSmoothing)
 }
-
-// Two failures in a row eject nobody; from the third on the time doubles up to its most.
-func TestEjectionDoubles(t *testing.T) {
-	wanted := []time.Duration{0, 0, 0, 1, 2, 4, 8, 16, 30, 30}
-	for failures, seconds := range wanted {
-		assert.Equal(t, ejectionFor(failures), seconds*time.Second, "%d failures", failures)
-	}
-	assert.Equal(t, ejectionFor(1_000_000), ejectMax)
-}
-
-// A new instance gets a tenth of the calls at first, all after its slow start, and never less
-// as it grows older.
-func TestSlowStartShareGrows(t *testing.T) {
-	assert.Equal(t, slowStartShare(0), slowStartFloor)
-	assert.Equal(t, slowStartShare(slowStartWindow), 1.0)
-	before := 0.0
-	for age := time.Duration(0); age <= 2*slowStartWindow; age += slowStartWindow / 50 {
-		share := slowStartShare(age)
-		assert.Assert(t, share >= before && share <= 1)
-		before = share
-	}
-}
--- a/internal/requestpath/balance/score.go
+++ b/internal/requestpath/balance/score.go
@@ -12,9 +12,9 @@
 //
 // A call with an idempotency key goes to the instance that ranks first for the key at every
 // daemon, so that repetitions meet. Any other call is ranked within this daemon's subset
-// (subset.go), by one of two scores. The cut between them: a route that states a target latency
+// (subset.go), by one of two scores. The cut between them: a route with a target latency
 // is ranked by cost (cost.go), because time, lateness, bytes and failures are all counted in
-// parts of that latency; a route that states none lacks this common unit and is ranked by load
+// parts of that latency; a route without one lacks this common unit and is ranked by load
 // per slot (load.go) alone.
 func (s *selector) best(feasible []*Target) *Target {
 	if s.choice.Key != "" {
--- a/internal/requestpath/balance/selector.go
+++ b/internal/requestpath/balance/selector.go
@@ -16,7 +16,7 @@
 	Key   string
 	Route string
 	// TargetLatency is the time inside which an answer is worth most, 0 where
-	// the route states none.
+	// the route sets none.
 	TargetLatency time.Duration
 	// Spent is the part of TargetLatency that is over already.
 	Spent time.Duration
@@ -68,11 +68,11 @@
 	return s.place.TierOf(locality.Place{Zone: target.Endpoint.GetZone(), Region: target.Endpoint.GetRegion()})
 }
 
-// slots returns how many calls an instance runs at once: as it states itself, else as its
+// slots returns how many calls an instance runs at once: as it reports itself, else as its
 // pool does, else 1.
 func (s *selector) slots(target *Target) float64 {
-	if stated := target.Endpoint.GetSlots(); stated > 0 {
-		return float64(stated)
+	if reported := target.Endpoint.GetSlots(); reported > 0 {
+		return float64(reported)
 	}
 	return float64(max(s.service.Bundle.GetPool().GetSlots(), 1))
 }
--- a/internal/requestpath/balance/slowstart.go
+++ b/internal/requestpath/balance/slowstart.go
@@ -6,27 +6,27 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Slow start has two forms. An instance may state how long it stays cold (with each heartbeat,
+// Slow start has two forms. An instance may report how long it stays cold (with each heartbeat,
 // announced as cold_millis): it counts as slower by coldFactor until then, and as a queue of
-// limited rate where its pool states one (expected.go). Of any other instance that is new this
+// limited rate where its pool sets one (expected.go). Of any other instance that is new this
 // daemon assumes slowStartWindow; that form counts in the score by load only, because the score by
 // cost knows service times instead.
 const (
-	// slowStartWindow is how long a new instance that states no slots gets a growing part of
+	// slowStartWindow is how long a new instance that reports no slots gets a growing part of
 	// the calls. Chosen, not measured.
 	slowStartWindow = 10 * time.Second
 	// slowStartFloor is the part of the calls, 0 to 1, that such an instance gets at first.
 	// Chosen, not measured: above 0, or the load of a new instance would be infinite.
 	slowStartFloor = 0.1
-	// coldFactor is how many times as loaded, or as slow, an instance counts while it states
+	// coldFactor is how many times as loaded, or as slow, an instance counts while it reports
 	// that it is cold. Chosen, not measured: above 1, so that warm ones go first.
 	coldFactor = 2
 )
 
 // slowStartOf returns when the slow start of an instance began that is not known in its present
 // incarnation; known is its earlier incarnation or nil. What is there when this daemon starts
-// counts as warm, since most of it was there before; so does an instance that states its slots,
-// because it also states how long it is cold; an earlier incarnation passes its time on.
+// counts as warm, since most of it was there before; so does an instance that reports its slots,
+// because it also reports how long it is cold; an earlier incarnation passes its time on.
 func slowStartOf(known *Target, endpoint *lapisv1.Endpoint, created, now time.Time) time.Time {
 	switch {
 	case known != nil:
--- /dev/null
+++ b/internal/requestpath/balance/slowstart_test.go
@@ -0,0 +1,49 @@
+package balance
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+)
+
+// Only an instance that appears later, without an earlier incarnation and without slots of its
+// own, is in a slow start that this daemon assumes.
+func TestWhoIsInASlowStart(t *testing.T) {
+	created := time.Unix(1000, 0)
+	later := created.Add(slowStartWindow)
+	started := later.Add(-time.Second)
+	for name, row := range map[string]struct {
+		known    *Target
+		slots    uint32
+		now      time.Time
+		startsAt time.Time
+	}{
+		"new":                         {now: later, startsAt: later},
+		"there when the daemon began": {now: later.Add(-1), startsAt: later.Add(-1 - slowStartWindow)},
+		"reports its slots":           {slots: 6, now: later, startsAt: later.Add(-slowStartWindow)},
+		"an earlier incarnation": {
+			known: &Target{observations: &observations{slowStartAt: started}}, slots: 6, now: later, startsAt: started,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			startsAt := slowStartOf(row.known, &lapisv1.Endpoint{Slots: row.slots}, created, row.now)
+			assert.Equal(t, startsAt, row.startsAt)
+		})
+	}
+}
+
+// A new instance gets a tenth of the calls at first, all after its slow start, and never less
+// as it grows older.
+func TestSlowStartShareGrows(t *testing.T) {
+	assert.Equal(t, slowStartShare(0), slowStartFloor)
+	assert.Equal(t, slowStartShare(slowStartWindow), 1.0)
+	before := 0.0
+	for age := time.Duration(0); age <= 2*slowStartWindow; age += slowStartWindow / 50 {
+		share := slowStartShare(age)
+		assert.Assert(t, share >= before && share <= 1)
+		before = share
+	}
+}
--- a/internal/requestpath/balance/target.go
+++ b/internal/requestpath/balance/target.go
@@ -28,7 +28,7 @@
 
 	// mutex protects everything below.
 	mutex sync.Mutex
-	// warmAt is until when the instance stated that it is cold.
+	// warmAt is until when the instance reported that it is cold.
 	warmAt time.Time
 	// refusedUntil is when the instance takes calls again that refused one because it is
 	// cold.
@@ -36,7 +36,7 @@
 	// failures counts those in a row that eject.
 	failures     int
 	ejectedUntil time.Time
-	// reported is the load that the daemon beside the instance stated, in calls
+	// reported is the load that the daemon beside the instance reported, in calls
 	// per slot, and reportedOwn the calls from here that it includes.
 	reported    float64
 	reportedOwn int64
@@ -47,7 +47,7 @@
 	failure  mean
 }
 
-// noteCold notes how much longer the instance states that it is cold.
+// noteCold notes how much longer the instance reports that it is cold.
 func (o *observations) noteCold(endpoint *lapisv1.Endpoint, now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -60,7 +60,7 @@
 // End notes that a call begun with Begin is over.
 func (t *Target) End() { t.inFlight.Add(-1) }
 
-// Reported notes the load, in calls per slot, that the instance's daemon stated.
+// Reported notes the load, in calls per slot, that the instance's daemon reported.
 func (t *Target) Reported(load float32, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/transport/callmux/echoes.go
+++ b/internal/transport/callmux/echoes.go
@@ -12,15 +12,15 @@
 const rememberedFrames = 8
 
 // echoes relate the heartbeats of both sides of a session, so that an age
-// that the peer states can be bounded without comparing clocks.
+// that the peer sends can be bounded without comparing clocks.
 type echoes struct {
 	mutex sync.Mutex
 	// sequence numbers the heartbeats sent; sentAt is when the last of them were made.
 	sequence uint64
 	sentAt   [rememberedFrames]time.Time
-	// heard is the newest sequence received, at heardAt.
-	heard   uint64
-	heardAt time.Time
+	// received is the newest sequence received, at receivedAt.
+	received   uint64
+	receivedAt time.Time
 	// peer is the newest heartbeat of the peer.
 	peer Heartbeat
 }
@@ -31,9 +31,9 @@
 	defer e.mutex.Unlock()
 	e.sequence++
 	e.sentAt[e.sequence%rememberedFrames] = now
-	freshness := &lapisv1.Freshness{Sequence: e.sequence, Echo: e.heard}
-	if e.heard > 0 {
-		freshness.HeldMicros = uint64(now.Sub(e.heardAt).Microseconds())
+	freshness := &lapisv1.Freshness{Sequence: e.sequence, Echo: e.received}
+	if e.received > 0 {
+		freshness.HeldMicros = uint64(now.Sub(e.receivedAt).Microseconds())
 	}
 	if !local.Confirmed.IsZero() {
 		freshness.Confirmed = true
@@ -45,16 +45,16 @@
 
 // receive returns the heartbeat in a frame. The frame was made no earlier than this
 // daemon's frame that it echoes, and the time that the peer held that one; the
-// confirmation is older than that by the stated age. However long the frame was
+// confirmation is older than that by the age in the frame. However long the frame was
 // on its way, it therefore does not look fresher than it is.
 func (e *echoes) receive(frame *lapisv1.CallFrame, now time.Time) Heartbeat {
 	freshness := frame.GetFreshness()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	heartbeat := Heartbeat{Revision: frame.GetRevision(), Orders: frame.GetOrdersRevision()}
-	if freshness.GetSequence() > e.heard {
-		e.heard = freshness.GetSequence()
-		e.heardAt = now
+	if freshness.GetSequence() > e.received {
+		e.received = freshness.GetSequence()
+		e.receivedAt = now
 	}
 	echoed := freshness.GetEcho() > 0 && freshness.GetEcho() <= e.sequence && e.sequence-freshness.GetEcho() < rememberedFrames
 	if freshness.GetConfirmed() && echoed {
--- a/internal/transport/callmux/heartbeat.go
+++ b/internal/transport/callmux/heartbeat.go
@@ -20,18 +20,18 @@
 	Confirmed time.Time
 }
 
-// receiveHeartbeat applies an empty frame. A peer that has not heard of this side yet is answered
+// receiveHeartbeat applies an empty frame. A peer that has received no heartbeat of this side yet is answered
 // at once, because it cannot use ages before.
 func (s *session) receiveHeartbeat(frame *lapisv1.CallFrame) {
 	if frame.GetFreshness() == nil && frame.GetRevision() == 0 {
 		return
 	}
-	heard := s.echoes.receive(frame, boottime.Now())
+	received := s.echoes.receive(frame, boottime.Now())
 	if frame.GetFreshness() != nil && frame.GetFreshness().GetEcho() == 0 {
 		go func() { s.notify(s.heartbeat()) }()
 	}
 	if s.control.Heartbeat != nil {
-		s.control.Heartbeat(heard)
+		s.control.Heartbeat(received)
 	}
 }
 
--- a/internal/transport/callmux/heartbeat_test.go
+++ b/internal/transport/callmux/heartbeat_test.go
@@ -19,17 +19,17 @@
 	return &lapisv1.CallFrame{Revision: local.Revision, OrdersRevision: local.Orders, Freshness: side.next(local, now)}
 }
 
-// Before a peer has heard of this side, its ages cannot be bounded.
+// Before a peer has received a heartbeat of this side, its ages cannot be bounded.
 func TestAgesCountOnceFramesWentBothWays(t *testing.T) {
 	start := time.Now()
 	var near, far echoes
-	told := Heartbeat{Revision: 3, Confirmed: start}
-	first := near.receive(aliveFrame(&far, told, start.Add(time.Second)), start.Add(time.Second))
+	sent := Heartbeat{Revision: 3, Confirmed: start}
+	first := near.receive(aliveFrame(&far, sent, start.Add(time.Second)), start.Add(time.Second))
 	assert.Assert(t, first.Confirmed.IsZero())
 	assert.Equal(t, first.Revision, uint64(3))
 
 	far.receive(aliveFrame(&near, Heartbeat{}, start.Add(2*time.Second)), start.Add(2*time.Second))
-	second := near.receive(aliveFrame(&far, told, start.Add(3*time.Second)), start.Add(3*time.Second))
+	second := near.receive(aliveFrame(&far, sent, start.Add(3*time.Second)), start.Add(3*time.Second))
 	assert.Assert(t, !second.Confirmed.After(start) && second.Confirmed.After(start.Add(-time.Millisecond)), "%s", second.Confirmed.Sub(start))
 }
 
@@ -69,8 +69,8 @@
 	return b
 }
 
-// Nothing is sent ahead of time that the peer told itself.
-func TestPeerThatKnowsIsNotTold(t *testing.T) {
+// Nothing is sent ahead of time that the peer has sent itself.
+func TestPeerThatKnowsGetsNoEarlyHeartbeat(t *testing.T) {
 	const gain = 100 * time.Millisecond
 	start := time.Now()
 	var near, far echoes
--- a/internal/transport/callmux/inflight.go
+++ b/internal/transport/callmux/inflight.go
@@ -23,7 +23,7 @@
 )
 
 // InFlightBytes returns how many bytes one body may have on its way over the machine's link. It is
-// what greetings state.
+// part of the greetings.
 func (t Timing) InFlightBytes() uint32 {
 	if t.LinkMegabits <= 0 {
 		return windowBytes
@@ -32,13 +32,13 @@
 	return uint32(min(max(bytes, minInFlight), windowBytes))
 }
 
-// boundInFlight applies what the peer stated. One of an earlier release states nothing;
+// boundInFlight applies the bound of the peer, in bytes. One of an earlier release sends none;
 // it acknowledges too seldom for a bound.
-func (s *session) boundInFlight(stated uint32) {
-	if stated == 0 {
+func (s *session) boundInFlight(peerBound uint32) {
+	if peerBound == 0 {
 		return
 	}
-	s.inFlight = int(min(stated, s.timing.InFlightBytes()))
+	s.inFlight = int(min(peerBound, s.timing.InFlightBytes()))
 }
 
 // pieceBytes is the largest piece of a body in one frame.
--- a/internal/transport/callmux/inflight_test.go
+++ b/internal/transport/callmux/inflight_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// endNoting tells when it was read to its end.
+// endNoting notes when it was read to its end.
 type endNoting struct {
 	io.Reader
 	ended atomic.Bool
--- a/internal/transport/callmux/suspended_test.go
+++ b/internal/transport/callmux/suspended_test.go
@@ -10,18 +10,18 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// What a daemon tells others of its last confirmation includes the time for which its
+// The age of its last confirmation that a daemon sends to others includes the time for which its
 // machine was suspended since: they would not ask for themselves.
-func TestSuspendedDaemonTellsHowOldItsConfirmationIs(t *testing.T) {
+func TestAgeOfAConfirmationIncludesASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
 		confirmed := boottime.Now()
-		told := &session{timing: Timing{Local: func() Heartbeat { return Heartbeat{Revision: 3, Confirmed: confirmed} }}}
+		sender := &session{timing: Timing{Local: func() Heartbeat { return Heartbeat{Revision: 3, Confirmed: confirmed} }}}
 		gap = 8 * time.Second
 		time.Sleep(time.Second)
-		age := time.Duration(told.heartbeat().GetFreshness().GetAgeMicros()) * time.Microsecond
-		assert.Assert(t, age >= 9*time.Second, "told as %s old", age)
+		age := time.Duration(sender.heartbeat().GetFreshness().GetAgeMicros()) * time.Microsecond
+		assert.Assert(t, age >= 9*time.Second, "sent as %s old", age)
 	})
 }
 
