--- a/internal/requestpath/balance/cost.go
+++ b/internal/requestpath/balance/cost.go
@@ -64,7 +64,7 @@
 // costOf returns the cost of a call at an instance, in parts of the target latency; less is
 // better. It is the sum of the expected time until the answer, the chance that the answer
 // is late, the share of failures, the price of the way (locality.go) and noise.
-func costOf(call callState, seen costState, noise float64) float64 {
+func costOf(call *callState, seen *costState, noise float64) float64 {
 	total, service := seen.expected(call.typical, call.now)
 	total += roundTripOf(seen.tier)
 	late := lateness(service, call.spread, call.left-(total-service))
@@ -84,8 +84,8 @@
 	call := s.callState(states)
 	var best *Target
 	least := math.Inf(1)
-	for index, seen := range states {
-		if cost := costOf(call, seen, choiceNoise*s.random.Float64()); cost < least {
+	for index := range states {
+		if cost := costOf(&call, &states[index], choiceNoise*s.random.Float64()); cost < least {
 			least = cost
 			best = candidates[index]
 		}
--- a/internal/requestpath/balance/expected.go
+++ b/internal/requestpath/balance/expected.go
@@ -17,7 +17,7 @@
 
 // expected returns the time until an answer of one more call, when a call takes typical
 // elsewhere; service is the part of it that the instance works. All are in seconds.
-func (c costState) expected(typical float64, now time.Time) (total, service float64) {
+func (c *costState) expected(typical float64, now time.Time) (total, service float64) {
 	service = c.known.faded(typical, serviceMemory, now)
 	if c.cold {
 		service *= coldFactor
@@ -37,7 +37,7 @@
 // works on those of the time that a call takes, and the others wait in its daemon's queue. That
 // daemon may admit more (it paces at up to 2.5 times the rate within its bound,
 // docs/design/0019), so this is the cautious side.
-func (c costState) expectedCold(service float64) (total float64) {
+func (c *costState) expectedCold(service float64) (total float64) {
 	capacity := min(c.slots, max(1, c.coldRate*service))
 	waiting := max(c.load+1-capacity, 0)
 	return service + max(waiting/c.coldRate, c.refusedFor)
@@ -59,7 +59,8 @@
 // alone shows the long times of a route too seldom.
 func typicalSpread(candidates []costState, now time.Time) float64 {
 	sum, count := 0.0, 0
-	for _, seen := range candidates {
+	for index := range candidates {
+		seen := &candidates[index]
 		if !seen.spread.at.IsZero() {
 			sum += seen.spread.faded(usualSpread, spreadMemory, now)
 			count++
@@ -75,7 +76,8 @@
 // seconds; ok is false when nothing is.
 func typicalService(candidates []costState) (seconds float64, ok bool) {
 	sum, count := 0.0, 0
-	for _, seen := range candidates {
+	for index := range candidates {
+		seen := &candidates[index]
 		if !seen.known.at.IsZero() {
 			sum += seen.known.value
 			count++
--- a/internal/requestpath/balance/properties_test.go
+++ b/internal/requestpath/balance/properties_test.go
@@ -70,11 +70,11 @@
 	now := time.Unix(1000, 0)
 	rapid.Check(t, func(t *rapid.T) {
 		number := func(name string, least, most float64) float64 { return rapid.Float64Range(least, most).Draw(t, name) }
-		call := callState{
+		call := &callState{
 			target: number("target", 0.01, 10), left: number("left", -1, 10), typical: number("typical", 0.001, 5),
 			spread: number("spread", 0, 3), bytes: number("bytes", 0, 100_000), now: now,
 		}
-		seen := costState{
+		seen := &costState{
 			known: mean{value: number("known", 0.001, 5), at: now}, load: number("load", 0, 30), slots: 6,
 			failures: number("failures", 0, 1), coldRate: number("rate", 0, 10),
 			tier: locality.Tier(rapid.IntRange(0, 1).Draw(t, "tier")),
@@ -86,9 +86,9 @@
 			"service":  func(state *costState) { state.known.value *= 1.5 },
 			"distance": func(state *costState) { state.tier++ },
 		} {
-			changed := seen
+			changed := *seen
 			worse(&changed)
-			assert.Assert(t, costOf(call, changed, 0) >= cost, "%s", name)
+			assert.Assert(t, costOf(call, &changed, 0) >= cost, "%s", name)
 		}
 	})
 }
