--- a/internal/transport/callmux/inflight.go
+++ b/internal/transport/callmux/inflight.go
@@ -46,9 +46,3 @@
 
 // acknowledgeAfter is the number of bytes read after which the sender gets an acknowledgement.
 func (s *session) acknowledgeAfter() int { return min(grantAfterBytes, s.inFlight/inFlightPieces) }
-
-// spare returns how much more of the body may be sent now, at most want; the caller
-// holds mutex.
-func (s *stream) spare(want int) int {
-	return max(min(want, s.credit, s.session.inFlight-s.unacknowledged), 0)
-}
--- a/internal/transport/callmux/stream.go
+++ b/internal/transport/callmux/stream.go
@@ -9,27 +9,6 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Windows and sizes in bytes.
-const (
-	// BufferedBodyBytes is the largest body that a caller's daemon reads whole, so
-	// that the call can be sent again. Chosen, not measured.
-	BufferedBodyBytes = 64 << 10
-	// openingBodyBytes is the largest body that is sent along with the opening frame,
-	// before the call is admitted. A longer one of a refused call would fill the
-	// links of just those daemons that have too much to do: with 64 KiB the share of worth on an
-	// overloaded day with links of 10 Mbit/s fell to 0.11 within 14 s, with 4 KiB to 0.53.
-	openingBodyBytes = 4 << 10
-	// windowBytes is what one direction of a stream may have in flight. Chosen, not measured: not
-	// below BufferedBodyBytes, which earlier releases send at once.
-	windowBytes = 256 << 10
-	// grantAfterBytes is the amount read after which more is granted. Chosen, not measured: half
-	// of the window, so that a body flows on while the grant is under way.
-	grantAfterBytes = windowBytes / 2
-	// chunkBytes is the largest piece of a body in one frame. Chosen, not measured: far below
-	// windowBytes, so that frames of other calls come between.
-	chunkBytes = 16 << 10
-)
-
 // stream is one call on a session. Its methods may be called from several
 // goroutines.
 type stream struct {
@@ -117,27 +96,6 @@
 	return nil
 }
 
-// addCredit adds what the peer granted.
-func (s *stream) addCredit(bytes uint32) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	granted := int(min(bytes, windowBytes))
-	s.credit += granted
-	if s.granted {
-		s.unacknowledged = max(s.unacknowledged-granted, 0)
-	}
-	s.granted = true
-	s.notify()
-}
-
-// returnCredit returns what was taken of the credit and not sent.
-func (s *stream) returnCredit(bytes int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.credit += bytes
-	s.unacknowledged -= bytes
-}
-
 // Read reads the peer's body. It returns io.EOF only after the frame that ends
 // the body, so a body that broke off is never taken as whole.
 func (s *stream) Read(buffer []byte) (int, error) {
@@ -181,45 +139,6 @@
 	}
 }
 
-// grant returns the credit that is due; the caller holds mutex.
-func (s *stream) grant() int {
-	due := 0
-	if s.lazyGrant && !s.ended {
-		due = windowBytes
-	}
-	s.lazyGrant = false
-	if s.consumed >= s.session.acknowledgeAfter() {
-		due += s.consumed
-		s.consumed = 0
-	}
-	s.allowance += due
-	return due
-}
-
-// waitCredit waits until bytes may be sent and takes up to want of them.
-func (s *stream) waitCredit(ctx context.Context, want int) (int, error) {
-	for {
-		s.mutex.Lock()
-		if s.failure != nil {
-			s.mutex.Unlock()
-			return 0, s.failure
-		}
-		if taken := s.spare(want); taken > 0 {
-			s.credit -= taken
-			s.unacknowledged += taken
-			s.mutex.Unlock()
-			return taken, nil
-		}
-		wait := s.changed
-		s.mutex.Unlock()
-		select {
-		case <-wait:
-		case <-ctx.Done():
-			return 0, ctx.Err()
-		}
-	}
-}
-
 // sendBody sends a body piece by piece as credit allows.
 func (s *stream) sendBody(ctx context.Context, body io.Reader, trailers func() []*lapisv1.HeaderField) error {
 	buffer := make([]byte, s.session.pieceBytes())
--- a/internal/transport/callmux/suspended_test.go
+++ b/internal/transport/callmux/suspended_test.go
@@ -12,7 +12,7 @@
 
 // The age of its last confirmation that a daemon sends to others includes the time for which its
 // machine was suspended since: they would not ask for themselves.
-func TestAgeOfAConfirmationIncludesASuspension(t *testing.T) {
+func TestSuspendedDaemonTellsHowOldItsConfirmationIs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
