--- a/internal/distribution/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -31,10 +31,10 @@
 
 // candidate is a daemon that may serve as parent.
 type candidate struct {
-	address   string
-	node      string
-	zone      string
-	region    string
+	address string
+	zone    string
+	region  string
+	// failures counts those in a row; the daemon is avoided until notBefore.
 	failures  int
 	notBefore time.Time
 	// lastNamed orders candidates for forgetting.
@@ -58,8 +58,8 @@
 	detached int
 }
 
-// NewCandidates returns the knowledge of a daemon at address self, started from
-// the configured seeds, which are taken to be of the own zone.
+// NewCandidates returns what a daemon at address self knows at its start: the configured
+// seeds, which are taken to be of its own zone.
 func NewCandidates(self, zone, region string, seeds []string, random *rand.Rand) *Candidates {
 	candidates := &Candidates{zone: zone, region: region, self: self, known: map[string]*candidate{}, random: random}
 	for _, seed := range seeds {
@@ -97,9 +97,6 @@
 		c.known[address] = known
 	}
 	known.lastNamed = now
-	if peer.GetNode() != "" {
-		known.node = peer.GetNode()
-	}
 	if peer.GetZone() != "" {
 		known.zone = peer.GetZone()
 		known.region = peer.GetRegion()
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -134,8 +134,8 @@
 }
 
 // housekeepInterval is the time between two checks of conditions that depend on time
-// alone. It took 5% of the processor time of 1000 daemons in one process when it was
-// shorter; it must stay well under GoneAfter and InterestShrinkDelay, to which it adds.
+// alone. A shorter one took 5% of the processor time of 1000 daemons in one process; it
+// must stay well under GoneAfter and InterestShrinkDelay, to which it adds.
 const housekeepInterval = 5 * time.Second
 
 func (n *Node) housekeep(ctx context.Context) {
