--- a/internal/distribution/objectapi/client.go
+++ b/internal/distribution/objectapi/client.go
@@ -73,12 +73,6 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// machineList is a machine list with the tag by which the platform knows it.
-type machineList struct {
-	tag      string
-	machines []Machine
-}
-
 func (c *Client) request(ctx context.Context, method, path string, query url.Values, body []byte) (*http.Response, error) {
 	return c.conditional(ctx, method, path, query, body, "")
 }
@@ -204,77 +198,3 @@
 	err := c.exchange(ctx, http.MethodGet, "/v1/list", query, nil, &list)
 	return list, err
 }
-
-// Machines implements Store. A list that has not changed is not sent again.
-func (c *Client) Machines(ctx context.Context, zone string) ([]Machine, error) {
-	ctx, cancel := context.WithTimeout(ctx, RequestTimeout)
-	defer cancel()
-	c.mutex.Lock()
-	known := c.lists[zone]
-	c.mutex.Unlock()
-	response, err := c.conditional(ctx, http.MethodGet, "/v1/machines", url.Values{"zone": {zone}}, nil, known.tag)
-	if result.Is(err, result.PlatformNotModified) {
-		return known.machines, nil
-	}
-	if err != nil {
-		return nil, err
-	}
-	content, err := c.readBody(response, "/v1/machines")
-	if err != nil {
-		return nil, err
-	}
-	read := machineList{tag: response.Header.Get("ETag")}
-	if err := json.Unmarshal(content, &read.machines); err != nil {
-		return nil, result.Wrap(result.PlatformBadAnswer, err, "decoding the machine list")
-	}
-	c.mutex.Lock()
-	c.lists[zone] = read
-	c.mutex.Unlock()
-	return read.machines, nil
-}
-
-// Watch implements Store.
-func (c *Client) Watch(ctx context.Context, prefixes []string, version int64) (Watch, error) {
-	ctx, cancel := context.WithCancel(ctx)
-	query := url.Values{"prefix": prefixes, "version": {strconv.FormatInt(version, 10)}}
-	opening := time.AfterFunc(RequestTimeout, cancel)
-	response, err := c.request(ctx, http.MethodGet, "/v1/watch", query, nil)
-	if err != nil {
-		cancel()
-		return nil, err
-	}
-	opening.Stop()
-	return &clientWatch{
-		client:  c,
-		body:    response.Body,
-		decoder: json.NewDecoder(response.Body),
-		cancel:  cancel,
-	}, nil
-}
-
-// clientWatch reads the events of one streaming answer.
-type clientWatch struct {
-	client  *Client
-	body    io.ReadCloser
-	decoder *json.Decoder
-	cancel  context.CancelFunc
-}
-
-// Next implements Watch.
-func (w *clientWatch) Next() (Event, error) {
-	silence := time.AfterFunc(WatchSilence, w.cancel)
-	defer silence.Stop()
-	before := w.decoder.InputOffset()
-	var event Event
-	if err := w.decoder.Decode(&event); err != nil {
-		return Event{}, result.Wrap(result.PlatformUnavailable, err, "the watch ended")
-	}
-	w.client.BytesIn.Add(w.decoder.InputOffset() - before)
-	return event, nil
-}
-
-// Close implements Watch.
-func (w *clientWatch) Close() {
-	w.cancel()
-	closeBody(w.body)
-}
--- /dev/null
+++ b/internal/distribution/objectapi/watch.go
@@ -0,0 +1,59 @@
+package objectapi
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+)
+
+// Watch implements Store.
+func (c *Client) Watch(ctx context.Context, prefixes []string, version int64) (Watch, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	query := url.Values{"prefix": prefixes, "version": {strconv.FormatInt(version, 10)}}
+	opening := time.AfterFunc(RequestTimeout, cancel)
+	response, err := c.request(ctx, http.MethodGet, "/v1/watch", query, nil)
+	if err != nil {
+		cancel()
+		return nil, err
+	}
+	opening.Stop()
+	return &clientWatch{
+		client:  c,
+		body:    response.Body,
+		decoder: json.NewDecoder(response.Body),
+		cancel:  cancel,
+	}, nil
+}
+
+// clientWatch reads the events of one streaming answer.
+type clientWatch struct {
+	client  *Client
+	body    io.ReadCloser
+	decoder *json.Decoder
+	cancel  context.CancelFunc
+}
+
+// Next implements Watch.
+func (w *clientWatch) Next() (Event, error) {
+	silence := time.AfterFunc(WatchSilence, w.cancel)
+	defer silence.Stop()
+	before := w.decoder.InputOffset()
+	var event Event
+	if err := w.decoder.Decode(&event); err != nil {
+		return Event{}, result.Wrap(result.PlatformUnavailable, err, "the watch ended")
+	}
+	w.client.BytesIn.Add(w.decoder.InputOffset() - before)
+	return event, nil
+}
+
+// Close implements Watch.
+func (w *clientWatch) Close() {
+	w.cancel()
+	closeBody(w.body)
+}
--- a/internal/distribution/tree/child.go
+++ b/internal/distribution/tree/child.go
@@ -11,7 +11,7 @@
 
 // childSession is one child of this node. Node.mutex protects its fields.
 type childSession struct {
-	link
+	peerLink
 	node    string
 	address string
 	zone    string
@@ -47,11 +47,11 @@
 	expected uint32
 }
 
-func newChildSession(common link, hello *lapisv1.Hello) *childSession {
+func newChildSession(common peerLink, hello *lapisv1.Hello) *childSession {
 	interest := holdings.FromSubscription(hello.GetSubscription())
 	return &childSession{
-		link: common,
-		node: hello.GetNode(), address: hello.GetAddress(), zone: hello.GetZone(), noSeat: hello.GetNoSeat(),
+		peerLink: common,
+		node:     hello.GetNode(), address: hello.GetAddress(), zone: hello.GetZone(), noSeat: hello.GetNoSeat(),
 		interest: interest, fresh: interest,
 		subscriptionVersion: hello.GetSubscription().GetVersion(),
 		subscriptionDirty:   true,
@@ -63,7 +63,7 @@
 // ServeChild serves a connection whose Hello asked to become a child. It returns
 // when the connection ends.
 func (n *Node) ServeChild(ctx context.Context, conn *wire.Conn, hello *lapisv1.Hello) error {
-	ctx, common := newLink(ctx)
+	ctx, common := newPeerLink(ctx)
 	defer common.close()
 	session := newChildSession(common, hello)
 	refusal, welcome := n.admit(session, hello)
@@ -78,7 +78,7 @@
 	}
 	return n.exchange(ctx, common, conn, linkProtocol{
 		interval: n.config.heartbeat(),
-		next:     func(why occasion) outgoing { return n.pendingForChild(session, why) },
+		next:     func(occasion sendOccasion) outgoing { return n.pendingForChild(session, occasion) },
 		handle:   func(frame *lapisv1.ControlFrame) error { return n.handleFromChild(session, frame) },
 	})
 }
--- a/internal/distribution/tree/child_send.go
+++ b/internal/distribution/tree/child_send.go
@@ -16,7 +16,7 @@
 
 // pendingForChild computes what the child lacks. A heartbeat is added when the path
 // changed, and at a tick when nothing was sent since the one before.
-func (n *Node) pendingForChild(session *childSession, why occasion) outgoing {
+func (n *Node) pendingForChild(session *childSession, occasion sendOccasion) outgoing {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if session.expel {
@@ -39,7 +39,7 @@
 		pending.frames = append(pending.frames, &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_SeatOffer{SeatOffer: session.offer}})
 		session.offer = nil
 	}
-	if session.pathDirty || (why.idle && len(pending.frames) == 0) {
+	if session.pathDirty || (occasion.idle && len(pending.frames) == 0) {
 		pending.frames = append(pending.frames, n.heartbeatFor(session))
 	}
 	return pending
--- a/internal/distribution/tree/link.go
+++ b/internal/distribution/tree/link.go
@@ -24,22 +24,22 @@
 	sendTimeout = 5 * time.Second
 )
 
-// link is the part that every connection of the tree has in common, whether its
+// peerLink is the part that every connection of the tree has in common, whether its
 // peer is the parent, a child or another reader. Its methods are safe for
 // concurrent use.
-type link struct {
+type peerLink struct {
 	cancel context.CancelFunc
 	wake   chan struct{}
 }
 
-// newLink returns a link and the context that ends with it.
-func newLink(ctx context.Context) (context.Context, link) {
+// newPeerLink returns a link and the context that ends with it.
+func newPeerLink(ctx context.Context) (context.Context, peerLink) {
 	ctx, cancel := context.WithCancel(ctx)
-	return ctx, link{cancel: cancel, wake: make(chan struct{}, 1)}
+	return ctx, peerLink{cancel: cancel, wake: make(chan struct{}, 1)}
 }
 
 // signal makes the sender compute what the peer lacks.
-func (l link) signal() {
+func (l peerLink) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -47,10 +47,10 @@
 }
 
 // close ends the link.
-func (l link) close() { l.cancel() }
+func (l peerLink) close() { l.cancel() }
 
-// occasion is why a link's sender looks for frames to send.
-type occasion struct {
+// sendOccasion is why a link's sender looks for frames to send.
+type sendOccasion struct {
 	// tick is true at the link's regular interval and false after a signal.
 	tick bool
 	// idle is true at a tick when nothing was sent since the tick before.
@@ -73,7 +73,7 @@
 	// interval is the time between the sender's ticks.
 	interval time.Duration
 	// next computes what the peer lacks at this moment.
-	next func(occasion) outgoing
+	next func(sendOccasion) outgoing
 	// handle applies a received frame; an error ends the link.
 	handle func(*lapisv1.ControlFrame) error
 }
@@ -81,7 +81,7 @@
 // exchange sends and receives on conn until ctx or the link ends, and returns why
 // it ended. A peer that is silent for LinkSilence is taken as lost. The caller
 // closes conn afterwards.
-func (n *Node) exchange(ctx context.Context, link link, conn *wire.Conn, protocol linkProtocol) error {
+func (n *Node) exchange(ctx context.Context, link peerLink, conn *wire.Conn, protocol linkProtocol) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := closeWith(ctx, conn)
@@ -104,23 +104,23 @@
 
 // sendFrames sends what protocol says the peer lacks, at each signal and tick,
 // until ctx ends, a write fails, or the last frame was sent.
-func sendFrames(ctx context.Context, link link, conn *wire.Conn, protocol linkProtocol) error {
+func sendFrames(ctx context.Context, link peerLink, conn *wire.Conn, protocol linkProtocol) error {
 	ticker := time.NewTicker(protocol.interval)
 	defer ticker.Stop()
 	lastSent := boottime.Now()
 	idle := true
 	for {
-		var why occasion
+		var occasion sendOccasion
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-link.wake:
 		case <-ticker.C:
-			why = occasion{tick: true, idle: idle}
+			occasion = sendOccasion{tick: true, idle: idle}
 			idle = true
 		}
-		why.silent = boottime.Since(lastSent)
-		pending := protocol.next(why)
+		occasion.silent = boottime.Since(lastSent)
+		pending := protocol.next(occasion)
 		if !sleep.For(ctx, pending.pause) {
 			return nil
 		}
--- a/internal/distribution/tree/link_test.go
+++ b/internal/distribution/tree/link_test.go
@@ -29,7 +29,7 @@
 
 // exchangeUntilEnd runs a link whose sender asks next at each second and signal, and
 // returns why and after what time it ended.
-func exchangeUntilEnd(conn *wire.Conn, link link, next func(occasion) outgoing) (time.Duration, error) {
+func exchangeUntilEnd(conn *wire.Conn, link peerLink, next func(sendOccasion) outgoing) (time.Duration, error) {
 	node := &Node{config: Config{Tunables: tunables.Convergence()}}
 	started := time.Now()
 	err := node.exchange(context.Background(), link, conn, linkProtocol{
@@ -42,12 +42,12 @@
 func TestSilentLinkIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		own, peer := linkedPair()
-		_, link := newLink(context.Background())
+		_, link := newPeerLink(context.Background())
 		go func() {
 			time.Sleep(2 * time.Second)
 			assert.Check(t, peer.SendAll(heartbeatOnly()...))
 		}()
-		lasted, err := exchangeUntilEnd(own, link, func(occasion) outgoing { return outgoing{} })
+		lasted, err := exchangeUntilEnd(own, link, func(sendOccasion) outgoing { return outgoing{} })
 		assert.Assert(t, result.Is(err, result.ProtocolTimeout), "%v", err)
 		assert.Equal(t, lasted, 2*time.Second+tunables.Convergence().LinkSilence.Get())
 		closeConn(own)
@@ -59,16 +59,16 @@
 func TestSenderIsAskedAtSignalsAndTicks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		own, peer := linkedPair()
-		_, link := newLink(context.Background())
+		_, link := newPeerLink(context.Background())
 		go func() {
 			for peer.Receive(&lapisv1.ControlFrame{}) == nil {
 			}
 		}()
 		time.AfterFunc(1500*time.Millisecond, link.signal)
 		time.AfterFunc(2500*time.Millisecond, func() { assert.Check(t, peer.SendAll(heartbeatOnly()...)) })
-		var asked []occasion
-		_, err := exchangeUntilEnd(own, link, func(why occasion) outgoing {
-			asked = append(asked, why)
+		var asked []sendOccasion
+		_, err := exchangeUntilEnd(own, link, func(occasion sendOccasion) outgoing {
+			asked = append(asked, occasion)
 			switch len(asked) {
 			case 2:
 				return outgoing{frames: heartbeatOnly()}
@@ -79,7 +79,7 @@
 			}
 		})
 		assert.Assert(t, err != nil, "the last frame ends the link")
-		expected := []occasion{
+		expected := []sendOccasion{
 			{tick: true, idle: true, silent: time.Second},
 			{silent: 1500 * time.Millisecond},
 			{tick: true, idle: false, silent: 500 * time.Millisecond},
@@ -93,7 +93,7 @@
 func TestWriteThatHangsEndsTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		own, peer := linkedPair()
-		_, link := newLink(context.Background())
+		_, link := newPeerLink(context.Background())
 		stop := make(chan struct{})
 		go func() {
 			// The peer sends, but never reads.
@@ -108,7 +108,7 @@
 				}
 			}
 		}()
-		lasted, err := exchangeUntilEnd(own, link, func(occasion) outgoing { return outgoing{frames: heartbeatOnly()} })
+		lasted, err := exchangeUntilEnd(own, link, func(sendOccasion) outgoing { return outgoing{frames: heartbeatOnly()} })
 		close(stop)
 		assert.Assert(t, result.Is(err, result.ProtocolTimeout), "%v", err)
 		assert.Equal(t, lasted, time.Second+sendTimeout)
--- a/internal/distribution/tree/parent.go
+++ b/internal/distribution/tree/parent.go
@@ -17,7 +17,7 @@
 
 // parentLink is the link to the parent. Node.mutex protects its fields.
 type parentLink struct {
-	link
+	peerLink
 	address string
 	// redirected is true when another daemon named this parent.
 	redirected bool
@@ -81,7 +81,7 @@
 // attach tries one parent and stays with it until the link ends. It reports
 // whether the parent accepted.
 func (n *Node) attach(ctx context.Context, choice membership.Choice) bool {
-	ctx, common := newLink(ctx)
+	ctx, common := newPeerLink(ctx)
 	defer common.close()
 	conn, err := n.dial(ctx, choice.Address)
 	if err != nil {
@@ -92,7 +92,7 @@
 	stop := closeWith(ctx, conn)
 	defer stop()
 	link := &parentLink{
-		link: common, address: choice.Address, conn: conn,
+		peerLink: common, address: choice.Address, conn: conn,
 		machine: newLinkMachine(), redirected: choice.Redirected,
 	}
 	accepted, err := n.greetParent(link)
@@ -105,7 +105,7 @@
 	defer n.detach(link)
 	err = n.exchange(ctx, common, conn, linkProtocol{
 		interval: n.config.Tunables.StatusInterval.Get(),
-		next:     func(why occasion) outgoing { return outgoing{frames: n.pendingForParent(link, why)} },
+		next:     func(occasion sendOccasion) outgoing { return outgoing{frames: n.pendingForParent(link, occasion)} },
 		handle:   func(frame *lapisv1.ControlFrame) error { return n.handleFromParent(link, frame) },
 	})
 	n.config.Logger.V(1).Info("tree.parent_lost", "parent", link.node, "cause", err)
--- a/internal/distribution/tree/parent_send.go
+++ b/internal/distribution/tree/parent_send.go
@@ -10,7 +10,7 @@
 // pendingForParent returns the frames that the parent lacks. Status reports are
 // sent at ticks only, and a heartbeat at a tick when nothing else was sent for the
 // time of one.
-func (n *Node) pendingForParent(link *parentLink, why occasion) (frames []proto.Message) {
+func (n *Node) pendingForParent(link *parentLink, occasion sendOccasion) (frames []proto.Message) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if link.sentVersion != n.requestedVersion || link.resync {
@@ -21,14 +21,14 @@
 		frames = append(frames, &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_FloorRequest{FloorRequest: &lapisv1.FloorRequest{}}})
 	}
 	frames = n.appendOwnEndpoints(frames, &link.sentChange)
-	if !why.tick {
+	if !occasion.tick {
 		return frames
 	}
 	if report := n.report(); !proto.Equal(report, link.sentReport) {
 		link.sentReport = report
 		frames = append(frames, &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Status{Status: report}})
 	}
-	if len(frames) == 0 && why.silent >= n.config.heartbeat() {
+	if len(frames) == 0 && occasion.silent >= n.config.heartbeat() {
 		frames = append(frames, heartbeatFrame(&lapisv1.Heartbeat{}))
 	}
 	return frames
--- a/internal/distribution/tree/reader_mesh.go
+++ b/internal/distribution/tree/reader_mesh.go
@@ -29,7 +29,7 @@
 // its own subtree; nothing is passed on from one reader to a third. Node.mutex
 // protects its fields.
 type readerLink struct {
-	link
+	peerLink
 	peer      string
 	address   string
 	connected bool
@@ -82,8 +82,8 @@
 // addReaderLink registers a link and returns the context that ends with it; the
 // caller holds mutex.
 func (n *Node) addReaderLink(ctx context.Context, peer, address string) (context.Context, *readerLink) {
-	ctx, common := newLink(ctx)
-	link := &readerLink{link: common, peer: peer, address: address}
+	ctx, common := newPeerLink(ctx)
+	link := &readerLink{peerLink: common, peer: peer, address: address}
 	n.mesh[peer] = link
 	return ctx, link
 }
@@ -141,10 +141,10 @@
 	link.connected = true
 	n.mutex.Unlock()
 	link.signal()
-	return n.exchange(ctx, link.link, conn, linkProtocol{
+	return n.exchange(ctx, link.peerLink, conn, linkProtocol{
 		interval: n.config.heartbeat(),
-		next: func(why occasion) outgoing {
-			return outgoing{frames: n.pendingForReader(link, why)}
+		next: func(occasion sendOccasion) outgoing {
+			return outgoing{frames: n.pendingForReader(link, occasion)}
 		},
 		handle: func(frame *lapisv1.ControlFrame) error { return n.handleFromReader(link, frame) },
 	})
@@ -166,11 +166,11 @@
 
 // pendingForReader returns the endpoints that the other reader lacks and, at each
 // tick, a heartbeat with the revision held.
-func (n *Node) pendingForReader(link *readerLink, why occasion) (frames []proto.Message) {
+func (n *Node) pendingForReader(link *readerLink, occasion sendOccasion) (frames []proto.Message) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	frames = n.appendOwnEndpoints(frames, &link.sentChange)
-	if why.tick {
+	if occasion.tick {
 		frames = append(frames, heartbeatFrame(&lapisv1.Heartbeat{HeadRevision: n.holdings.Revision()}))
 	}
 	return frames
