--- a/internal/distribution/changelog/accept.go
+++ b/internal/distribution/changelog/accept.go
@@ -57,15 +57,8 @@
 
 // Proposal reads a stored proposal. Errors: OperatorUnknownProposal.
 func (l *Log) Proposal(ctx context.Context, operation string) (*lapisv1.Proposal, error) {
-	object, err := l.store.Get(ctx, proposalKey(operation))
-	if result.Is(err, result.PlatformNotFound) {
-		return nil, result.Errorf(result.OperatorUnknownProposal, "%s", operation)
-	}
-	if err != nil {
-		return nil, err
-	}
 	proposal := &lapisv1.Proposal{}
-	return proposal, decode(object, proposal)
+	return proposal, l.read(ctx, proposalKey(operation), proposal, result.Errorf(result.OperatorUnknownProposal, "%s", operation))
 }
 
 // Proposals lists the stored proposals that were not accepted yet.
@@ -167,15 +160,7 @@
 	if l.head == nil {
 		return nil
 	}
-	encoded, err := proto.Marshal(l.head)
-	if err != nil {
-		return result.Wrap(result.DistributionBadBundle, err, "encoding revision %d", l.head.GetNumber())
-	}
-	_, err = l.store.Put(ctx, revisionKey(l.head.GetNumber()), encoded, objectapi.VersionAbsent)
-	if result.Is(err, result.PlatformConflict) {
-		return nil
-	}
-	return err
+	return l.storeOnce(ctx, revisionKey(l.head.GetNumber()), l.head)
 }
 
 // conflictError names the accepted change that the proposal collides with; the caller
--- a/internal/distribution/changelog/compact.go
+++ b/internal/distribution/changelog/compact.go
@@ -48,7 +48,7 @@
 	if state.Revision < newest+SnapshotEvery {
 		return nil
 	}
-	if err := l.storeSnapshot(ctx, state); err != nil {
+	if err := l.storeOnce(ctx, snapshotKey(state.Revision), state.Stored()); err != nil {
 		return err
 	}
 	if extra := len(snapshots.Objects) + 1 - keptSnapshots; extra > 0 {
@@ -62,18 +62,6 @@
 	return l.deleteOldProposals(ctx, state)
 }
 
-func (l *Log) storeSnapshot(ctx context.Context, state *meshconfig.State) error {
-	encoded, err := proto.Marshal(state.Stored())
-	if err != nil {
-		return result.Wrap(result.DistributionBadBundle, err, "encoding snapshot %d", state.Revision)
-	}
-	_, err = l.store.Put(ctx, snapshotKey(state.Revision), encoded, objectapi.VersionAbsent)
-	if result.Is(err, result.PlatformConflict) {
-		return nil
-	}
-	return err
-}
-
 func (l *Log) deleteOldRevisions(ctx context.Context, revision uint64) error {
 	if revision <= keptRevisions {
 		return nil
--- a/internal/distribution/changelog/log.go
+++ b/internal/distribution/changelog/log.go
@@ -204,15 +204,35 @@
 	if head.GetNumber() == number && number > 0 {
 		return head, nil
 	}
-	object, err := l.store.Get(ctx, revisionKey(number))
+	revision := &lapisv1.Revision{}
+	return revision, l.read(ctx, revisionKey(number), revision, result.Errorf(result.OperatorUnknownRevision, "revision %d", number))
+}
+
+// read decodes the object under key into target. Errors: absent when there is no such
+// object, PlatformBadAnswer, platform codes.
+func (l *Log) read(ctx context.Context, key string, target proto.Message, absent error) error {
+	object, err := l.store.Get(ctx, key)
 	if result.Is(err, result.PlatformNotFound) {
-		return nil, result.Errorf(result.OperatorUnknownRevision, "revision %d", number)
+		return absent
 	}
 	if err != nil {
-		return nil, err
+		return err
 	}
-	revision := &lapisv1.Revision{}
-	return revision, decode(object, revision)
+	return decode(object, target)
+}
+
+// storeOnce writes a message that never changes under key. One that is there already is as
+// good. Errors: DistributionBadBundle when it cannot be encoded, platform codes.
+func (l *Log) storeOnce(ctx context.Context, key string, message proto.Message) error {
+	encoded, err := proto.Marshal(message)
+	if err != nil {
+		return result.Wrap(result.DistributionBadBundle, err, "encoding %s", key)
+	}
+	_, err = l.store.Put(ctx, key, encoded, objectapi.VersionAbsent)
+	if result.Is(err, result.PlatformConflict) {
+		return nil
+	}
+	return err
 }
 
 // decode decodes an object's value. Errors: PlatformBadAnswer.
