--- a/internal/distribution/configsource/schedule.go
+++ b/internal/distribution/configsource/schedule.go
@@ -26,8 +26,8 @@
 // simulated fleets made 161 to 267, and 300 daemons under virtual time 40 to 60 in 20 s, as 2
 // daemons do. No daemon needs another one: whoever hears of no confirmation polls itself.
 //
-// The parts are chosen, not measured; TestParts and TestTimesBesideTheBound hold how they hang together. They leave two
-// fifths of the bound for the answer, and for what a slow daemon adds.
+// The parts are chosen, not measured; TestParts and TestTimesBesideTheBound hold how they hang
+// together. They leave two fifths of the bound for the answer, and for what a slow daemon adds.
 const (
 	// LeadPart is the time after which the active poller polls again. It must be smaller
 	// than EarliestPart.
