--- a/internal/distribution/fleet/linkchoice.go
+++ b/internal/distribution/fleet/linkchoice.go
@@ -141,6 +141,29 @@
 	return count
 }
 
+// linkAction is what is to be done about the link to a daemon.
+type linkAction int
+
+const (
+	leaveLink linkAction = iota
+	startLink
+	endLink
+)
+
+// linkActionFor returns what is to be done about a link. A chosen daemon without a link gets
+// one. One that is not chosen any more loses its link once that is idle, which means that no
+// call uses it; until then both it and the daemon chosen in its place have one.
+func linkActionFor(chosen, maintained, idle bool) linkAction {
+	switch {
+	case chosen && !maintained:
+		return startLink
+	case !chosen && maintained && idle:
+		return endLink
+	default:
+		return leaveLink
+	}
+}
+
 // unreachable reports whether another daemon is to be linked to beside the peer; it is
 // evaluated at now and with Fleet.mutex held. Conditions, in this order: another daemon
 // answered at its address; no link is wanted, or one is open (nothing speaks against a
--- a/internal/distribution/fleet/linkchoice_test.go
+++ b/internal/distribution/fleet/linkchoice_test.go
@@ -93,13 +93,14 @@
 	}
 	chosen := chooseFrom(s.self, candidates)
 	for _, known := range s.peers {
-		switch {
-		case chosen[known.Node] && known.stopMaintaining == nil:
+		switch linkActionFor(chosen[known.Node], known.stopMaintaining != nil, true) {
+		case startLink:
 			known.stopMaintaining = func() {}
 			known.maintainedSince = s.now
-		case !chosen[known.Node] && known.stopMaintaining != nil:
+		case endLink:
 			known.stopMaintaining = nil
 			known.lostAt = s.now
+		case leaveLink:
 		}
 		known.connected = known.stopMaintaining != nil && !s.dead[known.Node]
 		if known.stopMaintaining != nil {
@@ -110,6 +111,24 @@
 	return kept
 }
 
+// A link is started for a chosen daemon and ended once a daemon that is not chosen has no call
+// on it.
+func TestLinksFollowTheChoice(t *testing.T) {
+	for _, row := range []struct {
+		chosen, maintained, idle bool
+		want                     linkAction
+	}{
+		{true, false, true, startLink},
+		{true, true, true, leaveLink},
+		{true, true, false, leaveLink},
+		{false, true, false, leaveLink},
+		{false, true, true, endLink},
+		{false, false, true, leaveLink},
+	} {
+		assert.Equal(t, linkActionFor(row.chosen, row.maintained, row.idle), row.want, "%+v", row)
+	}
+}
+
 // One daemon that dies is replaced by one. Those that were not wanted had counted
 // as unreachable because they were not connected, so that a daemon connected to all
 // others of the service to find one, and again after each loss: to 47 of 72, three times
--- a/internal/distribution/fleet/links.go
+++ b/internal/distribution/fleet/links.go
@@ -29,15 +29,18 @@
 	defer f.mutex.Unlock()
 	chosen := chooseLinks(f.config.Self, f.candidates(boottime.Now()))
 	for node, member := range f.members {
-		switch {
-		case chosen[node] && member.stopMaintaining == nil:
+		// Whether calls use a link matters, and is asked, only where it is not chosen.
+		idle := !chosen[node] && (!member.connected || member.link.Active() == 0)
+		switch linkActionFor(chosen[node], member.stopMaintaining != nil, idle) {
+		case startLink:
 			linkCtx, stop := context.WithCancel(ctx)
 			member.stopMaintaining = stop
 			member.maintainedSince = boottime.Now()
 			f.running.Go(func() { f.maintain(linkCtx, member) })
-		case !chosen[node] && member.stopMaintaining != nil && (!member.connected || member.link.Active() == 0):
+		case endLink:
 			member.stopMaintaining()
 			member.stopMaintaining = nil
+		case leaveLink:
 		}
 	}
 }
