--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -36,15 +36,6 @@
 	// others refuse for load. On a played day that stops 41 machines in turn the users'
 	// score was 0.716 and 0.729 without it and 0.760 with it.
 	instancesDrain = 2 * time.Second
-	// readShare is the part of what the source bears that daemons plan to use. Chosen, not
-	// measured: the other half is for daemons that start or lost their way to it.
-	readShare = 0.5
-	// coalescePart is the part of the bound for a configuration that a daemon
-	// waits at the least between two questions to the source: a fifth, so that
-	// configurations in quick succession cost one question for several. Questions to the
-	// store were the greatest cost of two deployments, 0.08 to 0.19 of their score; on a quiet
-	// day all costs fell from 0.071 to 0.065 of it.
-	coalescePart = 5
 	// callsPart is the part of the stop limit in which calls may last; the rest is for the
 	// end of the process. Chosen, not measured.
 	callsPart = 7.0 / 8
@@ -140,7 +131,7 @@
 		Source: config.platform.Source(), Apply: p.Offer, Freshness: p.freshness, Confirmed: p.fleet.SendHeartbeats,
 		ApplyOrders: p.ordersReader(), OrdersBound: p.ordersBound(),
 		Awaited: p.path.snapshots.Awaited, Bound: p.askBound(), Daemons: func() int { return int(p.members.Load()) },
-		MinInterval: p.pace, Random: rand.Float64, Resumed: p.resumed, Logger: p.path.logger,
+		MinInterval: p.minInterval, Random: rand.Float64, Resumed: p.resumed, Logger: p.path.logger,
 	}
 	return p
 }
@@ -220,22 +211,10 @@
 // Close implements distribution.
 func (p *platformDistribution) Close() { p.platform.Close() }
 
-// pace is the least time between two questions of this daemon to the source.
-func (p *platformDistribution) pace() time.Duration {
+// minInterval is the least time between a failed poll of this daemon and its next one.
+func (p *platformDistribution) minInterval() time.Duration {
 	platform := p.path.settings.Load().Platform
-	return sourcePace(int(p.members.Load()), platform.ReadsPerSecond, platform.ApplyBound.Get())
-}
-
-// sourcePace returns the least time between two questions of one of so many daemons to a
-// source that allows readsPerSecond (0: no limit) from all of them: so that together they use
-// readShare of that, and so that configurations in quick succession are read a few at a time,
-// well within applyBound.
-func sourcePace(daemons int, readsPerSecond float64, applyBound time.Duration) time.Duration {
-	pace := applyBound / coalescePart
-	if readsPerSecond > 0 {
-		pace = max(pace, time.Duration(float64(daemons)/(readsPerSecond*readShare)*float64(time.Second)))
-	}
-	return pace
+	return configsource.MinInterval(int(p.members.Load()), platform.ReadsPerSecond, platform.ApplyBound.Get())
 }
 
 // ready reports whether callers may be sent here. No configuration is in force before
--- a/internal/daemon/platform_distribution_test.go
+++ b/internal/daemon/platform_distribution_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"net"
 	"testing"
-	"time"
 
 	"github.com/go-logr/logr"
 	"gotest.tools/v3/assert"
@@ -76,28 +75,3 @@
 	offer(configurationOf(t, 9, "/newest/"))
 	assert.Equal(t, running.Revision(), uint64(9))
 }
-
-// The pace keeps all daemons within the source's rate, and lets none ask more
-// often than a part of the time in which a configuration must be in force.
-func TestSourcePace(t *testing.T) {
-	for name, row := range map[string]struct {
-		daemons int
-		reads   float64
-		bound   time.Duration
-		want    time.Duration
-	}{
-		"a small site":         {12, 2000, 2 * time.Second, 400 * time.Millisecond},
-		"hundreds of machines": {300, 2000, 2 * time.Second, 400 * time.Millisecond},
-		"the rate decides":     {1000, 2000, 2 * time.Second, time.Second},
-		"no rate is stated":    {1000, 0, 2500 * time.Millisecond, 500 * time.Millisecond},
-	} {
-		t.Run(name, func(t *testing.T) {
-			pace := sourcePace(row.daemons, row.reads, row.bound)
-			assert.Equal(t, pace, row.want)
-			if row.reads > 0 {
-				together := float64(row.daemons) / pace.Seconds()
-				assert.Assert(t, together <= row.reads/2, "%.0f questions a second", together)
-			}
-		})
-	}
-}
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -28,7 +28,6 @@
 		{"the store is asked again before others store the record", saveRetryMin, othersSave},
 		{"records of others are in the store when it is read again", othersSave + othersSpread, loadAgain + 1},
 		{"the process ends within the stop limit", time.Duration(callsPart*float64(defaults.StopLimit.Get())) + cutAnswers, defaults.StopLimit.Get()},
-		{"configurations in quick succession are in force in time", defaults.Platform.ApplyBound.Get() / coalescePart, defaults.Platform.ApplyBound.Get() / 2},
 	} {
 		assert.Check(t, row.lower < row.upper, "%s: %s is not below %s", row.why, row.lower, row.upper)
 	}
