--- /dev/null
+++ b/internal/transport/callmux/fence_test.go
@@ -0,0 +1,75 @@
+package callmux
+
+import (
+	"context"
+	"net"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/model/callapi"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
+	"github.com/lapisvane/lapisvane/internal/transport/wire"
+)
+
+// fencing is an origin that holds each call until its end, and answers fences as it is set.
+type fencing struct {
+	started bool
+	handled chan struct{}
+}
+
+func (f fencing) Fence(string) bool { return f.started }
+
+func (f fencing) Handle(ctx context.Context, _ *callapi.Call) (*callapi.Answer, error) {
+	f.handled <- struct{}{}
+	<-ctx.Done()
+	return nil, result.Errorf(result.CallCancelled, "the caller disconnected")
+}
+
+// A call whose connection was lost counts as not run only where the same process of the peer
+// fenced it before it started.
+func TestLostCallIsNotRunOnlyIfFenced(t *testing.T) {
+	for name, row := range map[string]struct {
+		started, restarted bool
+		code               result.Code
+	}{
+		"fenced before it started": {code: result.CallNotRunUnreachable},
+		"had started":              {started: true, code: result.CallUnknownOutcome},
+		"the peer has restarted":   {restarted: true, code: result.CallUnknownOutcome},
+	} {
+		t.Run(name, func(t *testing.T) {
+			origin := fencing{started: row.started, handled: make(chan struct{}, 1)}
+			client, address := callsTo(t, origin, &wire.Counters{})
+			failed := make(chan error, 1)
+			go func() {
+				_, err := client.Handle(context.Background(), address, &callapi.Call{Open: &lapisv1.CallOpen{AttemptId: "a1"}})
+				failed <- err
+			}()
+			<-origin.handled
+			lost, err := client.sessionTo(context.Background(), address)
+			assert.NilError(t, err)
+			if row.restarted {
+				// The connection was to an earlier process than the one that answers now.
+				lost.incarnation++
+			}
+			lost.close(net.ErrClosed)
+			assert.Assert(t, result.Is(<-failed, row.code))
+		})
+	}
+}
+
+// While nobody answers at the peer's address a lost call is given up as unknown within the time
+// of a fence.
+func TestLostCallEndsWithinTheTimeOfAFence(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		client := &Client{Network: deafNetwork{}, Maintained: true}
+		lost := result.Errorf(result.CallUnknownOutcome, "the connection was lost")
+		began := time.Now()
+		err := client.fenceLost("10.0.0.1:1", 1, "a1", lost)
+		assert.Assert(t, err == error(lost))
+		assert.Equal(t, time.Since(began), fenceTimeout)
+	})
+}
