--- a/internal/model/snapshot/snapshot.go
+++ b/internal/model/snapshot/snapshot.go
@@ -13,7 +13,6 @@
 	"crypto/tls"
 	"maps"
 	"slices"
-	"strings"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
@@ -145,53 +144,6 @@
 	}
 }
 
-// compareSpecificity puts a longer prefix before a shorter one and one with
-// methods before one without.
-func compareSpecificity(a, b *lapisv1.Route) int {
-	if difference := len(b.GetPathPrefix()) - len(a.GetPathPrefix()); difference != 0 {
-		return difference
-	}
-	if methodsA, methodsB := len(a.GetMethods()) > 0, len(b.GetMethods()) > 0; methodsA != methodsB {
-		if methodsA {
-			return -1
-		}
-		return 1
-	}
-	return strings.Compare(a.GetName(), b.GetName())
-}
-
-// Match returns the route for a request, nil when there is none: that with the
-// longest prefix among the routes of the host, else among those of any host.
-// host has no port and is in lower case.
-func (s *Snapshot) Match(host, path, method string) *lapisv1.Route {
-	if route := matchIn(s.routes[host], path, method); route != nil || host == "" {
-		return route
-	}
-	return matchIn(s.routes[""], path, method)
-}
-
-func matchIn(routes []*lapisv1.Route, path, method string) *lapisv1.Route {
-	for _, route := range routes {
-		if !pathHasPrefix(path, route.GetPathPrefix()) {
-			continue
-		}
-		if len(route.GetMethods()) > 0 && !slices.Contains(route.GetMethods(), method) {
-			continue
-		}
-		return route
-	}
-	return nil
-}
-
-// pathHasPrefix matches whole segments: /dock matches /dock and /dock/1 but
-// not /docks.
-func pathHasPrefix(path, prefix string) bool {
-	if !strings.HasPrefix(path, prefix) {
-		return false
-	}
-	return len(path) == len(prefix) || strings.HasSuffix(prefix, "/") || path[len(prefix)] == '/'
-}
-
 // Service returns a service; ok is false when the daemon does not hold it.
 func (s *Snapshot) Service(name string) (service *Service, ok bool) {
 	service, ok = s.services[name]
--- a/internal/model/snapshot/store_test.go
+++ b/internal/model/snapshot/store_test.go
@@ -11,6 +11,7 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
 	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 func configurationOf(t *testing.T, revision uint64) *lapisv1.Configuration {
@@ -47,3 +48,27 @@
 		assert.Equal(t, time.Since(began), time.Duration(0))
 	})
 }
+
+// A revision that is not above the one in force, or that cannot be decoded, is refused, and the
+// snapshot in force stays.
+func TestRefusedConfigurationLeavesTheSnapshot(t *testing.T) {
+	tampered := configurationOf(t, 9)
+	tampered.Bundles[0].Content = append(tampered.Bundles[0].Content, 0)
+	for name, row := range map[string]struct {
+		offered *lapisv1.Configuration
+		code    result.Code
+	}{
+		"older":    {configurationOf(t, 4), result.DistributionBelowFloor},
+		"the same": {configurationOf(t, 5), result.DistributionBelowFloor},
+		"tampered": {tampered, result.DistributionDigestMismatch},
+	} {
+		t.Run(name, func(t *testing.T) {
+			store := &snapshot.Store{}
+			assert.NilError(t, store.ReplaceConfiguration(configurationOf(t, 5)))
+			inForce := store.Current()
+			err := store.ReplaceConfiguration(row.offered)
+			assert.Assert(t, result.Is(err, row.code), "%v", err)
+			assert.Assert(t, store.Current() == inForce)
+		})
+	}
+}
