--- a/internal/requestpath/origin/handle_test.go
+++ b/internal/requestpath/origin/handle_test.go
@@ -26,6 +26,18 @@
 	assert.Equal(t, origin.InFlight(), 0)
 }
 
+// A call that panicked is not in flight any more, so that a later crash of the instance is told
+// from a broken connection.
+func TestCrashAfterAPanicIsNoticed(t *testing.T) {
+	_, origin, crashes := startOrigin(t)
+	_, err := origin.Handle(context.Background(), &callapi.Call{Body: panicking{}, Buffered: true, Open: &lapisv1.CallOpen{
+		Service: "desk", Instance: "desk-1", Method: http.MethodPost, Target: "/answer", Host: "a.example", ContentLength: 5, AttemptId: "panics",
+	}})
+	assert.Assert(t, result.Is(err, result.CallUnknownOutcome))
+	assert.Assert(t, result.Is(send(origin, "/end"), result.CallInstanceCrashed))
+	assert.Equal(t, len(crashes.seen()), 1)
+}
+
 // panicking is a body whose reading panics.
 type panicking struct{}
 
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -18,7 +18,16 @@
 	handed := time.Now()
 	defer o.execute(call)()
 	sent := track(call)
+	returned := false
+	defer func() {
+		// A panic while the call is sent ends this call only. It must not stay in flight: a
+		// crash of the instance is recognised by all its calls ending.
+		if !returned {
+			instance.inFlight.remove(sent)
+		}
+	}()
 	response, err := instance.backend.roundTrip(ctx, call, func() { instance.inFlight.add(sent) })
+	returned = true
 	if err != nil {
 		err = o.noteUnanswered(ctx, instance, sent, err)
 		instance.noteCall(err, func() { o.probe(instance) })
