--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -86,7 +86,7 @@
 		call.opening.Trial = true
 		return done, nil
 	}
-	return done, origin.Quarantined(verdict)
+	return done, origin.QuarantineRefusal(verdict)
 }
 
 // keysOf returns the keys of a request: by its whole body, or by what is known of one that
--- a/internal/requestpath/gateway/quarantine_test.go
+++ b/internal/requestpath/gateway/quarantine_test.go
@@ -17,10 +17,10 @@
 // drawn for calls that are refused for load: it would be refused again.
 func TestQuarantinedCallerReturnsForTheTrial(t *testing.T) {
 	route := &lapisv1.Route{CallClass: &lapisv1.CallClass{TargetLatencyMillis: 200}}
-	err := withRetryAfter(origin.Quarantined(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}), route)
+	err := withRetryAfter(origin.QuarantineRefusal(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}), route)
 	assert.Equal(t, retryAfterOf(err), 42*time.Second)
 	assert.Equal(t, statusOf(result.CallNotRunQuarantined), 503)
-	assert.NilError(t, origin.Quarantined(quarantine.Verdict{}))
+	assert.NilError(t, origin.QuarantineRefusal(quarantine.Verdict{}))
 }
 
 // A daemon repeats after the first instance that crashed, and not after the second.
--- a/internal/requestpath/origin/backend.go
+++ b/internal/requestpath/origin/backend.go
@@ -2,10 +2,13 @@
 
 import (
 	"context"
+	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"time"
 
+	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
@@ -35,13 +38,11 @@
 	return conn.Close()
 }
 
-// roundTrip hands the call over once, and calls handing right before. The answer's body must
-// be closed.
-// Errors: CallNotRunUnreachable when no connection was opened,
-// CallNotRunOverloaded when the limit of connections is reached, CallBadRequest when it cannot be
-// written, CallNotRunExpired when the caller gave up before; after the hand-over
-// CallUnknownOutcome, CallDeadline or CallCancelled.
-func (b *backend) roundTrip(ctx context.Context, call *callapi.Call, handing func()) (*http.Response, error) {
+// roundTrip sends the call once, and calls beforeSend right before. The answer's body must be
+// closed. Errors: those of connectionPool.get, CallBadRequest when no request can be built from the
+// call, CallNotRunExpired when the caller gave up before; once it was sent CallUnknownOutcome,
+// CallDeadline or CallCancelled.
+func (b *backend) roundTrip(ctx context.Context, call *callapi.Call, beforeSend func()) (*http.Response, error) {
 	conn, err := b.pool.get(ctx)
 	if err != nil {
 		return nil, err
@@ -58,15 +59,96 @@
 	current := &exchange{backend: b, conn: conn, request: request, written: make(chan struct{})}
 	current.unwatch = context.AfterFunc(ctx, func() { _ = conn.Close() }) // Closed to interrupt the exchange, which reports why.
 	sent := time.Now()
-	handing()
+	beforeSend()
 	response, err := current.run(call)
 	if err != nil {
 		current.end(false)
 		if ctx.Err() == nil {
-			b.pool.noteBroken(conn, time.Since(sent))
+			b.pool.noteBreak(conn, time.Since(sent))
 		}
 		return nil, result.Wrap(brokenCode(ctx), err, "request to %s", b.address)
 	}
 	response.Body = &exchangeBody{exchange: current, body: response.Body, response: response}
 	return response, nil
 }
+
+// request builds the HTTP request of a call. Errors: CallBadRequest.
+func (b *backend) request(ctx context.Context, call *callapi.Call) (*http.Request, error) {
+	open := call.Open
+	var body io.Reader
+	if call.Body != nil {
+		body = call.Body
+	}
+	request, err := http.NewRequest(open.GetMethod(), "http://"+b.address+open.GetTarget(), body)
+	if err != nil {
+		return nil, result.Wrap(result.CallBadRequest, err, "building the request")
+	}
+	request.Host = open.GetHost()
+	request.ContentLength = open.GetContentLength()
+	if call.Body == nil {
+		request.ContentLength = 0
+	}
+	for _, field := range open.GetHeaders() {
+		request.Header.Add(field.GetName(), field.GetValue())
+	}
+	if request.Header.Get("User-Agent") == "" {
+		// The HTTP library would add one of its own.
+		request.Header["User-Agent"] = []string{""}
+	}
+	b.stampRequest(ctx, request, open)
+	if call.Trailers != nil && open.GetContentLength() < 0 {
+		announceTrailers(request, call)
+	}
+	return request, nil
+}
+
+// stampRequest sets the header fields of the envelope.
+func (b *backend) stampRequest(ctx context.Context, request *http.Request, open *lapisv1.CallOpen) {
+	envelope := b.envelope
+	if deadline, ok := ctx.Deadline(); ok {
+		remaining := max(time.Until(deadline).Milliseconds(), 1)
+		request.Header.Set(envelope.Deadline, strconv.FormatInt(remaining, 10))
+	}
+	if envelope.Attempt != "" {
+		request.Header.Set(envelope.Attempt, strconv.FormatUint(uint64(open.GetAttempt()), 10))
+	}
+	if envelope.ExpectedInstance != "" {
+		request.Header.Set(envelope.ExpectedInstance, b.instance)
+	}
+	if envelope.CallerService != "" {
+		request.Header.Set(envelope.CallerService, open.GetCallerService())
+	}
+}
+
+// announceTrailers has the request carry the trailers that the caller announced.
+func announceTrailers(request *http.Request, call *callapi.Call) {
+	names := request.Header.Values("Trailer")
+	if len(names) == 0 {
+		return
+	}
+	request.Header.Del("Trailer")
+	request.Trailer = http.Header{}
+	for _, name := range names {
+		request.Trailer.Set(name, "")
+	}
+	request.Body = &trailerBody{Reader: call.Body, call: call, request: request}
+}
+
+// trailerBody fills in the trailers at the end of the body, when net/http reads them.
+type trailerBody struct {
+	io.Reader
+	call    *callapi.Call
+	request *http.Request
+}
+
+func (t *trailerBody) Read(buffer []byte) (int, error) {
+	count, err := t.Reader.Read(buffer)
+	if err == io.EOF {
+		for _, field := range t.call.Trailers() {
+			t.request.Trailer.Set(field.GetName(), field.GetValue())
+		}
+	}
+	return count, err
+}
+
+func (t *trailerBody) Close() error { return nil }
--- a/internal/requestpath/origin/coldness.go
+++ b/internal/requestpath/origin/coldness.go
@@ -8,9 +8,9 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
-// This file holds the rules for instances in slow start: until when an instance counts as cold and
-// how many calls a second it is admitted meanwhile. They are pure but for coldCrashes; coldstart.go
-// applies them. What the queue admits within a pace is package admission's.
+// This file is about instances in slow start: until when an instance counts as cold and how many
+// calls a second it is admitted meanwhile (coldness, which is pure but for coldCrashes), and the
+// Instance methods that apply it. What the queue admits within a pace is package admission's.
 
 // ColdBound is what a cold instance must not get more than in any second: the pool's
 // rate of cold instances times Overshoot, and Allowance more. Both 0 bound the mean only.
@@ -61,32 +61,32 @@
 	configured bool
 	// warmAt is from the newest heartbeat.
 	warmAt time.Time
-	// unheardUntil is when an instance that is to be heard first counts as warm in any
-	// case, and unheardSequence its newest heartbeat when that began.
-	unheardUntil    time.Time
-	unheardSequence uint64
-	// is and source are what was logged last, and admitted what the queue had admitted
+	// After its zone's evacuation an instance counts as cold until a heartbeat later than
+	// awaitAfterSequence, or until awaitHeartbeatUntil.
+	awaitHeartbeatUntil time.Time
+	awaitAfterSequence  uint64
+	// isCold and source are what was logged last, and admitted what the queue had admitted
 	// under a pace when it began.
-	is       bool
+	isCold   bool
 	source   coldSource
 	admitted int64
 }
 
-// until returns when the instance is warm, as far as is known: the later of what it stated and,
-// where it is to be heard first, of when it counts as warm in any case.
+// until returns when the instance is warm, as far as is known: the later of warmAt and
+// awaitHeartbeatUntil.
 func (c *coldness) until() time.Time {
-	if c.unheardUntil.After(c.warmAt) {
-		return c.unheardUntil
+	if c.awaitHeartbeatUntil.After(c.warmAt) {
+		return c.awaitHeartbeatUntil
 	}
 	return c.warmAt
 }
 
-// noteHeartbeat records a heartbeat that states how much longer the instance stays cold. One that
-// was sent before the instance was to be heard does not end that.
+// noteHeartbeat records a heartbeat that states how much longer the instance stays cold. One sent
+// before awaitAfterSequence was set does not end the time for which it counts as cold unheard.
 func (c *coldness) noteHeartbeat(coldFor time.Duration, sequence uint64, now time.Time) {
 	c.warmAt = now.Add(coldFor)
-	if sequence > c.unheardSequence || sequence == 0 {
-		c.unheardUntil = time.Time{}
+	if sequence > c.awaitAfterSequence || sequence == 0 {
+		c.awaitHeartbeatUntil = time.Time{}
 	}
 }
 
@@ -122,10 +122,10 @@
 	return c.rate() != before
 }
 
-// unheardFor returns how long an instance that is to be heard first counts as cold at
-// most: as long as its pool's instances stay so, or, where no configuration says that yet,
-// until its silence would be noticed.
-func (c *coldness) unheardFor() time.Duration {
+// awaitHeartbeatFor returns how long an instance counts as cold at most while no heartbeat comes:
+// as long as its pool's instances stay so, or, where no configuration says that yet, until its
+// silence would be noticed.
+func (c *coldness) awaitHeartbeatFor() time.Duration {
 	if !c.configured {
 		return heartbeatSilence
 	}
@@ -158,3 +158,81 @@
 	defer c.mutex.Unlock()
 	return !c.at.IsZero() && now.Sub(c.at) < cautiousFor
 }
+
+// configureCold has the queue keep what the pool states of its cold instances; the caller
+// holds mutex.
+func (i *Instance) configureCold(pool *lapisv1.Pool) {
+	if !i.coldness.configure(pool) {
+		return
+	}
+	now := time.Now()
+	i.followCold(coldByStart, now)
+	if i.coldness.isCold {
+		pace := i.coldness.pace(now)
+		i.logger.Info("instance.paced", "instance", i.Name, "service", i.Service,
+			"rate", i.coldness.rate(), "pace", pace.PerSecond, "burst", pace.Burst)
+	}
+}
+
+// coldUntilHeartbeat has an instance that sends heartbeats count as cold until a newer one, for at
+// most awaitHeartbeatFor.
+func (i *Instance) coldUntilHeartbeat() {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	cold := &i.coldness
+	if !i.registered || cold.rate() <= 0 || cold.awaitHeartbeatFor() <= 0 {
+		return
+	}
+	now := time.Now()
+	cold.awaitHeartbeatUntil = now.Add(cold.awaitHeartbeatFor())
+	cold.awaitAfterSequence = i.sequence
+	i.followCold(coldByEvacuation, now)
+}
+
+// paceFirst has the queue keep the pace that fits an instance's first heartbeat, before
+// calls can find the instance.
+func (i *Instance) paceFirst(registration Registration) {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	now := time.Now()
+	i.coldness.noteHeartbeat(registration.ColdFor, registration.Sequence, now)
+	i.queue.SetPace(i.coldness.pace(now))
+}
+
+// followCold has the queue keep the pace that fits what is known, and logs a change
+// between cold and warm, which it reports; the caller holds mutex.
+func (i *Instance) followCold(source coldSource, now time.Time) (changed bool) {
+	cold := &i.coldness
+	pace := cold.pace(now)
+	i.queue.SetPace(pace)
+	is := now.Before(cold.until())
+	if is == cold.isCold {
+		return false
+	}
+	cold.isCold = is
+	if is {
+		cold.source = source
+		cold.admitted = i.queue.PaceUse().Admitted
+		i.logger.Info("instance.cold", "instance", i.Name, "service", i.Service, "source", string(source),
+			"rate", cold.rate(), "pace", pace.PerSecond, "burst", pace.Burst, "cold_ms", cold.until().Sub(now).Milliseconds())
+		return true
+	}
+	i.logger.Info("instance.warm", "instance", i.Name, "service", i.Service, "source", string(cold.source),
+		"rate", cold.rate(), "cold_ms", 0, "admitted_cold", i.queue.PaceUse().Admitted-cold.admitted)
+	return true
+}
+
+// noteWarm follows the end of the time for which the instance said that it stays cold; it
+// reports whether it turned warm.
+func (i *Instance) noteWarm() (changed bool) {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	now := time.Now()
+	if !i.coldness.isCold || now.Before(i.coldness.until()) {
+		return false
+	}
+	return i.followCold(i.coldness.source, now)
+}
+
+// ColdUse is how far the instance's pace is used; the rate is 0 while none holds.
+func (i *Instance) ColdUse() admission.PaceUse { return i.queue.PaceUse() }
--- a/internal/requestpath/origin/coldness_test.go
+++ b/internal/requestpath/origin/coldness_test.go
@@ -61,7 +61,7 @@
 // endEvacuation is the end of an evacuation of the instance's zone.
 func (b *fixture) endEvacuation() {
 	instance, _ := b.instance("desk", "desk-1")
-	instance.coldUntilHeard()
+	instance.coldUntilHeartbeat()
 }
 
 // A daemon that ends and starts anew within the second keeps the bound with the one
--- a/internal/requestpath/origin/connection.go
+++ b/internal/requestpath/origin/connection.go
@@ -29,28 +29,27 @@
 	backendBufferBytes = 4 << 10
 )
 
-// connection is one connection to a back end. It carries one exchange at a
-// time.
+// connection is one connection to a back end. It carries one exchange at a time.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
 	// reused is true from the second exchange on.
 	reused bool
-	// keepFor bounds the rest between two exchanges; rested is when the last
-	// rest began and rest how long it was.
-	keepFor time.Duration
-	rested  time.Time
-	rest    time.Duration
+	// keepFor bounds the time between two exchanges; idleSince is when the last such time began,
+	// and idleFor how long it was.
+	keepFor   time.Duration
+	idleSince time.Time
+	idleFor   time.Duration
 }
 
 // connectionPool keeps the connections to one back end. It is safe for concurrent use. How long a
-// connection rested is measured by the time since boot: the back end's clock may go on while this
+// connection was idle is measured by the time since boot: the back end's clock may go on while this
 // daemon's stands.
 type connectionPool struct {
-	address string
-	dialer  net.Dialer
-	resting idleBound
+	address   string
+	dialer    net.Dialer
+	idleBound idleBound
 
 	// mutex protects everything below.
 	mutex  sync.Mutex
@@ -73,8 +72,7 @@
 	}
 }
 
-// get returns a connection that is ready for an exchange, the one used last
-// first. Errors: CallNotRunUnreachable, CallNotRunOverloaded when the limit is
+// get returns a connection that is ready for an exchange, the one used last first. Errors: CallNotRunUnreachable, CallNotRunOverloaded when the limit is
 // reached, CallNotRunExpired when ctx ended.
 func (p *connectionPool) get(ctx context.Context) (*connection, error) {
 	for {
@@ -86,8 +84,8 @@
 			return p.dial(ctx)
 		}
 		now := boottime.Now()
-		conn.rest = now.Sub(conn.rested)
-		if p.resting.allows(conn.rest, conn.keepFor, now) && quiet(conn.Conn) {
+		conn.idleFor = now.Sub(conn.idleSince)
+		if p.idleBound.allows(conn.idleFor, conn.keepFor, now) && isUsable(conn.Conn) {
 			conn.reused = true
 			return conn, nil
 		}
@@ -95,8 +93,8 @@
 	}
 }
 
-// take removes the connection used last; nil means that one is to be dialed,
-// which has been counted already.
+// take removes the connection used last; nil means that one is to be dialed, which is counted as
+// open already.
 func (p *connectionPool) take() (*connection, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -131,7 +129,7 @@
 
 // put keeps a connection after an exchange that ended cleanly.
 func (p *connectionPool) put(conn *connection) {
-	conn.rested = boottime.Now()
+	conn.idleSince = boottime.Now()
 	p.mutex.Lock()
 	if !p.closed {
 		p.idle = append(p.idle, conn)
@@ -142,7 +140,6 @@
 	p.discard(conn)
 }
 
-// discard closes a connection.
 func (p *connectionPool) discard(conn *connection) {
 	_ = conn.Close() // It is given up either way, and nothing is in flight on it.
 	p.mutex.Lock()
@@ -150,22 +147,23 @@
 	p.mutex.Unlock()
 }
 
-// noteBroken records that a connection broke before an answer came, so long after
-// the request was sent over it.
-func (p *connectionPool) noteBroken(conn *connection, after time.Duration) {
-	if conn.reused && after < forgottenWithin {
-		p.resting.noteForgotten(conn.rest, boottime.Now())
+// noteBreak records that a connection broke before an answer came, so long after the request was
+// sent over it.
+func (p *connectionPool) noteBreak(conn *connection, after time.Duration) {
+	if conn.reused && after < droppedWithin {
+		p.idleBound.noteDropped(conn.idleFor, boottime.Now())
 	}
 }
 
-// closeOld closes the idle connections that rested too long, or all.
+// closeOld closes the connections that were idle for too long, or all idle ones, and then those in
+// use as well at the end of their exchange.
 func (p *connectionPool) closeOld(all bool) {
 	p.mutex.Lock()
 	var old []*connection
 	kept := p.idle[:0]
 	now := boottime.Now()
 	for _, conn := range p.idle {
-		if all || !p.resting.allows(now.Sub(conn.rested), conn.keepFor, now) {
+		if all || !p.idleBound.allows(now.Sub(conn.idleSince), conn.keepFor, now) {
 			old = append(old, conn)
 			continue
 		}
@@ -179,10 +177,9 @@
 	}
 }
 
-// quiet reports whether a resting connection is open and nothing has arrived
-// on it: bytes there belong to no request. One of a kind without a descriptor
-// counts as quiet.
-func quiet(conn net.Conn) bool {
+// isUsable reports whether an idle connection is open and nothing has arrived on it: bytes there
+// belong to no request. One without a file descriptor counts as usable.
+func isUsable(conn net.Conn) bool {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -191,12 +188,58 @@
 	if err != nil {
 		return false
 	}
-	calm := false
+	clean := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var peeked [1]byte
 		_, _, receiveErr := syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		calm = receiveErr == syscall.EAGAIN || receiveErr == syscall.EWOULDBLOCK
+		clean = receiveErr == syscall.EAGAIN || receiveErr == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && calm
+	return err == nil && clean
+}
+
+// Constants of idleBound. Both are chosen, not measured.
+const (
+	// droppedWithin is the time after a request was sent in which a broken connection counts as
+	// one that the back end had dropped while it was idle. It must be above a round trip on the
+	// machine and below the usual service time, or calls that the back end broke off itself are
+	// counted.
+	droppedWithin = 20 * time.Millisecond
+	// idleMemory is how long a lowered bound holds. It must be above backendIdleTimeout, or a
+	// connection outlives what was learned.
+	idleMemory = 10 * time.Second
+)
+
+// idleBound learns how long a back end's connections may be idle. A back end may drop one without
+// closing it, and a request that is then sent over it is lost without proof that it did not run. It
+// is safe for concurrent use.
+type idleBound struct {
+	// mutex protects everything below.
+	mutex sync.Mutex
+	limit time.Duration
+	until time.Time
+}
+
+// noteDropped records that a connection was dropped while it was idle for so long. Half of that is
+// allowed from now on, or less where less was learned before.
+func (b *idleBound) noteDropped(idleFor time.Duration, now time.Time) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	limit := idleFor / 2
+	if now.Before(b.until) {
+		limit = min(limit, b.limit)
+	}
+	b.limit = limit
+	b.until = now.Add(idleMemory)
+}
+
+// allows reports whether a connection may be used that was idle for so long and that the back end
+// keeps for keepFor.
+func (b *idleBound) allows(idleFor, keepFor time.Duration, now time.Time) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if now.Before(b.until) {
+		keepFor = min(keepFor, b.limit)
+	}
+	return idleFor < keepFor
 }
--- a/internal/requestpath/origin/crash.go
+++ b/internal/requestpath/origin/crash.go
@@ -18,7 +18,7 @@
 // quarantined because of crashes anywhere. Its methods are safe for concurrent use.
 type CrashReporter interface {
 	// Crashed records that an instance crashed with calls in flight; id is that of the crash.
-	// It returns when all of the daemon goes by it.
+	// On return Suspected, Count and Evaluate take it into account.
 	Crashed(instance string, id uint64, inFlight []quarantine.InFlight)
 	// Suspected reports whether instances crashed under calls with the head of the line.
 	Suspected(line fingerprint.Line) bool
@@ -33,39 +33,31 @@
 // noReporter is used where nobody follows crashes.
 type noReporter struct{}
 
-func (noReporter) Crashed(string, uint64, []quarantine.InFlight) {}
-
-func (noReporter) Suspected(fingerprint.Line) bool { return false }
-
-func (noReporter) Answered([]fingerprint.Key) {}
-
-func (noReporter) Count([]fingerprint.Key) int { return 0 }
-
+func (noReporter) Crashed(string, uint64, []quarantine.InFlight)         {}
+func (noReporter) Suspected(fingerprint.Line) bool                       { return false }
+func (noReporter) Answered([]fingerprint.Key)                            {}
+func (noReporter) Count([]fingerprint.Key) int                           { return 0 }
 func (noReporter) Evaluate([]fingerprint.Key, string) quarantine.Verdict { return quarantine.Verdict{} }
 
-// noteUnanswered takes a call off that got no answer, and returns the error that it ends with.
+// noteUnanswered removes a call that got no answer from those in flight, and returns the error that
+// it ends with. One whose instance crashed ends with CallInstanceCrashed and the number of instances
+// that crashed under such calls.
 func (o *Origin) noteUnanswered(ctx context.Context, instance *Instance, sent *inFlightCall, err error) error {
-	if callapi.OutcomeOf(err) != callapi.OutcomeNotRun {
-		return o.noteBroken(ctx, instance, sent, err)
-	}
-	instance.inFlight.remove(sent)
-	if errors.Is(err, syscall.ECONNREFUSED) {
-		// It crashed after the calls that it had were given up.
-		o.reportCrash(instance)
+	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
+		instance.inFlight.remove(sent)
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			// It crashed after the calls that it had were given up.
+			o.reportCrash(instance)
+		}
+		return err
 	}
-	return err
-}
-
-// noteBroken finds out whether a call broke off because its instance crashed; the error that it
-// returns then says so, and how many crashed under such calls.
-func (o *Origin) noteBroken(ctx context.Context, instance *Instance, lost *inFlightCall, err error) error {
-	instance.inFlight.removeUnanswered(lost, time.Now())
+	instance.inFlight.removeUnanswered(sent, time.Now())
 	if !isBreak(err) || !o.hasCrashed(ctx, instance) {
 		return err
 	}
 	crashed := result.Errorf(result.CallInstanceCrashed, "instance %s ended", instance.Name)
 	crashed.Cause = err
-	crashed.Crashes = max(o.config.Crashes.Count(lost.keys()), 1)
+	crashed.Crashes = max(o.config.Crashes.Count(sent.keys()), 1)
 	return crashed
 }
 
--- a/internal/requestpath/origin/dedup.go
+++ b/internal/requestpath/origin/dedup.go
@@ -54,8 +54,7 @@
 	return &dedupCache{lifetime: lifetime, now: now, entries: map[string]*list.Element{}, order: list.New()}
 }
 
-// Claim remembers id as state unless it is known. It returns the state known
-// before, and known true, when there is one.
+// Claim remembers id as state unless it is known; then it returns what is known.
 func (c *dedupCache) Claim(id string, state attemptState) (previous attemptState, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -81,8 +80,7 @@
 	return true
 }
 
-// Fence makes sure that id is not started from now on; it reports whether it
-// was started before.
+// Fence makes sure that id is not started from now on; it reports whether it was started before.
 func (c *dedupCache) Fence(id string) (started bool) {
 	if state, known := c.Claim(id, attemptRefused); !known || state == attemptRefused {
 		return false
@@ -91,7 +89,7 @@
 	defer c.mutex.Unlock()
 	element, ok := c.entries[id]
 	if !ok {
-		// Dropped in between: nothing can be proved, so it counts as started.
+		// Forgotten meanwhile: nothing can be proved, so it counts as started.
 		return true
 	}
 	entry := element.Value.(*dedupEntry)
@@ -101,7 +99,6 @@
 	return entry.state == attemptStarted
 }
 
-// Forget drops id.
 func (c *dedupCache) Forget(id string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/requestpath/origin/doc.go
+++ b/internal/requestpath/origin/doc.go
@@ -10,11 +10,11 @@
 // and a body that its caller still sends is written to the instance by one of its own.
 //
 // The way of a call: Handle (handle.go) looks at what refuses it (refusal.go has the order), waits
-// for a slot, and run (handover.go) sends it (backend.go, exchange.go, request.go) and returns the
+// for a slot, and run (handover.go) sends it (backend.go, exchange.go) and returns the
 // answer (response.go), whose end gives the slot back. What the call showed of its instance goes to
 // health.go and crash.go, which act on the rules of liveness.go. Heartbeats come by Register
 // (registration.go, with the rules of incarnation.go) and tell whether an instance is up, drains
-// (drain.go, evacuation.go, withdrawal.go) or is in slow start (coldness.go, coldstart.go).
+// (drain.go) or is in slow start (coldness.go).
 //
 // It relies on the instances' heartbeats, or on probes for a connection where an instance sends
 // none; on the configuration in force, which Configure brings; on a CrashReporter for what is known
--- a/internal/requestpath/origin/drain.go
+++ b/internal/requestpath/origin/drain.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// DrainReason is why an instance takes no new work. An instance drains while
-// there is any reason.
+// DrainReason is why an instance takes no new work. An instance drains while there is any reason.
 type DrainReason string
 
 // Reasons to drain.
@@ -19,9 +18,8 @@
 	DrainReplaced DrainReason = "replaced"
 )
 
-// drainReasons are all reasons, in the order of their weight: calls are refused with the first of
-// those that hold. Those that are for good come first, so that a caller does not come back for
-// nothing.
+// drainReasons are all reasons: calls are refused with the first of those that hold. The permanent
+// ones come first, so that no caller comes back in vain.
 var drainReasons = []DrainReason{DrainReplaced, DrainInstance, DrainStop, DrainOperator, DrainMachineList, DrainEvacuated}
 
 // Drain adds a reason to take no new work; the calls in flight go on.
@@ -29,7 +27,7 @@
 	i.mutex.Lock()
 	i.reasons[reason] = true
 	fire(i.lifecycle, triggerDrain)
-	first, _ := i.remaining()
+	first, _ := i.firstReason()
 	i.queue.Close(drainRefusal(i.Name, first))
 	i.mutex.Unlock()
 	go i.noteIdle()
@@ -44,8 +42,8 @@
 	}
 }
 
-// Resume removes a reason; without any the instance takes work again, at once if it
-// registered and its heartbeats come.
+// Resume removes a reason; without any the instance takes work again, at once if it registered and
+// is not silent.
 func (i *Instance) Resume(reason DrainReason) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -53,7 +51,7 @@
 		return
 	}
 	delete(i.reasons, reason)
-	if left, drains := i.remaining(); drains {
+	if left, drains := i.firstReason(); drains {
 		i.queue.Close(drainRefusal(i.Name, left))
 		return
 	}
@@ -65,8 +63,8 @@
 	i.queue.Reopen()
 }
 
-// remaining returns the first of the reasons that hold; the caller holds mutex.
-func (i *Instance) remaining() (reason DrainReason, drains bool) {
+// firstReason returns the first of the reasons that hold; the caller holds mutex.
+func (i *Instance) firstReason() (reason DrainReason, drains bool) {
 	for _, reason := range drainReasons {
 		if i.reasons[reason] {
 			return reason, true
@@ -94,3 +92,30 @@
 	defer i.mutex.Unlock()
 	fire(i.lifecycle, triggerRetire)
 }
+
+// SetEvacuated makes all instances beside the daemon drain, those included that register
+// later, or ends that. From the return of SetEvacuated(true) on no call starts here; those
+// that run go on to their end. The callers' daemons choose other instances by themselves: this
+// guards against those that do not know the order yet.
+func (o *Origin) SetEvacuated(evacuated bool) {
+	o.evacuating.Lock()
+	defer o.evacuating.Unlock()
+	o.mutex.Lock()
+	before := o.evacuated
+	o.evacuated = evacuated
+	o.mutex.Unlock()
+	if before == evacuated {
+		return
+	}
+	instances := o.Instances()
+	for _, instance := range instances {
+		if evacuated {
+			instance.Drain(DrainEvacuated)
+			continue
+		}
+		instance.coldUntilHeartbeat()
+		instance.Resume(DrainEvacuated)
+	}
+	o.config.Logger.Info("instances.evacuated", "evacuated", evacuated, "instances", len(instances))
+	o.config.Changed()
+}
--- a/internal/requestpath/origin/exchange.go
+++ b/internal/requestpath/origin/exchange.go
@@ -32,10 +32,9 @@
 	backend *backend
 	conn    *connection
 	request *http.Request
-	// unwatch ends the closing of the connection at the end of the context.
+	// unwatch keeps the end of the context from closing the connection.
 	unwatch func() bool
-	// written is closed when the request was written; writeErr then tells how
-	// that ended.
+	// written is closed when the request was written; writeErr then tells how that ended.
 	written  chan struct{}
 	writeErr error
 	// stale is true when the connection brought an answer to another request, so that it
@@ -44,11 +43,11 @@
 	once  sync.Once
 }
 
-// run writes the request and reads the answer's head. A body that the caller
-// still sends is written at the same time, because the answer may come first.
+// run writes the request and reads the answer's head. A body that the caller still sends is written
+// at the same time, because the answer may come first.
 func (e *exchange) run(call *callapi.Call) (*http.Response, error) {
 	if call.Body == nil || call.Buffered {
-		// A failed write is no failure yet: a refusal may have come before.
+		// A failed write does not end the exchange: a refusal may have come before.
 		e.write()
 	} else {
 		go e.write()
@@ -86,7 +85,7 @@
 	}
 }
 
-// belongs reports whether an answer is that to this request.
+// belongs reports whether an answer is that to this request, by the request id that it echoes.
 func (e *exchange) belongs(response *http.Response) bool {
 	envelope := e.backend.envelope
 	if !envelope.EchoesRequestID {
@@ -142,7 +141,7 @@
 	return nil
 }
 
-// brokenCode tells why a call that was handed over got no whole answer.
+// brokenCode returns the code of a call that was sent and got no whole answer.
 func brokenCode(ctx context.Context) result.Code {
 	switch {
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
--- a/internal/requestpath/origin/handle.go
+++ b/internal/requestpath/origin/handle.go
@@ -13,15 +13,15 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Fence makes sure that an attempt is not started from now on, and reports
-// whether it was started before.
+// Fence makes sure that an attempt is not started from now on, and reports whether it was started
+// before.
 func (o *Origin) Fence(attempt string) (started bool) { return o.attempts.Fence(attempt) }
 
 // Handle implements callapi.Handler: it refuses the call, with an error that proves that it did not
 // run, or hands it to its instance once. refusal.go has the order of the conditions.
 func (o *Origin) Handle(ctx context.Context, call *callapi.Call) (*callapi.Answer, error) {
 	began := time.Now()
-	answer, err := o.contained(ctx, call)
+	answer, err := o.handleRecovering(ctx, call)
 	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
 		o.count(func(c *Counts) { c.Refused++ })
 	}
@@ -31,9 +31,9 @@
 	return answer, err
 }
 
-// contained carries a call out, and has a panic end that call only: the daemon would take all
-// its calls with it, and the request come again at the next one.
-func (o *Origin) contained(ctx context.Context, call *callapi.Call) (answer *callapi.Answer, err error) {
+// handleRecovering handles a call, and has a panic end that call only: it would end the daemon with
+// all its calls, and the request would be repeated at the next one.
+func (o *Origin) handleRecovering(ctx context.Context, call *callapi.Call) (answer *callapi.Answer, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			answer, err = nil, result.Errorf(result.CallUnknownOutcome, "panic: %v", cause)
@@ -77,8 +77,8 @@
 	return instance, checkRegion(open, o.config.Region)
 }
 
-// claimKey refuses a call whose idempotency key was seen here. release forgets
-// the key again when the call did not run.
+// claimKey refuses a call whose idempotency key was seen here. release forgets the key, for a call
+// that did not run. Errors: CallNotRunDuplicate.
 func (o *Origin) claimKey(open *lapisv1.CallOpen) (release func(), err error) {
 	if open.GetIdempotencyKey() == "" {
 		return func() {}, nil
@@ -91,7 +91,7 @@
 	return func() { o.keys.Forget(key) }, nil
 }
 
-// admissionRequest states what a call that came at the given time asks of the instance's queue.
+// admissionRequest returns what a call that came at the given time asks of its instance's queue.
 func admissionRequest(open *lapisv1.CallOpen, came time.Time) admission.Request {
 	request := admission.Request{
 		Group: open.GetGroup(), Background: open.GetBackground(), Upload: open.GetUpload(), Priority: open.GetPriority(),
@@ -115,9 +115,9 @@
 	if err != nil {
 		return nil, err
 	}
-	passedOn := false
+	handedOver := false
 	defer func() {
-		if !passedOn {
+		if !handedOver {
 			// A panic must not keep the slot.
 			slot.Release(false)
 		}
@@ -131,16 +131,15 @@
 		return nil, err
 	}
 	answer, err := o.run(ctx, instance, slot, call)
-	passedOn = true
+	handedOver = true
 	if err == nil {
 		o.logAnswer(instance, call, answer, waited)
 	}
 	return answer, err
 }
 
-// begin records that a call, which came at the given time, starts; from then on it may have
-// run. Errors, all proving that it did not start: CallNotRunStopping, CallNotRunQuarantined,
-// CallNotRunDuplicate.
+// begin records that a call, which came at the given time, starts; from then on it may have run.
+// Errors: those of checkQuarantine and checkShutdown, and CallNotRunDuplicate.
 func (o *Origin) begin(call *callapi.Call, came time.Time) error {
 	open := call.Open
 	if err := o.checkQuarantine(call); err != nil {
@@ -155,8 +154,7 @@
 	return nil
 }
 
-// RepeatShare returns the share, 0 to 1, of the calls that instances have now which are
-// repeats.
+// RepeatShare returns the share, 0 to 1, of repeats among the calls that instances have now.
 func (o *Origin) RepeatShare() float64 {
 	executing := o.executing.Load()
 	if executing <= 0 {
@@ -165,8 +163,8 @@
 	return min(float64(o.repeating.Load())/float64(executing), 1)
 }
 
-// execute counts a call as one that an instance has, until done is called.
-func (o *Origin) execute(call *callapi.Call) (done func()) {
+// countExecuting counts a call as executing, until done is called.
+func (o *Origin) countExecuting(call *callapi.Call) (done func()) {
 	repeats := int64(0)
 	if call.Open.GetRepeat() {
 		repeats = 1
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -15,8 +15,8 @@
 // with the error, or at the end of the answer. Errors: those of roundTrip, CallInstanceCrashed where
 // the instance ended under the call, and the instance's own refusal.
 func (o *Origin) run(ctx context.Context, instance *Instance, slot *admission.Slot, call *callapi.Call) (*callapi.Answer, error) {
-	handed := time.Now()
-	defer o.execute(call)()
+	sentAt := time.Now()
+	defer o.countExecuting(call)()
 	sent := track(call)
 	returned := false
 	defer func() {
@@ -48,10 +48,10 @@
 	o.noteRefuted(sent, response.StatusCode)
 	head := headOf(response)
 	head.Load = instance.queue.Load()
-	head.ServiceMicros = uint32(time.Since(handed).Microseconds())
+	head.ServiceMicros = uint32(time.Since(sentAt).Microseconds())
 	broke := func(err error) {
 		instance.noteCall(err, func() { o.probe(instance) })
-		o.logFailure(call, err, handed)
+		o.logFailure(call, err, sentAt)
 	}
 	body := &answerBody{body: response.Body, slot: slot, broke: broke}
 	return &callapi.Answer{
@@ -65,7 +65,7 @@
 // address.
 func (o *Origin) refusalOf(instance *Instance, response *http.Response) error {
 	if o.config.Envelope.ExpectedInstance != "" && response.StatusCode == http.StatusMisdirectedRequest {
-		o.replaced(instance)
+		o.markReplaced(instance)
 		return result.Errorf(result.CallNotRunUnknownHere, "another instance answers at the address of %s", instance.Name)
 	}
 	return instanceRefusal(response, &o.config.Envelope)
--- a/internal/requestpath/origin/health.go
+++ b/internal/requestpath/origin/health.go
@@ -17,19 +17,15 @@
 	case evidenceNoConnection:
 		i.noteConnection(err)
 	case evidenceBroke:
-		if i.noteBroken() {
+		i.mutex.Lock()
+		probeDue := i.reachability.noteBroken(time.Now())
+		i.mutex.Unlock()
+		if probeDue {
 			probe()
 		}
 	}
 }
 
-// noteBroken records that a call broke off; it reports whether the instance is to be probed.
-func (i *Instance) noteBroken() (probe bool) {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	return i.reachability.noteBroken(time.Now())
-}
-
 // noteConnection records whether the back end accepts connections; err tells why it does not.
 func (i *Instance) noteConnection(err error) {
 	i.mutex.Lock()
@@ -55,8 +51,8 @@
 	i.takeDown(downBroke)
 }
 
-// takeDown takes the instance as down by what its calls showed: what waits for it is refused, so
-// that it goes elsewhere, and so is what comes; the caller holds mutex.
+// takeDown takes the instance as down by what its calls showed: waiting and new calls are refused, so
+// that they go elsewhere; the caller holds mutex.
 func (i *Instance) takeDown(cause downCause) {
 	state := i.lifecycle.MustState()
 	if i.downByCalls || (state != StateReady && state != StateDown) {
@@ -74,14 +70,14 @@
 func (i *Instance) markDown(cause downCause) {
 	occupancy := i.queue.Occupancy()
 	i.logger.Info("instance.down", "instance", i.Name, "service", i.Service, "cause", string(cause),
-		"running", occupancy.Running, "waiting", occupancy.Waiting, "cold", i.coldness.is)
+		"running", occupancy.Running, "waiting", occupancy.Waiting, "cold", i.coldness.isCold)
 	fire(i.lifecycle, triggerDown)
 }
 
 // markUp records that the instance is up; the caller holds mutex.
 func (i *Instance) markUp() {
 	i.reachability.noteAnswer()
-	i.inFlight.markUp()
+	i.inFlight.clearCrash()
 	fire(i.lifecycle, triggerUp)
 	if !i.downByCalls || i.lifecycle.MustState() != StateReady {
 		return
@@ -109,8 +105,7 @@
 	}
 }
 
-// heartbeatAge returns how long ago the instance was heard; 0 for one that sends no
-// heartbeats.
+// heartbeatAge returns the time since the newest heartbeat; 0 for an instance that sends none.
 func (i *Instance) heartbeatAge() time.Duration {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/requestpath/origin/idlebound_test.go
+++ b/internal/requestpath/origin/idlebound_test.go
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			bound := &idleBound{}
 			for _, broke := range row.broken {
-				bound.noteForgotten(broke.rested, start.Add(broke.at))
+				bound.noteDropped(broke.rested, start.Add(broke.at))
 			}
 			assert.Equal(t, bound.allows(row.rested, keep, start.Add(row.after)), row.allowed)
 		})
--- a/internal/requestpath/origin/incarnation_test.go
+++ b/internal/requestpath/origin/incarnation_test.go
@@ -74,6 +74,6 @@
 		"drained by an operator, for long": {long, StateDrained, map[DrainReason]bool{DrainOperator: true}, false},
 		"retired":                          {long, StateRetired, nil, false},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, isOver(row.age, row.state, row.reasons), row.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, shouldDrop(row.age, row.state, row.reasons), row.want) })
 	}
 }
--- a/internal/requestpath/origin/inflight.go
+++ b/internal/requestpath/origin/inflight.go
@@ -36,7 +36,7 @@
 	return sent
 }
 
-// hashedBody hashes what is read.
+// hashedBody is the body of a call that is hashed as it is read.
 type hashedBody struct {
 	io.Reader
 	call *inFlightCall
@@ -52,7 +52,7 @@
 	return count, err
 }
 
-// isWhole reports whether the instance was sent the whole body.
+// isWhole reports whether the whole body was sent.
 func (c *inFlightCall) isWhole() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -73,7 +73,8 @@
 	return fingerprint.OfDigest(line, length, c.digest).Whole()
 }
 
-// allKeys returns also the key that the call would have had its body not been read to its end.
+// allKeys returns the keys and the partial one, under which a crash is recorded that came before the
+// body was read to its end.
 func (c *inFlightCall) allKeys() []fingerprint.Key {
 	keys := c.keys()
 	if c.open.GetContentLength() != 0 {
@@ -105,14 +106,14 @@
 	c.calls[sent] = true
 }
 
-// remove takes a call off that was answered, or did not run.
+// remove is for a call that was answered, or did not run.
 func (c *inFlightCalls) remove(ended *inFlightCall) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.calls, ended)
 }
 
-// removeUnanswered takes a call off that ended without an answer.
+// removeUnanswered is for a call that ended without an answer.
 func (c *inFlightCalls) removeUnanswered(ended *inFlightCall, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -124,16 +125,15 @@
 	}
 }
 
-// poll returns the number of calls that the instance has, and whether it was found to have
-// crashed.
+// poll returns the number of calls in flight, and whether the instance was found to have crashed.
 func (c *inFlightCalls) poll() (count int, crashed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.calls), c.crashed
 }
 
-// markCrashed records that the instance crashed and returns the calls that it had; first is false
-// when that was recorded before.
+// markCrashed records that the instance crashed and returns the calls that were in flight; first is
+// false when that was recorded before.
 func (c *inFlightCalls) markCrashed(now time.Time) (calls []*inFlightCall, first bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -153,8 +153,8 @@
 	return calls, true
 }
 
-// markUp records that the instance accepts connections.
-func (c *inFlightCalls) markUp() {
+// clearCrash forgets a crash, because the instance is up again.
+func (c *inFlightCalls) clearCrash() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.crashed = false
--- a/internal/requestpath/origin/instance.go
+++ b/internal/requestpath/origin/instance.go
@@ -113,14 +113,14 @@
 	}
 }
 
-// ended reports whether the instance is to be dropped; one that does not register never is.
-func (i *Instance) ended() bool {
+// shouldDrop reports whether the instance is to be dropped; one that does not register never is.
+func (i *Instance) shouldDrop() bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if !i.registered {
 		return false
 	}
-	return isOver(time.Since(i.lastHeartbeat), i.lifecycle.MustState().(State), i.reasons)
+	return shouldDrop(time.Since(i.lastHeartbeat), i.lifecycle.MustState().(State), i.reasons)
 }
 
 // watch follows the instance's state until it ended or ctx ends, and calls
@@ -137,7 +137,7 @@
 			announced = now
 			changed()
 		}
-		if i.ended() {
+		if i.shouldDrop() {
 			return
 		}
 		select {
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -26,8 +26,7 @@
 // Config configures an Origin.
 type Config struct {
 	Backends []BackendConfig
-	// Region is that of the daemon and of the instances beside it; empty where it is
-	// not known.
+	// Region is that of the daemon and its instances; empty where it is not known.
 	Region string
 	// QueueLength and QueueTime bound the waiting calls of each group.
 	QueueLength int
@@ -46,7 +45,6 @@
 	Logger    logr.Logger
 }
 
-// instanceKey names an instance.
 type instanceKey struct{ service, instance string }
 
 // Origin serves calls for the back ends beside the daemon. It is safe for concurrent use.
@@ -123,8 +121,8 @@
 	o.running.Wait()
 }
 
-// watch follows an instance while the origin runs, and drops it once it ended;
-// the caller holds mutex.
+// watch follows an instance while the origin runs, and drops it when it says so; the caller holds
+// mutex.
 func (o *Origin) watch(instance *Instance) {
 	ctx := o.runContext
 	if ctx == nil || ctx.Err() != nil {
@@ -138,7 +136,7 @@
 	})
 }
 
-// drop forgets an instance that ended and closes its connections.
+// drop forgets an instance and closes its connections.
 func (o *Origin) drop(instance *Instance) {
 	o.mutex.Lock()
 	delete(o.instances, instanceKey{instance.Service, instance.Name})
@@ -188,32 +186,31 @@
 	return instance, ok
 }
 
-// FollowMachineList drains or resumes the instances that the endpoints show as
-// draining although this daemon did not say so.
+// FollowMachineList drains the ready instances of node, this daemon, that the endpoints show as
+// draining, and resumes those that they show as ready.
 func (o *Origin) FollowMachineList(service string, endpoints []*lapisv1.Endpoint, node string) {
-	for _, statement := range endpoints {
-		instance, ok := o.instance(service, statement.GetInstance())
-		if !ok || statement.GetNode() != node {
+	for _, endpoint := range endpoints {
+		instance, ok := o.instance(service, endpoint.GetInstance())
+		if !ok || endpoint.GetNode() != node {
 			continue
 		}
-		if statement.GetState() == lapisv1.Endpoint_STATE_DRAINING && instance.State() == StateReady {
+		if endpoint.GetState() == lapisv1.Endpoint_STATE_DRAINING && instance.State() == StateReady {
 			instance.Drain(DrainMachineList)
 		}
-		if statement.GetState() == lapisv1.Endpoint_STATE_READY {
+		if endpoint.GetState() == lapisv1.Endpoint_STATE_READY {
 			instance.Resume(DrainMachineList)
 		}
 	}
 }
 
-// Drain bounds the calls that still start, those included that wait already: from now on
-// only those whose whole time is over by the given time. After Stop none does.
+// Drain bounds the calls that still start, those that wait already included: from now on only those
+// whose deadline is not after the given time. After Stop none does.
 func (o *Origin) Drain(by time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.shutdownBy = by
 }
 
-// shutdownTime returns when all calls must be over; zero while the daemon is not stopping.
 func (o *Origin) shutdownTime() time.Time {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
--- a/internal/requestpath/origin/quarantine.go
+++ b/internal/requestpath/origin/quarantine.go
@@ -33,7 +33,7 @@
 		return result.Wrap(result.CallNotRunExpired, err, "reading the request")
 	}
 	verdict := o.config.Crashes.Evaluate(fingerprint.Of(line, content).Whole(), call.Open.GetCallerService())
-	return Quarantined(verdict)
+	return QuarantineRefusal(verdict)
 }
 
 // bufferBody returns a short body and leaves it to be read again.
--- a/internal/requestpath/origin/refusal.go
+++ b/internal/requestpath/origin/refusal.go
@@ -103,9 +103,9 @@
 	return result.Errorf(result.CallNotRunUnreachable, "instance %s is down (%s)", instance, cause)
 }
 
-// Quarantined returns the error for a request that is quarantined, with the time until a trial of
+// QuarantineRefusal returns the error for a request that is quarantined, with the time until a trial of
 // it may run; nil for any other.
-func Quarantined(verdict quarantine.Verdict) error {
+func QuarantineRefusal(verdict quarantine.Verdict) error {
 	if !verdict.Quarantined {
 		return nil
 	}
--- a/internal/requestpath/origin/refusal_test.go
+++ b/internal/requestpath/origin/refusal_test.go
@@ -144,8 +144,8 @@
 // The refusal of a quarantined request tells when a trial of it may run, and how many instances
 // crashed; any other verdict refuses nothing.
 func TestQuarantinedNamesTheTimeOfATrial(t *testing.T) {
-	assert.NilError(t, Quarantined(quarantine.Verdict{}))
-	err := Quarantined(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second})
+	assert.NilError(t, QuarantineRefusal(quarantine.Verdict{}))
+	err := QuarantineRefusal(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second})
 	var refusal *result.Error
 	assert.Assert(t, errors.As(err, &refusal))
 	assert.Equal(t, refusal.Code, result.CallNotRunQuarantined)
--- a/internal/requestpath/origin/registration.go
+++ b/internal/requestpath/origin/registration.go
@@ -9,8 +9,7 @@
 // Registration is what an instance states of itself with each heartbeat.
 type Registration struct {
 	Service string
-	// Instance names one incarnation of the instance; a restart brings a new
-	// name.
+	// Instance names one incarnation of the instance; a restart brings a new name.
 	Instance string
 	Address  string
 	// Version is that of the instance's software, which does not change while it runs.
@@ -38,15 +37,15 @@
 		return
 	}
 	if fresh {
-		o.retireOthersAt(registration.Address, instance)
+		o.replaceOthersAt(registration.Address, instance)
 	}
 	if changed || fresh {
 		o.config.Changed()
 	}
 }
 
-// registered returns the instance that a heartbeat is from, which may be new; nil for one
-// that left before or whose address another one has.
+// registered returns the instance that a heartbeat is from, which may be new; nil where the
+// heartbeat counts for nothing.
 func (o *Origin) registered(registration Registration) (instance *Instance, fresh bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -158,3 +157,67 @@
 	i.markUp()
 	return changed || before != i.lifecycle.MustState()
 }
+
+// withdrawnMemory is how long it is remembered that an instance left, so that a late heartbeat does
+// not bring it back. Chosen, not measured; it must be longer than a heartbeat may be held up.
+const withdrawnMemory = 10 * time.Minute
+
+// Withdraw drains an instance for good: it gets no call from now on, those that it has go on, and
+// no heartbeat brings it back.
+func (o *Origin) Withdraw(name string) {
+	o.mutex.Lock()
+	_, before := o.withdrawn[name]
+	o.withdrawn[name] = time.Now()
+	o.mutex.Unlock()
+	for _, instance := range o.Instances() {
+		if instance.Name == name {
+			instance.Drain(DrainInstance)
+		}
+	}
+	if !before {
+		o.config.Logger.Info("instance.leaving", "instance", name)
+		o.config.Changed()
+	}
+}
+
+func (o *Origin) isWithdrawn(name string) bool {
+	o.mutex.RLock()
+	defer o.mutex.RUnlock()
+	_, left := o.withdrawn[name]
+	return left
+}
+
+// Withdrawn returns the instances that left.
+func (o *Origin) Withdrawn() []string {
+	o.mutex.RLock()
+	defer o.mutex.RUnlock()
+	names := make([]string, 0, len(o.withdrawn))
+	for name := range o.withdrawn {
+		names = append(names, name)
+	}
+	return names
+}
+
+// forgetWithdrawn drops what is old; the caller holds mutex.
+func (o *Origin) forgetWithdrawn() {
+	for name, at := range o.withdrawn {
+		if time.Since(at) > withdrawnMemory {
+			delete(o.withdrawn, name)
+		}
+	}
+}
+
+// replaceOthersAt withdraws the other instances that registered at the address of a new one.
+func (o *Origin) replaceOthersAt(address string, except *Instance) {
+	for _, instance := range o.Instances() {
+		if instance != except && instance.backend.address == address && instance.registered {
+			o.markReplaced(instance)
+		}
+	}
+}
+
+// markReplaced withdraws an instance whose address another one has.
+func (o *Origin) markReplaced(instance *Instance) {
+	instance.Drain(DrainReplaced)
+	o.Withdraw(instance.Name)
+}
--- a/internal/requestpath/origin/decisions.go
+++ b/internal/requestpath/origin/requestlog.go
@@ -10,7 +10,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Names of the origin's events; docs/OPERATIONS.md lists their keys.
+// Names of the events about calls; docs/OPERATIONS.md lists their keys.
 const (
 	// eventRefused is for a call that did not run, eventBroke for one that may
 	// have, eventAnswered for one that was answered.
@@ -21,8 +21,7 @@
 	eventPanicked = "origin.panicked"
 )
 
-// requestID returns the caller's id of the request that a call is for; empty
-// where there is none.
+// requestID returns the caller's id of a call's request; empty where there is none.
 func (o *Origin) requestID(call *callapi.Call) string {
 	name := o.config.Envelope.RequestID
 	if name == "" {
@@ -36,8 +35,7 @@
 	return ""
 }
 
-// logFailure writes the line of a call that got no answer, with what the
-// instance had to do then.
+// logFailure writes the line of a call that got no answer, with the load of its instance.
 func (o *Origin) logFailure(call *callapi.Call, err error, began time.Time) {
 	open := call.Open
 	event := eventBroke
--- a/internal/requestpath/origin/response.go
+++ b/internal/requestpath/origin/response.go
@@ -12,7 +12,6 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// headOf converts the head of a response.
 func headOf(response *http.Response) *lapisv1.CallHead {
 	head := &lapisv1.CallHead{Status: uint32(response.StatusCode), ContentLength: response.ContentLength}
 	head.Headers = fieldsOf(response.Header)
@@ -35,15 +34,14 @@
 	return fields
 }
 
-// hopByHop names the fields that concern one connection only (RFC 9110,
-// section 7.6.1), in canonical form.
+// hopByHop names the fields of one connection only (RFC 9110, section 7.6.1), in canonical form.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 }
 
-// keepAliveOf returns how long the back end keeps a connection after this
-// answer, less a margin; ok is false when it does not say, or not in seconds.
+// keepAliveOf returns how long the back end keeps a connection after this answer, less
+// keepAliveMargin; ok is false when it does not say, or not in seconds.
 func keepAliveOf(header http.Header) (keep time.Duration, ok bool) {
 	for _, value := range header.Values("Keep-Alive") {
 		for _, part := range strings.Split(value, ",") {
