--- a/internal/requestpath/admission/doc.go
+++ b/internal/requestpath/admission/doc.go
@@ -5,7 +5,7 @@
 // weighted fair queueing over the time that calls occupy them (fairness.go), and the calls of
 // one group are ordered by urgency (order.go). Two bounds hold beside the number of slots: an
 // adaptive concurrency limit (limit.go) that falls when the back end sheds load, and a token
-// bucket (pace.go, bucket.go) for a back end in slow start. Whether an arriving call starts,
+// bucket (pace.go) for a back end in slow start. Whether an arriving call starts,
 // waits or is refused, and when a refused one may come back, is decided in decision.go.
 //
 // The package owns one Queue for each back end: its waiting calls, the counts of running
--- a/internal/requestpath/admission/fairness.go
+++ b/internal/requestpath/admission/fairness.go
@@ -27,13 +27,11 @@
 	background  *list.List
 }
 
-// active reports whether the group has calls.
 func (g *group) active() bool {
 	return g.running > 0 || g.interactive.Len() > 0 || g.background.Len() > 0
 }
 
-// waitingFor returns the list in which a request of the group waits.
-func (g *group) waitingFor(request Request) *list.List {
+func (g *group) queueOf(request Request) *list.List {
 	if request.Background {
 		return g.background
 	}
--- a/internal/requestpath/admission/limit.go
+++ b/internal/requestpath/admission/limit.go
@@ -22,7 +22,7 @@
 
 // concurrencyLimit is the number of calls that may run at once, which follows what the back
 // end sheds: additive decrease with each shed call, additive increase after a row of served
-// ones. The zero value is no limit of any use; newLimit makes one.
+// ones. Create it with newLimit.
 type concurrencyLimit struct {
 	// slots is the configured bound, and current what holds now, at least 1 where slots is.
 	slots, current int
@@ -43,16 +43,16 @@
 }
 
 // adapt follows the end of a call, with whether the back end shed it and the calls that ran
-// beside it (among, this one included) and still run. The conditions, in this order:
+// beside it (concurrent, this one included) and still run. The conditions, in this order:
 //
 //  1. shed with little running: the cause is not load; the limit is restored, and shedding says
 //     nothing for a while;
 //  2. shed within that while: no change;
 //  3. shed otherwise: one below what runs, or below the limit where that is lower;
 //  4. not shed: one more after increaseAfter of them.
-func (l *concurrencyLimit) adapt(shed bool, among, running int, now time.Time) {
+func (l *concurrencyLimit) adapt(shed bool, concurrent, running int, now time.Time) {
 	switch {
-	case shed && float64(among) <= fewRunning*float64(l.slots):
+	case shed && float64(concurrent) <= fewRunning*float64(l.slots):
 		l.unrelatedUntil = now.Add(unrelatedFor)
 		l.current = l.slots
 	case shed && now.Before(l.unrelatedUntil):
--- a/internal/requestpath/admission/pace.go
+++ b/internal/requestpath/admission/pace.go
@@ -1,6 +1,9 @@
 package admission
 
-import "time"
+import (
+	"math"
+	"time"
+)
 
 // Constants of a pace.
 const (
@@ -26,6 +29,9 @@
 	// leastBurst lets a call go at all: a bucket that holds less than one token never
 	// admits any.
 	leastBurst = 1
+	// tokenRounding is what a sum of parts of a token may lack of a whole one, in tokens. It is far
+	// above the rounding error of such a sum in float64 (about 1e-15) and far below one token.
+	tokenRounding = 1e-6
 )
 
 // Pace bounds how many calls a queue admits in a time, beside how many run at once: a back end
@@ -62,15 +68,14 @@
 	return Pace{PerSecond: min(perSecond, max(allowed-burst, least)), Burst: burst}
 }
 
-// holds reports whether the pace bounds what is admitted now.
-func (p Pace) holds(now time.Time) bool {
+func (p Pace) inForce(now time.Time) bool {
 	return p.PerSecond > 0 && (p.Until.IsZero() || now.Before(p.Until))
 }
 
 // PaceUse is how far a queue's pace is used.
 type PaceUse struct {
-	// PerSecond (calls a second) and Tokens (calls that may start now) are 0 while no pace
-	// holds.
+	// PerSecond (calls a second) and Tokens (calls that may start now) are 0 while no pace is in
+	// force.
 	PerSecond, Tokens float64
 	// Admitted are the calls that took a token, and Refused those for which the pace left no
 	// time, since the queue began.
@@ -82,17 +87,16 @@
 func (q *Queue) SetPace(pace Pace) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.bucket.follow(pace, q.now())
+	q.bucket.setPace(pace, q.now())
 	q.dispatch()
 }
 
-// PaceUse returns how far the pace is used.
 func (q *Queue) PaceUse() PaceUse {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	use := PaceUse{Admitted: q.pacedCalls, Refused: q.paceRefusals}
 	now := q.now()
-	if q.bucket.pace.holds(now) {
+	if q.bucket.pace.inForce(now) {
 		q.bucket.refill(now)
 		use.PerSecond = q.bucket.pace.PerSecond
 		use.Tokens = max(q.bucket.tokens, 0)
@@ -118,3 +122,75 @@
 	defer q.mutex.Unlock()
 	q.dispatch()
 }
+
+// bucket holds the tokens of a pace: each admitted call takes one. The times passed in must not go
+// back.
+type bucket struct {
+	pace       Pace
+	tokens     float64
+	refilledAt time.Time
+}
+
+// setPace replaces the pace. One that begins starts without tokens, as if the last second were
+// used up: a daemon that starts anew does not know what its predecessor admitted. One that
+// goes on keeps what it has.
+func (b *bucket) setPace(pace Pace, now time.Time) {
+	b.refill(now)
+	if !b.pace.inForce(now) {
+		b.tokens = 0
+	}
+	b.pace = pace
+	b.tokens = min(b.tokens, pace.Burst)
+	b.refilledAt = now
+}
+
+func (b *bucket) refill(now time.Time) {
+	elapsed := now.Sub(b.refilledAt)
+	if elapsed <= 0 {
+		return
+	}
+	b.tokens = min(b.tokens+elapsed.Seconds()*b.pace.PerSecond, b.pace.Burst)
+	b.refilledAt = now
+}
+
+// allows reports whether a call may be admitted now.
+func (b *bucket) allows(now time.Time) bool {
+	if !b.pace.inForce(now) {
+		return true
+	}
+	b.refill(now)
+	return b.tokens >= 1-tokenRounding
+}
+
+// take uses up a token; it reports whether the pace is in force.
+func (b *bucket) take(now time.Time) bool {
+	if !b.pace.inForce(now) {
+		return false
+	}
+	b.refill(now)
+	b.tokens--
+	return true
+}
+
+// wait returns how long the call behind so many others waits for its token; at most until the
+// pace ends.
+func (b *bucket) wait(ahead int, now time.Time) time.Duration {
+	if !b.pace.inForce(now) {
+		return 0
+	}
+	b.refill(now)
+	missing := max(float64(ahead)+1-tokenRounding-b.tokens, 0)
+	wait := durationOf(missing / b.pace.PerSecond)
+	if b.pace.Until.IsZero() {
+		return wait
+	}
+	return min(wait, b.pace.Until.Sub(now))
+}
+
+// durationOf converts seconds, rounded up and capped at the longest duration.
+func durationOf(seconds float64) time.Duration {
+	if seconds >= math.MaxInt64/float64(time.Second) {
+		return math.MaxInt64
+	}
+	return time.Duration(math.Ceil(seconds * float64(time.Second)))
+}
--- a/internal/requestpath/admission/queue.go
+++ b/internal/requestpath/admission/queue.go
@@ -33,15 +33,15 @@
 	pacedCalls, paceRefusals int64
 }
 
-// waiter is a call in the queue. Exactly one message is sent on granted: nil when the call got
+// waiter is a call in the queue. Exactly one message is sent on outcome: nil when the call got
 // a slot, the refusal otherwise.
 type waiter struct {
 	request  Request
 	queued   time.Time
 	deadline time.Time
-	granted  chan error
+	outcome  chan error
 	element  *list.Element
-	list     *list.List
+	queue    *list.List
 }
 
 // NewQueue returns a queue; now gives the time of a steady clock.
@@ -61,8 +61,7 @@
 	q.dispatch()
 }
 
-// Close refuses all waiting and later calls with reason. Running calls are not
-// touched.
+// Close refuses all waiting and later calls with reason; running calls go on.
 func (q *Queue) Close(reason *result.Error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -84,7 +83,7 @@
 func refuseAll(waiting *list.List, reason error) {
 	for element := waiting.Front(); element != nil; element = waiting.Front() {
 		waiting.Remove(element)
-		element.Value.(*waiter).granted <- reason
+		element.Value.(*waiter).outcome <- reason
 	}
 }
 
@@ -99,7 +98,7 @@
 	timer := time.NewTimer(waiting.deadline.Sub(waiting.queued))
 	defer timer.Stop()
 	select {
-	case err = <-waiting.granted:
+	case err = <-waiting.outcome:
 	case <-timer.C:
 		err = q.abandon(waiting, q.waitedTooLong())
 	case <-ctx.Done():
@@ -132,7 +131,7 @@
 // queueOrRefuse is enter for a call that finds no free slot; the caller holds mutex.
 func (q *Queue) queueOrRefuse(request Request, now time.Time) (*waiter, *Slot, error) {
 	g := q.groupOf(request.Group)
-	waiting := g.waitingFor(request)
+	waiting := g.queueOf(request)
 	expected := q.expectedWait(g, ahead(waiting, request, now), now)
 	verdict, deadline := decideWait(request, waiting.Len(), expected, q.limits, now)
 	switch verdict {
@@ -141,7 +140,7 @@
 	case actionRefuseFull:
 		return nil, nil, q.refuse(expected, "the queue of group "+request.Group+" is full")
 	}
-	entered := &waiter{request: request, queued: now, deadline: deadline, granted: make(chan error, 1), list: waiting}
+	entered := &waiter{request: request, queued: now, deadline: deadline, outcome: make(chan error, 1), queue: waiting}
 	entered.element = waiting.PushBack(entered)
 	q.dispatch()
 	return entered, nil, nil
@@ -173,12 +172,12 @@
 	return q.refuse(waitEstimate{forSlot: q.meanService, forToken: q.bucket.wait(0, q.now())}, "the wait was too long")
 }
 
-// abandon takes a waiter out of the queue. One that was granted or refused in the same moment
-// gives its slot back.
+// abandon takes a waiter out of the queue; one that was granted a slot in the same moment gives it
+// back. It returns reason.
 func (q *Queue) abandon(waiting *waiter, reason error) error {
 	q.mutex.Lock()
 	select {
-	case err := <-waiting.granted:
+	case err := <-waiting.outcome:
 		q.mutex.Unlock()
 		if err == nil {
 			q.slotFor(waiting).Release(false)
@@ -186,7 +185,7 @@
 		return reason
 	default:
 	}
-	waiting.list.Remove(waiting.element)
+	waiting.queue.Remove(waiting.element)
 	q.mutex.Unlock()
 	return reason
 }
@@ -208,8 +207,8 @@
 			q.awaitToken(now)
 			return
 		}
-		next.list.Remove(next.element)
+		next.queue.Remove(next.element)
 		q.start(q.groupOf(next.request.Group), next.request, now)
-		next.granted <- nil
+		next.outcome <- nil
 	}
 }
--- a/internal/requestpath/admission/slot.go
+++ b/internal/requestpath/admission/slot.go
@@ -12,9 +12,9 @@
 	group   *group
 	upload  bool
 	started time.Time
-	// among is the number of calls that ran when it was given, this one included.
-	among int
-	once  sync.Once
+	// concurrent is the number of calls that ran when it was given, this one included.
+	concurrent int
+	once       sync.Once
 }
 
 // start takes a free slot; the caller holds mutex.
@@ -28,14 +28,15 @@
 	if q.bucket.take(now) {
 		q.pacedCalls++
 	}
-	return &Slot{queue: q, group: g, upload: request.Upload, started: now, among: q.running}
+	return &Slot{queue: q, group: g, upload: request.Upload, started: now, concurrent: q.running}
 }
 
-// slotFor returns the slot of a waiter that was granted one.
+// slotFor returns the slot of a waiter that was granted one by dispatch. Its time begins now, when the
+// caller goes on, and not with the grant.
 func (q *Queue) slotFor(waiting *waiter) *Slot {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return &Slot{queue: q, group: q.groupOf(waiting.request.Group), upload: waiting.request.Upload, started: q.now(), among: q.running}
+	return &Slot{queue: q, group: q.groupOf(waiting.request.Group), upload: waiting.request.Upload, started: q.now(), concurrent: q.running}
 }
 
 // Release gives the slot back. shed tells that the back end refused the call
@@ -56,7 +57,7 @@
 	} else {
 		q.noteService(now.Sub(slot.started))
 	}
-	q.limit.adapt(shed, max(slot.among, q.running+1), q.running, now)
+	q.limit.adapt(shed, max(slot.concurrent, q.running+1), q.running, now)
 	q.dispatch()
 	if q.running == 0 && q.idle != nil {
 		close(q.idle)
--- a/internal/requestpath/origin/connection.go
+++ b/internal/requestpath/origin/connection.go
@@ -72,8 +72,9 @@
 	}
 }
 
-// get returns a connection that is ready for an exchange, the one used last first. Errors: CallNotRunUnreachable, CallNotRunOverloaded when the limit is
-// reached, CallNotRunExpired when ctx ended.
+// get returns a connection that is ready for an exchange, the one used last first. Errors:
+// CallNotRunUnreachable, CallNotRunOverloaded when the limit is reached, CallNotRunExpired when ctx
+// ended.
 func (p *connectionPool) get(ctx context.Context) (*connection, error) {
 	for {
 		conn, err := p.take()
--- a/internal/requestpath/origin/constants_test.go
+++ b/internal/requestpath/origin/constants_test.go
@@ -32,7 +32,7 @@
 		{"probes of an instance do not overlap", backendDialTimeout, probeSpacing},
 		{"calls given up before a crash still count when it is found", crashPolls*crashPollInterval + crashProbeTimeout, recentCallWindow},
 		{"a stated time less its margin is some time", keepAliveMargin, backendIdleTimeout},
-		{"a lowered rest holds for more than one rest", backendIdleTimeout, idleMemory},
+		{"a lowered bound holds for longer than a connection is kept idle", backendIdleTimeout, idleMemory},
 		{"an attempt is remembered for as long as it may wait", admission.BackgroundFactor * queueTime, attemptMemory},
 		{"a caller's key outlasts its attempts", attemptMemory, keyMemory},
 		{"an instance that comes back after a cold crash is paced cautiously", heartbeatSilence, cautiousFor},
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -15,7 +15,7 @@
 // with the error, or at the end of the answer. Errors: those of roundTrip, CallInstanceCrashed where
 // the instance ended under the call, and the instance's own refusal.
 func (o *Origin) run(ctx context.Context, instance *Instance, slot *admission.Slot, call *callapi.Call) (*callapi.Answer, error) {
-	sentAt := time.Now()
+	began := time.Now()
 	defer o.countExecuting(call)()
 	sent := track(call)
 	returned := false
@@ -48,10 +48,10 @@
 	o.noteRefuted(sent, response.StatusCode)
 	head := headOf(response)
 	head.Load = instance.queue.Load()
-	head.ServiceMicros = uint32(time.Since(sentAt).Microseconds())
+	head.ServiceMicros = uint32(time.Since(began).Microseconds())
 	broke := func(err error) {
 		instance.noteCall(err, func() { o.probe(instance) })
-		o.logFailure(call, err, sentAt)
+		o.logFailure(call, err, began)
 	}
 	body := &answerBody{body: response.Body, slot: slot, broke: broke}
 	return &callapi.Answer{
--- a/internal/requestpath/origin/idlebound_test.go
+++ b/internal/requestpath/origin/idlebound_test.go
@@ -10,27 +10,27 @@
 func TestIdleBound(t *testing.T) {
 	const keep = 4 * time.Second
 	start := time.Unix(1000, 0)
-	type breakage struct{ at, rested time.Duration }
+	type breakage struct{ at, idleFor time.Duration }
 	for name, row := range map[string]struct {
 		broken  []breakage
 		after   time.Duration
-		rested  time.Duration
+		idleFor time.Duration
 		allowed bool
 	}{
-		"nothing learned":           {rested: 3 * time.Second, allowed: true},
-		"as long as it broke":       {broken: []breakage{{0, 300 * time.Millisecond}}, rested: 300 * time.Millisecond},
-		"shorter than it broke":     {broken: []breakage{{0, 300 * time.Millisecond}}, rested: 100 * time.Millisecond, allowed: true},
-		"the shortest counts":       {broken: []breakage{{0, 300 * time.Millisecond}, {1, 2 * time.Second}}, rested: 200 * time.Millisecond},
-		"it is tried again later":   {broken: []breakage{{0, 300 * time.Millisecond}}, after: 11 * time.Second, rested: time.Second, allowed: true},
-		"the back end's own bound":  {rested: 5 * time.Second},
-		"a break after long is new": {broken: []breakage{{0, 300 * time.Millisecond}, {11 * time.Second, 2 * time.Second}}, after: 12 * time.Second, rested: 900 * time.Millisecond, allowed: true},
+		"nothing learned":           {idleFor: 3 * time.Second, allowed: true},
+		"as long as it broke":       {broken: []breakage{{0, 300 * time.Millisecond}}, idleFor: 300 * time.Millisecond},
+		"shorter than it broke":     {broken: []breakage{{0, 300 * time.Millisecond}}, idleFor: 100 * time.Millisecond, allowed: true},
+		"the shortest counts":       {broken: []breakage{{0, 300 * time.Millisecond}, {1, 2 * time.Second}}, idleFor: 200 * time.Millisecond},
+		"it is tried again later":   {broken: []breakage{{0, 300 * time.Millisecond}}, after: 11 * time.Second, idleFor: time.Second, allowed: true},
+		"the back end's own bound":  {idleFor: 5 * time.Second},
+		"a break after long is new": {broken: []breakage{{0, 300 * time.Millisecond}, {11 * time.Second, 2 * time.Second}}, after: 12 * time.Second, idleFor: 900 * time.Millisecond, allowed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bound := &idleBound{}
 			for _, broke := range row.broken {
-				bound.noteDropped(broke.rested, start.Add(broke.at))
+				bound.noteDropped(broke.idleFor, start.Add(broke.at))
 			}
-			assert.Equal(t, bound.allows(row.rested, keep, start.Add(row.after)), row.allowed)
+			assert.Equal(t, bound.allows(row.idleFor, keep, start.Add(row.after)), row.allowed)
 		})
 	}
 }
--- a/internal/requestpath/origin/incarnation.go
+++ b/internal/requestpath/origin/incarnation.go
@@ -52,8 +52,8 @@
 	return state == StateReady || (reasons[DrainEvacuated] && !reasons[DrainInstance] && !reasons[DrainReplaced])
 }
 
-// shouldDrop reports whether an instance that registered is to be dropped: it left for good and no call
-// of it is in flight, or it is down and was silent for long. One that drains for another reason
+// shouldDrop reports whether an instance that registered is to be dropped: it left for good and no
+// call of it is in flight, or it is down and was silent for long. One that drains for another reason
 // stays, however long it is silent, because it may be resumed.
 func shouldDrop(heartbeatAge time.Duration, state State, reasons map[DrainReason]bool) bool {
 	switch state {
--- a/internal/requestpath/origin/liveness.go
+++ b/internal/requestpath/origin/liveness.go
@@ -16,7 +16,7 @@
 //
 //   - May calls be sent to it? (reachability) A wrong "down" takes an instance's capacity away
 //     until its next heartbeat, a wrong "up" costs each call that is sent there. Single calls
-//     break for many reasons (a connection that rested too long, a reset), so that several
+//     break for many reasons (a connection that was idle for too long, a reset), so that several
 //     failures are needed, or one broken call together with a refused connection.
 //   - Did the process end under its calls? (nextCrashCheck) The answer is counted against
 //     every request that was in flight, and three of them hold a request back everywhere
@@ -34,7 +34,7 @@
 	downAfterFailures = 3
 	// probeAfterBroken is the number of calls that broke off within brokenCallWindow,
 	// without an answer in between, after which the instance is probed for a connection.
-	// Both are chosen, not measured; single calls break because a connection rested too long
+	// Both are chosen, not measured; single calls break because a connection was idle for too long
 	// or was reset.
 	probeAfterBroken = 3
 	brokenCallWindow = 500 * time.Millisecond
--- a/internal/requestpath/origin/refusal.go
+++ b/internal/requestpath/origin/refusal.go
@@ -103,8 +103,8 @@
 	return result.Errorf(result.CallNotRunUnreachable, "instance %s is down (%s)", instance, cause)
 }
 
-// QuarantineRefusal returns the error for a request that is quarantined, with the time until a trial of
-// it may run; nil for any other.
+// QuarantineRefusal returns the error for a request that is quarantined, with the time until a trial
+// of it may run; nil for any other.
 func QuarantineRefusal(verdict quarantine.Verdict) error {
 	if !verdict.Quarantined {
 		return nil
--- a/internal/requestpath/origin/suspended_test.go
+++ b/internal/requestpath/origin/suspended_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// A connection that rested while the machine was suspended rested that long for the
+// A connection that was idle while the machine was suspended was idle that long for the
 // instance, which may have closed or forgotten it.
 func TestConnectionsRestWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
