--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -91,6 +91,6 @@
 	results.Info("emulate.finished", "seed", plan.Options.Seed, "served", summary.Served, "refused", summary.Refused,
 		"failed", summary.Failed, "p50_ms", millis(summary.LatencyP50.Microseconds()), "p99_ms", millis(summary.LatencyP99.Microseconds()),
 		"changes", summary.Changes, "convergence_ms", millis(summary.Convergence.Microseconds()), "repeats", summary.Repeats,
-		"cut_at_stops", summary.CutAtStops, "fell_over", summary.Falls, "broken", len(summary.Breaches))
+		"cut_at_stops", summary.CutAtStops, "fell_over", summary.ColdCrashes, "broken", len(summary.Breaches))
 	return len(summary.Breaches), nil
 }
--- a/internal/lab/emulator/client/burst.go
+++ b/internal/lab/emulator/client/burst.go
@@ -27,9 +27,9 @@
 	burst     Burst
 	transport *http.Transport
 
-	// mutex protects resting, the kept connections by address.
-	mutex   sync.Mutex
-	resting map[string][]*aheadConn
+	// mutex protects idle, the kept connections by address.
+	mutex sync.Mutex
+	idle  map[string][]*aheadConn
 }
 
 // aheadConn is a connection on which requests are sent ahead.
@@ -41,7 +41,7 @@
 // sendBursts sends bursts until ctx ends, and waits for those on their way.
 func (l *Load) sendBursts(ctx context.Context, burst Burst, random *rand.Rand) {
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
-	sending := &sender{load: l, burst: burst, transport: transport, resting: map[string][]*aheadConn{}}
+	sending := &sender{load: l, burst: burst, transport: transport, idle: map[string][]*aheadConn{}}
 	defer sending.close()
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -61,12 +61,12 @@
 	deadline time.Time
 }
 
-// send sends one burst and sees each of its requests through.
+// send sends one burst and handles its answers.
 func (s *sender) send(target Target) {
 	address := target.Address()
 	conn, err := s.take(address)
 	if err != nil {
-		s.again(target, s.burst.Classes)
+		s.retry(target, s.burst.Classes)
 		return
 	}
 	requests := make([]*sent, 0, len(s.burst.Classes))
@@ -99,15 +99,15 @@
 		response, err := http.ReadResponse(conn.reader, one.request)
 		if err != nil {
 			_ = conn.Close()
-			s.broke(target, requests[index:])
+			s.retryBroken(target, requests[index:])
 			return
 		}
-		outcome, _, again := s.load.judge(one.class, one.id, response)
+		outcome, _, again := s.load.evaluate(one.class, one.id, response)
 		_ = response.Body.Close()
 		if outcome == Served || !again {
 			s.load.Tally.add(outcome, time.Since(one.started))
 		} else {
-			s.again(target, []Class{one.class})
+			s.retry(target, []Class{one.class})
 		}
 		if response.Close {
 			_ = conn.Close()
@@ -118,12 +118,11 @@
 	s.put(address, conn)
 }
 
-// broke ends requests whose connection broke: only what may run twice is sent
-// again.
-func (s *sender) broke(target Target, requests []*sent) {
+// retryBroken is for requests whose connection broke: only what may run twice is sent again.
+func (s *sender) retryBroken(target Target, requests []*sent) {
 	for _, one := range requests {
 		if one.class.Safe {
-			s.again(target, []Class{one.class})
+			s.retry(target, []Class{one.class})
 			continue
 		}
 		s.load.Tally.add(Failed, time.Since(one.started))
@@ -134,12 +133,12 @@
 func (s *sender) notRead(target Target, requests []*sent) {
 	for _, one := range requests {
 		s.load.Ledger.Answered(promise.Answer{Request: one.id, NotRead: true})
-		s.again(target, []Class{one.class})
+		s.retry(target, []Class{one.class})
 	}
 }
 
-// again sees requests through on connections of their own.
-func (s *sender) again(target Target, classes []Class) {
+// retry sends requests on connections of their own.
+func (s *sender) retry(target Target, classes []Class) {
 	for _, class := range classes {
 		s.load.request(class, target, s.transport, make([]byte, class.BodyBytes))
 	}
@@ -147,10 +146,10 @@
 
 func (s *sender) take(address string) (*aheadConn, error) {
 	s.mutex.Lock()
-	kept := s.resting[address]
+	kept := s.idle[address]
 	if len(kept) > 0 {
 		conn := kept[len(kept)-1]
-		s.resting[address] = kept[:len(kept)-1]
+		s.idle[address] = kept[:len(kept)-1]
 		s.mutex.Unlock()
 		return conn, nil
 	}
@@ -165,13 +164,13 @@
 func (s *sender) put(address string, conn *aheadConn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.resting[address] = append(s.resting[address], conn)
+	s.idle[address] = append(s.idle[address], conn)
 }
 
 func (s *sender) close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, kept := range s.resting {
+	for _, kept := range s.idle {
 		for _, conn := range kept {
 			_ = conn.Close()
 		}
--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// request sees one request through its tries.
+// request sends one request, with its retries.
 func (l *Load) request(class Class, target Target, transport *http.Transport, body []byte) {
 	started := time.Now()
 	deadline := started.Add(class.Deadline)
@@ -183,7 +183,7 @@
 		return Failed, 0, class.Safe
 	}
 	defer func() { _ = response.Body.Close() }()
-	return l.judge(class, id, response)
+	return l.evaluate(class, id, response)
 }
 
 // announce enters a request that waits for so many milliseconds into the ledger and
@@ -219,8 +219,9 @@
 	return request, nil
 }
 
-// judge notes an answer and tells what comes next.
-func (l *Load) judge(class Class, id string, response *http.Response) (Outcome, time.Duration, bool) {
+// evaluate records an answer. Like attempt it returns how long to wait before another try, and
+// whether there may be one.
+func (l *Load) evaluate(class Class, id string, response *http.Response) (Outcome, time.Duration, bool) {
 	received, readErr := io.ReadAll(response.Body)
 	stamp := response.Header.Get(platform.HeaderStamp)
 	success := response.StatusCode/100 == 2
--- a/internal/lab/emulator/day/day_test.go
+++ b/internal/lab/emulator/day/day_test.go
@@ -176,10 +176,8 @@
 	}
 }
 
-// After planned stops of all daemons in turn every instance is used again: on
-// day trouble-2 of the users' bench each stop had taken an instance away for
-// good, because the others took the stopping daemon's word that its instance
-// took no more work for the instance's own.
+// After planned stops of all daemons in turn every instance is used again: what a stopping daemon
+// reports of its instance must not count as the instance's own drain, which is for good.
 func TestInstancesAreUsedAgainAfterPlannedStops(t *testing.T) {
 	site, tally, stop := start(t)
 	awaitServed(t, tally, 50)
@@ -212,13 +210,13 @@
 	leaving := machine.Instance()
 	left := make(chan bool, 1)
 	go func() {
-		acknowledged := leaving.Leave(context.Background(), 3*time.Second, false)
+		acknowledged := leaving.Shutdown(context.Background(), 3*time.Second, false)
 		left <- acknowledged
 	}()
 	for running := machine.Daemon(); running.ReadyEndpoints("desk") == 3; {
 		time.Sleep(5 * time.Millisecond)
 	}
-	// The news is with the others before the daemon is killed.
+	// The others know it before the daemon is killed.
 	for _, other := range site.Machines[1:] {
 		for other.Daemon().ReadyEndpoints("desk") == 3 {
 			time.Sleep(5 * time.Millisecond)
@@ -231,7 +229,7 @@
 		assert.NilError(t, ctx.Err())
 		time.Sleep(5 * time.Millisecond)
 	}
-	leaving.BeatLate(ctx)
+	leaving.SendLateHeartbeat(ctx)
 	awaitServed(t, tally, 200)
 	assert.Assert(t, <-left)
 	stop()
@@ -299,11 +297,11 @@
 func TestForgottenHistory(t *testing.T) {
 	site, tally, stop := start(t)
 	awaitServed(t, tally, 50)
-	site.Store.SetFaults(objectstore.Faults{Deaf: true})
+	site.Store.SetFaults(objectstore.Faults{FreezeWatches: true})
 	version, err := site.Declare(routes)
 	assert.NilError(t, err)
 	site.Store.SetFaults(objectstore.Faults{})
-	site.Store.Forget()
+	site.Store.CompactHistory()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	assert.NilError(t, site.AwaitInForce(ctx, version))
--- a/internal/lab/emulator/day/machine.go
+++ b/internal/lab/emulator/day/machine.go
@@ -30,9 +30,9 @@
 	// host is the machine's own loopback address, and store where the store
 	// serves it.
 	host, store string
-	// daemons is held while the daemon is ended and started again, beside while
+	// daemonLock is held while the daemon is ended and started again, instanceLock while
 	// the instance is.
-	daemons, beside sync.Mutex
+	daemonLock, instanceLock sync.Mutex
 	// mutex protects everything below.
 	mutex     sync.Mutex
 	addresses daemon.Addresses
@@ -49,7 +49,7 @@
 	cut         int64
 }
 
-// start starts the daemon, at the addresses that it had before.
+// start starts the daemon, at its earlier addresses after the first time.
 func (m *Machine) start() error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -115,9 +115,9 @@
 
 // Kill ends the daemon at once and starts it again after down.
 func (m *Machine) Kill(down time.Duration) error {
-	m.daemons.Lock()
-	defer m.daemons.Unlock()
-	if process := m.take(); process != nil {
+	m.daemonLock.Lock()
+	defer m.daemonLock.Unlock()
+	if process := m.takeProcess(); process != nil {
 		close(process.force)
 		<-process.ended
 	}
@@ -128,9 +128,9 @@
 // Roll stops the daemon as planned and starts it again after down. It returns
 // the calls that were cut.
 func (m *Machine) Roll(down time.Duration) (cut int64, err error) {
-	m.daemons.Lock()
-	defer m.daemons.Unlock()
-	if process := m.take(); process != nil {
+	m.daemonLock.Lock()
+	defer m.daemonLock.Unlock()
+	if process := m.takeProcess(); process != nil {
 		close(process.stop)
 		<-process.ended
 		cut = process.cut
@@ -139,7 +139,7 @@
 	return cut, m.start()
 }
 
-func (m *Machine) take() *running {
+func (m *Machine) takeProcess() *running {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	process := m.running
@@ -213,9 +213,9 @@
 	}
 	started, err := instance.Start(instance.Options{
 		Service: service, Zone: m.Zone, Address: address, Registration: m.addresses.Instances, Outbound: m.addresses.Caller, Host: m.host,
-		Slots: options.Slots, Queue: options.Slots, ServiceTime: options.ServiceTime, Beat: options.Beat,
-		ColdFor: coldFor, Region: options.region(m.Zone), FallsAbove: options.fallsAbove(), Fell: m.fell,
-		Ended: func(ended *instance.Instance) { m.restart(ended, m.site.open) }, Ledger: m.site.Ledger, Seed: options.Seed,
+		Slots: options.Slots, Queue: options.Slots, ServiceTime: options.ServiceTime, HeartbeatInterval: options.HeartbeatInterval,
+		ColdFor: coldFor, Region: options.region(m.Zone), CrashesAbove: options.crashesAbove(), ColdCrashed: m.crashedCold,
+		PoisonCrashed: func(ended *instance.Instance) { m.restart(ended, m.site.open) }, Ledger: m.site.Ledger, Seed: options.Seed,
 	})
 	if err != nil {
 		return fmt.Errorf("instance of %s: %w", service, err)
@@ -226,28 +226,27 @@
 
 // Restart crashes the instance and starts another at its address.
 func (m *Machine) Restart(down time.Duration) error {
-	m.beside.Lock()
-	defer m.beside.Unlock()
+	m.instanceLock.Lock()
+	defer m.instanceLock.Unlock()
 	address := m.Instance().Address()
 	m.Instance().Crash()
 	time.Sleep(down)
 	return m.startInstance(m.Service, address, cold)
 }
 
-// Release lets the instance leave as planned and starts another. It reports
-// whether the leaving was acknowledged.
+// Release shuts the instance down as planned and starts another. It reports whether the drain was
+// acknowledged.
 func (m *Machine) Release(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool, err error) {
-	m.beside.Lock()
-	defer m.beside.Unlock()
+	m.instanceLock.Lock()
+	defer m.instanceLock.Unlock()
 	leaving := m.Instance()
-	acknowledged = leaving.Leave(ctx, keep, abrupt)
+	acknowledged = leaving.Shutdown(ctx, keep, abrupt)
 	return acknowledged, m.startInstance(m.Service, "", cold)
 }
 
-// endInstance ends the instance at once, for good.
 func (m *Machine) endInstance() {
-	m.beside.Lock()
-	defer m.beside.Unlock()
+	m.instanceLock.Lock()
+	defer m.instanceLock.Unlock()
 	if running := m.Instance(); running != nil {
 		running.Crash()
 	}
@@ -255,16 +254,15 @@
 
 // Options size a Site.
 type Options struct {
-	// Zones gives the number of machines of each zone by service.
 	Machines []Placement
 	Slots    int
 	// ServiceTime is the mean time of work on a request.
-	ServiceTime time.Duration
-	Beat        time.Duration
+	ServiceTime       time.Duration
+	HeartbeatInterval time.Duration
 	// ColdFor is how long an instance is cold that starts during the day.
 	ColdFor time.Duration
-	// ColdRate is the requests a second that a cold instance bears; 0 for as many as
-	// a warm one. ColdOvershoot and ColdSlack are what it may get beyond.
+	// ColdRate is the capacity of a cold instance in requests a second, 0 for that of a warm one.
+	// It may get ColdRate*ColdOvershoot+ColdSlack in any second.
 	ColdRate, ColdOvershoot, ColdSlack float64
 	// EvacuationBound is the time after which the instances of an evacuated zone get
 	// nothing; 0 where operators evacuate none.
@@ -276,7 +274,7 @@
 	// be in force.
 	ApplyBound time.Duration
 	Grace      time.Duration
-	// DrainBound is the time after which a leaving instance gets nothing.
+	// DrainBound is the time after which a draining instance gets nothing.
 	DrainBound                      time.Duration
 	ReadsPerSecond, WritesPerSecond float64
 	Logger                          logr.Logger
@@ -293,13 +291,13 @@
 	}
 }
 
-// fallsAbove is the number of requests in a second at which a cold instance falls
-// over; 0 for never.
-func (o Options) fallsAbove() float64 {
+// crashesAbove is the number of requests in a second above which a cold instance crashes; 0 for
+// never.
+func (o Options) crashesAbove() float64 {
 	if o.ColdRate == 0 {
 		return 0
 	}
-	return fallFactor*o.ColdRate + o.ColdSlack
+	return crashFactor*o.ColdRate + o.ColdSlack
 }
 
 // region returns the region of a zone.
@@ -320,7 +318,7 @@
 		Machines: []Placement{
 			{"a", "desk"}, {"b", "desk"}, {"c", "desk"}, {"a", "yard"}, {"b", "yard"}, {"c", "yard"},
 		},
-		Slots: 6, ServiceTime: 10 * time.Millisecond, Beat: 200 * time.Millisecond, ColdFor: 300 * time.Millisecond,
+		Slots: 6, ServiceTime: 10 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, ColdFor: 300 * time.Millisecond,
 		Contact: 1500 * time.Millisecond, ApplyBound: time.Second, Grace: 4 * time.Second, DrainBound: time.Second,
 		ReadsPerSecond: 2000, WritesPerSecond: 400, Logger: logr.Discard(), DecisionLines: 200, Seed: 1,
 	}
--- a/internal/lab/emulator/day/play.go
+++ b/internal/lab/emulator/day/play.go
@@ -43,8 +43,8 @@
 	FaultZoneEmptiedCold FaultKind = "zone-evacuated-back-cold"
 	FaultZoneCold        FaultKind = "zone-restarted-cold"
 	FaultInstanceHangs   FaultKind = "instance-hangs-when-full"
-	// FaultPoisonRequest is a request that ends each instance which runs it, and comes
-	// again and again.
+	// FaultPoisonRequest is a request under which each instance that runs it crashes, sent again
+	// and again.
 	FaultPoisonRequest FaultKind = "deadly-request"
 )
 
@@ -88,9 +88,9 @@
 	Changes     int
 	Repeats     int
 	CutAtStops  int64
-	// Falls is the number of cold instances that fell over.
-	Falls    int
-	Breaches []promise.Breach
+	// ColdCrashes is the number of instances that crashed in slow start.
+	ColdCrashes int
+	Breaches    []promise.Breach
 }
 
 // Draw returns so many faults at random times, which the seed decides.
@@ -116,9 +116,9 @@
 	if err != nil {
 		return Summary{}, err
 	}
-	play := &play{site: site, plan: plan, tally: client.NewTally(), zones: map[string]*sync.Mutex{}}
+	play := &play{site: site, plan: plan, tally: client.NewTally(), zoneFaults: map[string]*sync.Mutex{}}
 	for _, zone := range site.Zones() {
-		play.zones[zone] = &sync.Mutex{}
+		play.zoneFaults[zone] = &sync.Mutex{}
 	}
 	dayCtx, end := context.WithTimeout(ctx, plan.Length)
 	defer end()
@@ -130,7 +130,7 @@
 		random := rand.New(rand.NewPCG(plan.Options.Seed, uint64(index)))
 		running.Go(func() {
 			if sleep.For(dayCtx, fault.At) {
-				play.strike(dayCtx, fault, random)
+				play.inject(dayCtx, fault, random)
 			}
 		})
 	}
@@ -138,18 +138,18 @@
 	return play.finish(ctx)
 }
 
-// play is a day on its way.
+// play is a day that is being played.
 type play struct {
 	site  *Site
 	plan  Plan
 	tally *client.Tally
 
-	// visits counts those of poison requests.
-	visits atomic.Int64
-	// stores is held by the one fault of the store that is in force.
-	stores sync.Mutex
-	// zones are held by the one fault of a zone that is in force.
-	zones map[string]*sync.Mutex
+	// poisonSent counts the poison requests.
+	poisonSent atomic.Int64
+	// storeFault is held by the one fault of the store that is in force.
+	storeFault sync.Mutex
+	// zoneFaults are held by the one fault of a zone that is in force.
+	zoneFaults map[string]*sync.Mutex
 	// mutex protects everything below.
 	mutex       sync.Mutex
 	convergence time.Duration
@@ -188,23 +188,23 @@
 	}
 }
 
-// strike carries out one fault.
-func (p *play) strike(ctx context.Context, fault Fault, random *rand.Rand) {
+// inject carries out one fault.
+func (p *play) inject(ctx context.Context, fault Fault, random *rand.Rand) {
 	machine := p.site.Machines[random.IntN(len(p.site.Machines))]
 	switch fault.Kind {
 	case FaultDaemonKill:
 		p.note(machine.Kill(fault.For / 4))
-		p.site.Ledger.Disturbed(time.Now())
+		p.site.Ledger.DaemonsDisturbed(time.Now())
 	case FaultDaemonStop:
 		cut, err := machine.Roll(fault.For / 4)
 		p.mutex.Lock()
 		p.cut += cut
 		p.mutex.Unlock()
 		p.note(err)
-		p.site.Ledger.Disturbed(time.Now())
+		p.site.Ledger.DaemonsDisturbed(time.Now())
 	case FaultHerdKill:
-		p.herd(fault.For / 4)
-		p.site.Ledger.Disturbed(time.Now())
+		p.killHalf(fault.For / 4)
+		p.site.Ledger.DaemonsDisturbed(time.Now())
 	case FaultInstanceCrash:
 		p.note(machine.Restart(fault.For / 4))
 	case FaultInstanceRelease:
@@ -215,21 +215,20 @@
 	case FaultPoisonRequest:
 		p.sendPoison(ctx, random)
 	case FaultZoneEvacuated, FaultZoneEmptiedCold, FaultZoneCold:
-		p.disturbZone(ctx, fault, machine.Zone)
+		p.injectZoneFault(ctx, fault, machine.Zone)
 	case FaultInstanceSlow, FaultAnswersLost, FaultAnswersSpoiled, FaultAnswersFail, FaultIdleForgotten, FaultInstanceHangs:
 		machine.Instance().Set(behaviourOf(fault.Kind))
 		sleep.For(ctx, fault.For)
 		machine.Instance().Set(instance.Behaviour{})
 	default:
-		p.disturbStore(ctx, fault, random)
+		p.injectStoreFault(ctx, fault, random)
 	}
 }
 
-// poisonPause is the time between two visits of a poison request.
+// poisonPause is the time between two sends of a poison request.
 const poisonPause = 200 * time.Millisecond
 
-// sendPoison has a poison request come to one machine after the other, until the day ends:
-// it must be known by then for as long as it comes.
+// sendPoison sends a poison request to one machine after the other, until the day ends.
 func (p *play) sendPoison(ctx context.Context, random *rand.Rand) {
 	requests := PoisonRequests()
 	names := slices.Sorted(maps.Keys(requests))
@@ -237,7 +236,7 @@
 	for sleep.For(ctx, poisonPause) {
 		machine := p.site.Machines[random.IntN(len(p.site.Machines))]
 		if machine.Caller() != "" {
-			poison.Visit(ctx, p.site, machine, int(p.visits.Add(1)))
+			poison.Send(ctx, p.site, machine, int(p.poisonSent.Add(1)))
 		}
 	}
 }
@@ -251,7 +250,7 @@
 	case FaultAnswersFail:
 		return instance.Behaviour{Fail: 0.5}
 	case FaultInstanceHangs:
-		return instance.Behaviour{Slowdown: 6, Room: 2, OnFull: instance.OnFullHang}
+		return instance.Behaviour{Slowdown: 6, Capacity: 2, OnFull: instance.OnFullHang}
 	case FaultIdleForgotten:
 		return instance.Behaviour{ForgetIdle: 20 * time.Millisecond}
 	default:
@@ -261,14 +260,14 @@
 	}
 }
 
-// disturbStore puts one fault of the store in force for its time. One at a time
-// is in force, since they replace each other.
-func (p *play) disturbStore(ctx context.Context, fault Fault, random *rand.Rand) {
-	p.stores.Lock()
-	defer p.stores.Unlock()
-	if keepsOrders(fault.Kind) {
-		p.site.Ledger.StoreLost()
-		defer func() { p.site.Ledger.StoreBack(time.Now().Add(p.plan.Options.Contact)) }()
+// injectStoreFault puts one fault of the store in force for its time; one at a time, since they
+// replace each other.
+func (p *play) injectStoreFault(ctx context.Context, fault Fault, random *rand.Rand) {
+	p.storeFault.Lock()
+	defer p.storeFault.Unlock()
+	if hidesOrders(fault.Kind) {
+		p.site.Ledger.StoreUnavailable()
+		defer func() { p.site.Ledger.StoreAvailable(time.Now().Add(p.plan.Options.Contact)) }()
 	}
 	switch fault.Kind {
 	case FaultStoreRefuses:
@@ -276,10 +275,10 @@
 	case FaultStoreIgnores:
 		p.site.FailStoreFor(objectstore.Faults{Silent: true}, p.half(random)...)
 	case FaultStoreForgets:
-		p.site.Store.SetFaults(objectstore.Faults{Deaf: true})
+		p.site.Store.SetFaults(objectstore.Faults{FreezeWatches: true})
 		sleep.For(ctx, fault.For/4)
 		p.site.Store.SetFaults(objectstore.Faults{})
-		p.site.Store.Forget()
+		p.site.Store.CompactHistory()
 		return
 	case FaultStoreDown:
 		p.site.Store.SetFaults(objectstore.Faults{Down: true})
@@ -294,21 +293,21 @@
 	p.site.Store.SetFaults(objectstore.Faults{})
 }
 
-// keepsOrders reports whether daemons cannot hear of orders under a fault of the
+// hidesOrders reports whether daemons cannot hear of orders under a fault of the
 // store, not even from each other.
-func keepsOrders(kind FaultKind) bool {
+func hidesOrders(kind FaultKind) bool {
 	return kind == FaultStoreDown || kind == FaultStoreSilent || kind == FaultStoreForgets
 }
 
-// coldAhead is how long before its evacuation is taken back a zone turns cold: two
-// heartbeats of the default day.
+// coldAhead is how long before the end of its evacuation a zone turns cold: two heartbeats of the
+// default day.
 const coldAhead = 400 * time.Millisecond
 
-// disturbZone carries out one fault of a zone; one at a time is in force there. An
+// injectZoneFault carries out one fault of a zone; one at a time is in force there. An
 // evacuation lasts for the fault's time beyond its bound, so that it is checked.
-func (p *play) disturbZone(ctx context.Context, fault Fault, zone string) {
-	p.zones[zone].Lock()
-	defer p.zones[zone].Unlock()
+func (p *play) injectZoneFault(ctx context.Context, fault Fault, zone string) {
+	p.zoneFaults[zone].Lock()
+	defer p.zoneFaults[zone].Unlock()
 	if fault.Kind == FaultZoneCold {
 		p.note(p.site.RestartZone(zone, fault.For/4))
 		return
@@ -317,7 +316,7 @@
 	defer p.site.EndEvacuation(zone)
 	sleep.For(ctx, p.plan.Options.EvacuationBound+fault.For)
 	if fault.Kind == FaultZoneEmptiedCold {
-		p.site.Chill(zone)
+		p.site.MakeCold(zone)
 		sleep.For(ctx, coldAhead)
 	}
 }
@@ -329,7 +328,7 @@
 	return machines[:(len(machines)+1)/2]
 }
 
-func (p *play) herd(down time.Duration) {
+func (p *play) killHalf(down time.Duration) {
 	var kills sync.WaitGroup
 	for index, machine := range p.site.Machines {
 		if index%2 == 0 {
@@ -347,7 +346,8 @@
 	}
 }
 
-// finish lets the site come to rest, checks what must hold then, and sums up.
+// finish waits until the last configuration is in force everywhere, checks what must hold then, and
+// sums up.
 func (p *play) finish(ctx context.Context) (Summary, error) {
 	p.site.Store.SetFaults(objectstore.Faults{})
 	version, err := p.site.Declare(p.plan.Routes)
@@ -355,20 +355,20 @@
 	restCtx, cancel := context.WithTimeout(ctx, p.plan.ApplyBound+p.plan.Options.Contact)
 	defer cancel()
 	if p.site.AwaitInForce(restCtx, version) != nil {
-		p.site.Ledger.Broke(promise.Config, "", "a version is not in force everywhere after the day")
+		p.site.Ledger.Record(promise.Config, "", "a version is not in force everywhere after the day")
 	}
 	requests, repeats := p.site.Ledger.Repeats()
 	if float64(repeats) > 0.2*float64(requests)+64 {
-		p.site.Ledger.Broke(promise.Budget, "", "more repeats than the budget allows")
+		p.site.Ledger.Record(promise.Budget, "", "more repeats than the budget allows")
 	}
-	falls, err := p.site.Falls()
+	coldCrashes, err := p.site.ColdCrashes()
 	p.note(err)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return Summary{
 		Served: p.tally.Served.Load(), Refused: p.tally.Refused.Load(), Failed: p.tally.Failed.Load(),
 		LatencyP50: p.tally.Latency(50), LatencyP99: p.tally.Latency(99),
-		Convergence: p.convergence, Changes: p.changes, Repeats: repeats, CutAtStops: p.cut, Falls: falls,
+		Convergence: p.convergence, Changes: p.changes, Repeats: repeats, CutAtStops: p.cut, ColdCrashes: coldCrashes,
 		Breaches: p.site.Ledger.Breaches(),
 	}, p.err
 }
--- a/internal/lab/emulator/day/poison.go
+++ b/internal/lab/emulator/day/poison.go
@@ -18,18 +18,18 @@
 // poisonWait is how long the client of a poison request waits.
 const poisonWait = 2 * time.Second
 
-// PoisonRequest is one that ends each instance which runs it.
+// PoisonRequest is a request under which each instance that runs it crashes.
 type PoisonRequest struct {
 	Name, method, path string
 	service            string
 	safe               bool
 	body               []byte
-	// callPath makes the instance that runs it call what is poison itself.
+	// callPath makes the instance that runs it make a call, which is the poison request then.
 	callPath string
 }
 
-// PoisonRequests returns one of each kind: a read, an order, an upload that is passed on in
-// pieces, and a read whose instance makes a call that is poison.
+// PoisonRequests returns one of each kind by name: a read, an order, an upload that is forwarded in
+// parts, and a read whose instance makes a call that is poison.
 func PoisonRequests() map[string]PoisonRequest {
 	requests := map[string]PoisonRequest{}
 	for _, request := range []PoisonRequest{
@@ -43,31 +43,31 @@
 	return requests
 }
 
-// Visit sends the request to a machine's daemon, under an id of its own, and returns the
+// Send sends the request to a machine's daemon, under an id of its own, and returns the
 // answer, nil for none.
-func (d PoisonRequest) Visit(ctx context.Context, site *Site, machine *Machine, number int) *http.Response {
-	id := fmt.Sprintf("deadly-%s-%d", d.Name, number)
-	sent := promise.Request{ID: id, Safe: d.safe, Caller: machine.Service, SentAt: time.Now(), Services: map[string]bool{d.service: true}}
-	if len(d.body) > 0 {
-		sum := sha256.Sum256(d.body)
+func (p PoisonRequest) Send(ctx context.Context, site *Site, machine *Machine, number int) *http.Response {
+	id := fmt.Sprintf("deadly-%s-%d", p.Name, number)
+	sent := promise.Request{ID: id, Safe: p.safe, Caller: machine.Service, SentAt: time.Now(), Services: map[string]bool{p.service: true}}
+	if len(p.body) > 0 {
+		sum := sha256.Sum256(p.body)
 		sent.BodyDigest = hex.EncodeToString(sum[:])
 	}
 	site.Ledger.Sent(sent)
 	ctx, cancel := context.WithTimeout(ctx, poisonWait)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, d.method, "http://"+machine.Caller()+d.path, bytes.NewReader(d.body))
+	request, err := http.NewRequestWithContext(ctx, p.method, "http://"+machine.Caller()+p.path, bytes.NewReader(p.body))
 	if err != nil {
 		return nil
 	}
 	request.Host = standardHost
 	request.Header.Set(platform.HeaderRequestID, id)
 	request.Header.Set(platform.HeaderDeadline, fmt.Sprint(poisonWait.Milliseconds()))
-	if d.callPath == "" {
-		request.Header.Set(instance.HeaderCrash, d.Name)
+	if p.callPath == "" {
+		request.Header.Set(instance.HeaderCrash, p.Name)
 	} else {
-		request.Header.Set(instance.HeaderCall, d.callPath)
+		request.Header.Set(instance.HeaderCall, p.callPath)
 		request.Header.Set(instance.HeaderCall+"-Service", "yard")
-		request.Header.Set(instance.HeaderCall+"-Crash", d.Name)
+		request.Header.Set(instance.HeaderCall+"-Crash", p.Name)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
--- a/internal/lab/emulator/day/poison_test.go
+++ b/internal/lab/emulator/day/poison_test.go
@@ -18,12 +18,12 @@
 
 var poisonRequests = day.PoisonRequests()
 
-// visitAll sends the request so often, to one daemon after the other, with a pause after
+// sendAll sends the request so often, to one daemon after the other, with a pause after
 // each in which instances come back.
-func visitAll(t *testing.T, site *day.Site, poison day.PoisonRequest, first, count int) (last *http.Response) {
+func sendAll(t *testing.T, site *day.Site, poison day.PoisonRequest, first, count int) (last *http.Response) {
 	t.Helper()
 	for number := range count {
-		last = poison.Visit(t.Context(), site, site.Machines[number%len(site.Machines)], first+number)
+		last = poison.Send(t.Context(), site, site.Machines[number%len(site.Machines)], first+number)
 		time.Sleep(300 * time.Millisecond)
 	}
 	return last
@@ -36,9 +36,9 @@
 		t.Run(name, func(t *testing.T) {
 			site, tally, stop := start(t)
 			awaitServed(t, tally, 50)
-			visitAll(t, site, poison, 0, 24)
+			sendAll(t, site, poison, 0, 24)
 			stop()
-			assert.Assert(t, site.Ledger.EndedUnder(name) >= 1)
+			assert.Assert(t, site.Ledger.CrashesUnder(name) >= 1)
 			keepsPromises(t, site)
 		})
 	}
@@ -50,7 +50,7 @@
 	site, tally, stop := start(t)
 	poison := poisonRequests["read"]
 	awaitServed(t, tally, 50)
-	visitAll(t, site, poison, 0, 6)
+	sendAll(t, site, poison, 0, 6)
 	awaitStored(t, site)
 	killAll(t, site)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -58,10 +58,10 @@
 	assert.NilError(t, site.AwaitReady(ctx))
 	awaitServed(t, tally, 50)
 	awaitQuarantined(t, site)
-	ended := site.Ledger.EndedUnder("read")
-	last := visitAll(t, site, poison, 100, 12)
+	ended := site.Ledger.CrashesUnder("read")
+	last := sendAll(t, site, poison, 100, 12)
 	stop()
-	assert.Equal(t, site.Ledger.EndedUnder("read"), ended)
+	assert.Equal(t, site.Ledger.CrashesUnder("read"), ended)
 	assert.Equal(t, last.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, last.Header.Get("Retry-After") != "")
 	keepsPromises(t, site)
@@ -94,7 +94,7 @@
 		killing.Go(func() { assert.Check(t, machine.Kill(100*time.Millisecond)) })
 	}
 	killing.Wait()
-	site.Ledger.Disturbed(time.Now())
+	site.Ledger.DaemonsDisturbed(time.Now())
 }
 
 // All requests of a class ask for the same, and some are in flight whenever an instance
@@ -103,9 +103,9 @@
 	site, tally, stop := start(t)
 	poison := poisonRequests["read"]
 	awaitServed(t, tally, 50)
-	for visit := range 4 {
-		poison.Visit(t.Context(), site, site.Machines[visit%len(site.Machines)], visit)
-		site.Ledger.Disturbed(time.Now())
+	for number := range 4 {
+		poison.Send(t.Context(), site, site.Machines[number%len(site.Machines)], number)
+		site.Ledger.DaemonsDisturbed(time.Now())
 	}
 	awaitServed(t, tally, 300)
 	for _, machine := range site.Machines {
--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -28,11 +28,11 @@
 	// mutex protects everything below; version is the newest configuration's.
 	mutex   sync.Mutex
 	version uint64
-	// falls counts the instances that fell over, and fallen is what went wrong when
-	// one started again.
-	falls  int
-	fallen error
-	closed bool
+	// coldCrashes counts the instances that crashed in slow start; restartFailure holds the errors
+	// of restarts after a crash.
+	coldCrashes    int
+	restartFailure error
+	closed         bool
 }
 
 // Start starts a site whose operator has declared the given routes, and waits
@@ -72,7 +72,7 @@
 	s.closed = true
 	s.mutex.Unlock()
 	for _, machine := range s.Machines {
-		if process := machine.take(); process != nil {
+		if process := machine.takeProcess(); process != nil {
 			close(process.force)
 			<-process.ended
 		}
--- a/internal/lab/emulator/day/zone.go
+++ b/internal/lab/emulator/day/zone.go
@@ -16,10 +16,10 @@
 	// jam is the time by which requests may be held up on their way, on a busy
 	// machine, and then arrive together with later ones.
 	jam = 250 * time.Millisecond
-	// fallFactor is how many times its rate a cold instance bears, beside the slack.
-	fallFactor = 2
-	// fallPause is how long an instance that fell over is away.
-	fallPause = 100 * time.Millisecond
+	// crashFactor is at how many times its rate, and the slack, a cold instance crashes.
+	crashFactor = 2
+	// restartPause is the time from an instance's crash to its restart.
+	restartPause = 100 * time.Millisecond
 )
 
 // Evacuate orders that the instances of a zone get no requests. The store has
@@ -32,9 +32,9 @@
 	return nil
 }
 
-// EndEvacuation takes the order back.
+// EndEvacuation withdraws the order of Evacuate.
 func (s *Site) EndEvacuation(zone string) {
-	s.Ledger.TakenBack(zone)
+	s.Ledger.EvacuationEnded(zone)
 	s.Store.Remove(platform.KindEvacuations, zone)
 }
 
@@ -60,10 +60,10 @@
 	return machines
 }
 
-// Chill makes the instances of a zone cold.
-func (s *Site) Chill(zone string) {
+// MakeCold makes the instances of a zone cold.
+func (s *Site) MakeCold(zone string) {
 	for _, machine := range s.InZone(zone) {
-		machine.Instance().Chill(s.options.ColdFor)
+		machine.Instance().MakeCold(s.options.ColdFor)
 	}
 }
 
@@ -80,53 +80,51 @@
 	return errors.Join(failures...)
 }
 
-// Falls returns the number of instances that fell over, and what went wrong when
-// they started again.
-func (s *Site) Falls() (count int, err error) {
+// ColdCrashes returns the number of instances that crashed in slow start, and the errors of all
+// restarts after a crash.
+func (s *Site) ColdCrashes() (count int, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.falls, s.fallen
+	return s.coldCrashes, s.restartFailure
 }
 
-// fell takes in that an instance is falling over; it reports false once the site is
+// noteColdCrash counts an instance that crashes in slow start; it reports false once the site is
 // closed.
-func (s *Site) fell() bool {
+func (s *Site) noteColdCrash() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.closed {
-		s.falls++
+		s.coldCrashes++
 	}
 	return !s.closed
 }
 
-// open reports whether the site is not closed.
 func (s *Site) open() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return !s.closed
 }
 
-func (s *Site) noteFallen(err error) {
+func (s *Site) noteRestart(err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.fallen = errors.Join(s.fallen, err)
+	s.restartFailure = errors.Join(s.restartFailure, err)
 }
 
-// fell ends an instance that falls over and starts another at its address, unless
-// it is gone already.
-func (m *Machine) fell(fallen *instance.Instance) {
-	m.restart(fallen, m.site.fell)
+// crashedCold replaces an instance that crashes in slow start.
+func (m *Machine) crashedCold(crashed *instance.Instance) {
+	m.restart(crashed, m.site.noteColdCrash)
 }
 
-// restart ends an instance and starts another at its address, unless it is gone already or
-// may says that it shall not.
+// restart ends an instance and starts another at its address, unless it has ended already or may
+// reports false.
 func (m *Machine) restart(ended *instance.Instance, may func() bool) {
-	m.beside.Lock()
-	defer m.beside.Unlock()
+	m.instanceLock.Lock()
+	defer m.instanceLock.Unlock()
 	if m.Instance() != ended || !may() {
 		return
 	}
 	ended.Crash()
-	time.Sleep(fallPause)
-	m.site.noteFallen(m.startInstance(m.Service, ended.Address(), cold))
+	time.Sleep(restartPause)
+	m.site.noteRestart(m.startInstance(m.Service, ended.Address(), cold))
 }
--- a/internal/lab/emulator/day/zones_test.go
+++ b/internal/lab/emulator/day/zones_test.go
@@ -37,12 +37,12 @@
 	}
 }
 
-// evacuate gives the order and waits until the store told a daemon of it.
+// evacuate gives the order and waits until the store reported it to a daemon.
 func evacuate(t *testing.T, site *day.Site) {
 	t.Helper()
 	assert.NilError(t, site.Evacuate(zone))
 	ordered := site.Store.Objects(platform.KindEvacuations)[0].Metadata.Revision
-	await(t, "a daemon hears of the order", func() bool { return site.Store.Told(platform.KindEvacuations) >= ordered })
+	await(t, "a daemon hears of the order", func() bool { return site.Store.ReportedRevision(platform.KindEvacuations) >= ordered })
 }
 
 // passBound waits until the order must be followed.
@@ -57,12 +57,12 @@
 	}
 }
 
-// stayUp checks that no instance fell over.
+// stayUp checks that no instance crashed in slow start.
 func stayUp(t *testing.T, site *day.Site) {
 	t.Helper()
-	falls, err := site.Falls()
+	coldCrashes, err := site.ColdCrashes()
 	assert.NilError(t, err)
-	assert.Equal(t, falls, 0)
+	assert.Equal(t, coldCrashes, 0)
 }
 
 // One daemon hears of the order, and then the store says nothing more: all the others
@@ -109,8 +109,8 @@
 	}
 }
 
-// All instances of a zone come back cold amid traffic: none gets more than it bears,
-// and each is used.
+// All instances of a zone come back cold amid traffic: none gets more than its limit, and each is
+// used.
 func TestZoneComesBackCold(t *testing.T) {
 	for name, comeBack := range map[string]func(*testing.T, *day.Site){
 		"after a crash": func(t *testing.T, site *day.Site) {
@@ -119,9 +119,9 @@
 		"after an evacuation": func(t *testing.T, site *day.Site) {
 			evacuate(t, site)
 			passBound()
-			site.Chill(zone)
-			// Heartbeats bring the news to all daemons.
-			time.Sleep(2 * day.ZonedOptions().Beat)
+			site.MakeCold(zone)
+			// Heartbeats tell all daemons.
+			time.Sleep(2 * day.ZonedOptions().HeartbeatInterval)
 			site.EndEvacuation(zone)
 		},
 	} {
@@ -145,7 +145,7 @@
 	site, tally, stop := startOptions(t, day.ZonedOptions(), day.StandardRoutes(), day.StandardClasses(busy))
 	for index, machine := range site.Machines {
 		if index%2 == 0 {
-			machine.Instance().Set(instance.Behaviour{Room: 1, OnFull: instance.OnFullHang})
+			machine.Instance().Set(instance.Behaviour{Capacity: 1, OnFull: instance.OnFullHang})
 		}
 	}
 	awaitServed(t, tally, 400)
--- a/internal/lab/emulator/instance/cold.go
+++ b/internal/lab/emulator/instance/cold.go
@@ -10,31 +10,32 @@
 const (
 	// coldSlowdown is how many times longer work takes while an instance is cold.
 	coldSlowdown = 2
-	// coldNotice is the time in which daemons hear that an instance turned cold
-	// amid traffic: five heartbeats of the default day.
+	// coldNotice is the time in which daemons hear that an instance turned cold while it gets
+	// requests: five heartbeats of the default day.
 	coldNotice = time.Second
 )
 
-// coldness is whether an instance is cold, and what it got of late. The zero value
-// is warm; it is safe for concurrent use.
+// coldness is whether an instance is cold, and its requests of the last second. The zero value is
+// warm; it is safe for concurrent use.
 type coldness struct {
 	// mutex protects everything below.
 	mutex sync.Mutex
 	until time.Time
-	// boundFrom is from when what the instance gets is held to the rate.
+	// boundFrom is from when on the rate of a cold instance holds.
 	boundFrom time.Time
 	recent    promise.Second
 }
 
-// left returns how much longer the instance is cold, 0 for a warm one.
-func (c *coldness) left(now time.Time) time.Duration {
+// remaining returns how much longer the instance is cold, 0 for a warm one.
+func (c *coldness) remaining(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return max(c.until.Sub(now), 0)
 }
 
-// chill makes the instance cold. Amid traffic daemons first have to hear of it.
-func (c *coldness) chill(now time.Time, length time.Duration) {
+// start makes the instance cold. One that gets requests now is bound coldNotice later, since daemons
+// have to hear of it first.
+func (c *coldness) start(now time.Time, length time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.until = now.Add(length)
@@ -44,9 +45,9 @@
 	}
 }
 
-// arrived takes in a request. bound is true where the rate of a cold instance holds;
-// count is then what came in the last second, since it does.
-func (c *coldness) arrived(now time.Time) (bound bool, count int) {
+// noteRequest counts a request. bound is true where the rate of a cold instance holds; count is then
+// the requests of the last second, but none of before boundFrom.
+func (c *coldness) noteRequest(now time.Time) (bound bool, count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	bound = now.Before(c.until) && !now.Before(c.boundFrom)
@@ -56,20 +57,20 @@
 	return bound, c.recent.Add(now)
 }
 
-// Chill makes the instance cold for a time, as after a start.
-func (i *Instance) Chill(length time.Duration) { i.cold.chill(time.Now(), length) }
+// MakeCold makes the instance cold for a time, as after a start.
+func (i *Instance) MakeCold(length time.Duration) { i.cold.start(time.Now(), length) }
 
-// reached notes a request that is meant for the instance, which may be the one too
-// many.
-func (i *Instance) reached(id, poison string) {
+// noteDelivered records a request that is meant for the instance, which crashes a cold one that gets
+// too many.
+func (i *Instance) noteDelivered(id, poison string) {
 	now := time.Now()
 	i.received.Add(1)
-	bound, count := i.cold.arrived(now)
-	i.options.Ledger.Reached(promise.Arrival{
+	bound, count := i.cold.noteRequest(now)
+	i.options.Ledger.Delivered(promise.Delivery{
 		Request: id, Instance: i.id, Zone: i.options.Zone, Region: i.options.Region, Cold: bound, Poison: poison, At: now,
 	})
-	if bound && i.options.FallsAbove > 0 && float64(count) > i.options.FallsAbove {
-		// The instance cannot end while its own request waits for that.
-		i.fall.Do(func() { go i.options.Fell(i) })
+	if bound && i.options.CrashesAbove > 0 && float64(count) > i.options.CrashesAbove {
+		// In the background: the instance's end waits for this request.
+		i.crashOnce.Do(func() { go i.options.ColdCrashed(i) })
 	}
 }
--- a/internal/lab/emulator/instance/instance.go
+++ b/internal/lab/emulator/instance/instance.go
@@ -44,22 +44,21 @@
 	Early float64
 	// Fail is the share of the requests that run and are answered with a failure.
 	Fail float64
-	// ForgetIdle is the rest after which a connection is forgotten without a
-	// word: the next request over it is reset. 0 keeps all.
+	// ForgetIdle is the idle time after which a connection is dropped without closing it: the next
+	// request over it is reset. 0 keeps all.
 	ForgetIdle time.Duration
-	// Room is how many requests the instance takes at once, in work and waiting; 0
-	// for as many as its slots and its queue hold.
-	Room int
-	// OnFull is what the instance does with a request for which it has no room.
+	// Capacity bounds the requests at once, running and waiting; 0 for the slots and the queue.
+	Capacity int
+	// OnFull is what the instance does with a request beyond that.
 	OnFull OnFull
 	// Silent keeps the instance from reading, answering and registering.
 	Silent bool
 }
 
-// OnFull is what an instance does with a request for which it has no room.
+// OnFull is what an instance does with a request beyond its capacity.
 type OnFull int
 
-// Ways to treat a request for which there is no room.
+// Ways to treat such a request.
 const (
 	// OnFullRefuse says that the request did not run.
 	OnFullRefuse OnFull = iota
@@ -82,37 +81,37 @@
 	Slots    int
 	Queue    int
 	// ServiceTime is the mean time of work on a request.
-	ServiceTime time.Duration
-	Beat        time.Duration
+	ServiceTime       time.Duration
+	HeartbeatInterval time.Duration
 	// ColdFor is how long the instance is cold after the start: its work takes
 	// twice as long.
 	ColdFor time.Duration
 	// Region is that of the machine.
 	Region string
-	// FallsAbove is the number of requests in a second at which the instance falls
-	// over while it is cold; 0 for never.
-	FallsAbove float64
-	// Fell is called once when the instance falls over, and ends it.
-	Fell func(*Instance)
-	// Ended is called once when it ends under a request that makes it, and ends it.
-	Ended  func(*Instance)
-	Ledger *promise.Ledger
-	Seed   uint64
+	// CrashesAbove is the number of requests in a second above which the instance crashes while it
+	// is cold; 0 for never.
+	CrashesAbove float64
+	// ColdCrashed and PoisonCrashed are called when the instance crashes, by that or under a poison
+	// request, and must end it. One of them is called, once.
+	ColdCrashed   func(*Instance)
+	PoisonCrashed func(*Instance)
+	Ledger        *promise.Ledger
+	Seed          uint64
 }
 
 // Instance is one incarnation of an instance.
 type Instance struct {
-	options  Options
-	id       string
-	listener net.Listener
-	slots    chan struct{}
-	waiting  atomic.Int64
-	running  atomic.Int64
-	received atomic.Int64
-	cold     coldness
-	fall     sync.Once
-	sequence atomic.Uint64
-	draining atomic.Bool
+	options   Options
+	id        string
+	listener  net.Listener
+	slots     chan struct{}
+	waiting   atomic.Int64
+	running   atomic.Int64
+	received  atomic.Int64
+	cold      coldness
+	crashOnce sync.Once
+	sequence  atomic.Uint64
+	draining  atomic.Bool
 
 	stopped context.Context
 	stop    context.CancelFunc
@@ -145,7 +144,7 @@
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(options.Host)}}
 	started.calls = &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}}
 	started.work.Go(started.accept)
-	started.work.Go(started.beat)
+	started.work.Go(started.sendHeartbeats)
 	return started, nil
 }
 
@@ -181,7 +180,7 @@
 	return i.random.Float64() < share
 }
 
-// Crash ends the instance at once, without a word.
+// Crash ends the instance at once and closes its connections.
 func (i *Instance) Crash() {
 	i.stop()
 	_ = i.listener.Close()
@@ -194,78 +193,75 @@
 	i.calls.CloseIdleConnections()
 }
 
-// Leave ends the instance as planned: it says that it drains, serves on for
-// keep after the acknowledgement, says farewell and ends. With abrupt it says
-// farewell first. It reports whether the leaving was acknowledged.
-func (i *Instance) Leave(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool) {
+// Shutdown ends the instance as planned: it registers as draining, serves on for keep after the
+// acknowledgement, deregisters and ends. With abrupt it deregisters at once. It reports whether the
+// drain was acknowledged.
+func (i *Instance) Shutdown(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool) {
 	i.draining.Store(true)
 	for !acknowledged && sleep.For(ctx, 0) {
 		if abrupt {
-			acknowledged = i.tell(ctx, http.MethodDelete, nil) == nil
+			acknowledged = i.callRegistration(ctx, http.MethodDelete, nil) == nil
 		} else {
 			acknowledged = i.heartbeat(ctx) == nil
 		}
-		if !acknowledged && !sleep.For(ctx, i.options.Beat/2) {
+		if !acknowledged && !sleep.For(ctx, i.options.HeartbeatInterval/2) {
 			break
 		}
 	}
 	if acknowledged {
-		i.options.Ledger.Left(i.id)
+		i.options.Ledger.DrainAcknowledged(i.id)
 	}
 	sleep.For(ctx, keep)
 	if !abrupt {
-		_ = i.tell(ctx, http.MethodDelete, nil)
+		_ = i.callRegistration(ctx, http.MethodDelete, nil)
 	}
 	i.Crash()
 	return acknowledged
 }
 
-// beat registers at intervals until the instance ends.
-func (i *Instance) beat() {
+// sendHeartbeats registers at intervals until the instance ends.
+func (i *Instance) sendHeartbeats() {
 	for {
 		if !i.current().Silent && !i.draining.Load() {
 			_ = i.heartbeat(i.stopped)
 		}
-		if !sleep.For(i.stopped, i.options.Beat) {
+		if !sleep.For(i.stopped, i.options.HeartbeatInterval) {
 			return
 		}
 	}
 }
 
-// heartbeat states the instance's condition; an error means that it was not
-// acknowledged.
+// heartbeat sends the next heartbeat; an error means that it was not acknowledged.
 func (i *Instance) heartbeat(ctx context.Context) error {
 	state := platform.StateReady
 	if i.draining.Load() {
 		state = platform.StateDraining
 	}
-	return i.state(ctx, state, i.sequence.Add(1))
+	return i.sendHeartbeat(ctx, state, i.sequence.Add(1))
 }
 
-// state states a condition under a sequence number.
-func (i *Instance) state(ctx context.Context, state string, sequence uint64) error {
+func (i *Instance) sendHeartbeat(ctx context.Context, state string, sequence uint64) error {
 	beat := platform.Heartbeat{
 		Address: i.Address(),
 		Info:    platform.HeartbeatInfo{Service: i.options.Service, Version: "v1", Zone: i.options.Zone, Slots: i.options.Slots},
 		Status: platform.HeartbeatStatus{
-			State: state, Sequence: sequence, ColdRemainingMillis: i.cold.left(time.Now()).Milliseconds(),
+			State: state, Sequence: sequence, ColdRemainingMillis: i.cold.remaining(time.Now()).Milliseconds(),
 		},
 	}
 	body, err := json.Marshal(beat)
 	if err != nil {
 		return err
 	}
-	return i.tell(ctx, http.MethodPut, body)
+	return i.callRegistration(ctx, http.MethodPut, body)
 }
 
-// BeatLate sends a heartbeat from before the instance said that it leaves, as
-// one that was held up on its way.
-func (i *Instance) BeatLate(ctx context.Context) {
-	_ = i.state(ctx, platform.StateReady, 1)
+// SendLateHeartbeat sends a heartbeat from before the shutdown, as one that was delayed.
+func (i *Instance) SendLateHeartbeat(ctx context.Context) {
+	_ = i.sendHeartbeat(ctx, platform.StateReady, 1)
 }
 
-// tell calls the daemon beside the instance.
-func (i *Instance) tell(ctx context.Context, method string, body []byte) error {
+// callRegistration calls the registration of the daemon beside the instance.
+func (i *Instance) callRegistration(ctx context.Context, method string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+i.options.Registration+platform.PathInstances+i.id, bytes.NewReader(body))
--- a/internal/lab/emulator/instance/instance_test.go
+++ b/internal/lab/emulator/instance/instance_test.go
@@ -32,9 +32,9 @@
 // started is an instance with a stand-in for the daemon beside it.
 type started struct {
 	*instance.Instance
-	ledger *promise.Ledger
-	beats  chan platform.Heartbeat
-	fell   chan *instance.Instance
+	ledger  *promise.Ledger
+	beats   chan platform.Heartbeat
+	crashes chan *instance.Instance
 }
 
 // start starts an instance that options may change.
@@ -42,7 +42,7 @@
 	t.Helper()
 	running := &started{
 		ledger: promise.NewLedger(promise.Bounds{ColdPerSecond: 3}),
-		beats:  make(chan platform.Heartbeat, 1), fell: make(chan *instance.Instance, 1),
+		beats:  make(chan platform.Heartbeat, 1), crashes: make(chan *instance.Instance, 1),
 	}
 	beside := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var beat platform.Heartbeat
@@ -57,8 +57,8 @@
 	options := instance.Options{
 		Service: "desk", Zone: "a", Region: "north", Address: "127.0.0.1:0", Host: "127.0.0.1",
 		Registration: strings.TrimPrefix(beside.URL, "http://"),
-		Slots:        1, Queue: 1, ServiceTime: time.Millisecond, Beat: 10 * time.Millisecond,
-		Fell: func(fallen *instance.Instance) { running.fell <- fallen }, Ledger: running.ledger, Seed: 1,
+		Slots:        1, Queue: 1, ServiceTime: time.Millisecond, HeartbeatInterval: 10 * time.Millisecond,
+		ColdCrashed: func(crashed *instance.Instance) { running.crashes <- crashed }, Ledger: running.ledger, Seed: 1,
 	}
 	change(&options)
 	var err error
@@ -150,7 +150,7 @@
 			if name == "on demand" {
 				assert.Equal(t, running.coldRemaining(t), time.Duration(0))
 				running.awaitBeat(t, func(beat platform.Heartbeat) bool { return beat.Status.ColdRemainingMillis == 0 })
-				running.Chill(never)
+				running.MakeCold(never)
 			}
 			remaining := running.coldRemaining(t)
 			assert.Assert(t, remaining > 0 && remaining <= never, "%s", remaining)
@@ -159,9 +159,8 @@
 	}
 }
 
-// A cold instance that gets well above its rate in one second falls over, once; a
-// warm one bears it.
-func TestColdInstanceFallsOver(t *testing.T) {
+// A cold instance that gets well above its rate in one second crashes, once; a warm one does not.
+func TestColdInstanceCrashesAboveItsRate(t *testing.T) {
 	const falls, rounds = 5, 100
 	for name, row := range map[string]struct {
 		coldFor time.Duration
@@ -172,7 +171,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			running := start(t, func(options *instance.Options) {
-				options.ColdFor, options.FallsAbove, options.Queue, options.Slots = row.coldFor, falls, rounds, rounds
+				options.ColdFor, options.CrashesAbove, options.Queue, options.Slots = row.coldFor, falls, rounds, rounds
 			})
 			var asked sync.WaitGroup
 			conns := make([]net.Conn, 0, rounds)
@@ -185,16 +184,16 @@
 			asked.Wait()
 			assert.Equal(t, len(running.ledger.Breaches()) > 0, row.want, "%+v", running.ledger.Breaches())
 			if row.want {
-				assert.Equal(t, <-running.fell, running.Instance)
+				assert.Equal(t, <-running.crashes, running.Instance)
 			}
-			assert.Equal(t, len(running.fell), 0)
+			assert.Equal(t, len(running.crashes), 0)
 		})
 	}
 }
 
 // What is meant for another instance does not count.
 func TestMisdirectedRequestsDoNotCount(t *testing.T) {
-	running := start(t, func(options *instance.Options) { options.ColdFor, options.FallsAbove = never, 1 })
+	running := start(t, func(options *instance.Options) { options.ColdFor, options.CrashesAbove = never, 1 })
 	conn := running.ask(t, "first")
 	assert.Equal(t, status(t, conn), http.StatusOK)
 	for index := range 20 {
@@ -202,7 +201,7 @@
 		assert.Equal(t, status(t, conn), http.StatusMisdirectedRequest)
 	}
 	assert.Equal(t, running.Received(), int64(1))
-	assert.Equal(t, len(running.fell), 0)
+	assert.Equal(t, len(running.crashes), 0)
 	assert.Equal(t, len(running.ledger.Breaches()), 0, "%+v", running.ledger.Breaches())
 }
 
@@ -218,8 +217,8 @@
 	}{
 		"refuses":                  {slots: 1},
 		"hangs":                    {behaviour: instance.Behaviour{OnFull: instance.OnFullHang}, slots: 1, hangs: true},
-		"refuses for want of room": {behaviour: instance.Behaviour{Room: 1}, slots: 9},
-		"hangs for want of room":   {behaviour: instance.Behaviour{Room: 1, OnFull: instance.OnFullHang}, slots: 9, hangs: true},
+		"refuses for want of room": {behaviour: instance.Behaviour{Capacity: 1}, slots: 9},
+		"hangs for want of room":   {behaviour: instance.Behaviour{Capacity: 1, OnFull: instance.OnFullHang}, slots: 9, hangs: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			running := start(t, func(options *instance.Options) {
@@ -240,7 +239,7 @@
 			}
 			silent(t, second)
 			// What could be refused at once is not answered either.
-			running.Set(instance.Behaviour{Room: row.behaviour.Room})
+			running.Set(instance.Behaviour{Capacity: row.behaviour.Capacity})
 			running.askOn(t, second, "third")
 			silent(t, second)
 			assert.Equal(t, status(t, first), http.StatusOK)
--- a/internal/lab/emulator/instance/serve.go
+++ b/internal/lab/emulator/instance/serve.go
@@ -24,8 +24,7 @@
 	// HeaderCall asks for a call of the given path, at the host of the request,
 	// through the daemon beside the instance.
 	HeaderCall = "Emulator-Call"
-	// HeaderCrash makes the instance end while it runs the request; its value names what
-	// the request asks for.
+	// HeaderCrash makes the request a poison request; its value is the name.
 	HeaderCrash = "Emulator-Crash"
 )
 
@@ -34,14 +33,14 @@
 
 const defaultAnswerBytes = 200
 
-// fate is how a request's answer is sent.
-type fate int
+// connectionFate is what becomes of a connection after a request.
+type connectionFate int
 
 const (
-	fateKeep fate = iota
-	fateClose
-	// fateHang says nothing more on the connection.
-	fateHang
+	connectionKept connectionFate = iota
+	connectionClosed
+	// connectionHangs stays open without another answer.
+	connectionHangs
 )
 
 // accept takes connections until the instance ends.
@@ -55,7 +54,7 @@
 		i.conns[conn] = true
 		i.mutex.Unlock()
 		i.work.Go(func() {
-			i.converse(conn)
+			i.serveConnection(conn)
 			_ = conn.Close()
 			i.mutex.Lock()
 			delete(i.conns, conn)
@@ -64,8 +63,8 @@
 	}
 }
 
-// converse serves the requests of one connection.
-func (i *Instance) converse(conn net.Conn) {
+// serveConnection serves the requests of one connection.
+func (i *Instance) serveConnection(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	rested := time.Duration(0)
 	for i.stopped.Err() == nil {
@@ -82,14 +81,14 @@
 			return
 		}
 		verdict, rest := i.serve(conn, reader, request)
-		if verdict == fateClose {
+		if verdict == connectionClosed {
 			return
 		}
 		rested = rest
 	}
 }
 
-// reset ends a connection without a word.
+// reset resets a connection.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -97,8 +96,8 @@
 	_ = conn.Close()
 }
 
-// serve answers one request, and tells how long the connection rested then.
-func (i *Instance) serve(conn net.Conn, reader *bufio.Reader, request *http.Request) (verdict fate, rest time.Duration) {
+// serve answers one request, and returns how long the connection was idle then.
+func (i *Instance) serve(conn net.Conn, reader *bufio.Reader, request *http.Request) (verdict connectionFate, rest time.Duration) {
 	id := request.Header.Get(platform.HeaderRequestID)
 	if request.URL.Path == PathHealth {
 		return i.health(conn), 0
@@ -107,31 +106,31 @@
 	expected := request.Header.Get(platform.HeaderExpectedInstance)
 	misdirected := expected != "" && expected != i.id
 	if !misdirected {
-		i.reached(id, request.Header.Get(HeaderCrash))
+		i.noteDelivered(id, request.Header.Get(HeaderCrash))
 	}
 	behaviour := i.current()
 	if i.chance(behaviour.Early) && request.ContentLength > 0 {
-		return i.refuse(conn, request, http.StatusServiceUnavailable, fateClose), 0
+		return i.refuse(conn, request, http.StatusServiceUnavailable, connectionClosed), 0
 	}
 	if misdirected {
 		_, _ = io.Copy(io.Discard, request.Body)
-		return i.refuse(conn, request, http.StatusMisdirectedRequest, fateKeep), 0
+		return i.refuse(conn, request, http.StatusMisdirectedRequest, connectionKept), 0
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		return fateClose, 0
+		return connectionClosed, 0
 	}
 	ctx, cancel, ended := i.watch(request, reader)
 	defer cancel()
 	verdict = i.handle(ctx, conn, request, id, body)
 	switch verdict {
-	case fateClose:
+	case connectionClosed:
 		_ = conn.Close()
-	case fateHang:
+	case connectionHangs:
 		<-ended
 		// Whatever comes further is read and not answered.
 		_, _ = io.Copy(io.Discard, reader)
-		return fateClose, 0
+		return connectionClosed, 0
 	}
 	answered := time.Now()
 	// The watch reads on until the next request begins or the connection ends.
@@ -140,39 +139,39 @@
 }
 
 // handle works on a request and answers it.
-func (i *Instance) handle(ctx context.Context, conn net.Conn, request *http.Request, id string, body []byte) fate {
-	entered, full := i.enter(ctx)
+func (i *Instance) handle(ctx context.Context, conn net.Conn, request *http.Request, id string, body []byte) connectionFate {
+	entered, full := i.acquireSlot(ctx)
 	if full && i.current().OnFull == OnFullHang {
-		return fateHang
+		return connectionHangs
 	}
 	if !entered {
-		return i.refuse(conn, request, http.StatusServiceUnavailable, fateClose)
+		return i.refuse(conn, request, http.StatusServiceUnavailable, connectionClosed)
 	}
-	defer i.leave()
+	defer i.releaseSlot()
 	behaviour := i.current()
 	stamp := i.run(request, id, body)
 	status := http.StatusOK
 	if name := request.Header.Get(HeaderCrash); name != "" {
 		i.crashUnder(name)
-		return fateClose
+		return connectionClosed
 	}
 	if !i.perform(ctx, request, behaviour) || i.chance(behaviour.Fail) {
 		status = http.StatusInternalServerError
 	}
 	if i.chance(behaviour.LoseAnswer) {
-		return fateClose
+		return connectionClosed
 	}
 	return i.answer(conn, request, behaviour, status, stamp)
 }
 
-// crashUnder ends the instance, some time after it began to work on what does that.
+// crashUnder crashes the instance, a service time after it began to work on a poison request.
 func (i *Instance) crashUnder(name string) {
 	if !sleep.For(i.stopped, i.options.ServiceTime) {
 		return
 	}
-	i.options.Ledger.Ended(name, i.id, time.Now())
-	// The instance cannot end while its own request waits for that.
-	i.fall.Do(func() { go i.options.Ended(i) })
+	i.options.Ledger.CrashedUnder(name, i.id, time.Now())
+	// In the background: the instance's end waits for this request.
+	i.crashOnce.Do(func() { go i.options.PoisonCrashed(i) })
 	<-i.stopped.Done()
 }
 
@@ -193,9 +192,9 @@
 	return ctx, cancel, ended
 }
 
-// enter waits for a slot; it gets none when the queue is full or the time is over.
-func (i *Instance) enter(ctx context.Context) (entered, full bool) {
-	if room := i.current().Room; room > 0 && i.running.Load()+i.waiting.Load() >= int64(room) {
+// acquireSlot waits for a slot; it gets none when the queue is full or ctx ends.
+func (i *Instance) acquireSlot(ctx context.Context) (entered, full bool) {
+	if room := i.current().Capacity; room > 0 && i.running.Load()+i.waiting.Load() >= int64(room) {
 		return false, true
 	}
 	select {
@@ -218,12 +217,12 @@
 	}
 }
 
-func (i *Instance) leave() {
+func (i *Instance) releaseSlot() {
 	i.running.Add(-1)
 	<-i.slots
 }
 
-// run notes that work on a request begins, and returns its stamp.
+// run records that work on a request begins, and returns its stamp.
 func (i *Instance) run(request *http.Request, id string, body []byte) string {
 	stamp := fmt.Sprintf("%s.%s.%d", i.id, id, i.sequence.Add(1))
 	digest := ""
@@ -242,7 +241,7 @@
 // perform spends the time of work and makes the calls that the request asks for.
 func (i *Instance) perform(ctx context.Context, request *http.Request, behaviour Behaviour) bool {
 	factor := max(behaviour.Slowdown, 1)
-	if i.cold.left(time.Now()) > 0 {
+	if i.cold.remaining(time.Now()) > 0 {
 		factor *= coldSlowdown
 	}
 	i.mutex.Lock()
@@ -286,34 +285,34 @@
 }
 
 // health answers the question for the instance's health.
-func (i *Instance) health(conn net.Conn) fate {
+func (i *Instance) health(conn net.Conn) connectionFate {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %d\r\nContent-Length: 0\r\n\r\n", platform.HeaderInstance, i.id,
-		platform.HeaderColdRemaining, i.cold.left(time.Now()).Milliseconds())
+		platform.HeaderColdRemaining, i.cold.remaining(time.Now()).Milliseconds())
 	if _, err := io.WriteString(conn, head); err != nil {
-		return fateClose
+		return connectionClosed
 	}
-	return fateKeep
+	return connectionKept
 }
 
 // refuse answers that the request did not run.
-func (i *Instance) refuse(conn net.Conn, request *http.Request, status int, then fate) fate {
+func (i *Instance) refuse(conn net.Conn, request *http.Request, status int, then connectionFate) connectionFate {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\n%s: %s\r\n%s: %s\r\nContent-Length: 0\r\n", status, http.StatusText(status),
 		platform.HeaderRequestID, request.Header.Get(platform.HeaderRequestID), platform.HeaderInstance, i.id)
 	if status != http.StatusMisdirectedRequest {
 		head += platform.HeaderNotExecuted + ": 1\r\n"
 	}
-	if then == fateClose {
+	if then == connectionClosed {
 		head += "Connection: close\r\n"
 	}
 	_, err := io.WriteString(conn, head+"\r\n")
 	if err != nil {
-		return fateClose
+		return connectionClosed
 	}
 	return then
 }
 
 // answer sends the answer, or what the behaviour makes of it.
-func (i *Instance) answer(conn net.Conn, request *http.Request, behaviour Behaviour, status int, stamp string) fate {
+func (i *Instance) answer(conn net.Conn, request *http.Request, behaviour Behaviour, status int, stamp string) connectionFate {
 	size := defaultAnswerBytes
 	if wanted, err := strconv.Atoi(request.Header.Get(HeaderAnswerBytes)); err == nil {
 		size = wanted
@@ -326,22 +325,22 @@
 	switch {
 	case i.chance(behaviour.Garbage):
 		_, _ = io.WriteString(conn, "this is no answer\r\n\r\n")
-		return fateClose
+		return connectionClosed
 	case i.chance(behaviour.Cut):
 		_, _ = io.WriteString(conn, framed[:len(framed)-len(body)/2])
-		return fateClose
+		return connectionClosed
 	case i.chance(behaviour.Unframed):
 		_, _ = io.WriteString(conn, head+"Connection: close\r\n\r\n"+body)
-		return fateClose
+		return connectionClosed
 	}
 	if _, err := io.WriteString(conn, framed); err != nil {
-		return fateClose
+		return connectionClosed
 	}
 	if i.chance(behaviour.Extra) {
 		time.Sleep(behaviour.ExtraAfter)
 		_, _ = io.WriteString(conn, framed)
 	}
-	return fateKeep
+	return connectionKept
 }
 
 // Body returns the body of the answer with a stamp; a client can make it again.
--- a/internal/lab/emulator/objectstore/faults.go
+++ b/internal/lab/emulator/objectstore/faults.go
@@ -29,17 +29,17 @@
 	// with Late they are done only a moment later.
 	LoseWrites float64
 	Late       bool
-	// Deaf keeps the watches from hearing of changes.
-	Deaf bool
-	// Only are the addresses, as ListenAlso returned them, at which the faults
-	// strike while the store serves all others; empty for everywhere.
+	// FreezeWatches has watches report no changes.
+	FreezeWatches bool
+	// Only are the addresses, as ListenAlso returned them, at which the faults are in force; empty
+	// for everywhere.
 	Only map[string]bool
 }
 
-// struck reports whether calls are not served.
-func (f Faults) struck() bool { return f.Down || f.Silent || f.Reset }
+// unavailable reports whether calls are not served.
+func (f Faults) unavailable() bool { return f.Down || f.Silent || f.Reset }
 
-// at returns the faults as they strike at an address.
+// at returns the faults in force at an address.
 func (f Faults) at(address string) Faults {
 	if len(f.Only) > 0 && !f.Only[address] {
 		return Faults{}
@@ -58,19 +58,19 @@
 	}
 }
 
-// Forget drops the history of changes and cuts the watches.
-func (s *Server) Forget() {
-	s.table.forget()
+// CompactHistory drops the history of changes and cuts the watches.
+func (s *Server) CompactHistory() {
+	s.table.compactHistory()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.cutWatches(Faults{Reset: true})
 }
 
-// cutWatches ends the watches that wait where the faults strike; the caller holds
+// cutWatches ends the waiting watches where the faults make the store unavailable; the caller holds
 // mutex.
 func (s *Server) cutWatches(faults Faults) {
 	for address, cut := range s.cuts {
-		if faults.at(address).struck() {
+		if faults.at(address).unavailable() {
 			close(cut)
 			delete(s.cuts, address)
 		}
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -1,3 +1,7 @@
+// Package objectstore is a stand-in for the platform's metadata store: kinds of
+// objects with revisions, status and finalizers, conditional writes, lists in
+// pages, watches with a bounded history, rates, and faults that are switched on
+// at run time.
 package objectstore
 
 import (
@@ -29,8 +33,8 @@
 type Options struct {
 	// Address is where to listen; "127.0.0.1:0" picks a port.
 	Address string
-	// ReadsPerSecond and WritesPerSecond are borne from all callers together; 0
-	// for no bound. What is beyond gets 429.
+	// ReadsPerSecond and WritesPerSecond bound all callers together, who get 429 beyond; 0 for no
+	// bound.
 	ReadsPerSecond, WritesPerSecond float64
 	// Seed seeds the faults' randomness.
 	Seed uint64
@@ -50,8 +54,8 @@
 	random *rand.Rand
 	// cuts are closed and replaced to end the watches that wait at an address.
 	cuts map[string]chan struct{}
-	// told gives by kind the newest revision at which a reader was told of the kind.
-	told map[string]uint64
+	// reported gives by kind the newest revision that a list or watch was answered with.
+	reported map[string]uint64
 
 	calls, refused atomic.Int64
 }
@@ -65,7 +69,7 @@
 	server := &Server{
 		table: newTable(), listener: listener,
 		reads: limiter(options.ReadsPerSecond), writes: limiter(options.WritesPerSecond),
-		random: rand.New(rand.NewPCG(options.Seed, 1)), cuts: map[string]chan struct{}{}, told: map[string]uint64{},
+		random: rand.New(rand.NewPCG(options.Seed, 1)), cuts: map[string]chan struct{}{}, reported: map[string]uint64{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.PathObjects, server.serve)
@@ -114,19 +118,19 @@
 	return nil
 }
 
-// Told returns the newest revision at which a reader was told of a kind's objects.
-func (s *Server) Told(kind string) uint64 {
+// ReportedRevision returns the newest revision that a list or watch of a kind was answered with.
+func (s *Server) ReportedRevision(kind string) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.told[kind]
+	return s.reported[kind]
 }
 
-// tell answers a reader of a kind with what stands at a revision.
-func (s *Server) tell(w http.ResponseWriter, kind string, at uint64, value any) {
+// answerAt answers a list or watch of a kind at a revision.
+func (s *Server) answerAt(w http.ResponseWriter, kind string, at uint64, value any) {
 	answer(w, value)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.told[kind] = max(s.told[kind], at)
+	s.reported[kind] = max(s.reported[kind], at)
 }
 
 // Remove deletes an object as an operator does, whatever the faults.
@@ -164,7 +168,7 @@
 		return
 	}
 	page := s.table.list(kind, query.Get("after"))
-	s.tell(w, kind, page.Revision, page)
+	s.answerAt(w, kind, page.Revision, page)
 }
 
 // watch answers with the changes of a kind after a revision, once there are any or the wait is over.
@@ -178,23 +182,23 @@
 	timer := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWait))
 	defer timer.Stop()
 	for {
-		changes, changed, gone := s.table.since(kind, after)
-		deaf := s.disturb(disturbed.address).faults.Deaf
+		changes, changed, compacted := s.table.since(kind, after)
+		frozen := s.disturb(disturbed.address).faults.FreezeWatches
 		switch {
-		case gone:
+		case compacted:
 			w.WriteHeader(http.StatusGone)
 			return
-		case len(changes.Events) > 0 && !deaf:
-			s.tell(w, kind, changes.Revision, changes)
+		case len(changes.Events) > 0 && !frozen:
+			s.answerAt(w, kind, changes.Revision, changes)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			if deaf {
+			if frozen {
 				changes = platform.Changes{Events: []platform.Event{}, Revision: after}
 			}
-			s.tell(w, kind, changes.Revision, changes)
+			s.answerAt(w, kind, changes.Revision, changes)
 			return
 		case <-disturbed.cut:
 			hangUp(w)
--- a/internal/lab/emulator/objectstore/table.go
+++ b/internal/lab/emulator/objectstore/table.go
@@ -28,9 +28,9 @@
 	revision uint64
 	kinds    map[string]map[string]platform.Object
 	history  []entry
-	// forgotten is the revision up to which the history is gone.
-	forgotten uint64
-	changed   chan struct{}
+	// compactedAt is the revision up to which the history was dropped.
+	compactedAt uint64
+	changed     chan struct{}
 }
 
 func newTable() *table {
@@ -44,8 +44,8 @@
 	missing  bool
 }
 
-// mutate changes an object; change gets the present one, and returns the next
-// one or false to leave it. The caller's revision, unless 0, must be that of
+// mutate changes an object; change gets the present one, and returns the next one or false to keep
+// it. The caller's revision, unless 0, must be that of
 // the present object.
 func (t *table) mutate(kind, name string, expected uint64, change func(platform.Object, bool) (platform.Object, bool)) writeResult {
 	t.mutex.Lock()
@@ -76,13 +76,13 @@
 		objects = map[string]platform.Object{}
 		t.kinds[kind] = objects
 	}
-	gone := object.Metadata.Deleting && len(object.Metadata.Finalizers) == 0
-	if gone {
+	removed := object.Metadata.Deleting && len(object.Metadata.Finalizers) == 0
+	if removed {
 		delete(objects, object.Metadata.Name)
 	} else {
 		objects[object.Metadata.Name] = object
 	}
-	t.history = append(t.history, entry{revision: t.revision, kind: kind, event: platform.Event{Object: object, Deleted: gone}})
+	t.history = append(t.history, entry{revision: t.revision, kind: kind, event: platform.Event{Object: object, Deleted: removed}})
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -143,13 +143,13 @@
 }
 
 // since returns the changes of a kind after a revision, and a channel that is
-// closed with the next change; gone is true when the history does not reach
+// closed with the next change; compacted is true when the history does not reach
 // back.
-func (t *table) since(kind string, after uint64) (changes platform.Changes, wait <-chan struct{}, gone bool) {
+func (t *table) since(kind string, after uint64) (changes platform.Changes, wait <-chan struct{}, compacted bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	changes = platform.Changes{Events: []platform.Event{}, Revision: t.revision}
-	if after < t.forgotten {
+	if after < t.compactedAt {
 		return changes, nil, true
 	}
 	first := sort.Search(len(t.history), func(index int) bool { return t.history[index].revision > after })
@@ -161,12 +161,12 @@
 	return changes, t.changed, false
 }
 
-// forget drops the history.
-func (t *table) forget() {
+// compactHistory drops the history.
+func (t *table) compactHistory() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.history = nil
-	t.forgotten = t.revision
+	t.compactedAt = t.revision
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
--- a/internal/lab/emulator/promise/reached_test.go
+++ b/internal/lab/emulator/promise/delivery_test.go
@@ -17,7 +17,7 @@
 // after start and each step after the one before.
 func arrive(l *promise.Ledger, count int, start, step time.Duration) {
 	for index := range count {
-		l.Reached(promise.Arrival{
+		l.Delivered(promise.Delivery{
 			Request: fmt.Sprint("r", index), Instance: "i", Zone: "a", Region: "north", Cold: true,
 			At: noon.Add(start + time.Duration(index)*step),
 		})
@@ -52,14 +52,14 @@
 		}, want: []promise.Kind{promise.Failback, promise.Failback}},
 		"a warm instance": {bounds: bounds, play: func(l *promise.Ledger) {
 			for range 50 {
-				l.Reached(promise.Arrival{Request: "r", Instance: "i", Zone: "a", At: noon})
+				l.Delivered(promise.Delivery{Request: "r", Instance: "i", Zone: "a", At: noon})
 			}
 		}},
 		"cold, no rate set": {play: func(l *promise.Ledger) { arrive(l, 100, 0, 0) }},
 		"two cold instances": {bounds: bounds, play: func(l *promise.Ledger) {
 			arrive(l, 10, 0, 0)
 			for range 10 {
-				l.Reached(promise.Arrival{Request: "r", Instance: "j", Zone: "a", Cold: true, At: noon})
+				l.Delivered(promise.Delivery{Request: "r", Instance: "j", Zone: "a", Cold: true, At: noon})
 			}
 		}},
 		"soon after the order": {bounds: bounds, play: func(l *promise.Ledger) {
@@ -80,33 +80,33 @@
 		}},
 		"late in another zone": {bounds: bounds, play: func(l *promise.Ledger) {
 			l.Evacuated("a", noon)
-			l.Reached(promise.Arrival{Request: "r", Instance: "i", Zone: "b", At: noon.Add(time.Hour)})
+			l.Delivered(promise.Delivery{Request: "r", Instance: "i", Zone: "b", At: noon.Add(time.Hour)})
 		}},
 		"taken back": {bounds: bounds, play: func(l *promise.Ledger) {
 			l.Evacuated("a", noon)
-			l.TakenBack("a")
+			l.EvacuationEnded("a")
 			arrive(l, 1, time.Hour, 0)
 		}},
 		"the store is lost": {bounds: bounds, play: func(l *promise.Ledger) {
 			l.Evacuated("a", noon)
-			l.StoreLost()
+			l.StoreUnavailable()
 			arrive(l, 1, time.Hour, 0)
 		}},
 		"soon after the store is back": {bounds: bounds, play: func(l *promise.Ledger) {
 			l.Evacuated("a", noon)
-			l.StoreLost()
-			l.StoreBack(noon.Add(time.Minute))
+			l.StoreUnavailable()
+			l.StoreAvailable(noon.Add(time.Minute))
 			arrive(l, 1, time.Minute+bound, 0)
 		}},
 		"late after the store is back": {bounds: bounds, play: func(l *promise.Ledger) {
 			l.Evacuated("a", noon)
-			l.StoreLost()
-			l.StoreBack(noon.Add(time.Minute))
+			l.StoreUnavailable()
+			l.StoreAvailable(noon.Add(time.Minute))
 			arrive(l, 1, time.Minute+bound+time.Millisecond, 0)
 		}, want: []promise.Kind{promise.Evacuation}},
 		"the store was lost before the order": {bounds: bounds, play: func(l *promise.Ledger) {
-			l.StoreLost()
-			l.StoreBack(noon.Add(-time.Minute))
+			l.StoreUnavailable()
+			l.StoreAvailable(noon.Add(-time.Minute))
 			l.Evacuated("a", noon)
 			arrive(l, 1, bound+time.Millisecond, 0)
 		}, want: []promise.Kind{promise.Evacuation}},
--- a/internal/lab/emulator/promise/poison.go
+++ b/internal/lab/emulator/promise/poison.go
@@ -5,70 +5,67 @@
 	"time"
 )
 
-// Bounds of what ends the instances that run it.
 const (
-	// poisonEnds is the number of ended instances from which the system must know.
-	poisonEnds = 3
-	// poisonLater is the number of times that instances may get it after the system must
-	// know.
-	poisonLater = 3
+	// poisonProof is the number of crashes from which on the system must hold a poison request
+	// back, and poisonAllowance how often instances may get it after that all the same.
+	poisonProof     = 3
+	poisonAllowance = 3
 )
 
-// poison is what is known of requests that ask for the same and end each instance that
-// runs them.
+// poison is what is known of a poison request, under which each instance that runs it crashes.
 type poison struct {
-	// ended are the instances that ended under it, provenAt is when the last of the first
-	// poisonEnds did, and later counts what came when the system had to know.
-	ended    map[string]bool
-	provenAt time.Time
-	later    int
+	// crashed are the instances that crashed under it, provenAt is when poisonProof of them had,
+	// and afterProof counts the deliveries that the system had to hold back.
+	crashed    map[string]bool
+	provenAt   time.Time
+	afterProof int
 }
 
-// Ended notes that an instance ended because it ran a request that asks for what name says.
-func (l *Ledger) Ended(name, instance string, at time.Time) {
+// CrashedUnder records that an instance crashed under the poison request of a name.
+func (l *Ledger) CrashedUnder(name, instance string, at time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.poison[name]
 	if known == nil {
-		known = &poison{ended: map[string]bool{}}
+		known = &poison{crashed: map[string]bool{}}
 		l.poison[name] = known
 	}
-	known.ended[instance] = true
-	if len(known.ended) == poisonEnds && known.provenAt.IsZero() {
+	known.crashed[instance] = true
+	if len(known.crashed) == poisonProof && known.provenAt.IsZero() {
 		known.provenAt = at
 	}
 }
 
-// EndedUnder returns the number of instances that ended under such a request.
-func (l *Ledger) EndedUnder(name string) int {
+// CrashesUnder returns the number of instances that crashed under the poison request of a name.
+func (l *Ledger) CrashesUnder(name string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if known := l.poison[name]; known != nil {
-		return len(known.ended)
+		return len(known.crashed)
 	}
 	return 0
 }
 
-// Disturbed notes that daemons ended or were cut off until now: what they send on before
-// they are in touch again does not count.
-func (l *Ledger) Disturbed(at time.Time) {
+// DaemonsDisturbed records that daemons ended or were cut off until now: what they send before they
+// are in touch again does not count.
+func (l *Ledger) DaemonsDisturbed(at time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.disturbedAt = at
 }
 
-// checkDeadly checks that a request under which enough instances ended is held back. The
-// caller holds mutex.
-func (l *Ledger) checkDeadly(arrival Arrival) {
-	known := l.poison[arrival.Poison]
-	if arrival.Poison == "" || known == nil || known.provenAt.IsZero() {
+// checkPoison checks that a poison request is held back after poisonProof crashes; the caller holds
+// mutex.
+func (l *Ledger) checkPoison(delivery Delivery) {
+	known := l.poison[delivery.Poison]
+	if delivery.Poison == "" || known == nil || known.provenAt.IsZero() {
 		return
 	}
-	if arrival.At.Sub(known.provenAt) <= l.bounds.Contact || arrival.At.Sub(l.disturbedAt) <= l.bounds.Contact {
+	if delivery.At.Sub(known.provenAt) <= l.bounds.Contact || delivery.At.Sub(l.disturbedAt) <= l.bounds.Contact {
 		return
 	}
-	known.later++
-	if known.later == poisonLater+1 {
-		l.note(Budget, arrival.Request, fmt.Sprintf("%s got it although %d instances had ended under %s", arrival.Instance, len(known.ended), arrival.Poison))
+	known.afterProof++
+	if known.afterProof == poisonAllowance+1 {
+		l.note(Budget, delivery.Request, fmt.Sprintf("%s got it although %d instances had ended under %s", delivery.Instance, len(known.crashed), delivery.Poison))
 	}
 }
--- a/internal/lab/emulator/promise/promise.go
+++ b/internal/lab/emulator/promise/promise.go
@@ -1,6 +1,6 @@
-// Package promise keeps the ledger of a run on the emulated platform: what
-// clients sent, what instances ran, what was answered and acknowledged. From it
-// follow the broken promises.
+// Package promise checks the invariants ("promises") of a run on the emulated platform. Its Ledger
+// records what clients sent, what instances ran, what was answered and acknowledged, and lists the
+// breaches that follow from that. It does no I/O and starts no goroutines.
 package promise
 
 import (
@@ -20,27 +20,25 @@
 	Refused Kind = "refused"
 	// Mixed: a success is not the whole answer of the instance that ran it.
 	Mixed Kind = "mixed"
-	// Unasked: an instance ran what no client sent, or not as it was sent.
+	// Unasked: an instance ran what no client sent, or other content than was sent.
 	Unasked Kind = "unasked"
-	// Drain: an instance got a request too long after its leaving was
-	// acknowledged.
+	// Drain: an instance got a request too long after its drain was acknowledged.
 	Drain Kind = "drain"
 	// Route: a request ran at a service that no configuration allows.
 	Route Kind = "route"
 	// Config: a request was handled by a version that must no longer be in
 	// force.
 	Config Kind = "config"
-	// Denied: a proper request got a failure that says that it was not.
+	// Denied: a valid request was answered as an invalid one.
 	Denied Kind = "denied"
 	// Budget: instances got more repeats or more time than is allowed.
 	Budget Kind = "budget"
-	// Failback: a cold instance got more in a second than it bears.
+	// Failback: an instance in slow start got more in a second than its limit.
 	Failback Kind = "failback"
 	// Evacuation: an instance of an evacuated zone got a request too long after the
 	// order was acknowledged.
 	Evacuation Kind = "evacuation"
-	// Home: a request reached an instance in a region where its route does not
-	// allow it.
+	// Home: a request reached an instance outside the regions of its route.
 	Home Kind = "home"
 )
 
@@ -81,7 +79,7 @@
 	Caller     string
 	Stamp      string
 	At         time.Time
-	// Given is the time that the instance was told to have; 0 for no word.
+	// Given is the deadline that the request stated to the instance; 0 for none.
 	Given time.Duration
 }
 
@@ -98,7 +96,7 @@
 	NotRead bool
 }
 
-// Ledger is safe for concurrent use.
+// Ledger records a run and its breaches. It is safe for concurrent use.
 type Ledger struct {
 	bounds Bounds
 
@@ -108,7 +106,7 @@
 	runs     map[string][]Run
 	answers  map[string]Answer
 	arrivals map[string]int
-	// left gives the time when an instance's leaving was acknowledged.
+	// left gives the time when an instance's drain was acknowledged.
 	left map[string]time.Time
 	// evacuated gives the time when a zone's evacuation was acknowledged.
 	evacuated map[string]time.Time
@@ -118,8 +116,7 @@
 	inTouch   time.Time
 	// cold counts what cold instances got.
 	cold map[string]*Second
-	// poison is what ends the instances that run it, and disturbedAt when daemons were
-	// last disturbed.
+	// poison is by the name of a poison request, and disturbedAt when daemons were last disturbed.
 	poison      map[string]*poison
 	disturbedAt time.Time
 	breaches    []Breach
@@ -127,7 +124,7 @@
 
 // Bounds are a platform's bounds.
 type Bounds struct {
-	// Drain is the time after which a leaving instance gets nothing.
+	// Drain is the time after which a draining instance gets nothing.
 	Drain time.Duration
 	// Evacuation is the time after which the instances of an evacuated zone get
 	// nothing; 0 where that is not checked.
@@ -148,14 +145,14 @@
 	}
 }
 
-// Sent notes a request before it is sent.
+// Sent records a request before it is sent.
 func (l *Ledger) Sent(request Request) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.requests[request.ID] = request
 }
 
-// Arrived notes that an instance received a request, also one that it refuses.
+// Arrived records that an instance received a request, also one that it refuses.
 func (l *Ledger) Arrived(request string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -172,8 +169,8 @@
 	return len(l.requests), repeats
 }
 
-// Left notes that an instance's leaving was acknowledged.
-func (l *Ledger) Left(instance string) {
+// DrainAcknowledged records that a daemon acknowledged that an instance drains.
+func (l *Ledger) DrainAcknowledged(instance string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if _, before := l.left[instance]; !before {
@@ -181,7 +178,7 @@
 	}
 }
 
-// Ran notes that an instance began to work on a request, and checks what can
+// Ran records that an instance began to work on a request, and checks what can
 // be checked then.
 func (l *Ledger) Ran(run Run) {
 	l.mutex.Lock()
@@ -231,7 +228,7 @@
 	}
 }
 
-// Answered notes a client's answer.
+// Answered records a client's answer.
 func (l *Ledger) Answered(answer Answer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -256,14 +253,14 @@
 	l.note(Mixed, answer.Request, "a success has the stamp of no run of it")
 }
 
-// Broke notes a promise that another part found broken.
-func (l *Ledger) Broke(kind Kind, request, detail string) {
+// Record adds a breach that the caller found.
+func (l *Ledger) Record(kind Kind, request, detail string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.note(kind, request, detail)
 }
 
-// checkRefusal checks the promise of a refusal; the caller holds mutex.
+// checkRefusal checks that a refused request did not run; the caller holds mutex.
 func (l *Ledger) checkRefusal(answer Answer) {
 	promised := answer.NotRead || (answer.Stamp == "" && notRun(answer.Status))
 	if promised && !l.requests[answer.Request].Safe && len(l.runs[answer.Request]) > 0 {
@@ -280,7 +277,6 @@
 	l.breaches = append(l.breaches, Breach{Kind: kind, Request: request, Detail: detail})
 }
 
-// Breaches returns the broken promises.
 func (l *Ledger) Breaches() []Breach {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
