--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -6,8 +6,6 @@
 import (
 	"bytes"
 	"context"
-	"crypto/sha256"
-	"encoding/hex"
 	"io"
 	"math/rand/v2"
 	"net/http"
@@ -191,7 +189,7 @@
 func (l *Load) announce(class Class, target Target, body []byte, wait int64) string {
 	id := "r" + strconv.FormatUint(nextRequest.Add(1), 36)
 	l.Ledger.Sent(promise.Request{
-		ID: id, Services: set(class.Services), Safe: class.Safe, BodyDigest: digestOf(body),
+		ID: id, Services: set(class.Services), Safe: class.Safe, BodyDigest: promise.DigestOf(body),
 		Caller: target.Service(), SentAt: time.Now(), Wait: time.Duration(wait) * time.Millisecond, Attempts: class.Attempts, Regions: class.Regions,
 	})
 	return id
@@ -249,11 +247,3 @@
 	}
 	return members
 }
-
-func digestOf(body []byte) string {
-	if len(body) == 0 {
-		return ""
-	}
-	sum := sha256.Sum256(body)
-	return hex.EncodeToString(sum[:])
-}
--- a/internal/lab/emulator/day/machine.go
+++ b/internal/lab/emulator/day/machine.go
@@ -323,6 +323,3 @@
 		ReadsPerSecond: 2000, WritesPerSecond: 400, Logger: logr.Discard(), DecisionLines: 200, Seed: 1,
 	}
 }
-
-// Ledger is where a site's promises are kept.
-type Ledger = promise.Ledger
--- a/internal/lab/emulator/day/poison.go
+++ b/internal/lab/emulator/day/poison.go
@@ -3,8 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
 	"io"
 	"net/http"
@@ -47,11 +45,7 @@
 // answer, nil for none.
 func (p PoisonRequest) Send(ctx context.Context, site *Site, machine *Machine, number int) *http.Response {
 	id := fmt.Sprintf("deadly-%s-%d", p.Name, number)
-	sent := promise.Request{ID: id, Safe: p.safe, Caller: machine.Service, SentAt: time.Now(), Services: map[string]bool{p.service: true}}
-	if len(p.body) > 0 {
-		sum := sha256.Sum256(p.body)
-		sent.BodyDigest = hex.EncodeToString(sum[:])
-	}
+	sent := promise.Request{ID: id, Safe: p.safe, BodyDigest: promise.DigestOf(p.body), Caller: machine.Service, SentAt: time.Now(), Services: map[string]bool{p.service: true}}
 	site.Ledger.Sent(sent)
 	ctx, cancel := context.WithTimeout(ctx, poisonWait)
 	defer cancel()
--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -22,7 +22,7 @@
 type Site struct {
 	Store    *objectstore.Server
 	Machines []*Machine
-	Ledger   *Ledger
+	Ledger   *promise.Ledger
 
 	options Options
 	// mutex protects everything below; version is the newest configuration's.
--- a/internal/lab/emulator/instance/serve.go
+++ b/internal/lab/emulator/instance/serve.go
@@ -3,8 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
 	"io"
 	"net"
@@ -225,14 +223,9 @@
 // run records that work on a request begins, and returns its stamp.
 func (i *Instance) run(request *http.Request, id string, body []byte) string {
 	stamp := fmt.Sprintf("%s.%s.%d", i.id, id, i.sequence.Add(1))
-	digest := ""
-	if len(body) > 0 {
-		sum := sha256.Sum256(body)
-		digest = hex.EncodeToString(sum[:])
-	}
 	millis, _ := strconv.Atoi(request.Header.Get(platform.HeaderDeadline))
 	i.options.Ledger.Ran(promise.Run{
-		Given: time.Duration(millis) * time.Millisecond, Request: id, Instance: i.id, Service: i.options.Service, BodyDigest: digest,
+		Given: time.Duration(millis) * time.Millisecond, Request: id, Instance: i.id, Service: i.options.Service, BodyDigest: promise.DigestOf(body),
 		Caller: request.Header.Get(platform.HeaderCallerService), Stamp: stamp, At: time.Now(),
 	})
 	return stamp
--- a/internal/lab/emulator/objectstore/faults.go
+++ b/internal/lab/emulator/objectstore/faults.go
@@ -121,7 +121,6 @@
 		limit = s.reads
 	}
 	if r.URL.Query().Get("stale") == "" && !limit.Allow() {
-		s.refused.Add(1)
 		w.WriteHeader(http.StatusTooManyRequests)
 		return false
 	}
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -13,7 +13,6 @@
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -56,8 +55,6 @@
 	cuts map[string]chan struct{}
 	// reported gives by kind the newest revision that a list or watch was answered with.
 	reported map[string]uint64
-
-	calls, refused atomic.Int64
 }
 
 // Start opens the listener and serves in the background.
@@ -107,7 +104,7 @@
 
 // PutSpec writes an object's spec as an operator does, whatever the faults.
 func (s *Server) PutSpec(kind, name string, value any) error {
-	spec, err := specOf(value)
+	spec, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
@@ -138,7 +135,6 @@
 
 // serve answers one call.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	s.calls.Add(1)
 	disturbed := s.disturb(localAddress(r))
 	if !s.admit(w, r, disturbed) {
 		return
--- a/internal/lab/emulator/objectstore/table.go
+++ b/internal/lab/emulator/objectstore/table.go
@@ -1,7 +1,6 @@
 package objectstore
 
 import (
-	"encoding/json"
 	"slices"
 	"sort"
 	"strings"
@@ -170,6 +169,3 @@
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
-
-// specOf encodes a value as an object's spec.
-func specOf(value any) (json.RawMessage, error) { return json.Marshal(value) }
--- a/internal/lab/emulator/promise/promise.go
+++ b/internal/lab/emulator/promise/promise.go
@@ -4,6 +4,8 @@
 package promise
 
 import (
+	"crypto/sha256"
+	"encoding/hex"
 	"fmt"
 	"sync"
 	"time"
@@ -70,6 +72,15 @@
 	Regions []string
 }
 
+// DigestOf returns the digest of a body, empty for none.
+func DigestOf(body []byte) string {
+	if len(body) == 0 {
+		return ""
+	}
+	sum := sha256.Sum256(body)
+	return hex.EncodeToString(sum[:])
+}
+
 // Run is one run of a request at an instance.
 type Run struct {
 	Request    string
--- a/internal/requestpath/origin/crash_test.go
+++ b/internal/requestpath/origin/crash_test.go
@@ -41,7 +41,7 @@
 	return r.crashes
 }
 
-// breaking is an instance of which calls break: all of them with the instance where they
+// breaking is an instance of which calls break off: all of them with the instance where they
 // request /end, one alone where they ask for /break.
 type breaking struct {
 	listener net.Listener
@@ -111,7 +111,7 @@
 	return err
 }
 
-func startOrigin(t *testing.T) (*breaking, *Origin, *recorder) {
+func startBesideBreaking(t *testing.T) (*breaking, *Origin, *recorder) {
 	t.Helper()
 	instance := startBreaking(t)
 	crashes := &recorder{Registry: quarantine.NewRegistry(time.Now)}
@@ -124,7 +124,7 @@
 
 // An instance that crashes takes all its calls with it: each error says so, and all are reported.
 func TestCrashOfAnInstanceIsNoticed(t *testing.T) {
-	instance, origin, crashes := startOrigin(t)
+	instance, origin, crashes := startBesideBreaking(t)
 	beside := make(chan error, 1)
 	go func() { beside <- send(origin, "/wait") }()
 	<-instance.waiting
@@ -145,7 +145,7 @@
 
 // A call that breaks off alone is no crash, whether others are in flight or not.
 func TestBrokenCallIsNoCrash(t *testing.T) {
-	instance, origin, crashes := startOrigin(t)
+	instance, origin, crashes := startBesideBreaking(t)
 	assert.Assert(t, result.Is(send(origin, "/break"), result.CallUnknownOutcome))
 	go func() { _ = send(origin, "/wait") }()
 	<-instance.waiting
@@ -156,7 +156,7 @@
 // An instance that ends after its callers gave up takes their calls with it all the same: the next
 // call finds its port closed.
 func TestCrashAfterTheCallsWereGivenUp(t *testing.T) {
-	instance, origin, crashes := startOrigin(t)
+	instance, origin, crashes := startBesideBreaking(t)
 	ctx, giveUp := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
--- a/internal/requestpath/origin/evacuation_test.go
+++ b/internal/requestpath/origin/evacuation_test.go
@@ -28,11 +28,11 @@
 	go func() { defer close(done); made.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 	synctest.Wait()
-	made.Register(beatOf("desk-1", 1))
+	made.Register(heartbeatOf("desk-1", 1))
 	return made
 }
 
-func beatOf(instance string, sequence uint64) Registration {
+func heartbeatOf(instance string, sequence uint64) Registration {
 	return Registration{Service: "desk", Instance: instance, Address: nowhere, Slots: 2, Sequence: sequence}
 }
 
@@ -70,9 +70,8 @@
 	assert.Assert(t, result.Is(err, code), "%v", err)
 }
 
-// What waits when the zone is evacuated is refused at once and what comes later too; what
-// runs is seen through. After the end of the evacuation the instance takes work at once,
-// without a further heartbeat.
+// Calls that wait when the zone is evacuated, and later ones, are refused at once; those that run go
+// on. After the end of the evacuation the instance takes work at once, without a further heartbeat.
 func TestEvacuationWithCallsWaitingAndRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := running(t)
@@ -142,8 +141,8 @@
 	}
 }
 
-// Calls are refused with the reason that weighs most, in whatever order the reasons came: one that
-// leaves for good does not come back with the end of the evacuation.
+// Calls are refused with the first reason of drainReasons, in whatever order they came: an instance
+// that left for good does not come back with the end of the evacuation.
 func TestCallsAreRefusedWithTheFirstReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := running(t)
@@ -167,9 +166,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := running(t)
 		o.SetEvacuated(true)
-		o.Register(beatOf("desk-0", 9))
+		o.Register(heartbeatOf("desk-0", 9))
 		for sequence := range uint64(60) {
-			o.Register(beatOf("desk-1", 2+sequence))
+			o.Register(heartbeatOf("desk-1", 2+sequence))
 			time.Sleep(1500 * time.Millisecond)
 		}
 		assert.Equal(t, len(o.Withdrawn()), 0)
@@ -191,7 +190,7 @@
 				assert.Equal(t, instance.advertisedState(), lapisv1.Endpoint_STATE_DRAINING)
 				o.SetEvacuated(false)
 				if back {
-					o.Register(beatOf("desk-1", 2))
+					o.Register(heartbeatOf("desk-1", 2))
 					assert.Equal(t, instance.State(), StateReady)
 					return
 				}
--- a/internal/requestpath/origin/handle_test.go
+++ b/internal/requestpath/origin/handle_test.go
@@ -15,7 +15,7 @@
 
 // A call that makes the daemon panic ends alone.
 func TestPanicEndsOneCall(t *testing.T) {
-	_, origin, _ := startOrigin(t)
+	_, origin, _ := startBesideBreaking(t)
 	for try := range 2 * DefaultSlots {
 		_, err := origin.Handle(context.Background(), &callapi.Call{Body: panicking{}, Buffered: true, Open: &lapisv1.CallOpen{
 			Service: "desk", Instance: "desk-1", Method: http.MethodPost, Target: "/answer", Host: "a.example", ContentLength: 5, AttemptId: fmt.Sprint(try),
@@ -29,7 +29,7 @@
 // A call that panicked is not in flight any more, so that a later crash of the instance is told
 // from a broken connection.
 func TestCrashAfterAPanicIsNoticed(t *testing.T) {
-	_, origin, crashes := startOrigin(t)
+	_, origin, crashes := startBesideBreaking(t)
 	_, err := origin.Handle(context.Background(), &callapi.Call{Body: panicking{}, Buffered: true, Open: &lapisv1.CallOpen{
 		Service: "desk", Instance: "desk-1", Method: http.MethodPost, Target: "/answer", Host: "a.example", ContentLength: 5, AttemptId: "panics",
 	}})
--- a/internal/requestpath/origin/quarantine_test.go
+++ b/internal/requestpath/origin/quarantine_test.go
@@ -18,7 +18,7 @@
 
 // A quarantined request does not reach the instance, and an answer refutes a suspicion.
 func TestQuarantineBesideTheInstance(t *testing.T) {
-	_, origin, crashes := startOrigin(t)
+	_, origin, crashes := startBesideBreaking(t)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
 	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
 	crashes.Crashed("other", 1, inFlight)
@@ -35,7 +35,7 @@
 
 // A short body from another daemon, which comes in pieces, is checked beside the instance too.
 func TestShortBodiesAreCheckedBesideTheInstance(t *testing.T) {
-	_, origin, crashes := startOrigin(t)
+	_, origin, crashes := startBesideBreaking(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/answer"}
 	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, []byte("deadly")).Whole(), Caller: "shop"}}
 	for end := range uint64(3) {
@@ -56,7 +56,7 @@
 
 // An answer that comes before the body refutes nothing.
 func TestEarlyAnswerRefutesNothing(t *testing.T) {
-	_, origin, crashes := startOrigin(t)
+	_, origin, crashes := startBesideBreaking(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/early"}
 	key := fingerprint.PartialOf(line, maxShortBody+1)
 	crashes.Crashed("other", 1, []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: []fingerprint.Key{key}, Caller: "shop"}})
@@ -73,7 +73,7 @@
 
 // A trial of a quarantined request reaches the instance, and its answer refutes the crashes.
 func TestTrialReachesTheInstance(t *testing.T) {
-	_, origin, crashes := startOrigin(t)
+	_, origin, crashes := startBesideBreaking(t)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
 	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
 	for end := range uint64(3) {
--- a/internal/requestpath/origin/registration_test.go
+++ b/internal/requestpath/origin/registration_test.go
@@ -32,8 +32,7 @@
 	return origin.Registration{Service: "desk", Instance: instance, Address: address, Slots: 2, Sequence: 1}
 }
 
-// An instance that left is dropped once nothing of it is in flight; it stayed in
-// the map, with its watch and in every announcement, until the daemon ended.
+// An instance that left is dropped once nothing of it is in flight.
 func TestInstancesThatLeftAreDropped(t *testing.T) {
 	for name, leave := range map[string]func(*origin.Origin){
 		"says farewell": func(o *origin.Origin) { o.Withdraw("desk-1") },
@@ -73,8 +72,8 @@
 	})
 }
 
-// What left stays away whatever is heard of it late, and calls for it are refused
-// as for one that drains.
+// An instance that left stays away whatever late heartbeats say, and calls for it are refused as for
+// one that drains.
 func TestInstanceThatLeftDoesNotComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running, stop := startOrigin(t)
@@ -93,7 +92,7 @@
 	})
 }
 
-// One that was only silent may come back under its name.
+// An instance that was only silent may come back under its name.
 func TestSilentInstanceComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running, stop := startOrigin(t)
@@ -108,9 +107,9 @@
 	})
 }
 
-// A heartbeat that was held up may arrive after its instance has crashed and another one
-// has registered at its address, also at a daemon that has started anew since and has
-// forgotten the first one. The present one was withdrawn for good by it.
+// A delayed heartbeat may arrive after its instance has crashed and another one has registered at its
+// address, also at a daemon that has restarted since and does not know the first one. It must not
+// withdraw the present one.
 func TestLateHeartbeatOfAnEarlierInstance(t *testing.T) {
 	beat := func(instance string, sequence uint64) origin.Registration {
 		stated := registration(instance, "127.0.0.1:1")
