--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -1,6 +1,6 @@
-// Package client is a stand-in for the clients of the emulated platform: they
-// send requests to the daemon of their machine, try again as they may, and
-// check every answer.
+// Package client is a stand-in for the clients of the emulated platform: they send requests to the
+// daemon of their machine, retry as they may, and check every answer. A Load owns their connections
+// and goroutines, which end with Run, and records requests and answers in a promise.Ledger.
 package client
 
 import (
--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -1,6 +1,6 @@
-// Package day plays days on an emulated platform: machines with daemons and
-// instances, a store, an operator and clients, disturbed at set times. Daemons
-// run in the process that plays the day; all connections are on loopback.
+// Package day plays days on an emulated platform: machines with daemons and instances, a store, an
+// operator and clients, with faults at set times. A Site owns all of them, as goroutines of this
+// process with connections on loopback, and Close ends them. It keeps nothing on disk.
 package day
 
 import (
--- a/internal/lab/emulator/instance/instance.go
+++ b/internal/lab/emulator/instance/instance.go
@@ -1,7 +1,7 @@
-// Package instance is a stand-in for an application instance of the emulated
-// platform: it registers with the daemon beside it, works on requests in slots
-// with a short queue, states its load, drains, crashes, starts again, and
-// misbehaves as instances do.
+// Package instance is a stand-in for an application instance of the emulated platform: it registers
+// with the daemon beside it, works on requests in slots with a short queue, states its load, drains,
+// crashes, and misbehaves as instances do. An Instance owns its listener, its connections and their
+// goroutines until Crash or Shutdown, and records what it got in a promise.Ledger.
 package instance
 
 import (
@@ -241,14 +241,14 @@
 }
 
 func (i *Instance) sendHeartbeat(ctx context.Context, state string, sequence uint64) error {
-	beat := platform.Heartbeat{
+	heartbeat := platform.Heartbeat{
 		Address: i.Address(),
 		Info:    platform.HeartbeatInfo{Service: i.options.Service, Version: "v1", Zone: i.options.Zone, Slots: i.options.Slots},
 		Status: platform.HeartbeatStatus{
 			State: state, Sequence: sequence, ColdRemainingMillis: i.cold.remaining(time.Now()).Milliseconds(),
 		},
 	}
-	body, err := json.Marshal(beat)
+	body, err := json.Marshal(heartbeat)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/emulator/instance/instance_test.go
+++ b/internal/lab/emulator/instance/instance_test.go
@@ -32,26 +32,26 @@
 // started is an instance with a stand-in for the daemon beside it.
 type started struct {
 	*instance.Instance
-	ledger  *promise.Ledger
-	beats   chan platform.Heartbeat
-	crashes chan *instance.Instance
+	ledger     *promise.Ledger
+	heartbeats chan platform.Heartbeat
+	crashes    chan *instance.Instance
 }
 
 // start starts an instance that options may change.
 func start(t *testing.T, change func(*instance.Options)) *started {
 	t.Helper()
 	running := &started{
-		ledger: promise.NewLedger(promise.Bounds{ColdPerSecond: 3}),
-		beats:  make(chan platform.Heartbeat, 1), crashes: make(chan *instance.Instance, 1),
+		ledger:     promise.NewLedger(promise.Bounds{ColdPerSecond: 3}),
+		heartbeats: make(chan platform.Heartbeat, 1), crashes: make(chan *instance.Instance, 1),
 	}
 	beside := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var beat platform.Heartbeat
-		_ = json.NewDecoder(r.Body).Decode(&beat)
+		var heartbeat platform.Heartbeat
+		_ = json.NewDecoder(r.Body).Decode(&heartbeat)
 		select {
-		case <-running.beats:
+		case <-running.heartbeats:
 		default:
 		}
-		running.beats <- beat
+		running.heartbeats <- heartbeat
 	}))
 	t.Cleanup(beside.Close)
 	options := instance.Options{
@@ -68,15 +68,15 @@
 	return running
 }
 
-// awaitBeat waits for a heartbeat that is as it is asked for.
-func (s *started) awaitBeat(t *testing.T, fits func(platform.Heartbeat) bool) {
+// awaitHeartbeat waits for a heartbeat that is as it is asked for.
+func (s *started) awaitHeartbeat(t *testing.T, fits func(platform.Heartbeat) bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	for {
 		select {
-		case beat := <-s.beats:
-			if fits(beat) {
+		case heartbeat := <-s.heartbeats:
+			if fits(heartbeat) {
 				return
 			}
 		case <-ctx.Done():
@@ -149,12 +149,12 @@
 			running := start(t, change)
 			if name == "on demand" {
 				assert.Equal(t, running.coldRemaining(t), time.Duration(0))
-				running.awaitBeat(t, func(beat platform.Heartbeat) bool { return beat.Status.ColdRemainingMillis == 0 })
+				running.awaitHeartbeat(t, func(heartbeat platform.Heartbeat) bool { return heartbeat.Status.ColdRemainingMillis == 0 })
 				running.MakeCold(never)
 			}
 			remaining := running.coldRemaining(t)
 			assert.Assert(t, remaining > 0 && remaining <= never, "%s", remaining)
-			running.awaitBeat(t, func(beat platform.Heartbeat) bool { return beat.Status.ColdRemainingMillis > 0 })
+			running.awaitHeartbeat(t, func(heartbeat platform.Heartbeat) bool { return heartbeat.Status.ColdRemainingMillis > 0 })
 		})
 	}
 }
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -1,7 +1,7 @@
 // Package objectstore is a stand-in for the platform's metadata store: kinds of
 // objects with revisions, status and finalizers, conditional writes, lists in
-// pages, watches with a bounded history, rates, and faults that are switched on
-// at run time.
+// pages, watches with a history, rates, and faults that are switched on at run time. A Server owns
+// its listeners and all objects, in memory; Close ends it.
 package objectstore
 
 import (
--- a/internal/requestpath/admission/pace_test.go
+++ b/internal/requestpath/admission/pace_test.go
@@ -210,7 +210,8 @@
 }
 
 // Calls that are held up between their admission and the back end, by a daemon that gets no
-// processor, arrive together with later ones. Once 15 arrived in a second of 13.25 admitted, of 14.75 allowed: held up by 0.16 s.
+// processor, arrive together with later ones: once 15 arrived in a second of 14.75 allowed and 13.25
+// admitted, held up by 0.16 s.
 func TestHeldUpCallsStayWithinTheBound(t *testing.T) {
 	const heldUp = 0.2
 	pace := admission.PaceWithin(4.5, 1.5, 8, false)
--- a/internal/requestpath/origin/coldness.go
+++ b/internal/requestpath/origin/coldness.go
@@ -1,7 +1,7 @@
 package origin
 
 import (
-	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
@@ -134,19 +134,12 @@
 
 // coldCrashes remembers when an instance beside the daemon last crashed while it was cold. It is
 // safe for concurrent use; nil remembers nothing.
-type coldCrashes struct {
-	// mutex protects at.
-	mutex sync.Mutex
-	at    time.Time
-}
+type coldCrashes struct{ newest atomic.Pointer[time.Time] }
 
 func (c *coldCrashes) note(now time.Time) {
-	if c == nil {
-		return
+	if c != nil {
+		c.newest.Store(&now)
 	}
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.at = now
 }
 
 // recent reports whether one crashed within cautiousFor.
@@ -154,13 +147,11 @@
 	if c == nil {
 		return false
 	}
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return !c.at.IsZero() && now.Sub(c.at) < cautiousFor
+	newest := c.newest.Load()
+	return newest != nil && now.Sub(*newest) < cautiousFor
 }
 
-// configureCold has the queue keep what the pool states of its cold instances; the caller
-// holds mutex.
+// configureCold applies what the pool states of its cold instances; the caller holds mutex.
 func (i *Instance) configureCold(pool *lapisv1.Pool) {
 	if !i.coldness.configure(pool) {
 		return
@@ -189,8 +180,8 @@
 	i.followCold(coldByEvacuation, now)
 }
 
-// paceFirst has the queue keep the pace that fits an instance's first heartbeat, before
-// calls can find the instance.
+// paceFirst sets the pace that fits an instance's first heartbeat, before calls can find the
+// instance.
 func (i *Instance) paceFirst(registration Registration) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -199,18 +190,18 @@
 	i.queue.SetPace(i.coldness.pace(now))
 }
 
-// followCold has the queue keep the pace that fits what is known, and logs a change
-// between cold and warm, which it reports; the caller holds mutex.
+// followCold sets the pace that fits what is known, and logs a change between cold and warm, which it
+// reports; the caller holds mutex.
 func (i *Instance) followCold(source coldSource, now time.Time) (changed bool) {
 	cold := &i.coldness
 	pace := cold.pace(now)
 	i.queue.SetPace(pace)
-	is := now.Before(cold.until())
-	if is == cold.isCold {
+	isCold := now.Before(cold.until())
+	if isCold == cold.isCold {
 		return false
 	}
-	cold.isCold = is
-	if is {
+	cold.isCold = isCold
+	if isCold {
 		cold.source = source
 		cold.admitted = i.queue.PaceUse().Admitted
 		i.logger.Info("instance.cold", "instance", i.Name, "service", i.Service, "source", string(source),
@@ -222,8 +213,7 @@
 	return true
 }
 
-// noteWarm follows the end of the time for which the instance said that it stays cold; it
-// reports whether it turned warm.
+// noteWarm reports whether the instance has turned warm since the last call, and follows that.
 func (i *Instance) noteWarm() (changed bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/requestpath/origin/handle.go
+++ b/internal/requestpath/origin/handle.go
@@ -23,7 +23,7 @@
 	began := time.Now()
 	answer, err := o.handleRecovering(ctx, call)
 	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
-		o.count(func(c *Counts) { c.Refused++ })
+		o.counts.refused.Add(1)
 	}
 	if err != nil {
 		o.logFailure(call, err, began)
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	if _, known := o.attempts.Claim(open.GetAttemptId(), attemptWaiting); known {
-		o.count(func(c *Counts) { c.Duplicates++ })
+		o.counts.duplicates.Add(1)
 		return nil, result.Errorf(result.CallNotRunDuplicate, "attempt %s came before", open.GetAttemptId())
 	}
 	release, err := o.claimKey(open)
@@ -85,7 +85,7 @@
 	}
 	key := open.GetService() + "\x00" + open.GetGroup() + "\x00" + open.GetIdempotencyKey()
 	if _, known := o.keys.Claim(key, attemptStarted); known {
-		o.count(func(c *Counts) { c.Duplicates++ })
+		o.counts.duplicates.Add(1)
 		return nil, result.Errorf(result.CallNotRunDuplicate, "the idempotency key was used before")
 	}
 	return func() { o.keys.Forget(key) }, nil
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -33,11 +33,12 @@
 		instance.noteCall(err, func() { o.probe(instance) })
 		slot.Release(false)
 		if callapi.OutcomeOf(err) == callapi.OutcomeUnknown {
-			o.count(func(c *Counts) { c.HandedOver++; c.Broken++ })
+			o.counts.handedOver.Add(1)
+			o.counts.broken.Add(1)
 		}
 		return nil, err
 	}
-	o.count(func(c *Counts) { c.HandedOver++ })
+	o.counts.handedOver.Add(1)
 	instance.inFlight.remove(sent)
 	instance.noteCall(nil, nil)
 	if refusal := o.refusalOf(instance, response); refusal != nil {
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -54,8 +54,7 @@
 	attempts    *dedupCache
 	keys        *dedupCache
 	running     sync.WaitGroup
-	counts      Counts
-	countLock   sync.Mutex
+	counts      counters
 	// executing counts the calls that instances have, repeating those of them
 	// that are repeats.
 	executing, repeating atomic.Int64
@@ -82,6 +81,9 @@
 	HandedOver, Refused, Duplicates, Broken int64
 }
 
+// counters are the running totals of Counts.
+type counters struct{ handedOver, refused, duplicates, broken atomic.Int64 }
+
 // New returns an origin for the configured back ends.
 func New(config Config) *Origin {
 	if config.Envelope == (callapi.Envelope{}) {
@@ -238,13 +240,8 @@
 
 // Counts returns the totals.
 func (o *Origin) Counts() Counts {
-	o.countLock.Lock()
-	defer o.countLock.Unlock()
-	return o.counts
-}
-
-func (o *Origin) count(change func(*Counts)) {
-	o.countLock.Lock()
-	defer o.countLock.Unlock()
-	change(&o.counts)
+	return Counts{
+		HandedOver: o.counts.handedOver.Load(), Refused: o.counts.refused.Load(),
+		Duplicates: o.counts.duplicates.Load(), Broken: o.counts.broken.Load(),
+	}
 }
--- a/internal/requestpath/origin/registration_test.go
+++ b/internal/requestpath/origin/registration_test.go
@@ -111,28 +111,28 @@
 // address, also at a daemon that has restarted since and does not know the first one. It must not
 // withdraw the present one.
 func TestLateHeartbeatOfAnEarlierInstance(t *testing.T) {
-	beat := func(instance string, sequence uint64) origin.Registration {
+	heartbeat := func(instance string, sequence uint64) origin.Registration {
 		stated := registration(instance, "127.0.0.1:1")
 		stated.Sequence = sequence
 		return stated
 	}
 	for name, row := range map[string]struct {
-		beats []origin.Registration
-		ready string
+		heartbeats []origin.Registration
+		ready      string
 	}{
-		"earlier one known":                    {[]origin.Registration{beat("old", 7), beat("new", 1), beat("old", 8), beat("new", 2)}, "new"},
-		"earlier one forgotten":                {[]origin.Registration{beat("new", 1), beat("old", 8), beat("new", 2)}, "new"},
-		"earlier one forgotten, twice late":    {[]origin.Registration{beat("new", 1), beat("old", 8), beat("old", 9), beat("new", 2)}, "new"},
-		"both in the middle of their lives":    {[]origin.Registration{beat("new", 5), beat("old", 8), beat("new", 6)}, "new"},
-		"a later one takes over":               {[]origin.Registration{beat("old", 7), beat("new", 1)}, "new"},
-		"a later one whose first beat is lost": {[]origin.Registration{beat("old", 7), beat("new", 2), beat("new", 3), beat("new", 4)}, "new"},
-		"leaving late":                         {[]origin.Registration{beat("new", 1), {Service: "desk", Instance: "old", Address: "127.0.0.1:1", Slots: 2, Sequence: 9, Draining: true}, beat("new", 2)}, "new"},
+		"earlier one known":                    {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 1), heartbeat("old", 8), heartbeat("new", 2)}, "new"},
+		"earlier one forgotten":                {[]origin.Registration{heartbeat("new", 1), heartbeat("old", 8), heartbeat("new", 2)}, "new"},
+		"earlier one forgotten, twice late":    {[]origin.Registration{heartbeat("new", 1), heartbeat("old", 8), heartbeat("old", 9), heartbeat("new", 2)}, "new"},
+		"both in the middle of their lives":    {[]origin.Registration{heartbeat("new", 5), heartbeat("old", 8), heartbeat("new", 6)}, "new"},
+		"a later one takes over":               {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 1)}, "new"},
+		"a later one whose first beat is lost": {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 2), heartbeat("new", 3), heartbeat("new", 4)}, "new"},
+		"leaving late":                         {[]origin.Registration{heartbeat("new", 1), {Service: "desk", Instance: "old", Address: "127.0.0.1:1", Slots: 2, Sequence: 9, Draining: true}, heartbeat("new", 2)}, "new"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				running, stop := startOrigin(t)
 				defer stop()
-				for _, stated := range row.beats {
+				for _, stated := range row.heartbeats {
 					running.Register(stated)
 					time.Sleep(1600 * time.Millisecond)
 				}
