--- a/internal/model/quarantine/rule.go
+++ b/internal/model/quarantine/rule.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // The rule looks at the number of instances that crashed under a request and were not
@@ -79,6 +80,18 @@
 	Trials   uint32
 }
 
+// Refusal returns the error for a request that is quarantined, with the time until a trial of it
+// may run; nil for any other. Errors: CallNotRunQuarantined.
+func (v Verdict) Refusal() error {
+	if !v.Quarantined {
+		return nil
+	}
+	refusal := result.Errorf(result.CallNotRunQuarantined, "%d instances ended under what %s names", v.Crashes, v.Key)
+	refusal.RetryAfter = v.RetryAfter
+	refusal.Crashes = v.Crashes
+	return refusal
+}
+
 // nextRun returns the time until a quarantined request may run again: as a trial while
 // there are trials left, else once the suspect is forgotten. age is the time since its newest
 // crash; trialDue is true where a trial may be asked for now.
--- a/internal/model/quarantine/rule_test.go
+++ b/internal/model/quarantine/rule_test.go
@@ -4,7 +4,10 @@
 	"testing"
 	"time"
 
+	"github.com/pkg/errors"
 	"gotest.tools/v3/assert"
+
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 func TestStateFollowsTheCrashes(t *testing.T) {
@@ -70,3 +73,15 @@
 	assert.Assert(t, quarantineAt < maxCrashes && maxCrashes < maxRefuted)
 	assert.Assert(t, maxKnown < maxEntries)
 }
+
+// The refusal of a quarantined request tells when a trial of it may run, and how many instances
+// crashed; any other verdict refuses nothing.
+func TestQuarantinedNamesTheTimeOfATrial(t *testing.T) {
+	assert.NilError(t, Verdict{}.Refusal())
+	err := Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}.Refusal()
+	var refusal *result.Error
+	assert.Assert(t, errors.As(err, &refusal))
+	assert.Equal(t, refusal.Code, result.CallNotRunQuarantined)
+	assert.Equal(t, refusal.RetryAfter, 42*time.Second)
+	assert.Equal(t, refusal.Crashes, 3)
+}
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -10,7 +10,6 @@
 
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 	"github.com/lapisvane/lapisvane/internal/model/quarantine"
-	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
@@ -60,14 +59,14 @@
 
 func (h *heldBodies) release(count int64) { h.bytes.Add(-count) }
 
-// checkQuarantine refuses a request that is quarantined, and keeps the keys of one under which
-// some instances crashed, so that its attempts know. done gives back what was held for that.
+// checkQuarantine refuses a request that is quarantined, unless it may run as a trial, and stores
+// the keys of one under which instances crashed in call. done ends the hold of its body.
 // Errors: CallNotRunQuarantined and those of reading the body.
 func (g *Gateway) checkQuarantine(ctx context.Context, rc *app.RequestContext, call *call) (done func(), err error) {
 	done = func() {}
-	suspects := g.config.Quarantine
+	registry := g.config.Quarantine
 	line := fingerprint.LineOf(call.opening)
-	if suspects == nil || !suspects.Suspected(line) {
+	if registry == nil || !registry.Suspected(line) {
 		return done, nil
 	}
 	if call.body.streamed != nil {
@@ -76,17 +75,17 @@
 		}
 	}
 	call.keys = keysOf(line, call.body)
-	verdict := suspects.Evaluate(call.keys, call.opening.GetCallerService())
+	verdict := registry.Evaluate(call.keys, call.opening.GetCallerService())
 	if !verdict.Quarantined {
 		return done, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	if verdict.TrialDue && suspects.ClaimTrial(ctx, verdict) {
+	if verdict.TrialDue && registry.ClaimTrial(ctx, verdict) {
 		call.opening.Trial = true
 		return done, nil
 	}
-	return done, origin.Quarantined(verdict)
+	return done, verdict.Refusal()
 }
 
 // keysOf returns the keys of a request: by its whole body, or by what is known of one that
--- a/internal/requestpath/gateway/quarantine_test.go
+++ b/internal/requestpath/gateway/quarantine_test.go
@@ -8,7 +8,6 @@
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/quarantine"
-	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
 	"github.com/lapisvane/lapisvane/internal/requestpath/retry"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
@@ -17,10 +16,10 @@
 // drawn for calls that are refused for load: it would be refused again.
 func TestQuarantinedCallerReturnsForTheTrial(t *testing.T) {
 	route := &lapisv1.Route{CallClass: &lapisv1.CallClass{TargetLatencyMillis: 200}}
-	err := withRetryAfter(origin.Quarantined(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}), route)
+	err := withRetryAfter(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}.Refusal(), route)
 	assert.Equal(t, retryAfterOf(err), 42*time.Second)
 	assert.Equal(t, statusOf(result.CallNotRunQuarantined), 503)
-	assert.NilError(t, origin.Quarantined(quarantine.Verdict{}))
+	assert.NilError(t, quarantine.Verdict{}.Refusal())
 }
 
 // A daemon repeats after the first instance that crashed, and not after the second.
--- a/internal/requestpath/origin/quarantine.go
+++ b/internal/requestpath/origin/quarantine.go
@@ -32,8 +32,7 @@
 	if err != nil {
 		return result.Wrap(result.CallNotRunExpired, err, "reading the request")
 	}
-	verdict := o.config.Crashes.Evaluate(fingerprint.Of(line, content).Whole(), call.Open.GetCallerService())
-	return Quarantined(verdict)
+	return o.config.Crashes.Evaluate(fingerprint.Of(line, content).Whole(), call.Open.GetCallerService()).Refusal()
 }
 
 // bufferBody returns a short body and leaves it to be read again.
--- a/internal/requestpath/origin/refusal.go
+++ b/internal/requestpath/origin/refusal.go
@@ -7,7 +7,6 @@
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
-	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
@@ -103,18 +102,6 @@
 	return result.Errorf(result.CallNotRunUnreachable, "instance %s is down (%s)", instance, cause)
 }
 
-// Quarantined returns the error for a request that is quarantined, with the time until a trial of
-// it may run; nil for any other.
-func Quarantined(verdict quarantine.Verdict) error {
-	if !verdict.Quarantined {
-		return nil
-	}
-	refusal := result.Errorf(result.CallNotRunQuarantined, "%d instances ended under what %s names", verdict.Crashes, verdict.Key)
-	refusal.RetryAfter = verdict.RetryAfter
-	refusal.Crashes = verdict.Crashes
-	return refusal
-}
-
 // instanceRefusal returns the error for an answer that states that the instance did not run the
 // request (the header field of the envelope, with 503 or 429); nil for any other answer.
 func instanceRefusal(response *http.Response, envelope *callapi.Envelope) error {
--- a/internal/requestpath/origin/refusal_test.go
+++ b/internal/requestpath/origin/refusal_test.go
@@ -12,7 +12,6 @@
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
-	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
@@ -140,15 +139,3 @@
 		assert.Equal(t, drainRefusal("desk-1", reason).Code, want)
 	}
 }
-
-// The refusal of a quarantined request tells when a trial of it may run, and how many instances
-// crashed; any other verdict refuses nothing.
-func TestQuarantinedNamesTheTimeOfATrial(t *testing.T) {
-	assert.NilError(t, Quarantined(quarantine.Verdict{}))
-	err := Quarantined(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second})
-	var refusal *result.Error
-	assert.Assert(t, errors.As(err, &refusal))
-	assert.Equal(t, refusal.Code, result.CallNotRunQuarantined)
-	assert.Equal(t, refusal.RetryAfter, 42*time.Second)
-	assert.Equal(t, refusal.Crashes, 3)
-}
