--- a/internal/requestpath/gateway/pipeline/body.go
+++ b/internal/requestpath/gateway/pipeline/body.go
@@ -7,12 +7,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Body reads a caller's long body once. Who reads it may outlive the request, so
-// it can be stopped: afterwards it no longer touches the connection.
+// Body reads a caller's long body once. Its reader may outlive the request; once stopped, it no
+// longer touches the connection.
 type Body struct {
 	conn *connection
-	// over is closed when nobody reads the body any more.
-	over chan struct{}
+	// released is closed when nobody reads the body any more.
+	released chan struct{}
 
 	// reading is held during a read of the connection.
 	reading sync.Mutex
@@ -31,15 +31,15 @@
 	stopped bool
 }
 
-// lengthUnknown stands for the remaining bytes of a body in chunks, whose length nobody
-// states. What is read of it stays above chunkedLeast, so that the two cannot be confused.
+// lengthUnknown stands for the remaining bytes of a body in chunks, whose length nobody states.
+// What remains of it stays above chunkedLeast, and what remains of a stated length below.
 const (
 	lengthUnknown = int64(1) << 62
 	chunkedLeast  = lengthUnknown / 2
 )
 
 func newBody(conn *connection, stream io.Reader, length int64) *Body {
-	return &Body{conn: conn, stream: stream, remaining: length, over: make(chan struct{})}
+	return &Body{conn: conn, stream: stream, remaining: length, released: make(chan struct{})}
 }
 
 // Read implements io.Reader. Errors: CallCancelled after the request's end.
@@ -87,9 +87,9 @@
 	return nil
 }
 
-// AtEnd has a function called when the body has been read to its end: what of the request
-// comes with that, such as its trailers, must be copied there. The request may be used
-// for another one as soon as Read has returned. It must be set before the first Read.
+// AtEnd sets a function that is called when the body has been read to its end, to copy what comes
+// with the end, such as trailers: the request may be used for another one as soon as Read has
+// returned. It must be set before the first Read.
 func (b *Body) AtEnd(copyRest func()) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -107,20 +107,18 @@
 	if b.atEnd != nil {
 		b.atEnd()
 	}
-	close(b.over)
+	close(b.released)
 }
 
-// Touched reports whether any of the body was asked for, so that it cannot be
-// sent again.
+// Touched reports whether a read was begun, so that the body cannot be sent again.
 func (b *Body) Touched() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.started
 }
 
-// stop ends the use of the body. It reports whether all of it was read. Otherwise
-// the connection is sealed before the reader goes on, since what comes next is the
-// rest of the body and no request.
+// stop ends the use of the body. It reports whether all of it was read. Otherwise the connection
+// is sealed before its reader goes on, since what comes next is the rest of the body.
 func (b *Body) stop() (whole bool) {
 	b.mutex.Lock()
 	if b.ended || b.stopped {
@@ -134,6 +132,6 @@
 	b.reading.Lock()
 	defer b.reading.Unlock()
 	b.conn.seal()
-	close(b.over)
+	close(b.released)
 	return false
 }
--- a/internal/requestpath/gateway/pipeline/body_test.go
+++ b/internal/requestpath/gateway/pipeline/body_test.go
@@ -143,7 +143,7 @@
 	assert.Assert(t, !body.stop())
 	told := false
 	select {
-	case <-body.over:
+	case <-body.released:
 		told = true
 	default:
 	}
--- a/internal/requestpath/gateway/pipeline/caller.go
+++ b/internal/requestpath/gateway/pipeline/caller.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Bytes that are read ahead to see whether the caller disconnects: at first, and at most. The
-// buffer doubles in between. Chosen, not measured; beyond the most a caller that disconnects is
-// not seen until its requests have been read.
+// Bytes that are read ahead to see whether the caller disconnects: at first and at most; the
+// buffer doubles in between. Chosen, not measured; with maxLookahead bytes held a disconnect is
+// not seen until some have been read.
 const (
 	firstLookahead = 512
 	maxLookahead   = 32 << 10
@@ -20,13 +20,14 @@
 	net.Conn
 
 	// mutex protects everything below.
-	mutex    sync.Mutex
-	ahead    []byte
-	aheadErr error
+	mutex sync.Mutex
+	// lookahead are bytes that were read before the library asked for them, and lookaheadErr is
+	// the error behind them.
+	lookahead    []byte
+	lookaheadErr error
 }
 
-// local reports whether the caller is on this machine: both ends have the same
-// number.
+// local reports whether the caller is on this machine: both ends have the same address.
 func (c *callerConn) local() bool {
 	here, hereOK := c.LocalAddr().(*net.TCPAddr)
 	there, thereOK := c.RemoteAddr().(*net.TCPAddr)
@@ -36,16 +37,16 @@
 // Read returns bytes read ahead before it reads on.
 func (c *callerConn) Read(buffer []byte) (int, error) {
 	c.mutex.Lock()
-	if len(c.ahead) > 0 {
-		count := copy(buffer, c.ahead)
-		c.ahead = c.ahead[count:]
-		if len(c.ahead) == 0 {
-			c.ahead = nil
+	if len(c.lookahead) > 0 {
+		count := copy(buffer, c.lookahead)
+		c.lookahead = c.lookahead[count:]
+		if len(c.lookahead) == 0 {
+			c.lookahead = nil
 		}
 		c.mutex.Unlock()
 		return count, nil
 	}
-	err := c.aheadErr
+	err := c.lookaheadErr
 	c.mutex.Unlock()
 	if err != nil {
 		return 0, err
@@ -53,12 +54,11 @@
 	return c.Conn.Read(buffer)
 }
 
-// readAhead reads until the reading is interrupted, which returns nil, until as
-// much was read ahead as may be, which returns full, or until the caller disconnects.
-// Only the goroutine that reads the connection may call it.
+// readAhead reads until it is interrupted, maxLookahead bytes are held (full) or the caller
+// disconnects (an error). Only the goroutine that reads the connection may call it.
 func (c *callerConn) readAhead() (full bool, err error) {
 	c.mutex.Lock()
-	held, err := len(c.ahead), c.aheadErr
+	held, err := len(c.lookahead), c.lookaheadErr
 	c.mutex.Unlock()
 	if err != nil {
 		return false, err
@@ -90,12 +90,12 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.ahead = append(c.ahead, buffer[:filled]...)
+	c.lookahead = append(c.lookahead, buffer[:filled]...)
 	if err == nil {
 		return filled, nil
 	}
 	if timeout, isNetwork := err.(net.Error); !isNetwork || !timeout.Timeout() {
-		c.aheadErr = err
+		c.lookaheadErr = err
 	}
 	return filled, err
 }
@@ -115,7 +115,7 @@
 
 // linger reads and drops what the caller still sends, for at most duration, so that the
 // connection is not reset before the caller has read the last answer. With halfClose the
-// sending side is closed first; TLS says so by an alert, which the library sends at its close.
+// sending side is closed first; for TLS the library does that by an alert at its close.
 func (c *callerConn) linger(duration time.Duration, halfClose bool) {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && halfClose {
 		// Where that fails the caller has closed the connection.
--- a/internal/requestpath/gateway/pipeline/connection.go
+++ b/internal/requestpath/gateway/pipeline/connection.go
@@ -18,7 +18,7 @@
 	// ctx ends when the caller disconnects.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// wakeUp wakes the reader where it waits and has read ahead all that it may.
+	// wakeUp wakes the reader in awaitWake.
 	wakeUp chan struct{}
 
 	// mutex protects everything below.
@@ -33,13 +33,13 @@
 	// has closed the connection or it broke.
 	sealed, disconnected bool
 	// awaitingRequest is true while the reader waits for the first byte of a request, watching
-	// while it reads ahead only to see whether the caller disconnects.
+	// while it is in watchUntil.
 	awaitingRequest, watching bool
 	// bytes are those of answers that wait for earlier ones.
 	bytes int64
-	// ahead is true when the request to be read next counts as sent ahead. Only the reader
-	// uses it.
-	ahead bool
+	// nextSentAhead is true when the request to be read next counts as sent ahead. Only the
+	// reader uses it.
+	nextSentAhead bool
 }
 
 func newConnection(server *Server, core suite.Core, conn network.Conn, caller *callerConn) *connection {
@@ -56,7 +56,7 @@
 	for c.next() {
 	}
 	c.seal()
-	c.watch(c.idle)
+	c.watchUntil(c.idle)
 	c.mutex.Lock()
 	for !c.idle() {
 		c.idleChanged.Wait()
@@ -74,8 +74,8 @@
 // mutex.
 func (c *connection) idle() bool { return len(c.open) == 0 && !c.writing }
 
-// passOn hands an exchange to the handler, unless the connection was closed for
-// further requests meanwhile.
+// passOn hands an exchange to the handler; it reports false when the connection was sealed
+// meanwhile.
 func (c *connection) passOn(exchange *Exchange) bool {
 	request := exchange.Request
 	stopping := c.server.config.Stopping()
@@ -94,7 +94,7 @@
 	return true
 }
 
-// handle sees one exchange through.
+// handle runs the handler for one exchange and finishes it.
 func (c *connection) handle(exchange *Exchange) {
 	c.server.config.Handle(c.ctx, exchange)
 	if exchange.Body != nil && !exchange.Body.stop() {
@@ -132,8 +132,7 @@
 	c.caller.interrupt()
 }
 
-// disconnectUnlessSealed is disconnect, unless the reading was ended
-// from this side.
+// disconnectUnlessSealed is disconnect, unless this side ended the reading.
 func (c *connection) disconnectUnlessSealed() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -150,7 +149,7 @@
 
 // recycle gives an exchange's request back to the library's pool.
 func (c *connection) recycle(exchange *Exchange) {
-	if exchange.ahead {
+	if exchange.sentAhead {
 		c.server.quota.releaseRequest()
 	}
 	exchange.Request.Reset()
--- a/internal/requestpath/gateway/pipeline/exchange.go
+++ b/internal/requestpath/gateway/pipeline/exchange.go
@@ -30,13 +30,12 @@
 
 	// done is true once the handler has returned.
 	done bool
-	// final is true for the last request of the connection that was passed on,
-	// whose answer closes it.
+	// final is true for the last request of the connection, whose answer closes it.
 	final bool
 	// begun is true once the answer's head may have been written.
 	begun bool
-	// ahead is true for a request that counts as sent ahead.
-	ahead bool
+	// sentAhead is true for a request that counts in the quota of those sent ahead.
+	sentAhead bool
 	// bytes are those of the answer that count as held while it waits for earlier ones.
 	bytes int64
 	// isOldest is closed when all earlier answers have been written; nil until somebody waits
--- a/internal/requestpath/gateway/pipeline/quota.go
+++ b/internal/requestpath/gateway/pipeline/quota.go
@@ -1,6 +1,9 @@
 package pipeline
 
-import "sync"
+import (
+	"slices"
+	"sync"
+)
 
 // Limits bound what one daemon holds for requests sent ahead. At a limit connections are not
 // read on, so that their callers are slowed down and nothing is lost.
@@ -47,12 +50,9 @@
 		q.requests++
 		return true
 	}
-	for _, waiter := range q.waiting {
-		if waiter == conn {
-			return false
-		}
+	if !slices.Contains(q.waiting, conn) {
+		q.waiting = append(q.waiting, conn)
 	}
-	q.waiting = append(q.waiting, conn)
 	return false
 }
 
@@ -60,15 +60,20 @@
 func (q *quota) releaseRequest() {
 	q.mutex.Lock()
 	q.requests--
-	var next *connection
-	if len(q.waiting) > 0 {
-		next = q.waiting[0]
-		q.waiting = q.waiting[1:]
+	q.wakeNextAndUnlock()
+}
+
+// wakeNextAndUnlock wakes the connection that waits longest. The caller holds mutex, which is
+// unlocked before.
+func (q *quota) wakeNextAndUnlock() {
+	if len(q.waiting) == 0 {
+		q.mutex.Unlock()
+		return
 	}
+	next := q.waiting[0]
+	q.waiting = q.waiting[1:]
 	q.mutex.Unlock()
-	if next != nil {
-		next.wake()
-	}
+	next.wake()
 }
 
 // acquireBytes counts the bytes of an answer that waits for earlier ones; it returns false
@@ -93,20 +98,11 @@
 // forget removes a connection that ended.
 func (q *quota) forget(conn *connection) {
 	q.mutex.Lock()
-	var next *connection
-	for index, waiter := range q.waiting {
-		if waiter == conn {
-			q.waiting = append(q.waiting[:index], q.waiting[index+1:]...)
-			break
-		}
-	}
-	// The place that woke this connection may be free for another one.
-	if len(q.waiting) > 0 && q.requests < q.limits.RequestsAhead {
-		next = q.waiting[0]
-		q.waiting = q.waiting[1:]
-	}
-	q.mutex.Unlock()
-	if next != nil {
-		next.wake()
+	q.waiting = slices.DeleteFunc(q.waiting, func(waiter *connection) bool { return waiter == conn })
+	if q.requests >= q.limits.RequestsAhead {
+		q.mutex.Unlock()
+		return
 	}
+	// The place that woke this connection may still be free.
+	q.wakeNextAndUnlock()
 }
--- a/internal/requestpath/gateway/pipeline/reading.go
+++ b/internal/requestpath/gateway/pipeline/reading.go
@@ -13,22 +13,20 @@
 // body.
 const lengthUntilClose = -2
 
-// interimContinue is the answer that asks for the body of a request that waits
-// to be asked.
+// interimContinue asks for the body of a request that was sent with "Expect: 100-continue".
 const interimContinue = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// next reads one request and passes it on. It reports whether another one may
-// follow.
+// next reads one request and passes it on. It reports whether another one may follow.
 func (c *connection) next() bool {
-	if !c.awaitRequest() || !c.awaitRoom() {
+	if !c.awaitRequest() || !c.watchUntil(c.hasRoom) {
 		return false
 	}
 	exchange := c.newExchange()
 	if err := c.readHead(exchange); err != nil {
-		return c.endsReading(exchange, err)
+		return c.passOnFault(exchange, err)
 	}
 	if err := c.readBody(exchange); err != nil {
-		return c.endsReading(exchange, err)
+		return c.passOnFault(exchange, err)
 	}
 	body := exchange.Body
 	if !c.passOn(exchange) {
@@ -77,8 +75,8 @@
 	request.SetConn(c.conn)
 	request.Response.Header.SetNoDefaultDate(true)
 	request.Response.Header.SetNoDefaultContentType(true)
-	exchange := &Exchange{Request: request, conn: c, ahead: c.ahead}
-	c.ahead = false
+	exchange := &Exchange{Request: request, conn: c, sentAhead: c.nextSentAhead}
+	c.nextSentAhead = false
 	return exchange
 }
 
@@ -141,10 +139,10 @@
 	return nil
 }
 
-// askForBody sends the interim answer that a caller waits for before it sends a
-// body, once all answers ahead have been written.
+// askForBody sends the interim answer that a caller waits for before it sends a body, once all
+// earlier answers have been written.
 func (c *connection) askForBody() error {
-	if !c.watch(c.idle) {
+	if !c.watchUntil(c.idle) {
 		return io.ErrClosedPipe
 	}
 	c.caller.bound(c.server.config.BodyIdle)
@@ -158,7 +156,7 @@
 // another request can be read behind it.
 func (c *connection) awaitBody(body *Body) bool {
 	if body != nil {
-		<-body.over
+		<-body.released
 	}
 	if c.isSealed() {
 		return false
@@ -168,9 +166,9 @@
 	return true
 }
 
-// endsReading passes a request that cannot be read on as a fault, which is answered behind all
-// others; nothing is read after it. A caller that disconnected gets no answer.
-func (c *connection) endsReading(exchange *Exchange, err error) bool {
+// passOnFault passes on a request that cannot be read, which is answered after all earlier ones.
+// It returns false: nothing is read behind it. A caller that disconnected gets no answer.
+func (c *connection) passOnFault(exchange *Exchange, err error) bool {
 	fault := faultOf(err)
 	if fault == nil || c.isSealed() {
 		c.recycle(exchange)
--- a/internal/requestpath/gateway/pipeline/site_test.go
+++ b/internal/requestpath/gateway/pipeline/site_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -15,6 +16,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 	"github.com/cloudwego/hertz/pkg/app/server"
 	"github.com/cloudwego/hertz/pkg/common/config"
+	"github.com/cloudwego/hertz/pkg/common/hlog"
 	"github.com/cloudwego/hertz/pkg/network/standard"
 	"github.com/cloudwego/hertz/pkg/protocol/suite"
 	"github.com/pkg/errors"
@@ -26,6 +28,11 @@
 // testWait bounds what a test waits for; only a fault reaches it.
 const testWait = 20 * time.Second
 
+func TestMain(m *testing.M) {
+	hlog.SetOutput(io.Discard)
+	os.Exit(m.Run())
+}
+
 // site is a server under test.
 type site struct {
 	server   *Server
--- a/internal/requestpath/gateway/pipeline/watching.go
+++ b/internal/requestpath/gateway/pipeline/watching.go
@@ -1,8 +1,5 @@
 package pipeline
 
-// awaitRoom waits until another request may be passed on.
-func (c *connection) awaitRoom() bool { return c.watch(c.hasRoom) }
-
 // hasRoom reports whether another request may be passed on: always where none is open, else
 // within the limits of the connection and of the daemon. The caller holds mutex.
 func (c *connection) hasRoom() bool {
@@ -13,13 +10,13 @@
 	if len(c.open) >= limits.RequestsPerConnection || c.bytes >= limits.BytesPerConnection {
 		return false
 	}
-	c.ahead = c.server.quota.acquireRequest(c)
-	return c.ahead
+	c.nextSentAhead = c.server.quota.acquireRequest(c)
+	return c.nextSentAhead
 }
 
-// watch reads ahead, to see whether the caller disconnects, until enough returns true; that is
-// called with mutex held. It reports false when the caller disconnected.
-func (c *connection) watch(enough func() bool) bool {
+// watchUntil reads ahead, to see whether the caller disconnects, until enough returns true, which
+// is called with mutex held. It reports false when the caller disconnected.
+func (c *connection) watchUntil(enough func() bool) bool {
 	for {
 		c.mutex.Lock()
 		if c.disconnected {
@@ -46,7 +43,7 @@
 	}
 }
 
-// awaitWake waits until something changed for a reader that may not read.
+// awaitWake waits for a wake-up without reading, as maxLookahead bytes are held.
 func (c *connection) awaitWake() {
 	select {
 	case <-c.wakeUp:
--- a/internal/requestpath/gateway/pipeline/writing.go
+++ b/internal/requestpath/gateway/pipeline/writing.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// writeNext writes the oldest answer. It reports false, and gives up writing, when
-// that is not finished.
+// writeNext writes the oldest answer. It reports false, and ends the writing, when that is not
+// finished.
 func (c *connection) writeNext() bool {
 	exchange := c.nextFinished()
 	if exchange == nil {
@@ -92,8 +92,8 @@
 	return true
 }
 
-// nextFinished returns the oldest exchange when it is finished. Otherwise it sends what was
-// written and leaves the writing to that exchange.
+// nextFinished returns the oldest exchange when it is finished. Otherwise it flushes what was
+// written and lets that exchange write its answer later.
 func (c *connection) nextFinished() *Exchange {
 	for flushed := false; ; flushed = true {
 		c.mutex.Lock()
