--- a/internal/requestpath/balance/constraint.go
+++ b/internal/requestpath/balance/constraint.go
@@ -7,30 +7,18 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Constraint is a condition that an instance must meet to get a call at all. It is
-// never weighed against a score: the filter comes first, the score ranks what is left.
-type Constraint interface {
+// Constraint is a condition that an instance must meet to get a call at all. It is never weighed
+// against a score: the filter comes first, the score ranks what is left.
+type Constraint struct {
 	// Name is what the lines of decisions call the constraint.
-	Name() string
+	Name string
 	// Allows reports whether an instance may get the call.
-	Allows(endpoint *lapisv1.Endpoint) bool
+	Allows func(endpoint *lapisv1.Endpoint) bool
 }
 
-// constraint implements Constraint.
-type constraint struct {
-	name   string
-	allows func(*lapisv1.Endpoint) bool
-}
-
-// Name implements Constraint.
-func (c constraint) Name() string { return c.name }
-
-// Allows implements Constraint.
-func (c constraint) Allows(endpoint *lapisv1.Endpoint) bool { return c.allows(endpoint) }
-
 // NotEvacuated allows the instances of zones that are not evacuated.
 func NotEvacuated(evacuated func(zone string) bool) Constraint {
-	return constraint{name: "evacuated", allows: func(endpoint *lapisv1.Endpoint) bool {
+	return Constraint{Name: "evacuated", Allows: func(endpoint *lapisv1.Endpoint) bool {
 		return !evacuated(endpoint.GetZone())
 	}}
 }
@@ -38,11 +26,8 @@
 // InRegions allows the instances of the given regions, and all where none are given. An
 // instance whose region is not known is in none of them.
 func InRegions(regions []string) Constraint {
-	return constraint{name: "region", allows: func(endpoint *lapisv1.Endpoint) bool {
-		if len(regions) == 0 {
-			return true
-		}
-		return endpoint.GetRegion() != "" && slices.Contains(regions, endpoint.GetRegion())
+	return Constraint{Name: "region", Allows: func(endpoint *lapisv1.Endpoint) bool {
+		return len(regions) == 0 || endpoint.GetRegion() != "" && slices.Contains(regions, endpoint.GetRegion())
 	}}
 }
 
--- a/internal/requestpath/balance/doc.go
+++ b/internal/requestpath/balance/doc.go
@@ -1,6 +1,6 @@
 // Package balance chooses the instance for a call, in two stages like a scheduler's: a
 // filter (filter.go) drops the instances that may not or should not get the call, then a
-// score (score.go) ranks those that are left. The rules are pure: the time and the source of
+// score (cost.go or load.go) ranks those that are left. The rules are pure: the time and the source of
 // randomness are passed in.
 //
 // A daemon's own observations (calls in flight, service times, failures) weigh more than
--- a/internal/requestpath/balance/estimate.go
+++ b/internal/requestpath/balance/estimate.go
@@ -41,18 +41,18 @@
 	at    time.Time
 }
 
-// add counts an observation with weight, and with more where the mean is old.
+// add counts an observation with weight. What the mean has lost by age goes to the observation.
 func (m *mean) add(value, weight float64, memory time.Duration, now time.Time) {
 	*m = mean{value: value + (1-weight)*(m.faded(value, memory, now)-value), at: now}
 }
 
-// addTo counts an observation of a value that is base unless observed lately.
-func (m *mean) addTo(base, value, weight float64, memory time.Duration, now time.Time) {
+// addOver counts an observation with weight. What the mean has lost by age goes to base.
+func (m *mean) addOver(base, value, weight float64, memory time.Duration, now time.Time) {
 	before := m.faded(base, memory, now)
 	*m = mean{value: before + weight*(value-before), at: now}
 }
 
-// faded returns the value as far as it still counts, and other for the rest.
+// faded returns the value weighed by what is left of it at its age, and other for the rest.
 func (m mean) faded(other float64, memory time.Duration, now time.Time) float64 {
 	if m.at.IsZero() {
 		return other
@@ -71,7 +71,7 @@
 func (s *serviceTime) add(seconds float64, now time.Time) {
 	if !s.mean.at.IsZero() && s.mean.value > 0 {
 		deviation := seconds/s.mean.value - 1
-		s.spread.addTo(usualSpread, deviation*deviation, spreadSmoothing, spreadMemory, now)
+		s.spread.addOver(usualSpread, deviation*deviation, spreadSmoothing, spreadMemory, now)
 	}
 	s.mean.add(seconds, serviceSmoothing, serviceMemory, now)
 }
--- a/internal/requestpath/balance/expected.go
+++ b/internal/requestpath/balance/expected.go
@@ -34,9 +34,9 @@
 }
 
 // expectedCold returns that time at an instance that is admitted coldRate calls a second: it
-// works on those of the time that a call takes, and the others wait in its daemon's queue. That
-// daemon may admit more (it paces at up to 2.5 times the rate within its bound,
-// docs/design/0019), so this is the cautious side.
+// runs as many as are admitted in the time of one, and the others wait in its daemon's queue. That
+// daemon may admit up to 2.5 times the rate within its bound (docs/design/0019), so that the time
+// is rather too long.
 func (c *costState) expectedCold(service float64) (total float64) {
 	capacity := min(c.slots, max(1, c.coldRate*service))
 	waiting := max(c.load+1-capacity, 0)
--- a/internal/requestpath/balance/filter.go
+++ b/internal/requestpath/balance/filter.go
@@ -58,7 +58,7 @@
 			}
 		}
 		if len(left) > 0 && len(meeting) == 0 {
-			return nil, &ConstraintError{Constraint: condition.Name(), Instances: len(targets)}
+			return nil, &ConstraintError{Constraint: condition.Name, Instances: len(targets)}
 		}
 		left = meeting
 	}
--- a/internal/requestpath/balance/locality.go
+++ b/internal/requestpath/balance/locality.go
@@ -6,8 +6,8 @@
 	"github.com/lapisvane/lapisvane/internal/model/locality"
 )
 
-// What the way to another zone or region costs a call, in parts of the target latency unless a
-// comment says otherwise. Worth is what the answers of a day are worth, 0 to 1.
+// What another zone or region costs a call, in parts of the target latency unless a comment says
+// otherwise. Worth is what the answers of a day are worth, 0 to 1.
 const (
 	// crossingBase is what a call to another zone costs beside its bytes. Set with the score by
 	// cost as a whole (the figures are at almostFull), not measured alone. Not below choiceNoise,
@@ -41,7 +41,7 @@
 	regionBase = 0.02
 )
 
-// roundTripOf returns the time on the way that counts, in seconds.
+// roundTripOf returns the time on the network that counts, in seconds.
 func roundTripOf(tier locality.Tier) float64 {
 	if tier == locality.OtherRegion {
 		return regionRoundTrip.Seconds()
@@ -49,7 +49,7 @@
 	return 0
 }
 
-// crossingOf returns what the way of a call and its bytes costs, in parts of the target
+// crossingOf returns what the distance of a call and its bytes cost, in parts of the target
 // latency.
 func crossingOf(tier locality.Tier, bytes float64) float64 {
 	price := min(bytes/1024*crossingPerKilobyte, crossingMax)
--- a/internal/requestpath/balance/former_test.go
+++ b/internal/requestpath/balance/reference_test.go
@@ -18,20 +18,19 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// formerSelector is the choice of an instance as it was written before its stages stood apart:
-// the reference that the selector is compared with. Only its clock and its randomness are
-// passed in. It shares the estimates, the constraints and the constants with the selector.
-type formerSelector struct {
+// referenceSelector is the choice of an instance without separate stages, which the selector is
+// compared with. It shares the estimates, the constraints and the constants with the selector.
+type referenceSelector struct {
 	node   string
 	place  locality.Place
 	now    time.Time
 	random random
 }
 
-func (b *formerSelector) pick(targets []*Target, service *snapshot.Service, choice Choice) (*Target, error) {
+func (b *referenceSelector) pick(targets []*Target, service *snapshot.Service, choice Choice) (*Target, error) {
 	name := service.Bundle.GetPool().GetName()
 	untried := without(targets, choice.Exclude)
-	allowed, err := formerFilter(untried, choice.Constraints)
+	allowed, err := referenceFilter(untried, choice.Constraints)
 	if err != nil {
 		refusal := result.Errorf(result.CallNoEndpoint, "no instance of %s may get the call", name)
 		refusal.Cause = err
@@ -57,7 +56,7 @@
 	return b.leastLoaded(b.subset(candidates, coldRate), slots), nil
 }
 
-func formerFilter(targets []*Target, constraints []Constraint) ([]*Target, error) {
+func referenceFilter(targets []*Target, constraints []Constraint) ([]*Target, error) {
 	left := targets
 	for _, condition := range constraints {
 		var meeting []*Target
@@ -67,14 +66,14 @@
 			}
 		}
 		if len(left) > 0 && len(meeting) == 0 {
-			return nil, &ConstraintError{Constraint: condition.Name(), Instances: len(targets)}
+			return nil, &ConstraintError{Constraint: condition.Name, Instances: len(targets)}
 		}
 		left = meeting
 	}
 	return left, nil
 }
 
-func (b *formerSelector) candidates(service *snapshot.Service, targets []*Target) []*Target {
+func (b *referenceSelector) candidates(service *snapshot.Service, targets []*Target) []*Target {
 	healthy := make([]*Target, 0, len(targets))
 	var doubtful []*Target
 	for _, target := range targets {
@@ -94,7 +93,7 @@
 	return doubtful
 }
 
-func (b *formerSelector) subset(candidates []*Target, coldRate float64) []*Target {
+func (b *referenceSelector) subset(candidates []*Target, coldRate float64) []*Target {
 	if len(candidates) <= subsetSize {
 		return candidates
 	}
@@ -107,12 +106,12 @@
 	nearPart := min(subsetSize-min(farPart, subsetSize/4), len(near))
 	chosen := append(b.nearSubset(near, nearPart), far[:max(farPart, min(subsetSize-nearPart, len(far)))]...)
 	if coldRate > 0 {
-		formerWithWarm(chosen, without(ranked, chosen), b.now)
+		referenceWithWarm(chosen, without(ranked, chosen), b.now)
 	}
 	return chosen
 }
 
-func (b *formerSelector) byRegion(targets []*Target) (near, far []*Target) {
+func (b *referenceSelector) byRegion(targets []*Target) (near, far []*Target) {
 	for _, target := range targets {
 		if b.tierOf(target.Endpoint) == locality.OtherRegion {
 			far = append(far, target)
@@ -123,7 +122,7 @@
 	return near, far
 }
 
-func (b *formerSelector) nearSubset(near []*Target, count int) []*Target {
+func (b *referenceSelector) nearSubset(near []*Target, count int) []*Target {
 	localPart := count * 3 / 4
 	chosen := make([]*Target, 0, subsetSize)
 	var rest []*Target
@@ -137,7 +136,7 @@
 	return append(chosen, rest[:count-len(chosen)]...)
 }
 
-func formerWithWarm(chosen, rest []*Target, now time.Time) {
+func referenceWithWarm(chosen, rest []*Target, now time.Time) {
 	var cold []int
 	for place, target := range chosen {
 		if now.Before(target.warmAt) {
@@ -159,19 +158,19 @@
 	}
 }
 
-func (b *formerSelector) tierOf(endpoint *lapisv1.Endpoint) locality.Tier {
+func (b *referenceSelector) tierOf(endpoint *lapisv1.Endpoint) locality.Tier {
 	return b.place.TierOf(locality.Place{Zone: endpoint.GetZone(), Region: endpoint.GetRegion()})
 }
 
-func (b *formerSelector) cheapest(candidates []*Target, slots, coldRate float64, choice Choice) *Target {
-	conditions := make([]formerCondition, len(candidates))
+func (b *referenceSelector) cheapest(candidates []*Target, slots, coldRate float64, choice Choice) *Target {
+	conditions := make([]referenceCondition, len(candidates))
 	for index, target := range candidates {
-		conditions[index] = formerConditionOf(target, choice.Route, b.tierOf(target.Endpoint), slots, coldRate, b.now)
+		conditions[index] = referenceConditionOf(target, choice.Route, b.tierOf(target.Endpoint), slots, coldRate, b.now)
 	}
 	target := choice.TargetLatency.Seconds()
 	left := target - choice.Spent.Seconds()
-	spread := formerTypicalSpread(conditions, b.now)
-	typical, known := formerTypicalService(conditions)
+	spread := referenceTypicalSpread(conditions, b.now)
+	typical, known := referenceTypicalService(conditions)
 	if !known {
 		typical = target / 4
 	}
@@ -179,10 +178,10 @@
 	least := math.Inf(1)
 	for index, seen := range conditions {
 		total, service := seen.expected(typical, b.now)
-		total += roundTripOf(seen.elsewhere)
+		total += roundTripOf(seen.tier)
 		late := lateness(service, spread, left-(total-service))
 		cost := total/target + late*latenessCost + seen.failures*failureCost + choiceNoise*b.random.Float64()
-		cost += crossingOf(seen.elsewhere, choice.Bytes)
+		cost += crossingOf(seen.tier, choice.Bytes)
 		if cost < least {
 			least = cost
 			best = candidates[index]
@@ -191,20 +190,20 @@
 	return best
 }
 
-type formerCondition struct {
+type referenceCondition struct {
 	known, spread          mean
 	load, slots, failures  float64
 	cold                   bool
-	elsewhere              locality.Tier
+	tier                   locality.Tier
 	coldRate, refusedAfter float64
 }
 
-func formerConditionOf(t *Target, route string, elsewhere locality.Tier, slots, coldRate float64, now time.Time) formerCondition {
+func referenceConditionOf(t *Target, route string, tier locality.Tier, slots, coldRate float64, now time.Time) referenceCondition {
 	if stated := t.Endpoint.GetSlots(); stated > 0 {
 		slots = float64(stated)
 	}
-	seen := formerCondition{
-		slots: slots, elsewhere: elsewhere, cold: now.Before(t.warmAt),
+	seen := referenceCondition{
+		slots: slots, tier: tier, cold: now.Before(t.warmAt),
 		failures: t.failure.faded(0, failureMemory, now), coldRate: coldRate,
 		refusedAfter: max(t.refusedUntil.Sub(now).Seconds(), 0),
 	}
@@ -220,7 +219,7 @@
 	return seen
 }
 
-func (c formerCondition) expected(typical float64, now time.Time) (total, service float64) {
+func (c referenceCondition) expected(typical float64, now time.Time) (total, service float64) {
 	service = c.known.faded(typical, serviceMemory, now)
 	if c.cold {
 		service *= coldFactor
@@ -230,15 +229,15 @@
 		service *= 1 + fullSlowdown*min((used-almostFull)/(1-almostFull), 1)
 	}
 	if c.cold && c.coldRate > 0 {
-		bears := min(c.slots, max(1, c.coldRate*service))
-		waiting := max(c.load+1-bears, 0)
+		capacity := min(c.slots, max(1, c.coldRate*service))
+		waiting := max(c.load+1-capacity, 0)
 		return service + max(waiting/c.coldRate, c.refusedAfter), service
 	}
 	waiting := max(c.load+1-c.slots, 0)
 	return service * (1 + waiting/c.slots), service
 }
 
-func formerTypicalSpread(conditions []formerCondition, now time.Time) float64 {
+func referenceTypicalSpread(conditions []referenceCondition, now time.Time) float64 {
 	sum, count := 0.0, 0
 	for _, seen := range conditions {
 		if !seen.spread.at.IsZero() {
@@ -252,7 +251,7 @@
 	return sum / float64(count)
 }
 
-func formerTypicalService(conditions []formerCondition) (seconds float64, ok bool) {
+func referenceTypicalService(conditions []referenceCondition) (seconds float64, ok bool) {
 	sum, count := 0.0, 0
 	for _, seen := range conditions {
 		if !seen.known.at.IsZero() {
@@ -266,7 +265,7 @@
 	return sum / float64(count), true
 }
 
-func (b *formerSelector) leastLoaded(candidates []*Target, slots float64) *Target {
+func (b *referenceSelector) leastLoaded(candidates []*Target, slots float64) *Target {
 	var tiers [locality.OtherRegion + 1][]*Target
 	for _, target := range candidates {
 		tier := b.tierOf(target.Endpoint)
@@ -284,23 +283,23 @@
 	return best
 }
 
-func (b *formerSelector) betterOfTwo(targets []*Target, slots float64) (*Target, float64) {
+func (b *referenceSelector) betterOfTwo(targets []*Target, slots float64) (*Target, float64) {
 	if len(targets) == 0 {
 		return nil, math.Inf(1)
 	}
 	first := b.random.IntN(len(targets))
-	best, bestScore := targets[first], formerScore(targets[first], slots, b.now)
+	best, bestScore := targets[first], referenceScore(targets[first], slots, b.now)
 	if len(targets) == 1 {
 		return best, bestScore
 	}
 	second := (first + 1 + b.random.IntN(len(targets)-1)) % len(targets)
-	if score := formerScore(targets[second], slots, b.now); score < bestScore {
+	if score := referenceScore(targets[second], slots, b.now); score < bestScore {
 		return targets[second], score
 	}
 	return best, bestScore
 }
 
-func formerScore(t *Target, slots float64, now time.Time) float64 {
+func referenceScore(t *Target, slots float64, now time.Time) float64 {
 	if stated := t.Endpoint.GetSlots(); stated > 0 {
 		slots = float64(stated)
 	}
@@ -318,23 +317,22 @@
 	return load
 }
 
-// formerInputs is the number of generated choices that both forms are asked for.
-const formerInputs = 20_000
+// referenceInputs is the number of generated choices that both are asked for.
+const referenceInputs = 20_000
 
-// On generated pools, observations and calls the selector chooses what its former form chose, and
-// refuses what that refused in the same way.
+// On generated pools, observations and calls the selector chooses and refuses as the reference does.
 func TestChoicesAreThoseOfTheFormerForm(t *testing.T) {
 	outcomes := map[string]int{}
-	for seed := range uint64(formerInputs) {
+	for seed := range uint64(referenceInputs) {
 		drawn := &drawn{Rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0)}
 		targets, service := drawn.targets(), drawn.service()
 		choice := drawn.choice(targets)
 		place := locality.Place{Zone: "z0", Region: drawn.either("", "r0")}
-		former := &formerSelector{node: "node", place: place, now: drawn.now, random: rand.New(rand.NewPCG(seed, 2))}
+		reference := &referenceSelector{node: "node", place: place, now: drawn.now, random: rand.New(rand.NewPCG(seed, 2))}
 		current := &selector{
 			daemon: "node", place: place, service: service, choice: choice, now: drawn.now, random: rand.New(rand.NewPCG(seed, 2)),
 		}
-		wanted, wantedErr := former.pick(targets, service, choice)
+		wanted, wantedErr := reference.pick(targets, service, choice)
 		chosen, err := current.pick(targets)
 		assert.Assert(t, chosen == wanted, "seed %d", seed)
 		assert.DeepEqual(t, err, wantedErr)
@@ -342,7 +340,7 @@
 	}
 	// Each way through the rule was taken often.
 	for _, outcome := range []string{"by key", "by cost", "by load", "constrained", "no instance"} {
-		assert.Assert(t, outcomes[outcome] > formerInputs/100, "%v", outcomes)
+		assert.Assert(t, outcomes[outcome] > referenceInputs/100, "%v", outcomes)
 	}
 }
 
--- a/internal/requestpath/balance/selector.go
+++ b/internal/requestpath/balance/selector.go
@@ -1,11 +1,14 @@
 package balance
 
 import (
+	"cmp"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"github.com/lapisvane/lapisvane/internal/model/locality"
 	"github.com/lapisvane/lapisvane/internal/model/snapshot"
+	"github.com/lapisvane/lapisvane/internal/shared/rendezvous"
 )
 
 // Choice is what an instance is chosen for.
@@ -41,8 +44,8 @@
 // IntN implements random.
 func (processRandom) IntN(n int) int { return rand.IntN(n) }
 
-// selector makes one choice of an instance, from what stands in its fields and what was
-// observed of the instances up to now; it reads no clock and draws from random only.
+// selector makes one choice of an instance from its fields and from what was observed of the
+// instances up to now. It reads no clock and draws from random only.
 type selector struct {
 	// daemon and place are those of this daemon.
 	daemon string
@@ -63,6 +66,32 @@
 	return s.best(feasible), nil
 }
 
+// best is the second stage of a choice: it returns the best of the feasible instances, of which
+// there is at least one.
+//
+// A call with an idempotency key goes to the instance that ranks first for the key at every
+// daemon, so that its repetitions meet there. Any other call goes to one of this daemon's subset
+// (subset.go). With a target latency that is the one of least cost (cost.go): time, lateness, bytes
+// and failures are all counted in parts of that latency. A route without one lacks this common
+// unit, and the instance is chosen by load per slot (load.go) alone.
+func (s *selector) best(feasible []*Target) *Target {
+	if s.choice.Key != "" {
+		return rankFirst(feasible, s.choice.Key)
+	}
+	candidates := s.subset(feasible)
+	if s.choice.TargetLatency > 0 {
+		return s.cheapest(candidates)
+	}
+	return s.leastLoaded(candidates)
+}
+
+// rankFirst returns the candidate with the highest rendezvous score for the key.
+func rankFirst(candidates []*Target, key string) *Target {
+	return slices.MaxFunc(candidates, func(a, b *Target) int {
+		return cmp.Compare(rendezvous.Score(key, a.Endpoint.GetInstance()), rendezvous.Score(key, b.Endpoint.GetInstance()))
+	})
+}
+
 // tierOf returns how far an instance is from this daemon.
 func (s *selector) tierOf(target *Target) locality.Tier {
 	return s.place.TierOf(locality.Place{Zone: target.Endpoint.GetZone(), Region: target.Endpoint.GetRegion()})
--- a/internal/requestpath/balance/slowstart.go
+++ b/internal/requestpath/balance/slowstart.go
@@ -23,10 +23,10 @@
 	coldFactor = 2
 )
 
-// slowStartOf returns when the slow start of an instance began that is not known in its present
-// incarnation; known is its earlier incarnation or nil. What is there when this daemon starts
-// counts as warm, since most of it was there before; so does an instance that reports its slots,
-// because it also reports how long it is cold; an earlier incarnation passes its time on.
+// slowStartOf returns when the slow start of a new incarnation began. It keeps the time of the
+// earlier incarnation (known, or nil). Instances that are there when this daemon starts count as
+// warm, since most were there before; so do those that report their slots, which also report how
+// long they are cold.
 func slowStartOf(known *Target, endpoint *lapisv1.Endpoint, created, now time.Time) time.Time {
 	switch {
 	case known != nil:
--- a/internal/requestpath/balance/target.go
+++ b/internal/requestpath/balance/target.go
@@ -30,7 +30,7 @@
 	mutex sync.Mutex
 	// warmAt is until when the instance reported that it is cold.
 	warmAt time.Time
-	// refusedUntil is when the instance takes calls again that refused one because it is
+	// refusedUntil is when the instance takes calls again, after it refused one because it is
 	// cold.
 	refusedUntil time.Time
 	// failures counts those in a row that eject.
@@ -69,28 +69,27 @@
 	t.reportedAt = now
 }
 
-// Succeeded notes that the instance gave an answer, of whatever status; it ends a row of
-// failures.
+// Succeeded notes that the instance gave an answer of any status, which ends a row of failures.
 func (t *Target) Succeeded() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.failures = 0
 }
 
-// Failed notes that the instance could not be reached or broke off; failures in a row eject
-// it for a time.
+// Failed notes that the instance could not be reached or broke off, which may eject it
+// (ejectionFor).
 func (t *Target) Failed(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.failures++
-	t.failure.addTo(0, 1, failureSmoothing, failureMemory, now)
+	t.failure.addOver(0, 1, failureSmoothing, failureMemory, now)
 	if ejection := ejectionFor(t.failures); ejection > 0 {
 		t.ejectedUntil = now.Add(ejection)
 	}
 }
 
-// RefusedCold notes that the instance refused a call because it is cold, and takes none
-// for so long.
+// RefusedCold notes that the instance refused a call because it is cold and takes none for
+// retryAfter.
 func (t *Target) RefusedCold(retryAfter time.Duration, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -113,14 +112,110 @@
 		t.services[route] = known
 	}
 	known.add(service.Seconds(), now)
-	t.failure.addTo(0, 0, failureSmoothing, failureMemory, now)
+	t.failure.addOver(0, 0, failureSmoothing, failureMemory, now)
 }
 
-// AnsweredFailure notes that the instance answered a call with a failure of its
-// own. Its time says nothing about how fast the instance is, and an instance
-// that answers is not ejected; it is chosen less.
+// AnsweredFailure notes that the instance answered a call with a failure of its own. Its time
+// does not count as a service time, and the instance is not ejected but chosen less.
 func (t *Target) AnsweredFailure(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.failure.addTo(0, 1, failureSmoothing, failureMemory, now)
+	t.failure.addOver(0, 1, failureSmoothing, failureMemory, now)
+}
+
+// Report returns the load that the instance's daemon reported last, in calls per
+// slot, and how old that is; 0 and 0 before the first.
+func (t *Target) Report(now time.Time) (load float64, age time.Duration) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.reportedAt.IsZero() {
+		return 0, 0
+	}
+	return t.reported, now.Sub(t.reportedAt)
+}
+
+// RefusedFor returns how much longer the instance takes no calls after RefusedCold.
+func (t *Target) RefusedFor(now time.Time) time.Duration {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return max(t.refusedUntil.Sub(now), 0)
+}
+
+// ServiceTime returns the mean time that a call of a route takes at the instance, 0 where no
+// answer was seen.
+func (t *Target) ServiceTime(route string) time.Duration {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	known, ok := t.services[route]
+	if !ok {
+		return 0
+	}
+	return time.Duration(known.mean.value * float64(time.Second))
+}
+
+// RecentServiceTime returns ServiceTime faded to 0 with the time since the last answer to a call
+// of the route, so that a route that was slow is tried again.
+func (t *Target) RecentServiceTime(route string, now time.Time) time.Duration {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	known, ok := t.services[route]
+	if !ok {
+		return 0
+	}
+	return time.Duration(known.mean.faded(0, serviceMemory, now) * float64(time.Second))
+}
+
+// failureShare returns the share of attempts that failed lately, 0 to 1.
+func (t *Target) failureShare(now time.Time) float64 {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.failure.faded(0, failureMemory, now)
+}
+
+// cold reports whether the instance reported that it is still cold.
+func (t *Target) cold(now time.Time) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return now.Before(t.warmAt)
+}
+
+// ejected reports whether failures in a row keep the instance out.
+func (t *Target) ejected(now time.Time) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return now.Before(t.ejectedUntil)
+}
+
+// loadState returns what the score by load needs of the instance.
+func (t *Target) loadState(slots float64, now time.Time) loadState {
+	seen := loadState{slots: slots, inFlight: float64(t.inFlight.Load()), age: now.Sub(t.slowStartAt)}
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	seen.cold = now.Before(t.warmAt)
+	if now.Sub(t.reportedAt) < reportLifetime {
+		seen.reported = t.reported
+	}
+	return seen
+}
+
+// costState returns what the score by cost needs of the instance for a route, but for its
+// distance and its pool's rate for cold ones.
+func (t *Target) costState(route string, slots float64, now time.Time) costState {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	seen := costState{
+		slots: slots, load: float64(t.inFlight.Load()), cold: now.Before(t.warmAt),
+		failures:   t.failure.faded(0, failureMemory, now),
+		refusedFor: max(t.refusedUntil.Sub(now).Seconds(), 0),
+	}
+	if service, ok := t.services[route]; ok {
+		seen.known = service.mean
+		seen.spread = service.spread
+	}
+	if age := now.Sub(t.reportedAt); age < reportLifetime {
+		// The calls of other daemons count less the older the report is.
+		others := max(t.reported*slots-float64(t.reportedOwn), 0)
+		seen.load += others * (1 - float64(age)/float64(reportLifetime))
+	}
+	return seen
 }
--- a/internal/requestpath/decision/log.go
+++ b/internal/requestpath/decision/log.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// successLevel makes one success of 2^successLevel, 256, be written where there is room for
-	// all failures. Chosen, not measured; below maxLevel.
+	// successLevel is the level of successes above that of failures: one of 2^successLevel (256)
+	// is written where all failures are. Chosen, not measured; below maxLevel.
 	successLevel = 8
 	// maxLevel bounds the sampling: at least one failure of 2^maxLevel is written. Chosen, not
 	// measured; maxLevel + successLevel must stay below the 64 bits of a hash.
@@ -38,8 +38,8 @@
 	mutex sync.Mutex
 	// level is the number of low bits of a request's hash that must be zero for its failures
 	// to be written.
-	level uint
-	since time.Time
+	level       uint
+	windowStart time.Time
 	// written and leftOut count the lines of the window that were written, and those that were
 	// not although they tell of a failure.
 	written, leftOut int
@@ -48,7 +48,7 @@
 // New returns a log in front of logger that writes about perSecond lines a second under load,
 // none at all if that is 0. now is the clock of the sampling.
 func New(logger logr.Logger, perSecond int, now func() time.Time) *Log {
-	return &Log{logger: logger, perSecond: perSecond, now: now, since: now()}
+	return &Log{logger: logger, perSecond: perSecond, now: now, windowStart: now()}
 }
 
 // Failure writes a line about a request that was refused, repeated or failed. pairs are keys
@@ -77,9 +77,9 @@
 	return uint(bits.TrailingZeros64(xxhash.Sum64String(request)))
 }
 
-// admits reports whether a line of a request is written; above is added to the level of
-// failures, and is 0 for one.
-func (l *Log) admits(request string, above uint) bool {
+// admits reports whether a line of a request is written. levels is added to the level of failures:
+// 0 for a failure, successLevel for a success.
+func (l *Log) admits(request string, levels uint) bool {
 	if l == nil || l.perSecond == 0 {
 		return false
 	}
@@ -87,8 +87,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.review()
-	if rank < l.level+above {
-		if above == 0 {
+	if rank < l.level+levels {
+		if levels == 0 {
 			l.leftOut++
 		}
 		return false
@@ -101,7 +101,7 @@
 // denser after one with few; the caller holds mutex.
 func (l *Log) review() {
 	now := l.now()
-	elapsed := now.Sub(l.since)
+	elapsed := now.Sub(l.windowStart)
 	if elapsed < window {
 		return
 	}
@@ -115,6 +115,6 @@
 	case l.written < limit/sparePart && l.level > 0:
 		l.level--
 	}
-	l.since = now
+	l.windowStart = now
 	l.written, l.leftOut = 0, 0
 }
--- a/internal/requestpath/retry/answer.go
+++ b/internal/requestpath/retry/answer.go
@@ -43,9 +43,9 @@
 	FirstUnknown
 )
 
-// EndingOf returns what ends a call. A kept answer says more than that a later attempt got
-// none. Without one, a last attempt that did not run must not hide an earlier one that may
-// have: its caller would take the call as one that did not run and send it again.
+// EndingOf returns what ends a call: the kept answer, if there is one. Otherwise a last attempt
+// that did not run must not hide an earlier one that may have: the caller would take the call as
+// not run and send it again.
 func EndingOf(keptAnswer, mayHaveRun, lastNotRun bool) Ending {
 	switch {
 	case keptAnswer:
--- a/internal/requestpath/retry/reference_test.go
+++ b/internal/requestpath/retry/reference_test.go
@@ -11,8 +11,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// The reference is the rule in the form that it had while it was part of the attempts at a
-// call: counters that are changed while it decides, and a budget that it spends itself.
+// The reference is the rule as a part of the attempts at a call: counters that change while it
+// decides, and a budget that it spends itself.
 
 // Bounds of the reference.
 const (
--- a/internal/requestpath/retry/rule.go
+++ b/internal/requestpath/retry/rule.go
@@ -117,10 +117,9 @@
 
 // Decide returns what follows a failed attempt at a call, and the counts with that failure.
 //
-// Conditions are looked at in this order: whether any attempt is still possible (time, body,
-// answer begun), the bound of deliveries, then by reason the safety of a repeat before the
-// bounds that concern load. The budget comes last, so that it is spent only on attempts that
-// are made.
+// The conditions, in this order: whether any attempt is still possible (time, body, answer begun),
+// the bound of deliveries, then by reason whether a repeat is safe, then the bounds of load. The
+// budget comes last, so that it is spent only on attempts that are made.
 func Decide(call Call, counts Counts, failure Failure) (Counts, Decision) {
 	if failure.CallOver || failure.BodySpent || failure.AnswerBegun {
 		return counts, GiveUp
@@ -134,19 +133,18 @@
 	switch failure.Reason {
 	case NotReached:
 		counts.NotReached++
-		return counts, elsewhere(counts.NotReached <= maxNotReached)
+		return counts, decisionIf(counts.NotReached <= maxNotReached, AgainElsewhere)
 	case NoRoom:
 		counts.NoRoom++
-		return counts, elsewhere(counts.NoRoom <= maxNoRoom)
+		return counts, decisionIf(counts.NoRoom <= maxNoRoom, AgainElsewhere)
 	case Shed:
 		counts.Seen++
-		return counts, withinBudget(call.mayAddLoad(counts))
+		return counts, decisionIf(call.mayAddLoad(counts), AgainWithinBudget)
 	case MayHaveRun:
 		counts.Seen++
-		// Instances must not crash one after the other because a daemon sends on what crashed
-		// the one before.
+		// A request that crashes instances must not be sent from one to the next.
 		safe := call.Repeatable && quarantine.MayRepeat(failure.Crashes)
-		return counts, withinBudget(safe && call.mayAddLoad(counts))
+		return counts, decisionIf(safe && call.mayAddLoad(counts), AgainWithinBudget)
 	default:
 		return counts, GiveUp
 	}
@@ -162,16 +160,10 @@
 	return c.ChainRetries == 0 && counts.Seen < most
 }
 
-func elsewhere(may bool) Decision {
+// decisionIf returns decision where it may be taken, else GiveUp.
+func decisionIf(may bool, decision Decision) Decision {
 	if may {
-		return AgainElsewhere
-	}
-	return GiveUp
-}
-
-func withinBudget(may bool) Decision {
-	if may {
-		return AgainWithinBudget
+		return decision
 	}
 	return GiveUp
 }
