--- a/internal/requestpath/balance/balancer.go
+++ b/internal/requestpath/balance/balancer.go
@@ -84,9 +84,8 @@
 	return selection.pick(b.Targets(service.Bundle.GetPool().GetName()))
 }
 
-// MostlySound reports whether more than half of the instances of a service have failed
-// little lately (soundShare), so that a failure is that of one instance and not of what all
-// of them need.
+// MostlySound reports whether more than half of the instances of a service lately failed little
+// (soundShare), so that a failure is one of its instance and not of what all of them need.
 func (b *Balancer) MostlySound(service string) bool {
 	targets := b.Targets(service)
 	now := b.now()
--- a/internal/requestpath/balance/cost.go
+++ b/internal/requestpath/balance/cost.go
@@ -10,11 +10,11 @@
 // Weights of the score by cost, in parts of the target latency. Worth is what the answers of a
 // day are worth on an emulated deployment, 0 to 1, and the noise between two runs is 0.03.
 const (
-	// failureCost is what a certain failure costs: an answer that fails is worth nothing, one
-	// from another zone or a late one is worth most of it. Measured as the score of a deployment
-	// where bytes between zones are dear: 1, 2 and 4 gave 0.959, 0.985 and 0.983
-	// (docs/design/0012). Larger than what 5 KB to another zone cost (1.3), so that ordinary
-	// calls leave an instance that fails alone in its zone.
+	// failureCost is what a certain failure costs: it is worth nothing, an answer that is late or
+	// from another zone most of its worth. Measured as the score of a deployment where bytes
+	// between zones are dear: 1, 2 and 4 gave 0.959, 0.985 and 0.983 (docs/design/0012).
+	// Larger than what 5 KB to another zone cost (1.3), so that ordinary calls leave an instance
+	// that fails alone in its zone.
 	failureCost = 2
 	// latenessCost is what an answer costs that is certain to be late: as much as a failure,
 	// since it is worth little. Measured against 0, four seeds each: worth of a quiet day 0.895
@@ -31,22 +31,18 @@
 
 // costState is what the score by cost knows of an instance.
 type costState struct {
-	// known is the time that a call of the route takes there, in seconds, and spread how much
-	// that varies.
+	// known is the service time of the route there, in seconds, and spread its spread
+	// (serviceTime).
 	known, spread mean
-	// load is the calls there, running and waiting, from all daemons, and slots what runs at
-	// once.
+	// load is the calls of all daemons there, running and waiting, and slots what runs at once.
 	load, slots float64
 	// failures is the share of failed attempts, 0 to 1.
 	failures float64
-	// cold is true while the instance reports that it is cold; coldRate is how many calls a
-	// second it is admitted then, 0 where its pool does not say, and refusedFor how many
-	// seconds longer it takes none, as its daemon said when it refused a call.
-	cold       bool
-	coldRate   float64
-	refusedFor float64
-	// tier is how far it is.
-	tier locality.Tier
+	// cold is true while the instance reports that it is cold. It is then admitted coldRate calls
+	// a second, 0 where its pool does not say, and takes none for refusedFor seconds.
+	cold                 bool
+	coldRate, refusedFor float64
+	tier                 locality.Tier
 }
 
 // callState is what the score by cost knows of the call, all times in seconds.
--- a/internal/requestpath/balance/refusal.go
+++ b/internal/requestpath/balance/refusal.go
@@ -13,10 +13,9 @@
 	// longer than a call waits, since orders and configurations stand longer than that and
 	// whoever comes back sooner is only refused again.
 	constrainedRetryAfter = 5 * time.Second
-	// noInstanceRetryAfter holds where the pool is empty, drained or tried through. Chosen, not
-	// measured: the least that a Retry-After in whole seconds can state, and shorter than
-	// constrainedRetryAfter, since no order or configuration has to change first. For a route
-	// with a target latency the gateway puts a part of that in its place.
+	// noInstanceRetryAfter holds where the pool is empty, drained or all tried. Chosen, not
+	// measured: the least in whole seconds, and shorter than constrainedRetryAfter, since no order
+	// or configuration has to change first. refusal.RetryAfter replaces it for most routes.
 	noInstanceRetryAfter = time.Second
 )
 
--- a/internal/requestpath/balance/subset.go
+++ b/internal/requestpath/balance/subset.go
@@ -20,20 +20,20 @@
 	// three regions, as worth from 0 to 1: 0.821 with 2 and bytes weighed by price, 0.852 with 4
 	// and regionBytesRatio 1 (docs/design/0020).
 	otherRegionPart = subsetSize / 2
-	// otherRegionTaken is how many of otherRegionPart take a place of the own region; the others
-	// come on top. Chosen, not measured alone: below otherRegionPart.
+	// otherRegionTaken is how many of otherRegionPart take the place of one of the own region; the
+	// others come on top. Chosen, not measured alone: below otherRegionPart.
 	otherRegionTaken = subsetSize / 4
 	// leastWarm is the number of warm instances in a subset, if there are so many: as many as
 	// are there for spill-over. Chosen, not measured.
 	leastWarm = subsetSize / 4
 )
 
-// subset returns at most subsetSize candidates of one region, chosen by a hash of this daemon
-// and the instance, so that daemons spread evenly and a change of one instance changes
-// little. Instances of the own zone come first, up to three quarters, then those of the own
-// region. Where there are other regions, otherRegionPart are from there, so that there may be
-// otherRegionTaken more in all. Where cold instances are admitted a limited rate, at least
-// leastWarm are warm if there are so many.
+// subset returns at most subsetSize candidates, chosen by a hash of this daemon and the instance, so
+// that daemons spread evenly and a change of one instance changes little. Instances of the own
+// zone come first, up to three quarters, then those of the own region. Where there are other
+// regions, otherRegionPart are from there, and the subset may be larger by otherRegionPart -
+// otherRegionTaken. Where a pool limits the rate of cold instances, at least leastWarm are warm if
+// there are so many.
 func (s *selector) subset(candidates []*Target) []*Target {
 	if len(candidates) <= subsetSize {
 		return candidates
--- a/internal/requestpath/balance/target.go
+++ b/internal/requestpath/balance/target.go
@@ -19,8 +19,8 @@
 	*observations
 }
 
-// observations are what this daemon saw of one incarnation of an instance; they are shared by
-// the targets that stand for it as its endpoint changes.
+// observations are what this daemon saw of one incarnation of an instance. Its targets share them
+// as its endpoint changes.
 type observations struct {
 	// slowStartAt is when the slow start began that this daemon assumes.
 	slowStartAt time.Time
@@ -36,8 +36,8 @@
 	// failures counts those in a row that eject.
 	failures     int
 	ejectedUntil time.Time
-	// reported is the load that the daemon beside the instance reported, in calls
-	// per slot, and reportedOwn the calls from here that it includes.
+	// reported is the load that the daemon beside the instance reported, in calls per slot,
+	// and reportedOwn the calls of this daemon that it includes.
 	reported    float64
 	reportedOwn int64
 	reportedAt  time.Time
@@ -54,10 +54,10 @@
 	o.warmAt = now.Add(time.Duration(endpoint.GetColdMillis()) * time.Millisecond)
 }
 
-// Begin notes that a call is handed to the instance.
+// Begin counts a call that is handed to the instance.
 func (t *Target) Begin() { t.inFlight.Add(1) }
 
-// End notes that a call begun with Begin is over.
+// End ends the count of Begin.
 func (t *Target) End() { t.inFlight.Add(-1) }
 
 // Reported notes the load, in calls per slot, that the instance's daemon reported.
@@ -123,8 +123,7 @@
 	t.failure.addOver(0, 1, failureSmoothing, failureMemory, now)
 }
 
-// Report returns the load that the instance's daemon reported last, in calls per
-// slot, and how old that is; 0 and 0 before the first.
+// Report returns the load reported last, in calls per slot, and its age; 0 and 0 before the first.
 func (t *Target) Report(now time.Time) (load float64, age time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -198,8 +197,8 @@
 	return seen
 }
 
-// costState returns what the score by cost needs of the instance for a route, but for its
-// distance and its pool's rate for cold ones.
+// costState returns what the score by cost needs of the instance for a route, without tier and
+// coldRate.
 func (t *Target) costState(route string, slots float64, now time.Time) costState {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/requestpath/gateway/gateway.go
+++ b/internal/requestpath/gateway/gateway.go
@@ -33,11 +33,10 @@
 	// lingerTime is how long what a caller still sends is read after the last answer of its
 	// connection, so that a reset does not take the answer away. Chosen, not measured.
 	lingerTime = time.Second
-	// configurationPatience is how long a call to a daemon that has just started waits for
-	// the configuration. After a loss of all daemons that was in force 0.3 to 0.7 s after a
-	// daemon's start, and a refusal sends the caller away for longer than that. Measured on two
-	// whole days together with sooner questions for the configuration: answers of 503 fell
-	// from 2,261 to 833 and from 1,728 to 563.
+	// configurationPatience is how long a call to a daemon that has just started waits for the
+	// configuration. After a loss of all daemons that was in force 0.3 to 0.7 s after a start; a
+	// refused caller stays away longer. Measured on two whole days together with an earlier poll of
+	// the source: answers of 503 fell from 2,261 to 833 and from 1,728 to 563.
 	configurationPatience = 400 * time.Millisecond
 )
 
@@ -53,24 +52,21 @@
 	Remote Remote
 	// Envelope names the header fields; the zero value stands for the default.
 	Envelope callapi.Envelope
-	// CallerService returns the service of this machine, which instances are told; nil when
-	// there is none.
+	// CallerService returns the service of this machine, for the opening of calls; nil for none.
 	CallerService func() string
 	// Retries bound the retries of each service; the zero value stands for the default.
 	Retries retry.Limits
-	// RepeatShare returns the share of the calls running on this machine that are repeats,
-	// from 0 to 1; nil where that is not known.
+	// RepeatShare returns the share, 0 to 1, of the calls running on this machine that are
+	// repeats; nil where that is not known.
 	RepeatShare func() float64
 	// DefaultDeadline bounds calls whose route names none; 0 for no bound.
 	DefaultDeadline time.Duration
-	// Evacuated reports whether the instances of a zone get no calls; nil where no zone is
-	// ever evacuated.
+	// Evacuated reports whether a zone is evacuated; nil where none ever is.
 	Evacuated func(zone string) bool
-	// Quarantine tells which requests are held back because instances crashed under them; nil
-	// where nothing is.
+	// Quarantine holds back requests under which instances crashed; nil for none.
 	Quarantine Quarantine
-	// SentAhead bounds what is held for requests that callers send before earlier ones are
-	// answered; the zero value stands for the default.
+	// SentAhead bounds what is held for requests that callers send ahead of earlier answers; the
+	// zero value stands for the default.
 	SentAhead pipeline.Limits
 	// Decisions receives the lines about requests, Registry the metrics; nil for none.
 	Decisions *decision.Log
--- a/internal/requestpath/gateway/headers.go
+++ b/internal/requestpath/gateway/headers.go
@@ -33,19 +33,13 @@
 		}
 		fields = append(fields, &lapisv1.HeaderField{Name: string(key), Value: string(value)})
 	})
-	for _, name := range trailerNames(rc) {
-		fields = append(fields, &lapisv1.HeaderField{Name: "Trailer", Value: name})
+	for _, trailer := range trailersOf(rc) {
+		fields = append(fields, &lapisv1.HeaderField{Name: "Trailer", Value: trailer.GetName()})
 	}
 	fields = append(fields, &lapisv1.HeaderField{Name: "Via", Value: "1.1 lapisvane"})
 	return fields
 }
 
-func trailerNames(rc *app.RequestContext) []string {
-	var names []string
-	rc.Request.Header.Trailer().VisitAll(func(key, _ []byte) { names = append(names, string(key)) })
-	return names
-}
-
 func trailersOf(rc *app.RequestContext) []*lapisv1.HeaderField {
 	var fields []*lapisv1.HeaderField
 	rc.Request.Header.Trailer().VisitAll(func(key, value []byte) {
--- a/internal/requestpath/gateway/pipeline/exchange.go
+++ b/internal/requestpath/gateway/pipeline/exchange.go
@@ -14,8 +14,7 @@
 	// Request holds the request and takes the answer. It is valid until the
 	// handler returns.
 	Request *app.RequestContext
-	// Arrived is when the request's head had been read. Times that a request may take count
-	// from here, also where its answer waits for earlier ones.
+	// Arrived is when the request's head had been read, from which its deadline counts.
 	Arrived time.Time
 	// Fault is why the request cannot be served; its number is the answer.
 	Fault error
@@ -46,8 +45,8 @@
 // Local reports whether the caller is on this machine.
 func (e *Exchange) Local() bool { return e.conn.caller.local() }
 
-// AwaitEarlierAnswers returns when all earlier answers have been written, so that none of them
-// can close the connection any more. Errors: CallNotRunExpired when ctx ends before.
+// AwaitEarlierAnswers waits until no earlier answer can close the connection any more, since all
+// have been written. Errors: CallNotRunExpired when ctx ends before.
 func (e *Exchange) AwaitEarlierAnswers(ctx context.Context) error {
 	written := e.conn.earlierAnswers(e)
 	if written == nil {
@@ -61,18 +60,20 @@
 	}
 }
 
-// BeginAnswer awaits all earlier answers before one that is written piece by piece to the
-// request's writer. The answer's status and fields must be set; the field that closes the
-// connection is added where it has to be. Errors: CallCancelled.
+// BeginAnswer awaits all earlier answers before one that is written piece by piece. The answer's
+// status and fields must be set; "Connection: close" is added where needed. Errors: CallCancelled.
 func (e *Exchange) BeginAnswer(ctx context.Context) error {
 	if err := e.AwaitEarlierAnswers(ctx); err != nil {
 		return result.Wrap(result.CallCancelled, err, "waiting for earlier answers")
 	}
-	e.conn.begin(e)
+	e.conn.mutex.Lock()
+	e.conn.decideEnd(e)
+	e.begun = true
+	e.conn.mutex.Unlock()
+	e.conn.setPersistence(e)
 	return nil
 }
 
-// Hold counts the bytes of an answer that is to be read whole while it waits for earlier ones.
-// It returns false where the limits allow no more; the answer must then be written in pieces
-// by BeginAnswer.
+// Hold counts the bytes of an answer that is read whole while it waits for earlier ones. It
+// returns false beyond the limits: the answer must then be written in pieces after BeginAnswer.
 func (e *Exchange) Hold(bytes int64) bool { return e.conn.hold(e, bytes) }
--- a/internal/requestpath/gateway/pipeline/server.go
+++ b/internal/requestpath/gateway/pipeline/server.go
@@ -17,19 +17,16 @@
 	// MaxHeaderBytes bounds the head of a request, MaxBodyBytes its body, in bytes.
 	MaxHeaderBytes int
 	MaxBodyBytes   int
-	// ShortBodyBytes is the length up to which a body is read whole before the request is
-	// passed on, in bytes.
+	// ShortBodyBytes is the longest body that is read whole before its request is passed on.
 	ShortBodyBytes int64
-	// IdleTime is how long a connection may rest without a request, HeaderTime
-	// how long a request's head may take once its first byte is there, and
-	// BodyIdle how long a caller may pause within a body.
-	IdleTime, HeaderTime, BodyIdle time.Duration
-	// LingerTime is how long what a caller still sends is read after the last
-	// answer.
-	LingerTime time.Duration
-	Limits     Limits
-	// Check tells in the order of the requests, before another one is read, why a
-	// request cannot be served at all; nothing behind it is read then.
+	// IdleTime is how long a connection may rest without a request, HeaderTime how long a
+	// request's head may take once its first byte is there, BodyIdle how long a caller may pause
+	// within a body, and LingerTime how long is read on after the last answer.
+	IdleTime, HeaderTime, BodyIdle, LingerTime time.Duration
+	// Limits bound what is held for requests sent ahead; the zero value stands for DefaultLimits.
+	Limits Limits
+	// Check returns why a request cannot be served at all; nothing behind it is read then. It is
+	// called in the order of the requests, before the next one is read.
 	Check func(*app.RequestContext) error
 	// Handle sees an exchange through. ctx ends when the caller disconnects.
 	Handle func(ctx context.Context, exchange *Exchange)
@@ -37,8 +34,8 @@
 	Stopping func() bool
 }
 
-// Server serves callers' connections. It is registered with the HTTP library in place of the
-// library's own HTTP/1.1 server. It is safe for concurrent use.
+// Server serves callers' connections in place of the HTTP library's own server. It is safe for
+// concurrent use.
 type Server struct {
 	config Config
 	quota  quota
@@ -57,8 +54,7 @@
 // Open returns the number of requests that were read and are not answered yet.
 func (s *Server) Open() int64 { return s.open.Load() }
 
-// Factory returns what registers the server with the HTTP library, under the
-// name suite.HTTP1.
+// Factory returns what the HTTP library registers under the name suite.HTTP1.
 func (s *Server) Factory() suite.ServerFactory { return factory{s} }
 
 // Listener wraps a listener whose connections come to the server.
@@ -84,8 +80,8 @@
 	core   suite.Core
 }
 
-// Serve implements protocol.Server; it returns when the connection is over. It does not serve
-// one that did not come through Server.Listener.
+// Serve implements protocol.Server; it returns when the connection is over. One that was not
+// accepted by Server.Listener is not served.
 func (p protocolServer) Serve(ctx context.Context, conn network.Conn) error {
 	caller, ok := ctx.Value(callerKey{}).(*callerConn)
 	if !ok {
--- a/internal/requestpath/gateway/pipeline/writing.go
+++ b/internal/requestpath/gateway/pipeline/writing.go
@@ -18,15 +18,6 @@
 	return exchange.isOldest
 }
 
-// begin prepares the head of an answer that is written in pieces.
-func (c *connection) begin(exchange *Exchange) {
-	c.mutex.Lock()
-	c.decideEnd(exchange)
-	exchange.begun = true
-	c.mutex.Unlock()
-	c.setPersistence(exchange)
-}
-
 // decideEnd decides whether the answer of the oldest exchange closes the
 // connection; nothing is passed on behind it then. The caller holds mutex.
 func (c *connection) decideEnd(exchange *Exchange) {
--- a/internal/requestpath/refusal/retryafter.go
+++ b/internal/requestpath/refusal/retryafter.go
@@ -6,21 +6,20 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// The time that a refused caller is told is named first by whoever refuses the call, as the
-// time after which it expects to have room: package balance where no instance may
-// get the call, package admission for load and pace, package quarantine until the next trial,
-// and the instance itself for what it sheds. RetryAfter below replaces most of those by a time
-// within the target latency of the route. What is left without any gets DefaultRetryAfter.
+// Whoever refuses a call names a time first, after which it expects to have room: package balance
+// where no instance may get the call, package admission for load and pace, package quarantine
+// until the next trial, the instance for what it sheds. RetryAfter replaces most of these by a time
+// within the route's target latency; a refusal without any gets DefaultRetryAfter.
 
-// DefaultRetryAfter is named to a refused caller when nothing better is known. Chosen, not
-// measured; the shortest time that callers understand which read whole seconds.
+// DefaultRetryAfter is the time where nothing better is known. Chosen, not measured; the shortest
+// for callers that read whole seconds.
 const DefaultRetryAfter = time.Second
 
-// A call that was refused may come back after a random time between these parts of its target
-// latency: soon, because its worth counts from its first try, and spread, so that the returns
-// find slots free. Measured on the first 16 s of a busy day (docs/design/0015): worth 0.653 with
-// 0.15 to 0.6 targets and 0.643 with 0.4 to 1.2, both beside a longer wait for a slot than that of
-// wait.go; beside that one 0.643 with either, where the sooner return was kept.
+// A refused caller may come back after a random time between these parts of the target latency:
+// soon, because worth counts from the first try, and spread, so that the returns find slots free.
+// Measured on the first 16 s of a busy day (docs/design/0015): worth 0.653, and 0.643 with 0.4 to
+// 1.2 targets, both beside a longer wait for a slot than that of wait.go; beside that one 0.643 with
+// either, and the sooner return was kept.
 const (
 	returnFrom = 0.15
 	returnTo   = 0.6
@@ -35,14 +34,13 @@
 	Constrained bool
 }
 
-// RetryAfter returns when the caller of a refused call may come back; 0 for no time of its
-// own, which stands for DefaultRetryAfter. target is the target latency of the route, 0 for
-// none, and random is drawn from [0, 1).
+// RetryAfter returns when the caller of a refused call may come back; 0 stands for
+// DefaultRetryAfter. target is the target latency of the route, 0 for none, and random is drawn
+// from [0, 1).
 //
-// A time that was named is kept where an earlier return would be refused again: for a call
-// that a constraint left without instances, and for one that is quarantined. So is that of
-// a call that may have run, and of a route without a target. All others return within the
-// target, early enough for an answer that is worth something.
+// A time that was named is kept where an earlier return would be refused again (a constraint or
+// the quarantine), for a call that may have run, and for a route without a target. All others
+// return within the target, early enough for an answer that is worth something.
 func RetryAfter(refused Refusal, target time.Duration, random float64) time.Duration {
 	keeps := refused.Constrained || refused.Code == result.CallNotRunQuarantined
 	if !refused.Code.NotRun() || target == 0 || keeps {
--- a/internal/requestpath/refusal/wait.go
+++ b/internal/requestpath/refusal/wait.go
@@ -5,29 +5,25 @@
 // Bounds of the time within which a call may wait and start.
 const (
 	// waitOfHeadroom is the part of its headroom that a call may wait for a slot, over all
-	// attempts. Measured against a quarter of the target followed by a second wait up to 0.6
-	// targets, on the first 16 s of a busy day: worth 0.643 for both (docs/design/0015). Half
-	// of the headroom tells callers sooner and needs no second wait.
+	// attempts. Measured against a quarter of the target and a second wait up to 0.6 targets, on
+	// the first 16 s of a busy day: worth 0.643 for both (docs/design/0015); this one refuses sooner.
 	waitOfHeadroom = 0.5
-	// waitOfDeadline is the part of a call's time, from its arrival to its deadline, that it
-	// may wait. Chosen, not measured; below 0.5, so that a call has the larger part of its
-	// time left to run.
+	// waitOfDeadline is the part of the time from its arrival to its deadline that a call may
+	// wait. Chosen, not measured; below 0.5, so that the larger part is left to run.
 	waitOfDeadline = 0.45
-	// leastWait is what a call may wait in any case, however short its headroom. Measured against
-	// 150 ms on a whole day with failures: worth 0.671 with 50 ms, 0.667 with 150 ms, which is
-	// within noise (docs/design/0015).
+	// leastWait is what a call may wait however short its headroom. Measured on a whole day with
+	// failures: worth 0.671 with 50 ms, 0.667 with 150 ms, within noise (docs/design/0015).
 	leastWait = 50 * time.Millisecond
-	// leastWaitLater is what an instance may let a call wait that has used up its wait at
-	// those before. Chosen, not measured; below leastWait.
+	// leastWaitLater is what a call may wait at an instance after it used up its wait at earlier
+	// ones. Chosen, not measured; below leastWait.
 	leastWaitLater = 5 * time.Millisecond
-	// startOfUsual is the part of a call's usual time at the instance that must be left for
-	// it to start. With less it would hardly be answered, and hold a slot until its deadline:
-	// without the bound 2,083 requests of one busy day ended at their deadline, most of them
-	// after a late start. The part itself is chosen, not measured.
+	// startOfUsual is the part of a call's usual time at the instance that must be left for it to
+	// start. With less it would hold a slot until its deadline: without the bound 2,083 requests
+	// of one busy day ended there, most after a late start. The part is chosen, not measured.
 	startOfUsual = 0.5
-	// startMargin is subtracted from the time in which a call may start, so that one that is
-	// too late is refused as not run before its deadline makes its outcome unknown. Chosen,
-	// not measured; above the time that a refusal takes from one daemon to the other.
+	// startMargin is the least time that must be left, so that a late call is refused as not run
+	// before its deadline makes its outcome unknown. Chosen, not measured; above the time that a
+	// refusal takes from one daemon to the other.
 	startMargin = 10 * time.Millisecond
 )
 
@@ -38,31 +34,28 @@
 	// ServiceTime is the mean time that calls of the route take at the instance, without the
 	// wait for a slot; 0 where no answer was seen.
 	ServiceTime time.Duration
-	// Spent is the time since the call arrived, and SpentBefore the time that its caller
-	// had been waiting until then, since its first try.
+	// Spent is the time since the call's arrival, SpentBefore that from its caller's first try
+	// to its arrival.
 	Spent, SpentBefore time.Duration
-	// HasDeadline is true when the call has a deadline, and Whole the time from its arrival to
-	// that.
+	// HasDeadline is true when the call has a deadline, Whole the time from its arrival to that.
 	HasDeadline bool
 	Whole       time.Duration
 }
 
 // Bounds is how long a call may wait at an instance.
 type Bounds struct {
-	// Headroom is the target latency less the service time: how long the call may wait for its
-	// answer to be in time.
+	// Headroom is the target latency less the service time.
 	Headroom time.Duration
-	// DueIn is the time in which the call must start for its answer to be in time, counted
-	// from its caller's first try; negative once it is late.
+	// DueIn is what is left of Headroom since the caller's first try: the time in which the call
+	// must start for its answer to be in time; negative once it is late.
 	DueIn time.Duration
-	// MaxWait is the time after which it is refused if it has no slot.
+	// MaxWait is the time after which the call is refused if it has no slot.
 	MaxWait time.Duration
 }
 
-// BoundsOf returns the bounds of a call with a target latency. The wait is at most half of the
-// headroom; then at most a part of the time to the deadline, where there is one; then at least
-// leastWait, all counted from the call's arrival and less what was spent; and last at least
-// leastWaitLater.
+// BoundsOf returns the bounds of a call with a target latency. MaxWait is at most waitOfHeadroom and
+// waitOfDeadline allow and at least leastWait, from the call's arrival; less what was spent it is
+// at least leastWaitLater.
 func BoundsOf(timing Timing) Bounds {
 	headroom := timing.Target - timing.ServiceTime
 	return Bounds{
@@ -82,11 +75,11 @@
 }
 
 // LeastTime returns the time that must be left until its deadline for a call to start at an
-// instance where such calls have been taking usual of late.
+// instance where such calls lately took usual.
 func LeastTime(usual time.Duration) time.Duration {
 	return max(startMargin, time.Duration(startOfUsual*float64(usual)))
 }
 
-// Hopeless reports whether too little time is left for an answer. Such a call is refused at
-// once, before any instance has it.
+// Hopeless reports whether too little time is left; the call is then refused before any instance
+// has it.
 func Hopeless(left, usual time.Duration) bool { return left < LeastTime(usual) }
--- a/internal/requestpath/retry/answer.go
+++ b/internal/requestpath/retry/answer.go
@@ -2,9 +2,9 @@
 
 import "github.com/lapisvane/lapisvane/internal/model/callapi"
 
-// MaxKeptAnswerBytes is the longest failed answer that is kept while another instance is
-// tried, in bytes. Chosen, not measured. It is also the length up to which an answer is read
-// whole before it is passed on, and must not exceed what a caller's connection may hold.
+// MaxKeptAnswerBytes is the longest failed answer that is kept while another instance is tried,
+// and the longest answer that is read whole before it is passed on. Chosen, not measured; must not
+// exceed what a caller's connection may hold.
 const MaxKeptAnswerBytes = 64 << 10
 
 // Answer is what the rule needs to know of an instance's answer.
@@ -17,10 +17,10 @@
 	Kept bool
 }
 
-// MayReplace reports whether an answer is a failure that another instance may do better on.
-// The call must be safe to repeat and have replaced no answer before, and the answer must be
-// short enough to be kept meanwhile. othersSound is asked last: where most instances of
-// the service fail, all of them need something that is missing, and a repeat is mere load.
+// MayReplace reports whether another instance is tried after a failed answer: for a call that may
+// be repeated and replaced none before, and an answer short enough to be kept. othersSound is
+// called last: where most instances fail, they lack something in common, and a repeat only adds
+// load.
 //
 // Where a part of the instances fails, this halves the failures that callers see: 346 answers
 // of 500 reached callers in one run of a day with such faults without it, 187 with it.
--- a/internal/requestpath/retry/budget.go
+++ b/internal/requestpath/retry/budget.go
@@ -2,13 +2,12 @@
 
 import "sync"
 
-// Limits bound the retries of each service. Only attempts after which an instance may have
-// seen the call count; going elsewhere after a refusal that no instance saw costs nothing.
+// Limits bound the retries of each service. Attempts after a refusal that no instance saw do not
+// count.
 type Limits struct {
-	// Fraction is the number of retries that each call of a service adds to its bucket.
-	Fraction float64
-	// Burst is the bucket's capacity in retries, over all daemons that share it.
-	Burst float64
+	// Fraction is what each call adds to the bucket of its service, and Burst the bucket's
+	// capacity over all daemons that share it, both in retries.
+	Fraction, Burst float64
 	// Shared is true when Burst is split between all daemons.
 	Shared bool
 }
@@ -20,18 +19,16 @@
 
 // Tunables of the budget.
 const (
-	// plannedPart is the part of shared limits that daemons plan with. What no daemon can
-	// foresee, such as calls at the edge of the window in which the platform counts, must
-	// fit in the rest. The part itself is chosen; that there is no room to raise it was seen
-	// in a trial of a budget that also refilled with time: 1,619 repeats in ten seconds of
-	// 1,581 allowed.
+	// plannedPart is the part of shared limits that daemons plan with; the rest is for what no
+	// daemon foresees, such as calls at the edge of the window in which the platform counts.
+	// Chosen; a trial of a budget that also refilled with time left no room to raise it: 1,619
+	// repeats in ten seconds of 1,581 allowed.
 	plannedPart = 0.9
 	// initialPart is the part of its capacity that a service's bucket holds at its first
 	// call. Chosen, not measured; above 0, so that a daemon that has just started retries.
 	initialPart = 0.5
-	// maxDebt is the number of retries that calls of repeated runs may take out in advance.
-	// Chosen, not measured. It bounds how long a service is not retried after a wave of them:
-	// maxDebt/Fraction calls.
+	// maxDebt is the number of retries that Charge may take out in advance. Chosen, not measured;
+	// after that many a service is not retried for maxDebt/Fraction calls.
 	maxDebt = 50
 )
 
@@ -66,8 +63,7 @@
 	b.daemons = max(daemons, 1)
 }
 
-// Earn adds the part of a retry that one call of a service is worth. It is called once for
-// each call, before its first attempt.
+// Earn adds Fraction for one call of a service. It is called once, before its first attempt.
 func (b *Budget) Earn(service string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -79,8 +75,7 @@
 	b.tokens[service] = min(tokens+b.fraction(), capacity)
 }
 
-// Spend takes one retry of a service out of the budget; it reports false, and takes nothing,
-// when less than one is left.
+// Spend takes out one retry of a service; it reports false and takes none when less is left.
 func (b *Budget) Spend(service string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/requestpath/retry/rule.go
+++ b/internal/requestpath/retry/rule.go
@@ -10,41 +10,37 @@
 	// DefaultMaxAttempts is the number of instances that may see one call where its route
 	// states none. Chosen, not measured; at least 2, or nothing is ever retried.
 	DefaultMaxAttempts = 3
-	// maxNotReached is the number of further attempts after refusals that no instance saw
-	// and that are not about load. Chosen, not measured. Such an attempt costs a round trip
-	// and no work of an instance, so that it is larger than maxNoRoom.
+	// maxNotReached is the number of further attempts for NotReached. Chosen, not measured:
+	// larger than maxNoRoom, since such an attempt costs a round trip and no work of an instance.
 	maxNotReached = 5
-	// maxNoRoom is the number of further attempts after refusals of full or cold instances.
-	// Chosen, not measured. It is small because other instances of the service are mostly
-	// full at the same time, and each attempt may wait in a queue.
+	// maxNoRoom is the number of further attempts for NoRoom. Chosen, not measured: small, since
+	// other instances are mostly full at the same time, and each attempt may wait in a queue.
 	maxNoRoom = 2
-	// maxFailedDeliveries is the number of answers of a call that may break off before any of
-	// them reached the caller. Chosen, not measured; the same as the default of attempts.
+	// maxFailedDeliveries is the number of a call's answers that may break off before the caller
+	// got any of them. Chosen, not measured.
 	maxFailedDeliveries = DefaultMaxAttempts
 )
 
-// Reason is why an attempt brought no answer, as far as the next step depends on it.
+// Reason is why an attempt brought no answer. The package comment has the next step for each.
 type Reason uint8
 
 // Reasons of failed attempts.
 const (
-	// Final is a failure that another attempt would not mend, or that proves nothing of
-	// what happened, such as a deadline that passed.
+	// Final is a failure that another attempt would not mend, or that does not show what
+	// happened, such as a deadline that passed.
 	Final Reason = iota
 	// NotReached is a refusal that no instance saw and that is not about load.
 	NotReached
-	// NoRoom is a refusal for load by the daemon beside the instance: its queue is full or
-	// too slow, or the instance is in slow start. No instance saw the call.
+	// NoRoom is a refusal for load, or for an instance in slow start, by the daemon beside the
+	// instance. No instance saw the call.
 	NoRoom
 	// Shed is a refusal by the instance itself before it ran the call.
 	Shed
-	// MayHaveRun is a call that was handed over and whose answer is lost, broke off, or
-	// ended with a crash of the instance.
+	// MayHaveRun is a call that was handed over and whose answer is lost or not whole.
 	MayHaveRun
 )
 
-// ReasonOf classifies a result code. Codes that it does not name are Final, and so are
-// those of failures before the first attempt.
+// ReasonOf classifies a result code; codes that it does not name are Final.
 func ReasonOf(code result.Code) Reason {
 	switch code {
 	case result.CallNotRunDraining, result.CallNotRunStopping, result.CallNotRunUnknownHere,
@@ -61,41 +57,35 @@
 	}
 }
 
-// Call is what the rule needs to know of a call. It is the same for all its attempts.
+// Call is what the rule needs to know of a call, the same for all its attempts.
 type Call struct {
-	// Repeatable is true when running the call twice does no harm; the class of its route
-	// says so.
+	// Repeatable is true when the class of its route says that running it twice does no harm.
 	Repeatable bool
-	// ChainRetries is the number of retries that the levels above made on the way to this
-	// call; the caller states it with the request.
+	// ChainRetries is the number of retries by the levels above, as the caller states it.
 	ChainRetries uint32
-	// MaxAttempts is the number of instances that may see the call; 0 stands for
-	// DefaultMaxAttempts.
+	// MaxAttempts is how many instances may see the call; 0 stands for DefaultMaxAttempts.
 	MaxAttempts int
 }
 
 // Failure is an attempt without an answer for the caller.
 type Failure struct {
 	Reason Reason
-	// CallOver is true when the call's deadline has passed, its caller hung up or the daemon
-	// cut it.
+	// CallOver is true after the call's deadline, a disconnect of its caller or a cut.
 	CallOver bool
-	// BodySpent is true when a part of the request's body was read from the caller and not
-	// kept, so that it cannot be sent again.
+	// BodySpent is true when a part of the request's body is read and not kept.
 	BodySpent bool
 	// InDelivery is true when the instance did answer and the answer broke off, and
 	// AnswerBegun when a part of it may have reached the caller.
 	InDelivery, AnswerBegun bool
-	// Crashes is the number of instances known to have crashed under what the call asks
-	// for, the newest included.
+	// Crashes is how many instances are known to have crashed under the call's keys.
 	Crashes int
 }
 
 // Counts are the failures of one call so far. The zero value stands before the first.
 type Counts struct {
-	// NotReached and NoRoom count the refusals with these reasons.
+	// NotReached and NoRoom count failures by reason.
 	NotReached, NoRoom int
-	// Seen counts the attempts that an instance saw: those shed and those that may have run.
+	// Seen counts the attempts that an instance saw: Shed and MayHaveRun.
 	Seen int
 	// FailedDeliveries counts the answers that broke off before the caller got any of them.
 	FailedDeliveries int
@@ -150,8 +140,7 @@
 	}
 }
 
-// mayAddLoad reports whether one more instance may see the call, as far as that does not
-// depend on other calls.
+// mayAddLoad reports whether one more instance may see the call, before the budget is asked.
 func (c Call) mayAddLoad(counts Counts) bool {
 	most := c.MaxAttempts
 	if most <= 0 {
