--- a/internal/requestpath/balance/constraint_test.go
+++ b/internal/requestpath/balance/constraint_test.go
@@ -46,11 +46,11 @@
 	}{
 		"an ejected one before an evacuated one": {places: []string{"a/r1", "b/r1"}, constraints: []balance.Constraint{evacuated("a")}, ejected: 1, chosen: "desk-1"},
 		"an evacuated one, ejected":              {places: []string{"a/r1", "a/r1"}, constraints: []balance.Constraint{evacuated("a")}, ejected: 1, named: "evacuated"},
-		"the home only":                          {places: []string{"a/r1", "c/r2"}, constraints: []balance.Constraint{balance.InRegions([]string{"r2"})}, chosen: "desk-1"},
-		"no instance at home":                    {places: []string{"a/r1", "b/r1"}, constraints: []balance.Constraint{balance.InRegions([]string{"r2"})}, named: "region"},
-		"unknown is no home":                     {places: []string{"a/", "c/r2"}, constraints: []balance.Constraint{balance.InRegions([]string{"r1", ""})}, named: "region"},
-		"the home evacuated":                     {places: []string{"a/r1", "c/r2"}, constraints: []balance.Constraint{evacuated("c"), balance.InRegions([]string{"r2"})}, named: "region"},
-		"no homes":                               {places: []string{"b/r1"}, constraints: []balance.Constraint{balance.InRegions(nil)}, chosen: "desk-0"},
+		"one region only":                        {places: []string{"a/r1", "c/r2"}, constraints: []balance.Constraint{balance.InRegions([]string{"r2"})}, chosen: "desk-1"},
+		"no instance there":                      {places: []string{"a/r1", "b/r1"}, constraints: []balance.Constraint{balance.InRegions([]string{"r2"})}, named: "region"},
+		"an unknown region":                      {places: []string{"a/", "c/r2"}, constraints: []balance.Constraint{balance.InRegions([]string{"r1", ""})}, named: "region"},
+		"the region evacuated":                   {places: []string{"a/r1", "c/r2"}, constraints: []balance.Constraint{evacuated("c"), balance.InRegions([]string{"r2"})}, named: "region"},
+		"no regions":                             {places: []string{"b/r1"}, constraints: []balance.Constraint{balance.InRegions(nil)}, chosen: "desk-0"},
 	} {
 		for _, key := range []string{"", "key-1", "key-2"} {
 			t.Run(name+" "+key, func(t *testing.T) {
--- a/internal/requestpath/balance/refusal.go
+++ b/internal/requestpath/balance/refusal.go
@@ -9,9 +9,9 @@
 
 // When a caller may come back that no instance could be chosen for.
 const (
-	// constrainedRetryAfter holds where constraints left no instance. Chosen, not measured:
-	// longer than a call waits, since orders and configurations stand longer than that and
-	// whoever comes back sooner is only refused again.
+	// constrainedRetryAfter holds where constraints left no instance. Chosen, not measured: longer
+	// than a call waits, since evacuations and configurations last longer and an earlier return
+	// would be refused again.
 	constrainedRetryAfter = 5 * time.Second
 	// noInstanceRetryAfter holds where the pool is empty, drained or all tried. Chosen, not
 	// measured: the least in whole seconds, and shorter than constrainedRetryAfter, since no order
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -181,11 +181,11 @@
 }
 
 // setAside reads a failed answer whole and keeps it, so that its instance is free again. It
-// returns the error that stands for the failed attempt.
+// returns the error of the failed attempt.
 func (a *attempter) setAside(failed instanceAnswer) error {
 	defer failed.target.End()
 	body, err := readWhole(failed.answer)
-	// The answer was read to its end or broke off: an error of closing it tells no more.
+	// An error of closing an answer adds nothing to that of reading it.
 	_ = failed.answer.Body.Close()
 	if err != nil {
 		a.gateway.observe(failed.target, err)
--- a/internal/requestpath/gateway/attempts_test.go
+++ b/internal/requestpath/gateway/attempts_test.go
@@ -80,8 +80,8 @@
 	}}
 }
 
-// A failure of one instance is made good by another where that is safe and no
-// more than the budget; otherwise the caller gets what the instance answered.
+// A failure of one instance is replaced by the answer of another where that is safe and within
+// the budget; otherwise the caller gets what the instance answered.
 func TestFailedAnswersAreReplaced(t *testing.T) {
 	plenty := retry.Limits{Fraction: 1, Burst: 10}
 	refused := result.Errorf(result.CallNotRunExpired, "too late")
--- a/internal/requestpath/gateway/constraints_test.go
+++ b/internal/requestpath/gateway/constraints_test.go
@@ -35,38 +35,38 @@
 	attempt.gateway.config.Evacuated = func(zone string) bool { return strings.Contains(fmt.Sprint(evacuated), zone) }
 }
 
-// Calls go to zones that are not evacuated and to regions of their homes only, on every
-// attempt; where that leaves nothing they are refused at once.
+// Every attempt goes to a zone that is not evacuated and a region that is allowed; where there is
+// none the call is refused at once.
 func TestAttemptsMeetTheConstraints(t *testing.T) {
 	elsewhere := result.Errorf(result.CallNotRunEvacuated, "evacuated")
 	rows := map[string]struct {
-		evacuated, homes []string
+		evacuated, regions []string
 		// tried are the instances that get the call, in any order.
 		tried string
 		code  result.Code
 	}{
-		"nothing asked":          {nil, nil, "desk-0 desk-1 desk-2", result.CallNotRunEvacuated},
-		"a zone evacuated":       {[]string{"a"}, nil, "desk-1 desk-2", result.CallNotRunEvacuated},
-		"homes":                  {nil, []string{"r2"}, "desk-2", result.CallNotRunEvacuated},
-		"homes in two regions":   {nil, []string{"r2", "r1"}, "desk-0 desk-1 desk-2", result.CallNotRunEvacuated},
-		"nothing at home":        {nil, []string{"r3"}, "", result.CallNoEndpoint},
-		"all zones evacuated":    {[]string{"a", "b", "c"}, nil, "", result.CallNoEndpoint},
-		"the home is evacuated":  {[]string{"c"}, []string{"r2"}, "", result.CallNoEndpoint},
-		"half of home evacuated": {[]string{"a"}, []string{"r1"}, "desk-1", result.CallNotRunEvacuated},
+		"no constraint":        {nil, nil, "desk-0 desk-1 desk-2", result.CallNotRunEvacuated},
+		"a zone evacuated":     {[]string{"a"}, nil, "desk-1 desk-2", result.CallNotRunEvacuated},
+		"one region":           {nil, []string{"r2"}, "desk-2", result.CallNotRunEvacuated},
+		"two regions":          {nil, []string{"r2", "r1"}, "desk-0 desk-1 desk-2", result.CallNotRunEvacuated},
+		"a region without any": {nil, []string{"r3"}, "", result.CallNoEndpoint},
+		"all zones evacuated":  {[]string{"a", "b", "c"}, nil, "", result.CallNoEndpoint},
+		"the region evacuated": {[]string{"c"}, []string{"r2"}, "", result.CallNoEndpoint},
+		"half of it evacuated": {[]string{"a"}, []string{"r1"}, "desk-1", result.CallNotRunEvacuated},
 	}
 	for name, row := range rows {
 		t.Run(name, func(t *testing.T) {
 			remote := &recordingRemote{err: elsewhere}
 			attempt := newAttempter(t, remote, false, retry.Limits{Fraction: 1, Burst: 10})
 			place(attempt, row.evacuated...)
-			attempt.route.AllowedRegions = row.homes
-			// A part of a split obeys as a whole route does.
+			attempt.route.AllowedRegions = row.regions
+			// The constraints hold for a part of a split as for a whole route.
 			attempt.route.Split = []*lapisv1.WeightedPool{{Pool: "desk", Weight: 1}}
 			_, err := attempt.run(t.Context())
 			assert.Assert(t, result.Is(err, row.code), "%v", err)
 			tried := map[string]bool{}
 			for _, open := range remote.opened {
-				assert.DeepEqual(t, open.GetAllowedRegions(), row.homes)
+				assert.DeepEqual(t, open.GetAllowedRegions(), row.regions)
 				tried[open.GetInstance()] = true
 			}
 			wanted := strings.Fields(row.tried)
@@ -81,9 +81,9 @@
 	}
 }
 
-// Refusals of the second guards are detours: they spend no retries, also for calls that
-// may not be repeated.
-func TestRefusalsOfTheGuardsAreDetours(t *testing.T) {
+// A refusal by the same constraint beside the instance is tried elsewhere and spends no retry, also
+// for a call that may not be repeated.
+func TestRefusalsByConstraintSpendNoRetry(t *testing.T) {
 	for _, code := range []result.Code{result.CallNotRunEvacuated, result.CallNotRunRegion} {
 		remote := &scriptedRemote{script: []any{result.Errorf(code, "not here"), 200}}
 		attempt := newAttempter(t, remote, false, retry.Limits{Fraction: 0.1, Burst: 1})
@@ -107,15 +107,15 @@
 	return c.recordingRemote.Handle(ctx, address, call)
 }
 
-// An order to evacuate counts from the next attempt on; homes are those of the
-// configuration that the call was read under, to its end.
-func TestOrdersAndHomesChangeWhileACallWaits(t *testing.T) {
+// An evacuation counts from the next attempt on; the allowed regions of a call are those of the
+// configuration that it was read under.
+func TestEvacuationsCountAtOnceAndRegionsStay(t *testing.T) {
 	for name, row := range map[string]struct {
-		ordered  string
-		attempts int
+		evacuated string
+		attempts  int
 	}{
-		"homes change":           {"", 2},
-		"home is evacuated also": {"ab", 1},
+		"regions change": {"", 2},
+		"evacuated also": {"ab", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			remote := &changing{recordingRemote: recordingRemote{err: result.Errorf(result.CallNotRunDraining, "leaving")}}
@@ -124,13 +124,13 @@
 			attempt.route.AllowedRegions = []string{"r1"}
 			remote.change = func() {
 				assert.NilError(t, attempt.gateway.config.Snapshots.ReplaceConfiguration(&lapisv1.Configuration{Revision: 2}))
-				attempt.gateway.config.Evacuated = func(zone string) bool { return strings.Contains(row.ordered, zone) }
+				attempt.gateway.config.Evacuated = func(zone string) bool { return strings.Contains(row.evacuated, zone) }
 			}
 			_, err := attempt.run(t.Context())
 			assert.Assert(t, result.Is(err, result.CallNotRunDraining), "%v", err)
 			assert.Equal(t, len(remote.opened), row.attempts)
 			for _, open := range remote.opened {
-				assert.Assert(t, open.GetInstance() != "desk-2", "it went abroad")
+				assert.Assert(t, open.GetInstance() != "desk-2", "it went to another region")
 				assert.DeepEqual(t, open.GetAllowedRegions(), []string{"r1"})
 			}
 		})
--- a/internal/requestpath/gateway/deliver.go
+++ b/internal/requestpath/gateway/deliver.go
@@ -47,7 +47,7 @@
 func (g *Gateway) deliver(ctx context.Context, exchange *pipeline.Exchange, attempt *attempter, done instanceAnswer) error {
 	rc := exchange.Request
 	defer done.target.End()
-	// An error of closing an answer tells no more than reading it did.
+	// An error of closing an answer adds nothing to that of reading it.
 	defer func() { _ = done.answer.Body.Close() }()
 	head := done.answer.Head
 	method := attempt.opening.GetMethod()
--- a/internal/requestpath/gateway/metrics.go
+++ b/internal/requestpath/gateway/metrics.go
@@ -12,7 +12,7 @@
 	latencyBuckets      = 16
 )
 
-// gatewayMetrics are what the gateway counts; docs/OPERATIONS.md tells what to watch.
+// gatewayMetrics are what the gateway counts; docs/OPERATIONS.md says what to watch.
 type gatewayMetrics struct {
 	calls       *prometheus.CounterVec
 	constrained *prometheus.CounterVec
--- a/internal/requestpath/gateway/pipeline/body_test.go
+++ b/internal/requestpath/gateway/pipeline/body_test.go
@@ -141,12 +141,12 @@
 	conn := newConnection(New(Config{}), nil, nil, &callerConn{Conn: near})
 	body := newBody(conn, strings.NewReader("rest"), 4)
 	assert.Assert(t, !body.stop())
-	told := false
+	released := false
 	select {
 	case <-body.released:
-		told = true
+		released = true
 	default:
 	}
-	assert.Assert(t, told, "the reader is not told")
+	assert.Assert(t, released, "the body is not released")
 	assert.Assert(t, conn.isSealed())
 }
--- a/internal/requestpath/gateway/pipeline/pipeline_test.go
+++ b/internal/requestpath/gateway/pipeline/pipeline_test.go
@@ -98,7 +98,7 @@
 
 func (b breaksOff) Finalize() error { return io.ErrUnexpectedEOF }
 
-func TestHangUpEndsAllRequestsOfTheConnection(t *testing.T) {
+func TestDisconnectEndsAllRequestsOfTheConnection(t *testing.T) {
 	for name, row := range map[string]struct {
 		limits   Limits
 		requests int
--- a/internal/requestpath/gateway/pipeline/writing.go
+++ b/internal/requestpath/gateway/pipeline/writing.go
@@ -106,8 +106,7 @@
 	}
 }
 
-// stopWriting ends the writing and tells the oldest exchange that it may write. The caller
-// holds mutex.
+// stopWriting ends the writing and lets the oldest exchange write. The caller holds mutex.
 func (c *connection) stopWriting() {
 	c.writing = false
 	if len(c.open) == 0 {
@@ -120,8 +119,8 @@
 	}
 }
 
-// becomeIdle tells whoever waits that nothing is open any more, and bounds how long the
-// connection may stay so. The caller holds mutex.
+// becomeIdle wakes whoever waits for idle and bounds how long the connection may stay so. The
+// caller holds mutex.
 func (c *connection) becomeIdle() {
 	c.idleChanged.Broadcast()
 	c.wakeLocked()
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -15,32 +15,29 @@
 
 // Bounds of what is read whole before a request is checked.
 const (
-	// maxHeldBody is the longest request body that is read whole to know what the request asks
-	// for, and maxHeldBodies bounds all that are held so together, both in bytes. Only requests
-	// to a path under which instances crashed are read so; a longer one is checked by its path
-	// and length. Chosen, not measured; four bodies of the greatest length fit.
+	// maxHeldBody is the longest request body that is read whole to know the request's keys, and
+	// maxHeldBodies bounds all that are held at a time, both in bytes. Only bodies to a path under
+	// which instances crashed are held; a longer one is checked by its path and length. Chosen, not
+	// measured; four bodies of the greatest length fit.
 	maxHeldBody   = 4 << 20
 	maxHeldBodies = 16 << 20
-	// trialTimeout bounds the question to the platform's store whether one quarantined request
-	// may run as a trial. Chosen, not measured. The request waits meanwhile, and is refused when
-	// there is no answer.
+	// trialTimeout bounds ClaimTrial, for which the request waits; without an answer it is
+	// refused. Chosen, not measured.
 	trialTimeout = 200 * time.Millisecond
 )
 
-// Quarantine tells which requests must not reach an instance because instances crashed
-// under what they ask for. Its methods are safe for concurrent use; all but
-// ClaimTrial return at once.
+// Quarantine decides which requests are held back because instances crashed under their keys. Its
+// methods are safe for concurrent use; all but ClaimTrial return at once.
 type Quarantine interface {
 	// Suspected reports whether instances crashed under requests with the head of the line. It
-	// is asked for each request, and false for nearly all.
+	// is called for each request, and false for nearly all.
 	Suspected(line fingerprint.Line) bool
 	// Evaluate decides on a request of a calling service.
 	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 	// Count returns the number of instances that crashed under requests with the keys.
 	Count(keys []fingerprint.Key) int
-	// ClaimTrial asks the platform's store for the grant to let one quarantined request run
-	// as a trial. One daemon of all gets it; it returns false also when the store does not
-	// answer before ctx ends.
+	// ClaimTrial asks the platform's store for the grant to run one quarantined request as a
+	// trial, which one daemon of all gets; false also when there is no answer before ctx ends.
 	ClaimTrial(ctx context.Context, verdict quarantine.Verdict) bool
 }
 
--- a/internal/requestpath/gateway/quarantine_test.go
+++ b/internal/requestpath/gateway/quarantine_test.go
@@ -12,8 +12,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// The caller of a quarantined request is told the time until the next trial, not one that is
-// drawn for calls that are refused for load: it would be refused again.
+// The caller of a quarantined request gets the time until the next trial, not one that is drawn
+// for calls that are refused for load: it would be refused again.
 func TestQuarantinedCallerReturnsForTheTrial(t *testing.T) {
 	route := &lapisv1.Route{CallClass: &lapisv1.CallClass{TargetLatencyMillis: 200}}
 	err := withRetryAfter(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}.Refusal(), route)
--- a/internal/requestpath/retry/reference_test.go
+++ b/internal/requestpath/retry/reference_test.go
@@ -16,8 +16,8 @@
 
 // Bounds of the reference.
 const (
-	referenceDetours     = 5
-	referenceOverloaded  = 2
+	referenceNotReached  = 5
+	referenceNoRoom      = 2
 	referenceMaxAttempts = 3
 )
 
@@ -28,7 +28,7 @@
 	maxAttempts int
 	budget      *Budget
 
-	detours, overloaded, handed, deliveries int
+	notReached, noRoom, seen, deliveries int
 }
 
 // referenceFailure is a failed attempt. ended is the number of crashes that the error
@@ -47,17 +47,17 @@
 	switch failure.code {
 	case result.CallNotRunDraining, result.CallNotRunStopping, result.CallNotRunUnknownHere, result.CallNotRunUnreachable,
 		result.CallNotRunEvacuated, result.CallNotRunRegion:
-		c.detours++
-		return c.detours <= referenceDetours
+		c.notReached++
+		return c.notReached <= referenceNotReached
 	case result.CallNotRunOverloaded, result.CallNotRunCold:
-		c.overloaded++
-		return c.overloaded <= referenceOverloaded
+		c.noRoom++
+		return c.noRoom <= referenceNoRoom
 	case result.CallNotRunShed:
-		c.handed++
-		return c.handed < c.most() && c.mayAddLoad()
+		c.seen++
+		return c.seen < c.most() && c.mayAddLoad()
 	case result.CallUnknownOutcome, result.CallTruncated, result.CallInstanceCrashed:
-		c.handed++
-		return c.repeatable && c.mayRepeat(failure) && c.handed < c.most() && c.mayAddLoad()
+		c.seen++
+		return c.repeatable && c.mayRepeat(failure) && c.seen < c.most() && c.mayAddLoad()
 	default:
 		return false
 	}
@@ -158,7 +158,7 @@
 				assert.Equal(t, ours.Left("s"), theirs.Left("s"))
 			}
 			if again {
-				assert.Assert(t, (counts.Seen > 0) == (reference.handed > 0))
+				assert.Assert(t, (counts.Seen > 0) == (reference.seen > 0))
 				repeats++
 			}
 			decisions++
@@ -206,7 +206,7 @@
 	t.Logf("%d inputs", inputs)
 }
 
-// referenceBudget is the budget in the form that it had before, without locks.
+// referenceBudget is the budget without locks.
 type referenceBudget struct {
 	limits  Limits
 	sharers int
--- a/internal/requestpath/retry/rule.go
+++ b/internal/requestpath/retry/rule.go
@@ -96,7 +96,7 @@
 
 // Decisions on a failed attempt.
 const (
-	// GiveUp ends the call; EndingOf tells with what.
+	// GiveUp ends the call with what EndingOf says.
 	GiveUp Decision = iota
 	// AgainElsewhere makes another attempt. It adds no load, as no instance saw the last one.
 	AgainElsewhere
--- a/internal/requestpath/retry/rule_test.go
+++ b/internal/requestpath/retry/rule_test.go
@@ -108,7 +108,7 @@
 }
 
 // A refusal by a daemon is cheap and mostly local, one for load is likely to come again.
-func TestMoreDetoursAreAllowedWithoutLoad(t *testing.T) {
+func TestMoreAttemptsAreAllowedWithoutLoad(t *testing.T) {
 	assert.Assert(t, maxNotReached > maxNoRoom)
 	assert.Assert(t, DefaultMaxAttempts >= 2)
 	assert.Assert(t, maxFailedDeliveries <= DefaultMaxAttempts)
