--- a/internal/requestpath/balance/subset_test.go
+++ b/internal/requestpath/balance/subset_test.go
@@ -16,8 +16,8 @@
 	"github.com/lapisvane/lapisvane/internal/model/snapshot"
 )
 
-// formerSubset is the choice as it was before regions counted.
-func formerSubset(node, zone string, candidates []*Target) []*Target {
+// referenceSubset is the choice without regions.
+func referenceSubset(node, zone string, candidates []*Target) []*Target {
 	if len(candidates) <= subsetSize {
 		return candidates
 	}
@@ -55,14 +55,14 @@
 	return targets
 }
 
-// Where all instances are of one region, or none is known, the subset stays as it was.
+// Where all instances are of one region, or none is known, the subset is that of the reference.
 func TestSubsetOfOneRegionIsAsBefore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		region := rapid.SampledFrom([]string{"", "r1"}).Draw(t, "region")
 		node := rapid.StringMatching("node-[0-9]{3}").Draw(t, "node")
 		targets := placed(region, rapid.IntRange(0, 40).Draw(t, "instances"))
 		made := selectorAt(node, region+"-0", "r1", time.Now(), 0)
-		assert.DeepEqual(t, instances(made.subset(targets)), instances(formerSubset(node, region+"-0", targets)))
+		assert.DeepEqual(t, instances(made.subset(targets)), instances(referenceSubset(node, region+"-0", targets)))
 	})
 }
 
--- a/internal/requestpath/decision/log.go
+++ b/internal/requestpath/decision/log.go
@@ -16,9 +16,8 @@
 	// maxLevel bounds the sampling: at least one failure of 2^maxLevel is written. Chosen, not
 	// measured; maxLevel + successLevel must stay below the 64 bits of a hash.
 	maxLevel = 20
-	// window is the time after which the volume is compared with its bound. Chosen, not
-	// measured; the bound is in lines a second, and a window of that length follows a flood of
-	// failures within seconds.
+	// window is the time after which the volume is compared with its bound. Chosen, not measured;
+	// short, to follow a flood of failures within seconds.
 	window = time.Second
 	// sparePart is the part of the bound below which the sampling gets denser again: 1 of 3.
 	// Chosen, not measured; less than half, since a level more doubles the lines.
--- a/internal/requestpath/gateway/framing.go
+++ b/internal/requestpath/gateway/framing.go
@@ -10,9 +10,9 @@
 )
 
 // checkFraming refuses requests whose framing two HTTP implementations may read differently, so
-// that no part of a body is taken for a request behind this daemon. The HTTP library has parsed
-// the head already; what it tolerates is looked for in the raw lines, which are those of the
-// header fields with the empty one at the end. Errors: CallBadRequest.
+// that no part of a body is taken for a request (request smuggling). The library has parsed the
+// head; raw are the lines of its header fields with the empty one at the end, where what the
+// library tolerates is found. Errors: CallBadRequest.
 func checkFraming(raw []byte, http11 bool) error {
 	var framing framing
 	for len(raw) > 0 {
--- a/internal/requestpath/gateway/lifecycle.go
+++ b/internal/requestpath/gateway/lifecycle.go
@@ -15,8 +15,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Serve serves callers on listener until ctx ends; with a TLS configuration it speaks HTTPS.
-// It returns when the listener is closed; calls in flight go on.
+// Serve serves callers on listener until ctx ends, by HTTPS with a TLS configuration. It returns
+// when the listener is closed; calls in flight go on.
 func (g *Gateway) Serve(ctx context.Context, listener net.Listener, tlsConfig *tls.Config) {
 	options := []config.Option{
 		server.WithListener(g.callers.Listener(listener)),
@@ -33,14 +33,13 @@
 	// A listener that cannot be closed is closed already.
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
-	// Run returns when the listener is closed, which is how ctx ends it, or when accepting
-	// fails. It has no error of the former, and that of the latter only the library logs.
+	// Run returns when the listener is closed, or when accepting fails, which the library logs.
 	_ = engine.Run()
 }
 
 // TLSConfig returns the TLS configuration towards callers: each handshake uses the key pair in
-// force at that moment, so that rotation cuts no connection. Errors of a handshake:
-// CallNotReady, CallNoRoute where no key pair fits the name.
+// force, so that rotation cuts no connection. Errors of a handshake: CallNotReady, CallNoRoute
+// where no key pair fits the name.
 func (g *Gateway) TLSConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -65,18 +64,17 @@
 }
 
 // Drain makes the gateway close callers' connections after their next answer, so that callers
-// connect elsewhere. Calls are still served, and answered by the given time.
+// connect elsewhere. Calls are still served; those that arrive from now on end by the given time.
 func (g *Gateway) Drain(by time.Time) {
 	g.answerBy.Store(&by)
 	g.stopping.Store(true)
 }
 
 // draining reports whether the daemon stops as planned. It then goes on waiting for an instance
-// whose daemon sends nothing: a planned stop must not lose the call.
+// whose daemon sends nothing, so that a planned stop loses no call.
 func (g *Gateway) draining() bool { return g.answerBy.Load() != nil }
 
-// InFlight returns the number of requests that were read and whose answers are not written
-// yet.
+// InFlight returns the number of requests that were read and are not answered yet.
 func (g *Gateway) InFlight() int64 { return g.callers.Open() }
 
 // Cut ends the calls in flight; their callers get an answer that says so.
--- a/internal/requestpath/gateway/pipeline/reading.go
+++ b/internal/requestpath/gateway/pipeline/reading.go
@@ -82,7 +82,11 @@
 
 // readHead reads a request's head and checks it.
 func (c *connection) readHead(exchange *Exchange) error {
-	if !c.boundHead() {
+	c.mutex.Lock()
+	c.caller.bound(c.server.config.HeaderTime)
+	sealed := c.sealed
+	c.mutex.Unlock()
+	if sealed {
 		return io.ErrClosedPipe
 	}
 	request := &exchange.Request.Request
@@ -93,15 +97,6 @@
 	return c.server.config.Check(exchange.Request)
 }
 
-// boundHead bounds the reading of a request's head. It reports false when no
-// request is passed on any more.
-func (c *connection) boundHead() bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.caller.bound(c.server.config.HeaderTime)
-	return !c.sealed
-}
-
 // readBody reads a short body whole and prepares a long one for reading.
 func (c *connection) readBody(exchange *Exchange) error {
 	request := &exchange.Request.Request
--- a/internal/requestpath/gateway/sizes.go
+++ b/internal/requestpath/gateway/sizes.go
@@ -6,14 +6,13 @@
 	// sizeSmoothing is the part that a new answer has in the mean size of its route's answers.
 	// Chosen, not measured.
 	sizeSmoothing = 0.1
-	// maxSizes is the number of routes whose answers' sizes are remembered; beyond it all are
-	// learned again. Chosen, not measured; must exceed the routes of a
-	// configuration, or what was learned is lost again and again.
+	// maxSizes is the number of routes whose sizes are remembered; at it all are learned again.
+	// Chosen, not measured; must exceed the routes of a configuration.
 	maxSizes = 4096
 )
 
-// answerSizes remembers how long the answers of each route are, so that the price of another
-// zone is known when an instance is chosen. It is safe for concurrent use.
+// answerSizes remembers how long the answers of each route are, for the price of another zone. It
+// is safe for concurrent use.
 type answerSizes struct {
 	// mutex protects means, in bytes.
 	mutex sync.Mutex
--- a/internal/requestpath/gateway/stream.go
+++ b/internal/requestpath/gateway/stream.go
@@ -19,9 +19,9 @@
 // Chosen, not measured.
 const answerChunkBytes = 16 << 10
 
-// streamAnswer passes an answer on piece by piece. When it breaks off, the caller's connection
-// is closed without a proper end, so that the caller sees that the answer is not whole.
-// Errors: CallCancelled, CallTruncated and those of the call.
+// streamAnswer passes an answer on piece by piece. When it breaks off, the caller's connection is
+// closed without a proper end, which shows that the answer is not whole. Errors: CallCancelled,
+// CallTruncated and those of the call.
 func streamAnswer(ctx context.Context, exchange *pipeline.Exchange, answer *callapi.Answer) error {
 	if err := exchange.BeginAnswer(ctx); err != nil {
 		return err
@@ -31,7 +31,7 @@
 	length := answer.Head.GetContentLength()
 	for _, field := range answer.Head.GetHeaders() {
 		if length < 0 && strings.EqualFold(field.GetName(), "Trailer") {
-			// A name that may not be a trailer is refused here and left out below.
+			// A name that may not be a trailer is left out, here and below.
 			_ = rc.Response.Header.Trailer().Set(field.GetValue(), "")
 		}
 	}
@@ -41,12 +41,11 @@
 	} else {
 		body = resp.NewChunkedBodyWriter(&rc.Response, writer)
 	}
-	stream := &streamWriter{inner: body}
+	stream := &streamWriter{ExtWriter: body}
 	rc.Response.HijackWriter(stream)
 	stream.err = copyAnswer(stream, answer)
 	if stream.err == nil && length < 0 {
 		for _, field := range answer.Trailers() {
-			// The same: what may not be a trailer is left out.
 			_ = rc.Response.Header.Trailer().Set(field.GetName(), field.GetValue())
 		}
 	}
@@ -77,21 +76,16 @@
 
 // streamWriter ends an answer properly only if it is whole.
 type streamWriter struct {
-	inner network.ExtWriter
-	err   error
+	network.ExtWriter
+	err error
 }
 
-func (s *streamWriter) Write(piece []byte) (int, error) { return s.inner.Write(piece) }
-
-func (s *streamWriter) Flush() error { return s.inner.Flush() }
-
-// Finalize is called by the HTTP library after the handler; its error makes
-// the library close the connection.
+// Finalize is called after the handler; its error makes the connection close.
 func (s *streamWriter) Finalize() error {
 	if s.err != nil {
 		return s.err
 	}
-	return s.inner.Finalize()
+	return s.ExtWriter.Finalize()
 }
 
 // fixedWriter writes an answer of known length.
--- a/internal/requestpath/gateway/usualdeadline.go
+++ b/internal/requestpath/gateway/usualdeadline.go
@@ -12,9 +12,8 @@
 	// maxVotes bounds how long a deadline that was usual outlives a change of what callers
 	// state, in calls. Chosen, not measured.
 	maxVotes = 64
-	// maxUsualDeadlines is the number of routes whose usual deadline is remembered; beyond it
-	// all are learned again. Chosen, not measured; must exceed the routes of a
-	// configuration, or what was learned is lost again and again.
+	// maxUsualDeadlines is the number of routes whose usual deadline is remembered; beyond it all
+	// are learned again. Chosen, not measured; must exceed the routes of a configuration.
 	maxUsualDeadlines = 4096
 )
 
