--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -20,8 +20,8 @@
 	Handle(ctx context.Context, address string, call *callapi.Call) (*callapi.Answer, error)
 }
 
-// attempter makes the attempts at one call and keeps what they have met. Whether another one
-// follows is decided by package retry.
+// attempter makes the attempts at one call and keeps their results. Package retry decides whether
+// another one follows.
 type attempter struct {
 	call
 	gateway *Gateway
@@ -110,8 +110,7 @@
 	})
 }
 
-// once makes one attempt at target. The caller ends the load of an answered one with
-// Target.End.
+// once makes one attempt at target. Where it is answered, the caller calls Target.End.
 func (a *attempter) once(ctx context.Context, target *balance.Target) (*callapi.Answer, error) {
 	open := a.openingFor(ctx, target)
 	a.attemptID = open.GetAttemptId()
--- a/internal/requestpath/gateway/pipeline/exchange.go
+++ b/internal/requestpath/gateway/pipeline/exchange.go
@@ -37,8 +37,7 @@
 	sentAhead bool
 	// bytes are those of the answer that count as held while it waits for earlier ones.
 	bytes int64
-	// isOldest is closed when all earlier answers have been written; nil until somebody waits
-	// for that.
+	// isOldest is closed when all earlier answers have been written; nil until it is waited for.
 	isOldest chan struct{}
 }
 
