--- a/internal/distribution/fleet/address.go
+++ b/internal/distribution/fleet/address.go
@@ -12,10 +12,10 @@
 // directory (seconds old), other daemons' introductions (of any age). Inputs are the
 // statement, its kind, and whether the daemon is connected.
 
-// recordHello records what a daemon says of itself when it connects to this one, and
-// returns its peer, nil for one that is not remembered; the caller holds mutex.
+// recordHello records the greeting of a daemon that connects to this one, and returns its
+// peer, nil for one that is not remembered; the caller holds mutex.
 func (f *Fleet) recordHello(member Member) *peer {
-	known := f.peerOf(member)
+	known := f.findOrAddPeer(member)
 	if known == nil {
 		return nil
 	}
@@ -30,7 +30,7 @@
 func (f *Fleet) recordDirectoryEntry(member Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	known := f.peerOf(member)
+	known := f.findOrAddPeer(member)
 	switch {
 	case known == nil:
 	case known.connected && known.Member != member:
@@ -42,11 +42,11 @@
 }
 
 // recordIntroduced records what another daemon says of a third one. It may be older than
-// what is known here, so that it counts only for a daemon that nothing is known of.
+// what is known here, so that it counts only for a daemon that is not known yet.
 func (f *Fleet) recordIntroduced(member Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.peerOf(member)
+	f.findOrAddPeer(member)
 }
 
 // move records where a daemon is; the caller holds mutex.
@@ -57,7 +57,7 @@
 	known.Member = member
 	known.displacedAt = time.Time{}
 	signal(known.dialNow)
-	signal(f.review)
+	signal(f.reviewLinks)
 }
 
 // moveAsListed applies what the directory said while the connection that has now
@@ -72,18 +72,18 @@
 }
 
 // displace records that another daemon answers at a peer's address, so that the peer has
-// ended or moved: its instances are out of reach, and it is not dialed there.
-func (f *Fleet) displace(member *peer, other *callmux.OtherDaemonError) {
+// ended or moved: its instances are forgotten, and it is not dialed there.
+func (f *Fleet) displace(peer *peer, other *callmux.OtherDaemonError) {
 	f.mutex.Lock()
-	if member.Address == other.Address {
-		member.displacedAt = boottime.Now()
-		member.announcement = nil
-		member.revision = 0
+	if peer.Address == other.Address {
+		peer.displacedAt = boottime.Now()
+		peer.announcement = nil
+		peer.revision = 0
 	}
 	f.mutex.Unlock()
 	f.config.Logger.Info("fleet.displaced", "member", other.Expected, "address", other.Address, "by", other.Found)
-	signal(f.changed)
-	signal(f.review)
+	signal(f.reportDue)
+	signal(f.reviewLinks)
 }
 
 // displaced reports whether another daemon was found at the address within
--- a/internal/distribution/fleet/address_test.go
+++ b/internal/distribution/fleet/address_test.go
@@ -92,23 +92,23 @@
 		"hearsay of one that is known":        {false, func(f *Fleet) { f.recordIntroduced(present) }, "x:1"},
 		"directory":                           {false, func(f *Fleet) { f.recordDirectoryEntry(present) }, "x:2"},
 		"directory, while connected":          {true, func(f *Fleet) { f.recordDirectoryEntry(present) }, "x:1"},
-		"directory, and the connection ended": {true, func(f *Fleet) { f.recordDirectoryEntry(present); f.lost(f.members["moved"], f.members["moved"].link) }, "x:2"},
+		"directory, and the connection ended": {true, func(f *Fleet) { f.recordDirectoryEntry(present); f.lost(f.peers["moved"], f.peers["moved"].link) }, "x:2"},
 		"directory, taken back meanwhile": {true, func(f *Fleet) {
 			f.recordDirectoryEntry(present)
 			f.recordDirectoryEntry(former)
-			f.lost(f.members["moved"], f.members["moved"].link)
+			f.lost(f.peers["moved"], f.peers["moved"].link)
 		}, "x:1"},
 		"greeting, while connected": {true, func(f *Fleet) { f.recordHello(present) }, "x:2"},
 		"greeting after the directory": {true, func(f *Fleet) {
 			f.recordDirectoryEntry(memberAt("moved", "x:3"))
 			f.recordHello(present)
-			f.lost(f.members["moved"], f.members["moved"].link)
+			f.lost(f.peers["moved"], f.peers["moved"].link)
 		}, "x:2"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			knows := newTestFleet(0, &peer{Member: former, connected: row.connected, dialNow: make(chan struct{}, 1)})
 			row.stated(knows)
-			assert.Equal(t, knows.members["moved"].Address, row.want)
+			assert.Equal(t, knows.peers["moved"].Address, row.want)
 		})
 	}
 }
@@ -120,9 +120,9 @@
 		ended := memberAt("ended", "x:1")
 		knows := newTestFleet(0, &peer{Member: ended, dialNow: make(chan struct{}, 1)})
 		other := &callmux.OtherDaemonError{Address: "x:1", Expected: "ended", Found: "newcomer"}
-		displaced := func() bool { return knows.members["ended"].displaced(time.Now()) }
+		displaced := func() bool { return knows.peers["ended"].displaced(time.Now()) }
 
-		knows.displace(knows.members["ended"], other)
+		knows.displace(knows.peers["ended"], other)
 		assert.Assert(t, displaced())
 		knows.recordDirectoryEntry(ended)
 		knows.recordIntroduced(memberAt("ended", "x:2"))
@@ -130,14 +130,14 @@
 		knows.recordDirectoryEntry(memberAt("ended", "x:2"))
 		assert.Assert(t, !displaced())
 
-		knows.displace(knows.members["ended"], other)
+		knows.displace(knows.peers["ended"], other)
 		assert.Assert(t, !displaced(), "the answer came from where it was before")
 		other.Address = "x:2"
-		knows.displace(knows.members["ended"], other)
+		knows.displace(knows.peers["ended"], other)
 		assert.Assert(t, displaced())
 		time.Sleep(displacedRecheck)
 		assert.Assert(t, !displaced())
-		assert.Assert(t, knows.members["ended"].unreachable(time.Now()), "another one is connected to beside it")
+		assert.Assert(t, knows.peers["ended"].unreachable(time.Now()), "another one is connected to beside it")
 	})
 }
 
@@ -149,7 +149,7 @@
 	playAddresses(t, members, members, 10*time.Second, func(daemons map[string]*Fleet) {
 		asker := daemons["asker"]
 		asker.mutex.Lock()
-		peer, earlier, later := asker.members["peer"], asker.members["third"].link, asker.members["peer"].link
+		peer, earlier, later := asker.peers["peer"], asker.peers["third"].link, asker.peers["peer"].link
 		asker.mutex.Unlock()
 		asker.lost(peer, earlier)
 		assert.DeepEqual(t, connectedTo(asker), map[string]string{"peer": "x:2", "third": "x:3"})
--- a/internal/distribution/fleet/catchup.go
+++ b/internal/distribution/fleet/catchup.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"context"
+	"sync"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -13,14 +14,14 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// catchUp asks other daemons for the configuration when they have one in force
-// that is newer than here, until ctx ends.
+// catchUp asks other daemons for a configuration that is newer than the one in force here,
+// until ctx ends.
 func (f *Fleet) catchUp(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.behind:
+		case <-f.catchUpDue:
 		}
 		f.catchUpOnce(ctx)
 	}
@@ -33,45 +34,45 @@
 	asked := map[string]bool{}
 	mayWait := f.revision() > 0
 	for ctx.Err() == nil {
-		member, link := f.nextToAsk(asked)
-		if member == nil {
+		peer, link := f.nextToAsk(asked)
+		if peer == nil {
 			return
 		}
-		if mayWait && member.Zone != f.config.Self.Zone {
+		if mayWait && peer.Zone != f.config.Self.Zone {
 			mayWait = false
 			if !f.awaitConfiguration(ctx, time.Duration(float64(zoneWait)*f.config.Random())) {
 				return
 			}
 			continue
 		}
-		asked[member.Node] = true
-		f.requestConfiguration(member, link)
+		asked[peer.Node] = true
+		f.requestConfiguration(peer, link)
 		if !f.awaitConfiguration(ctx, answerWait) {
 			return
 		}
 	}
 }
 
-// awaitConfiguration waits until a configuration comes, at most for a time; it reports
-// false when ctx ended.
-func (f *Fleet) awaitConfiguration(ctx context.Context, most time.Duration) bool {
-	timer := time.NewTimer(most)
+// awaitConfiguration waits until a configuration comes, longest at most; it reports false
+// when ctx ended.
+func (f *Fleet) awaitConfiguration(ctx context.Context, longest time.Duration) bool {
+	timer := time.NewTimer(longest)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-f.arrived:
+	case <-f.configurationArrived:
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
 }
 
-func (f *Fleet) requestConfiguration(member *peer, link callmux.Link) {
+func (f *Fleet) requestConfiguration(peer *peer, link callmux.Link) {
 	above := f.revision()
-	f.config.Logger.Info("fleet.configuration_asked", "member", member.Node, "above", above)
+	f.config.Logger.Info("fleet.configuration_asked", "member", peer.Node, "above", above)
 	request := &lapisv1.ConfigurationRequest{Above: above}
 	frame := &lapisv1.CallFrame{Body: &lapisv1.CallFrame_ConfigurationRequest{ConfigurationRequest: request}}
 	if err := link.Send(frame); err != nil {
-		f.config.Logger.Info("fleet.configuration_request_lost", "member", member.Node, "error", err)
+		f.config.Logger.Info("fleet.configuration_request_lost", "member", peer.Node, "error", err)
 	}
 }
 
@@ -98,13 +99,13 @@
 	defer f.mutex.Unlock()
 	var best *peer
 	var bestHolder holder
-	for _, member := range f.members {
-		if !member.connected || member.stalled || member.revision <= above || asked[member.Node] {
+	for _, peer := range f.peers {
+		if !peer.connected || peer.stalled || peer.revision <= above || asked[peer.Node] {
 			continue
 		}
-		found := holder{tier: f.config.Self.tierOf(member.Member), revision: member.revision, tieBreak: f.config.Random()}
+		found := holder{tier: f.config.Self.tierOf(peer.Member), revision: peer.revision, tieBreak: f.config.Random()}
 		if best == nil || found.before(bestHolder) {
-			best, bestHolder = member, found
+			best, bestHolder = peer, found
 		}
 	}
 	if best == nil {
@@ -113,23 +114,67 @@
 	return best, best.link
 }
 
-// receiveConfiguration offers another daemon's configuration to the observer.
 func (f *Fleet) receiveConfiguration(configuration *lapisv1.Configuration) {
 	f.config.Observer.Offer(configuration)
-	signal(f.arrived)
+	signal(f.configurationArrived)
 }
 
-// receiveDeflatedConfiguration offers another daemon's configuration as it is sent. One
-// that cannot be read is logged and dropped; the next daemon is asked after answerWait.
-func (f *Fleet) receiveDeflatedConfiguration(member *peer, deflated []byte) {
+// receiveDeflatedConfiguration logs and drops a configuration that cannot be read; the next
+// daemon is asked after answerWait.
+func (f *Fleet) receiveDeflatedConfiguration(peer *peer, deflated []byte) {
 	content, err := wire.Inflate(deflated)
 	configuration := &lapisv1.Configuration{}
 	if err == nil {
 		err = proto.Unmarshal(content, configuration)
 	}
 	if err != nil {
-		f.config.Logger.Error(err, "fleet.configuration_unreadable", "member", member.Node)
+		f.config.Logger.Error(err, "fleet.configuration_unreadable", "member", peer.Node)
 		return
 	}
 	f.receiveConfiguration(configuration)
 }
+
+// encodedConfiguration is a configuration as it is sent, encoded once for all daemons that
+// ask for it. It is safe for concurrent use.
+type encodedConfiguration struct {
+	// mutex protects the rest and is held while a frame is encoded.
+	mutex    sync.Mutex
+	revision uint64
+	frame    *lapisv1.CallFrame
+}
+
+func (e *encodedConfiguration) frameFor(configuration *lapisv1.Configuration) (*lapisv1.CallFrame, error) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	if e.frame != nil && e.revision == configuration.GetRevision() {
+		return e.frame, nil
+	}
+	content, err := proto.Marshal(configuration)
+	if err != nil {
+		return nil, err
+	}
+	deflated, err := wire.Deflate(content)
+	if err != nil {
+		return nil, err
+	}
+	e.revision = configuration.GetRevision()
+	e.frame = &lapisv1.CallFrame{Body: &lapisv1.CallFrame_DeflatedConfiguration{DeflatedConfiguration: deflated}}
+	return e.frame, nil
+}
+
+// serveConfiguration sends the configuration in force if it is newer than above. It does
+// not wait, because its caller reads the link's frames.
+func (f *Fleet) serveConfiguration(link callmux.Link, above uint64) {
+	configuration := f.config.InForce()
+	if configuration.GetRevision() <= above {
+		return
+	}
+	go func() {
+		frame, err := f.encoded.frameFor(configuration)
+		if err != nil {
+			f.config.Logger.Error(err, "fleet.configuration_not_sent", "revision", configuration.GetRevision())
+			return
+		}
+		f.send(link, frame)
+	}()
+}
--- a/internal/distribution/fleet/directory.go
+++ b/internal/distribution/fleet/directory.go
@@ -26,8 +26,8 @@
 // tierOf returns how far another member is.
 func (m Member) tierOf(other Member) locality.Tier { return m.place().TierOf(other.place()) }
 
-// Directory is where daemons find each other. Any error means that the call had no effect
-// that can be relied on; it is made again.
+// Directory is where daemons find each other. After any error the call is made again,
+// because it may or may not have had an effect.
 type Directory interface {
 	// Publish makes a member known; doing it twice does no harm.
 	Publish(ctx context.Context, member Member) error
@@ -101,7 +101,6 @@
 // publishedNow records that this daemon was written to the directory, or may have been.
 func (s *listSchedule) publishedNow() { s.relist = relistMin }
 
-// afterFailure returns the wait after a call that failed.
 func (s *listSchedule) afterFailure() time.Duration {
 	wait := s.retry
 	s.retry = min(2*s.retry, directoryRetryMax)
@@ -116,11 +115,10 @@
 	return wait
 }
 
-// jitterParts is the inverse of the largest part that is added to a wait, so that daemons that
-// started together do not go on together. Chosen, not measured.
+// jitterParts is the inverse of the largest part that jitter adds. Chosen, not measured.
 const jitterParts = 4
 
-// jitter lengthens a wait by up to one of jitterParts.
+// jitter lengthens a wait at random, so that daemons that started together get out of step.
 func (f *Fleet) jitter(wait time.Duration) time.Duration {
 	return wait + time.Duration(f.config.Random()*float64(wait)/jitterParts)
 }
--- a/internal/distribution/fleet/directory_test.go
+++ b/internal/distribution/fleet/directory_test.go
@@ -57,8 +57,8 @@
 				assert.Equal(t, lists, 5, "at once, after 0.25, 0.75, 1.75 and 3.75 s")
 				visitor.mutex.Lock()
 				defer visitor.mutex.Unlock()
-				assert.Assert(t, visitor.members["twin"] != nil)
-				assert.Assert(t, visitor.members[self.Node] == nil)
+				assert.Assert(t, visitor.peers["twin"] != nil)
+				assert.Assert(t, visitor.peers[self.Node] == nil)
 			})
 		})
 	}
--- a/internal/distribution/fleet/endpoints.go
+++ b/internal/distribution/fleet/endpoints.go
@@ -11,18 +11,18 @@
 )
 
 // SetLocalEndpoints replaces the instances beside this daemon and announces them to the
-// daemons that opened a link. It keeps endpoints and fills in who states them.
+// daemons that opened a link. It keeps endpoints and fills in their daemon.
 func (f *Fleet) SetLocalEndpoints(endpoints []*lapisv1.Endpoint) {
 	withdrawn := f.config.Withdrawn()
 	f.mutex.Lock()
 	f.withdrawn = withdrawn
 	for _, endpoint := range endpoints {
-		stateAs(endpoint, f.config.Self, f.config.Incarnation)
+		setOrigin(endpoint, f.config.Self, f.config.Incarnation)
 	}
 	f.local = endpoints
 	f.mutex.Unlock()
 	f.announceToAll()
-	signal(f.changed)
+	signal(f.reportDue)
 }
 
 // Endpoints returns the known instances of a service, in order of their names.
@@ -36,12 +36,11 @@
 func (f *Fleet) announceToAll() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for opened := range f.inbound {
-		signal(opened.announcementChanged)
+	for inbound := range f.inbound {
+		signal(inbound.announcementChanged)
 	}
 }
 
-// sendAnnouncement announces this daemon on a link.
 func (f *Fleet) sendAnnouncement(link callmux.Link) {
 	f.mutex.Lock()
 	announcement := f.announcement()
@@ -60,28 +59,28 @@
 
 // recordAnnouncement records another daemon's announcement, which came on the link of
 // that generation. One that came late on an earlier link is dropped.
-func (f *Fleet) recordAnnouncement(member *peer, generation uint64, announcement *lapisv1.Announcement) {
+func (f *Fleet) recordAnnouncement(peer *peer, generation uint64, announcement *lapisv1.Announcement) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if announcement.GetNode() != member.Node || generation != member.generation {
+	if announcement.GetNode() != peer.Node || generation != peer.generation {
 		return
 	}
-	if region := announcement.GetRegion(); region != "" && region != member.Region {
+	if region := announcement.GetRegion(); region != "" && region != peer.Region {
 		// An entry of the directory may lack the region.
-		member.Region = region
-		signal(f.review)
+		peer.Region = region
+		signal(f.reviewLinks)
 	}
 	for _, endpoint := range announcement.GetEndpoints() {
-		stateAs(endpoint, member.Member, announcement.GetIncarnation())
+		setOrigin(endpoint, peer.Member, announcement.GetIncarnation())
 	}
-	member.recordWithdrawn(announcement.GetWithdrawn(), boottime.Now())
-	member.announcement = announcement
-	f.recordRevision(member, announcement.GetRevision())
-	signal(f.changed)
+	peer.recordWithdrawn(announcement.GetWithdrawn(), boottime.Now())
+	peer.announcement = announcement
+	f.recordRevision(peer, announcement.GetRevision())
+	signal(f.reportDue)
 }
 
-// stateAs fills in who states an endpoint.
-func stateAs(endpoint *lapisv1.Endpoint, member Member, incarnation uint64) {
+// setOrigin fills in the daemon that announces an endpoint.
+func setOrigin(endpoint *lapisv1.Endpoint, member Member, incarnation uint64) {
 	endpoint.Node = member.Node
 	endpoint.Address = member.Address
 	endpoint.Zone = member.Zone
@@ -97,12 +96,12 @@
 	for _, endpoint := range f.local {
 		services[endpoint.GetService()] = append(services[endpoint.GetService()], endpoint)
 	}
-	for _, member := range f.members {
-		if member.stopMaintaining == nil || (!member.connected && boottime.Since(member.lostAt) > endpointsForgottenAfter) {
+	for _, peer := range f.peers {
+		if peer.stopMaintaining == nil || (!peer.connected && boottime.Since(peer.lostAt) > endpointsForgottenAfter) {
 			continue
 		}
-		for _, endpoint := range member.announcement.GetEndpoints() {
-			services[endpoint.GetService()] = append(services[endpoint.GetService()], member.withReachability(endpoint))
+		for _, endpoint := range peer.announcement.GetEndpoints() {
+			services[endpoint.GetService()] = append(services[endpoint.GetService()], peer.withReachability(endpoint))
 		}
 	}
 	for _, endpoints := range services {
@@ -132,7 +131,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.changed:
+		case <-f.reportDue:
 		}
 		endpoints, count := f.reportable()
 		for service, known := range endpoints {
@@ -156,5 +155,5 @@
 	for service := range endpoints {
 		f.services[service] = true
 	}
-	return endpoints, len(f.members) + 1
+	return endpoints, len(f.peers) + 1
 }
--- a/internal/distribution/fleet/fleet.go
+++ b/internal/distribution/fleet/fleet.go
@@ -25,10 +25,10 @@
 	Offer(configuration *lapisv1.Configuration)
 	// OfferOrders brings the operators' orders that another daemon follows.
 	OfferOrders(set *orders.Set, from string)
-	// OfferSuspects brings what another daemon knows of requests under which instances crashed.
+	// OfferSuspects brings another daemon's records of suspects.
 	OfferSuspects(records []quarantine.Record, from string)
-	// Withdraw names an instance beside this daemon that left in an earlier
-	// incarnation of the daemon.
+	// Withdraw names an instance beside this daemon that left for good while an earlier
+	// incarnation of the daemon ran.
 	Withdraw(instance string)
 }
 
@@ -46,10 +46,9 @@
 	// Orders returns the operators' orders in force, nil before the first; it is nil
 	// itself where operators give none.
 	Orders func() *orders.Set
-	// Suspects returns all that is known of requests under which instances crashed; nil
-	// where that is not exchanged.
+	// Suspects returns all records of suspects; nil where they are not exchanged.
 	Suspects func() []quarantine.Record
-	// Freshness is how recently both were confirmed to be the newest.
+	// Freshness is how recently configuration and orders were confirmed to be the newest.
 	Freshness *configsource.Freshness
 	// Withdrawn returns the instances beside this daemon that left for good.
 	Withdrawn func() []string
@@ -63,20 +62,18 @@
 type Fleet struct {
 	config  Config
 	running sync.WaitGroup
-	// changed wakes the reports to the observer, review the choice of daemons to link to,
-	// behind the catching up.
-	changed chan struct{}
-	review  chan struct{}
-	behind  chan struct{}
-	// arrived wakes the catching up when a configuration came.
-	arrived chan struct{}
-	// outgoing is the configuration in force as it is sent to others.
-	outgoing outgoing
+	// reportDue wakes report, reviewLinks maintainLinks, and catchUpDue catchUp.
+	reportDue   chan struct{}
+	reviewLinks chan struct{}
+	catchUpDue  chan struct{}
+	// configurationArrived ends catchUp's wait for the answer of the daemon that it asked.
+	configurationArrived chan struct{}
+	// encoded is the configuration in force as it is sent to others.
+	encoded encodedConfiguration
 
 	// mutex protects everything below and the fields of peers and inbound links.
 	mutex   sync.Mutex
-	members map[string]*peer
-	// inbound are the connections that other daemons opened.
+	peers   map[string]*peer
 	inbound map[*inboundLink]bool
 	local   []*lapisv1.Endpoint
 	// withdrawn are the local instances that left for good.
@@ -88,12 +85,10 @@
 // New returns a fleet that does nothing until Run is called.
 func New(config Config) *Fleet {
 	return &Fleet{
-		config:   config,
-		changed:  make(chan struct{}, 1),
-		review:   make(chan struct{}, 1),
-		behind:   make(chan struct{}, 1),
-		arrived:  make(chan struct{}, 1),
-		members:  map[string]*peer{},
+		config:    config,
+		reportDue: make(chan struct{}, 1), reviewLinks: make(chan struct{}, 1),
+		catchUpDue: make(chan struct{}, 1), configurationArrived: make(chan struct{}, 1),
+		peers:    map[string]*peer{},
 		inbound:  map[*inboundLink]bool{},
 		services: map[string]bool{},
 	}
--- a/internal/distribution/fleet/heartbeat.go
+++ b/internal/distribution/fleet/heartbeat.go
@@ -9,12 +9,12 @@
 )
 
 // recordHeartbeat records what another daemon has in force and how recently that was
-// confirmed; member is nil when that daemon is not known. A confirmation that makes this
+// confirmed; peer is nil for one that is not remembered. A confirmation that makes this
 // daemon fresher is passed on.
-func (f *Fleet) recordHeartbeat(member *peer, heartbeat callmux.Heartbeat) {
-	if member != nil {
+func (f *Fleet) recordHeartbeat(peer *peer, heartbeat callmux.Heartbeat) {
+	if peer != nil {
 		f.mutex.Lock()
-		f.recordRevision(member, heartbeat.Revision)
+		f.recordRevision(peer, heartbeat.Revision)
 		f.mutex.Unlock()
 	}
 	versions := configsource.Versions{Configuration: heartbeat.Revision, Orders: heartbeat.Orders}
@@ -29,19 +29,18 @@
 func (f *Fleet) SendHeartbeats() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, member := range f.members {
-		if member.connected {
-			member.link.HeartbeatEarly(f.earlyHeartbeatGain(member.place()))
+	for _, peer := range f.peers {
+		if peer.connected {
+			peer.link.HeartbeatEarly(f.earlyHeartbeatGain(peer.place()))
 		}
 	}
-	for opened := range f.inbound {
-		opened.link.HeartbeatEarly(f.earlyHeartbeatGain(opened.place))
+	for inbound := range f.inbound {
+		inbound.link.HeartbeatEarly(f.earlyHeartbeatGain(inbound.place))
 	}
 }
 
 // earlyHeartbeatGain returns by how much a confirmation must be newer than what a daemon at
-// a place stated to be sent there ahead of the next regular heartbeat. Bytes are free
-// within a zone, have a price between zones and a higher one between regions.
+// a place stated to be sent there ahead of the next regular heartbeat.
 func (f *Fleet) earlyHeartbeatGain(there locality.Place) time.Duration {
 	switch f.config.Self.place().TierOf(there) {
 	case locality.OwnZone:
--- a/internal/distribution/fleet/heartbeat_test.go
+++ b/internal/distribution/fleet/heartbeat_test.go
@@ -18,7 +18,7 @@
 	behind.config.Freshness.Advance(5)
 	behind.recordHeartbeat(ahead, callmux.Heartbeat{Revision: 6, Confirmed: ahead.lostAt.AddDate(2000, 0, 0)})
 	assert.Equal(t, ahead.revision, uint64(6))
-	assert.Equal(t, len(behind.behind), 1)
+	assert.Equal(t, len(behind.catchUpDue), 1)
 	assert.Assert(t, behind.config.Freshness.Confirmed().IsZero())
 	behind.config.Freshness.Advance(6)
 	assert.Assert(t, !behind.config.Freshness.Confirmed().IsZero())
--- a/internal/distribution/fleet/inbound.go
+++ b/internal/distribution/fleet/inbound.go
@@ -10,74 +10,74 @@
 // on it.
 type inboundLink struct {
 	link callmux.Link
-	// node is that of the daemon that opened it, place where that stands.
+	// node and place are those of the daemon that opened the link.
 	node  string
 	place locality.Place
 	// announcementChanged and ordersChanged ask for these to be sent.
 	announcementChanged, ordersChanged chan struct{}
-	// pendingSuspects wait to be sent on the link.
-	pendingSuspects pendingSuspects
+	pendingSuspects                    pendingSuspects
 }
 
-// Accepted serves a link that another daemon opened, for callmux.Server, until it ends.
+// Accepted starts to serve a link that another daemon opened, and returns what receives its
+// frames; callmux.Server calls it.
 func (f *Fleet) Accepted(hello *lapisv1.Hello, link callmux.Link) callmux.Control {
 	dialer := Member{Node: hello.GetNode(), Address: hello.GetAddress(), Zone: hello.GetZone(), Region: hello.GetRegion(), Service: hello.GetService()}
-	opened := &inboundLink{
+	inbound := &inboundLink{
 		link: link, node: dialer.Node, place: dialer.place(),
 		announcementChanged: make(chan struct{}, 1), ordersChanged: make(chan struct{}, 1), pendingSuspects: newPendingSuspects(),
 	}
 	f.mutex.Lock()
-	f.inbound[opened] = true
-	member := f.recordHello(dialer)
-	if member != nil && !member.connected {
-		signal(member.dialNow)
+	f.inbound[inbound] = true
+	peer := f.recordHello(dialer)
+	if peer != nil && !peer.connected {
+		signal(peer.dialNow)
 	}
 	f.mutex.Unlock()
-	go f.serveInbound(opened, member)
+	go f.serveInbound(inbound, peer)
 	return callmux.Control{
-		Frame:     func(frame *lapisv1.CallFrame) { f.receiveAccepted(opened, frame) },
-		Heartbeat: func(heartbeat callmux.Heartbeat) { f.recordHeartbeat(member, heartbeat) },
+		Frame:     func(frame *lapisv1.CallFrame) { f.receiveInbound(inbound, frame) },
+		Heartbeat: func(heartbeat callmux.Heartbeat) { f.recordHeartbeat(peer, heartbeat) },
 	}
 }
 
 // serveInbound sends on an inbound link what its daemon may lack, now and when it changes,
-// until the link ends. member is nil for a daemon that is not remembered.
-func (f *Fleet) serveInbound(opened *inboundLink, member *peer) {
+// until the link ends. peer is nil for a daemon that is not remembered.
+func (f *Fleet) serveInbound(inbound *inboundLink, peer *peer) {
 	defer func() {
 		f.mutex.Lock()
-		delete(f.inbound, opened)
+		delete(f.inbound, inbound)
 		f.mutex.Unlock()
 	}()
-	if member != nil {
-		f.sendWithdrawn(member, opened.link)
+	if peer != nil {
+		f.sendWithdrawn(peer, inbound.link)
 	}
-	f.sendOrders(opened.link)
-	f.sendSuspects(opened.link, &opened.pendingSuspects)
-	f.sendAnnouncement(opened.link)
+	f.sendOrders(inbound.link)
+	f.sendSuspects(inbound.link, &inbound.pendingSuspects)
+	f.sendAnnouncement(inbound.link)
 	for {
 		select {
-		case <-opened.link.Closed():
+		case <-inbound.link.Closed():
 			return
-		case <-opened.announcementChanged:
-			f.sendAnnouncement(opened.link)
-		case <-opened.ordersChanged:
-			f.sendOrders(opened.link)
-		case <-opened.pendingSuspects.wake:
-			f.sendSuspects(opened.link, &opened.pendingSuspects)
+		case <-inbound.announcementChanged:
+			f.sendAnnouncement(inbound.link)
+		case <-inbound.ordersChanged:
+			f.sendOrders(inbound.link)
+		case <-inbound.pendingSuspects.wake:
+			f.sendSuspects(inbound.link, &inbound.pendingSuspects)
 		}
 	}
 }
 
-// receiveAccepted handles a frame on a link that another daemon opened.
-func (f *Fleet) receiveAccepted(opened *inboundLink, frame *lapisv1.CallFrame) {
+// receiveInbound handles a frame on a link that another daemon opened.
+func (f *Fleet) receiveInbound(inbound *inboundLink, frame *lapisv1.CallFrame) {
 	switch body := frame.GetBody().(type) {
 	case *lapisv1.CallFrame_Introduction:
-		f.recordIntroduction(body.Introduction, opened.link)
+		f.recordIntroduction(body.Introduction, inbound.link)
 	case *lapisv1.CallFrame_ConfigurationRequest:
-		f.serveConfiguration(opened.link, body.ConfigurationRequest.GetAbove())
+		f.serveConfiguration(inbound.link, body.ConfigurationRequest.GetAbove())
 	case *lapisv1.CallFrame_Orders:
-		f.receiveOrders(opened.node, body.Orders)
+		f.receiveOrders(inbound.node, body.Orders)
 	case *lapisv1.CallFrame_Suspects:
-		f.receiveSuspects(opened.node, body.Suspects)
+		f.receiveSuspects(inbound.node, body.Suspects)
 	}
 }
--- a/internal/distribution/fleet/introduction.go
+++ b/internal/distribution/fleet/introduction.go
@@ -13,12 +13,12 @@
 	return &lapisv1.CallFrame{Body: &lapisv1.CallFrame_Introduction{Introduction: introduction}}
 }
 
-// sendWithdrawn names to a daemon those of its own instances that it said have left; it may
-// have started anew since, without that knowledge.
-func (f *Fleet) sendWithdrawn(member *peer, link callmux.Link) {
+// sendWithdrawn names to a daemon those of its own instances that it said left for good. It
+// keeps this in memory only and may have restarted since.
+func (f *Fleet) sendWithdrawn(peer *peer, link callmux.Link) {
 	f.mutex.Lock()
 	reminder := &lapisv1.Introduction{}
-	for instance := range member.withdrawn {
+	for instance := range peer.withdrawn {
 		reminder.Withdrawn = append(reminder.Withdrawn, instance)
 	}
 	f.mutex.Unlock()
@@ -41,13 +41,13 @@
 func (f *Fleet) anyLink() (link callmux.Link, found bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, member := range f.members {
-		if member.connected {
-			return member.link, true
+	for _, peer := range f.peers {
+		if peer.connected {
+			return peer.link, true
 		}
 	}
-	for opened := range f.inbound {
-		return opened.link, true
+	for inbound := range f.inbound {
+		return inbound.link, true
 	}
 	return callmux.Link{}, false
 }
@@ -75,10 +75,10 @@
 	defer f.mutex.Unlock()
 	now := boottime.Now()
 	introduction := &lapisv1.Introduction{}
-	for _, member := range f.members {
-		if member.introducible(now) {
+	for _, peer := range f.peers {
+		if peer.introducible(now) {
 			introduction.Members = append(introduction.Members, &lapisv1.PeerAddress{
-				Node: member.Node, Address: member.Address, Zone: member.Zone, Region: member.Region, Service: member.Service,
+				Node: peer.Node, Address: peer.Address, Zone: peer.Zone, Region: peer.Region, Service: peer.Service,
 			})
 		}
 	}
--- a/internal/distribution/fleet/link.go
+++ b/internal/distribution/fleet/link.go
@@ -15,13 +15,13 @@
 )
 
 // maintain keeps a link to a peer open until ctx ends.
-func (f *Fleet) maintain(ctx context.Context, member *peer) {
+func (f *Fleet) maintain(ctx context.Context, peer *peer) {
 	wait := reconnectMin
 	for ctx.Err() == nil {
-		link, err := f.connect(ctx, member)
+		link, err := f.connect(ctx, peer)
 		if err == nil {
 			opened := boottime.Now()
-			f.serveLink(ctx, member, link)
+			f.serveOutbound(ctx, peer, link)
 			if boottime.Since(opened) >= stableAfter {
 				wait = reconnectMin
 				continue
@@ -29,9 +29,9 @@
 		}
 		var other *callmux.OtherDaemonError
 		if errors.As(err, &other) {
-			f.displace(member, other)
+			f.displace(peer, other)
 		}
-		if !f.waitToDial(ctx, member, f.jitter(wait)) {
+		if !f.waitToDial(ctx, peer, f.jitter(wait)) {
 			return
 		}
 		wait = min(wait*reconnectFactor, reconnectMax)
@@ -39,13 +39,13 @@
 }
 
 // waitToDial waits until the peer may be dialed again; it reports false when ctx ended.
-func (f *Fleet) waitToDial(ctx context.Context, member *peer, wait time.Duration) bool {
+func (f *Fleet) waitToDial(ctx context.Context, peer *peer, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-member.dialNow:
+	case <-peer.dialNow:
 		// A peer that has just connected to this daemon is there.
 		return sleep.For(ctx, reconnectMin)
 	case <-ctx.Done():
@@ -55,17 +55,17 @@
 
 // connect dials a peer and records the open link. Errors: those of callmux.Client.Connect,
 // among them *callmux.OtherDaemonError where another daemon answers at the address.
-func (f *Fleet) connect(ctx context.Context, member *peer) (callmux.Link, error) {
+func (f *Fleet) connect(ctx context.Context, peer *peer) (callmux.Link, error) {
 	f.mutex.Lock()
-	node, address := member.Node, member.Address
-	member.generation++
-	generation := member.generation
+	node, address := peer.Node, peer.Address
+	peer.generation++
+	generation := peer.generation
 	f.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	receive := callmux.Control{
-		Frame:     func(frame *lapisv1.CallFrame) { f.receiveDialed(member, generation, frame) },
-		Heartbeat: func(heartbeat callmux.Heartbeat) { f.recordHeartbeat(member, heartbeat) },
+		Frame:     func(frame *lapisv1.CallFrame) { f.receiveOutbound(peer, generation, frame) },
+		Heartbeat: func(heartbeat callmux.Heartbeat) { f.recordHeartbeat(peer, heartbeat) },
 	}
 	link, err := f.config.Calls.Connect(ctx, node, address, receive)
 	if err != nil {
@@ -73,17 +73,16 @@
 	}
 	incarnation := link.Welcome().GetIncarnation()
 	f.mutex.Lock()
-	member.recordOpen(link, incarnation)
+	peer.recordOpen(link, incarnation)
 	f.mutex.Unlock()
-	f.config.Logger.Info("fleet.connected", "member", member.Node, "address", address, "incarnation", incarnation)
-	signal(f.changed)
+	f.config.Logger.Info("fleet.connected", "member", peer.Node, "address", address, "incarnation", incarnation)
+	signal(f.reportDue)
 	return link, nil
 }
 
 // recordOpen records a link to a peer of an incarnation; Fleet.mutex is held.
 func (p *peer) recordOpen(link callmux.Link, incarnation uint64) {
-	if p.announcement.GetIncarnation() != incarnation {
-		// What an earlier incarnation announced no longer holds.
+	if p.announcement.GetIncarnation() != incarnation { // the peer was restarted
 		p.announcement = nil
 		p.revision = 0
 	}
@@ -93,71 +92,122 @@
 	p.link = link
 }
 
-// serveLink sends on a link that this daemon opened what the peer may lack, now and when
+// serveOutbound sends on a link that this daemon opened what the peer may lack, now and when
 // it changes, until the link ends.
-func (f *Fleet) serveLink(ctx context.Context, member *peer, link callmux.Link) {
-	defer f.lost(member, link)
+func (f *Fleet) serveOutbound(ctx context.Context, peer *peer, link callmux.Link) {
+	defer f.lost(peer, link)
 	stop := context.AfterFunc(ctx, func() {
 		link.Close(result.Errorf(result.CallUnknownOutcome, "the connection is not wanted any more"))
 	})
 	defer stop()
-	f.sendWithdrawn(member, link)
+	f.sendWithdrawn(peer, link)
 	f.sendOrders(link)
 	f.mutex.Lock()
-	member.pendingSuspects.all = true
+	peer.pendingSuspects.all = true
 	f.mutex.Unlock()
-	f.sendSuspects(link, &member.pendingSuspects)
+	f.sendSuspects(link, &peer.pendingSuspects)
 	for {
 		select {
 		case <-link.Closed():
 			return
-		case <-member.ordersChanged:
+		case <-peer.ordersChanged:
 			f.sendOrders(link)
-		case <-member.pendingSuspects.wake:
-			f.sendSuspects(link, &member.pendingSuspects)
+		case <-peer.pendingSuspects.wake:
+			f.sendSuspects(link, &peer.pendingSuspects)
 		}
 	}
 }
 
-// send sends a frame on a link. Its error is dropped: it says that the session is over,
-// which whoever serves the link notices by link.Closed, and all that is sent here is sent
-// anew when the next link opens.
+// send sends a frame on a link. Its error is dropped: it means that the link has ended, which
+// link.Closed reports to whoever serves it, and the next link begins with all that is sent here.
 func (f *Fleet) send(link callmux.Link, frame proto.Message) { _ = link.Send(frame) }
 
-// lost records that a link to a peer ended. Another one may be open by then: a peer that
-// was given up and is chosen again is connected to while the end of the first is recorded.
-func (f *Fleet) lost(member *peer, link callmux.Link) {
+// lost records that a link to a peer ended. Another one may be open already, where the peer
+// was dropped and chosen again at once.
+func (f *Fleet) lost(peer *peer, link callmux.Link) {
 	f.mutex.Lock()
-	if member.link != link {
+	if peer.link != link {
 		f.mutex.Unlock()
 		return
 	}
-	member.connected = false
-	member.lostAt = boottime.Now()
-	member.moveAsListed()
+	peer.connected = false
+	peer.lostAt = boottime.Now()
+	peer.moveAsListed()
 	f.mutex.Unlock()
-	f.config.Logger.Info("fleet.lost", "member", member.Node)
-	signal(f.changed)
-	signal(f.review)
+	f.config.Logger.Info("fleet.lost", "member", peer.Node)
+	signal(f.reportDue)
+	signal(f.reviewLinks)
 }
 
-// receiveDialed handles a frame on a link that this daemon opened.
-func (f *Fleet) receiveDialed(member *peer, generation uint64, frame *lapisv1.CallFrame) {
+// receiveOutbound handles a frame on a link that this daemon opened.
+func (f *Fleet) receiveOutbound(peer *peer, generation uint64, frame *lapisv1.CallFrame) {
 	switch body := frame.GetBody().(type) {
 	case *lapisv1.CallFrame_Announcement:
-		f.recordAnnouncement(member, generation, body.Announcement)
+		f.recordAnnouncement(peer, generation, body.Announcement)
 	case *lapisv1.CallFrame_Introduction:
 		f.mutex.Lock()
-		link := member.link
+		link := peer.link
 		f.mutex.Unlock()
 		f.recordIntroduction(body.Introduction, link)
 	case *lapisv1.CallFrame_Configuration:
 		f.receiveConfiguration(body.Configuration)
 	case *lapisv1.CallFrame_DeflatedConfiguration:
-		f.receiveDeflatedConfiguration(member, body.DeflatedConfiguration)
+		f.receiveDeflatedConfiguration(peer, body.DeflatedConfiguration)
 	case *lapisv1.CallFrame_Orders:
-		f.receiveOrders(member.Node, body.Orders)
+		f.receiveOrders(peer.Node, body.Orders)
 	case *lapisv1.CallFrame_Suspects:
-		f.receiveSuspects(member.Node, body.Suspects)
+		f.receiveSuspects(peer.Node, body.Suspects)
 	}
 }
+
+// maintainLinks keeps links to the chosen daemons until ctx ends.
+func (f *Fleet) maintainLinks(ctx context.Context) {
+	ticker := time.NewTicker(reviewInterval)
+	defer ticker.Stop()
+	for {
+		f.reconcileLinks(ctx)
+		select {
+		case <-ctx.Done():
+			return
+		case <-f.reviewLinks:
+		case <-ticker.C:
+		}
+	}
+}
+
+// reconcileLinks starts a goroutine for each chosen daemon that has none, and ends that of
+// a daemon that is not chosen any more once no call uses its link.
+func (f *Fleet) reconcileLinks(ctx context.Context) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	chosen := chooseLinks(f.config.Self, f.candidates(boottime.Now()))
+	for node, peer := range f.peers {
+		// Active is called only where its answer matters.
+		idle := !chosen[node] && (!peer.connected || peer.link.Active() == 0)
+		switch linkActionFor(chosen[node], peer.stopMaintaining != nil, idle) {
+		case startLink:
+			linkCtx, stop := context.WithCancel(ctx)
+			peer.stopMaintaining = stop
+			peer.maintainedSince = boottime.Now()
+			f.running.Go(func() { f.maintain(linkCtx, peer) })
+		case endLink:
+			peer.stopMaintaining()
+			peer.stopMaintaining = nil
+		case keepLink:
+		}
+	}
+}
+
+// candidates returns the daemons that may be linked to: all that are known but those at
+// whose address another one was found lately; the caller holds mutex.
+func (f *Fleet) candidates(now time.Time) []candidate {
+	candidates := make([]candidate, 0, len(f.peers))
+	for _, peer := range f.peers {
+		if !peer.displaced(now) {
+			candidates = append(candidates, candidate{
+				Member: peer.Member, unreachable: peer.unreachable(now), evacuated: f.evacuated(peer.Zone),
+			})
+		}
+	}
+	return candidates
+}
--- a/internal/distribution/fleet/linkchoice.go
+++ b/internal/distribution/fleet/linkchoice.go
@@ -54,9 +54,9 @@
 	evacuated bool
 }
 
-// chooseLinks returns the names of the daemons that self links to. Where zones are
-// evacuated these are the ones chosen otherwise, so that they are at hand when the orders
-// are taken away, and as many that can be called as if the others did not exist.
+// chooseLinks returns the names of the daemons that self links to. Where zones are evacuated
+// these are the usual ones, so that their links are open when the orders are withdrawn, and
+// those chosen as if the evacuated ones did not exist.
 func chooseLinks(self Member, candidates []candidate) map[string]bool {
 	chosen := chooseFrom(self, candidates)
 	callable := make([]candidate, 0, len(candidates))
@@ -71,8 +71,6 @@
 	return chosen
 }
 
-// chooseFrom returns the names of the daemons that self links to, whether they can be called
-// or not.
 func chooseFrom(self Member, candidates []candidate) map[string]bool {
 	services := map[string][]candidate{}
 	for _, known := range candidates {
@@ -141,18 +139,16 @@
 	return count
 }
 
-// linkAction is what is to be done about the link to a daemon.
 type linkAction int
 
 const (
-	leaveLink linkAction = iota
+	keepLink linkAction = iota
 	startLink
 	endLink
 )
 
-// linkActionFor returns what is to be done about a link. A chosen daemon without a link gets
-// one. One that is not chosen any more loses its link once that is idle, which means that no
-// call uses it; until then both it and the daemon chosen in its place have one.
+// linkActionFor returns what is to be done about the link to a daemon. One that is not chosen
+// any more keeps its link until no call uses it (idle), beside that of its replacement.
 func linkActionFor(chosen, maintained, idle bool) linkAction {
 	switch {
 	case chosen && !maintained:
@@ -160,17 +156,17 @@
 	case !chosen && maintained && idle:
 		return endLink
 	default:
-		return leaveLink
+		return keepLink
 	}
 }
 
 // unreachable reports whether another daemon is to be linked to beside the peer; it is
-// evaluated at now and with Fleet.mutex held. Conditions, in this order: another daemon
-// answered at its address; no link is wanted, or one is open (nothing speaks against a
-// daemon that is not tried); the link was lost since it is wanted, and that is longer ago
-// than lostLinkReplacedAfter; it never opened within unansweredDialReplacedAfter.
-// While daemons that are not chosen counted as unreachable too, the search for one in place of
-// a lost one linked to all: 199 links in a test with 200 daemons, where 16 are kept now.
+// evaluated with Fleet.mutex held. Conditions, in this order: another daemon answered at its
+// address; it is not chosen, or its link is open; its link was lost since it was chosen, and
+// that is longer ago than lostLinkReplacedAfter; it never opened within
+// unansweredDialReplacedAfter. Daemons that are not chosen must not count as unreachable:
+// with that, the search for a replacement linked to all daemons of a test with 200 (199
+// links; 16 without it).
 func (p *peer) unreachable(now time.Time) bool {
 	switch {
 	case !p.displacedAt.IsZero():
--- a/internal/distribution/fleet/linkchoice_test.go
+++ b/internal/distribution/fleet/linkchoice_test.go
@@ -100,7 +100,7 @@
 		case endLink:
 			known.stopMaintaining = nil
 			known.lostAt = s.now
-		case leaveLink:
+		case keepLink:
 		}
 		known.connected = known.stopMaintaining != nil && !s.dead[known.Node]
 		if known.stopMaintaining != nil {
@@ -119,11 +119,11 @@
 		want                     linkAction
 	}{
 		{true, false, true, startLink},
-		{true, true, true, leaveLink},
-		{true, true, false, leaveLink},
-		{false, true, false, leaveLink},
+		{true, true, true, keepLink},
+		{true, true, false, keepLink},
+		{false, true, false, keepLink},
 		{false, true, true, endLink},
-		{false, false, true, leaveLink},
+		{false, false, true, keepLink},
 	} {
 		assert.Equal(t, linkActionFor(row.chosen, row.maintained, row.idle), row.want, "%+v", row)
 	}
--- a/internal/distribution/fleet/peer.go
+++ b/internal/distribution/fleet/peer.go
@@ -16,42 +16,38 @@
 
 // peer is what is known of another daemon; Fleet.mutex protects its fields.
 //
-// Its state stands in fields and not in a state machine, because three parties move them
-// apart from one another: the choice of links (stopMaintaining), the link's goroutine
-// (connected, displacedAt) and the watch for stalled links (stalled).
+// Its state is not a state machine, because three parties change it independently: the
+// choice of links (stopMaintaining), the link's goroutine (connected, displacedAt) and the
+// watch for stalled links (stalled).
 type peer struct {
 	Member
 	// stopMaintaining ends the goroutine that keeps a link to the peer; nil while the peer
 	// is not chosen. maintainedSince is when that goroutine was started.
 	stopMaintaining context.CancelFunc
 	maintainedSince time.Time
-	// connected is true while calls can be sent to the peer over link.
-	connected bool
-	// stalled is true while the daemon does not answer on an open link.
-	stalled bool
-	link    callmux.Link
-	// generation numbers the links opened; what arrives late on an earlier one is
+	// link is the outbound link, open while connected is true. stalled is true while the
+	// peer does not answer on it.
+	link               callmux.Link
+	connected, stalled bool
+	// generation numbers the dials; an announcement that arrives late on an earlier link is
 	// dropped.
 	generation uint64
-	// lostAt is when the link was last open, or when the peer became known.
+	// lostAt is when the last link ended or, before the first, when the peer became known.
 	lostAt       time.Time
 	announcement *lapisv1.Announcement
-	// revision is the newest revision of the configuration that the peer said is in force
-	// there.
+	// revision is the newest revision of the configuration that the peer said it has in force.
 	revision uint64
 	// dialNow asks for a link to be dialed at once, ordersChanged for the orders to be
-	// sent on the one that is open.
+	// sent on the open one.
 	dialNow, ordersChanged chan struct{}
-	// pendingSuspects wait to be sent on the link.
-	pendingSuspects pendingSuspects
-	// displacedAt is when another daemon was found at the address; zero while none
-	// was.
+	pendingSuspects        pendingSuspects
+	// displacedAt is when another daemon was found at the address, zero while none was.
 	displacedAt time.Time
-	// listed is what the directory said of the daemon while it was connected
-	// elsewhere; nil when it said nothing else.
+	// listed is the directory's entry where it differs from the address at which the peer is
+	// connected, else nil.
 	listed *Member
-	// withdrawn are the peer's instances that it said left for good, in this
-	// or an earlier incarnation, with the time when it last said so.
+	// withdrawn are the peer's instances that it said left for good, in any incarnation,
+	// with the time when it last said so.
 	withdrawn map[string]time.Time
 }
 
@@ -62,26 +58,26 @@
 	}
 }
 
-// peerOf returns the peer of a member's name, a new one if it was not known; the
-// caller holds mutex. It returns nil for an entry that names no daemon, this daemon, or an
-// earlier owner of this daemon's address, and for a new name beyond maxMembers.
-func (f *Fleet) peerOf(member Member) *peer {
+// findOrAddPeer returns the peer of a member's name, a new one if it was not known; nil for
+// an entry that names no daemon, this daemon, or an earlier owner of this daemon's address,
+// and for a new name beyond maxMembers. The caller holds mutex.
+func (f *Fleet) findOrAddPeer(member Member) *peer {
 	if member.Node == "" || member.Address == "" {
 		return nil
 	}
 	if member.Node == f.config.Self.Node || member.Address == f.config.Self.Address {
 		return nil
 	}
-	if known, ok := f.members[member.Node]; ok {
+	if known, ok := f.peers[member.Node]; ok {
 		return known
 	}
-	if len(f.members) >= maxMembers {
+	if len(f.peers) >= maxMembers {
 		return nil
 	}
 	known := newPeer(boottime.Now())
-	f.members[member.Node] = known
+	f.peers[member.Node] = known
 	f.config.Logger.V(1).Info("fleet.member_known", "member", member.Node, "address", member.Address, "zone", member.Zone)
-	signal(f.changed)
+	signal(f.reportDue)
 	f.move(known, member)
 	return known
 }
@@ -91,8 +87,8 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	count := 0
-	for _, member := range f.members {
-		if member.connected {
+	for _, peer := range f.peers {
+		if peer.connected {
 			count++
 		}
 	}
@@ -103,37 +99,37 @@
 func (f *Fleet) Known() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return len(f.members)
+	return len(f.peers)
 }
 
 // ZoneKnown reports whether a daemon of a zone is known, this one included.
 func (f *Fleet) ZoneKnown(zone string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, member := range f.members {
-		if member.Zone == zone {
+	for _, peer := range f.peers {
+		if peer.Zone == zone {
 			return true
 		}
 	}
 	return f.config.Self.Zone == zone
 }
 
-// Stalled notes that the daemon at an address stopped answering on its open link, or
-// answers again.
+// Stalled records that the daemon at an address stopped answering on its open link
+// (stalled is true) or answers again.
 func (f *Fleet) Stalled(address string, stalled bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, member := range f.members {
-		if member.Address != address || member.stalled == stalled {
+	for _, peer := range f.peers {
+		if peer.Address != address || peer.stalled == stalled {
 			continue
 		}
-		member.stalled = stalled
-		f.config.Logger.Info("fleet.stalled", "member", member.Node, "stalled", stalled)
-		signal(f.changed)
+		peer.stalled = stalled
+		f.config.Logger.Info("fleet.stalled", "member", peer.Node, "stalled", stalled)
+		signal(f.reportDue)
 	}
 }
 
-// recordWithdrawn records which instances a peer says have left, and forgets those
+// recordWithdrawn records which instances a peer says left for good, and forgets those
 // that it has not named for withdrawnMemory; Fleet.mutex is held.
 func (p *peer) recordWithdrawn(instances []string, now time.Time) {
 	for _, instance := range instances {
@@ -143,9 +139,9 @@
 }
 
 // recordRevision records what a daemon has in force; the caller holds mutex.
-func (f *Fleet) recordRevision(member *peer, revision uint64) {
-	member.revision = max(member.revision, revision)
+func (f *Fleet) recordRevision(peer *peer, revision uint64) {
+	peer.revision = max(peer.revision, revision)
 	if revision > f.revision() {
-		signal(f.behind)
+		signal(f.catchUpDue)
 	}
 }
--- a/internal/distribution/fleet/regions_test.go
+++ b/internal/distribution/fleet/regions_test.go
@@ -141,11 +141,11 @@
 	playAddresses(t, []Member{asker, other}, entries, 4*time.Second, func(daemons map[string]*Fleet) {
 		hearing := newTestFleet(1)
 		hearing.recordIntroduction(daemons["asker"].introduction(), callmux.Link{})
-		assert.Equal(t, hearing.members["other"].Region, "r2")
+		assert.Equal(t, hearing.peers["other"].Region, "r2")
 		daemons["other"].mutex.Lock()
 		defer daemons["other"].mutex.Unlock()
 		assert.Equal(t, daemons["other"].announcement().GetRegion(), "r2")
-		assert.Equal(t, daemons["other"].members["asker"].Region, "r1")
+		assert.Equal(t, daemons["other"].peers["asker"].Region, "r1")
 		for opened := range daemons["other"].inbound {
 			assert.Equal(t, opened.place, asker.place())
 		}
--- a/internal/distribution/fleet/scaffold_test.go
+++ b/internal/distribution/fleet/scaffold_test.go
@@ -72,7 +72,7 @@
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	connected := map[string]string{}
-	for node, member := range daemon.members {
+	for node, member := range daemon.peers {
 		if member.connected {
 			connected[node] = member.Address
 		}
@@ -89,7 +89,7 @@
 		Freshness: &configsource.Freshness{},
 	})
 	for _, member := range members {
-		behind.members[member.Node] = member
+		behind.peers[member.Node] = member
 	}
 	return behind
 }
--- a/internal/distribution/fleet/timing.go
+++ b/internal/distribution/fleet/timing.go
@@ -2,9 +2,12 @@
 
 import "time"
 
-// Times of what is known of other daemons. TestTimes holds how they hang together. They
-// are compared with the bound for a configuration, which is the setting
-// platform.apply_bound (2 s unless set otherwise).
+// TestTimes holds how the times of this file hang together, and how they fit into the bound
+// for a configuration, the setting platform.apply_bound (2 s unless set otherwise). Where
+// three scores are given, they are of a quiet day, a day with faults and a day of growth in a
+// small simulated fleet; 1 is the best.
+
+// Times of what is known of other daemons.
 const (
 	// connectTimeout bounds the dial of one link and its greeting. Chosen, not measured; it
 	// must be larger than the time that callmux gives the handshake below it (0.3 s), and
@@ -16,12 +19,11 @@
 	reconnectMax    = time.Second
 	reconnectFactor = 2
 	// stableAfter is how long a link must have lasted for its loss to be answered by a dial
-	// at once. A link that is lost right after it opened would be opened and lost without
-	// end: where two names led to one address and each dial displaced the other's link,
-	// 399,911 connections were counted in a simulated day of a small fleet, and 3.9 in place
-	// of 58.9 seconds of processor time with this and the greeting's check of names. The
-	// second itself is chosen, not measured; it must not be smaller than reconnectMax, the
-	// wait between dials of a daemon that is not there.
+	// at once. Where two names led to one address, each dial displaced the other's link:
+	// 399,911 connections in a simulated day of a small fleet, which took 58.9 s of processor
+	// time, and 3.9 s with this and the greeting's check of names. The second itself is
+	// chosen, not measured; it must not be smaller than reconnectMax, the wait between dials
+	// of a daemon that is not there.
 	stableAfter = time.Second
 	// lostLinkReplacedAfter is how long a daemon that was in reach may be out of reach
 	// before another one is linked to beside it. Chosen, not measured; it must be larger
@@ -39,14 +41,13 @@
 	// are remembered, as suspect ones. Chosen, not measured; it must be larger than
 	// lostLinkReplacedAfter.
 	endpointsForgottenAfter = 30 * time.Second
-	// withdrawnMemory is how long it is remembered that a daemon named an
-	// instance as having left. Chosen, not measured; it must be longer than a heartbeat of
-	// an instance may be late, because a late one must not bring the instance back.
+	// withdrawnMemory is how long it is remembered that a daemon said that an instance left
+	// for good. Chosen, not measured; it must be longer than a heartbeat of an instance may
+	// be late, because a late one must not bring the instance back.
 	withdrawnMemory = 10 * time.Minute
-	// displacedRecheck is how long a daemon in whose place another one answered is not
-	// dialed, unless something newer is heard of it. Its entry in the directory may stay
-	// for good. Chosen, not measured: one dial a minute is cheap; it must be larger than
-	// directoryInterval, so that a corrected entry is read before the dial.
+	// displacedRecheck is how long a daemon is not dialed at an address where another one
+	// answered; its directory entry may stay for good. Chosen, not measured; it must be
+	// larger than directoryInterval, so that a corrected entry is read before the dial.
 	displacedRecheck = time.Minute
 )
 
@@ -56,11 +57,9 @@
 const (
 	// zoneWait is how long a daemon waits at the most for one of its own zone to get a
 	// version that only daemons of other zones have. The wait is drawn at random, so that
-	// about one daemon of a zone fetches the version over the zone's border and the others
-	// have it from there. Without the wait two or three daemons of a zone fetched each
-	// version; the scores of a quiet day, a day with faults and a day of growth in a
-	// simulated fleet (1 is the best) were 0.702, 0.713, 0.789 without it and 0.708, 0.726,
-	// 0.786 with it. The 400 ms themselves are chosen, not measured.
+	// about one daemon of a zone fetches the version from another zone. Without the wait two
+	// or three did; the scores were 0.702, 0.713, 0.789 without it and 0.708, 0.726, 0.786
+	// with it. The 400 ms themselves are chosen, not measured.
 	zoneWait = 400 * time.Millisecond
 	// answerWait is how long an asked daemon has before another one is asked. Chosen, not
 	// measured; it must be larger than a round trip between regions (40 ms) and the
@@ -76,11 +75,10 @@
 	// Chosen, not measured.
 	zoneGain = 100 * time.Millisecond
 	// regionGain holds between the zones of a region, where bytes have a price. It is two
-	// intervals of the regular heartbeats: a zone has several links to others, one of
-	// which brings a confirmation soon, and the daemons of the zone pass it on. The scores
-	// of a quiet day, a day with faults and a day of growth in a simulated fleet (1 is the
-	// best) were 0.686, 0.708, 0.777 with confirmations sent over zone borders at once, and
-	// 0.702, 0.713, 0.789 with this.
+	// intervals of the regular heartbeats: one of a zone's several links to others brings a
+	// confirmation soon, and the daemons of the zone pass it on. The scores were 0.686,
+	// 0.708, 0.777 with confirmations sent to other zones at once, and 0.702, 0.713, 0.789
+	// with this.
 	regionGain = 2 * time.Second
 	// otherRegionGain holds between regions, where bytes cost almost four times as much.
 	// It is four intervals of the regular heartbeats, which carry confirmations anyway.
@@ -95,22 +93,20 @@
 	directoryRetryMin = 200 * time.Millisecond
 	directoryRetryMax = 2 * time.Second
 	// relistMin is the time until the second list after this daemon was published; it
-	// doubles with each further one. Daemons that start at the same time may miss each
-	// other at first, because lists are stale. Measured only together with starts that do
-	// not poll where others had confirmed: the scores of a quiet day, a day with faults and
-	// a day of growth in a simulated fleet (1 is the best) rose from 0.658, 0.696, 0.762 to
-	// 0.686, 0.708, 0.777.
+	// doubles with each further one, because daemons that start at the same time are missing
+	// from each other's stale lists. Measured only together with starts that do not poll
+	// where others had confirmed: the scores rose from 0.658, 0.696, 0.762 to 0.686, 0.708,
+	// 0.777.
 	relistMin = 250 * time.Millisecond
-	// directoryInterval is the time between two lists. It is long because each daemon also
-	// greets those that it dials. Chosen, not measured; it must be larger than
+	// directoryInterval is the time between two lists; it may be long because each daemon
+	// also greets those that it dials. Chosen, not measured; it must be larger than
 	// directoryRetryMax.
 	directoryInterval = 15 * time.Second
 	// intervalPerMember makes that time longer where the list is long, so that the rate of
 	// entries listed by one daemon is bounded by ten a second. Chosen, not measured.
 	intervalPerMember = 100 * time.Millisecond
-	// maxListInterval is the longest that the time between two lists can be, that of the
-	// largest fleet. It bounds the doubling: without it the number overflowed after 55
-	// lists, which took 10 minutes under virtual time, and the directory was then listed
-	// without any wait.
+	// maxListInterval, the interval of the largest fleet, bounds the doubling: without it the
+	// duration overflowed after 55 lists, 10 minutes under virtual time, and the directory
+	// was then listed without any wait.
 	maxListInterval = maxMembers * intervalPerMember
 )
--- a/internal/distribution/fleet/timing_test.go
+++ b/internal/distribution/fleet/timing_test.go
@@ -77,7 +77,7 @@
 		dialing := newTestFleet(1, peerIn("silent", "a", 0))
 		dialing.config.Calls = &callmux.Client{Network: &silentNetwork{}, Maintained: true, Hello: &lapisv1.Hello{Node: "self"}}
 		began := time.Now()
-		_, err := dialing.connect(t.Context(), dialing.members["silent"])
+		_, err := dialing.connect(t.Context(), dialing.peers["silent"])
 		assert.Assert(t, err != nil)
 		took := time.Since(began)
 		assert.Assert(t, took > 0 && took < connectTimeout, "given up after %s", took)
