--- a/internal/distribution/changelog/accept.go
+++ b/internal/distribution/changelog/accept.go
@@ -18,9 +18,8 @@
 // Bounds of an accept. Both are chosen, not measured; together the waits must stay well
 // under the time that the operators' interface gives a request (20 s).
 const (
-	// maxAcceptAttempts bounds the compare-and-swap attempts of one accept. It must be
-	// larger than the number of operators that write at the same time, since each round
-	// has one winner.
+	// maxAcceptAttempts bounds the compare-and-swap attempts of one accept. It must be larger
+	// than the number of operators that write at the same time, since each round has one winner.
 	maxAcceptAttempts = 50
 	// acceptBackoff is the longest wait between two attempts; it is random, so that
 	// racing operators spread.
@@ -81,15 +80,14 @@
 	return open, nil
 }
 
-// Accept makes proposal the next revision and returns its number. Each attempt reads the
-// accept register first, so that the proposal's operation id makes it take effect once,
-// however often Accept is called and whichever answers are lost. In this order an attempt
-// ends with: the revision that has the operation id already; a conflict with a later
-// change of the same object; validation faults; the outcome of the compare-and-swap
-// write. It is repeated only when the object API did not answer or another write was
-// first. Errors: OperatorConflict naming the other change, a *result.List of validation
-// faults, OperatorStaleProposal, and OperatorOutcomeUnknown when any attempt may have
-// written.
+// Accept makes proposal the next revision and returns its number. Each attempt reads the accept
+// register first, so that the proposal's operation id makes it take effect once, however often
+// Accept is called and whichever answers are lost. In this order an attempt ends with: the
+// revision that has the operation id already; a conflict with a later change of the same object;
+// validation faults; the outcome of the compare-and-swap write. It is repeated only when the
+// object API did not answer or another write was first. Errors: OperatorConflict naming the
+// other change, a *result.List of validation faults, OperatorStaleProposal, and
+// OperatorOutcomeUnknown when any attempt may have written.
 func (l *Log) Accept(ctx context.Context, proposal *lapisv1.Proposal) (uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/distribution/changelog/compact.go
+++ b/internal/distribution/changelog/compact.go
@@ -28,11 +28,10 @@
 	deletesPerCompaction = 300
 )
 
-// Compact stores a snapshot when SnapshotEvery revisions were accepted since the newest
-// one, and then deletes, in this order, older snapshots, revisions and proposals. One
-// reader calls it periodically; two callers at once do no harm, because snapshots are
-// immutable and deletions are of fixed keys. Errors: platform codes; the next call goes
-// on where this one stopped.
+// Compact stores a snapshot when SnapshotEvery revisions were accepted since the newest one, and
+// then deletes, in this order, older snapshots, revisions and proposals. One reader calls it
+// periodically; two callers at once do no harm, because snapshots are immutable and deletions
+// are of fixed keys. Errors: platform codes; the next call goes on where this one stopped.
 func (l *Log) Compact(ctx context.Context) error {
 	state := l.State()
 	snapshots, err := l.store.List(ctx, snapshotPrefix, "", 0)
--- a/internal/distribution/changelog/log.go
+++ b/internal/distribution/changelog/log.go
@@ -2,6 +2,9 @@
 
 import (
 	"context"
+	"fmt"
+	"strconv"
+	"strings"
 	"sync"
 	"time"
 
@@ -172,8 +175,7 @@
 	return state, nil
 }
 
-// loadSnapshot reads the newest stored snapshot, the empty state when there is
-// none.
+// loadSnapshot reads the newest stored snapshot, the empty state when there is none.
 func (l *Log) loadSnapshot(ctx context.Context) (*meshconfig.State, error) {
 	list, err := l.store.List(ctx, snapshotPrefix, "", 0)
 	if err != nil {
@@ -239,3 +241,28 @@
 func decode(object objectapi.Object, target proto.Message) error {
 	return result.Wrap(result.PlatformBadAnswer, proto.Unmarshal(object.Value, target), "decoding %s", object.Key)
 }
+
+// Keys in the object API.
+const (
+	// HeadKey is the accept register.
+	HeadKey = "log/head"
+	// HeadPrefix is the prefix to watch for accepted revisions.
+	HeadPrefix = "log/"
+
+	revisionPrefix = "revisions/"
+	snapshotPrefix = "snapshots/"
+	proposalPrefix = "proposals/"
+)
+
+func revisionKey(number uint64) string { return fmt.Sprintf("%s%020d", revisionPrefix, number) }
+
+func snapshotKey(number uint64) string { return fmt.Sprintf("%s%020d", snapshotPrefix, number) }
+
+func proposalKey(operation string) string { return proposalPrefix + operation }
+
+// parseNumber returns the number at the end of a revision or snapshot key.
+func parseNumber(key string) (uint64, bool) {
+	index := strings.LastIndexByte(key, '/')
+	number, err := strconv.ParseUint(key[index+1:], 10, 64)
+	return number, err == nil
+}
--- a/internal/distribution/configsource/configsource.go
+++ b/internal/distribution/configsource/configsource.go
@@ -12,23 +12,22 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Position is a place in the source's history; the source gives it out. It is one
-// for all that the source keeps, and the revisions of orders are positions.
+// Position is a place in the source's history, one for the configuration and the orders
+// together; the revisions of orders are positions.
 type Position uint64
 
-// Source is where configurations come from. An error with a code of 2xxx, or
-// PlatformBadAnswer, says that the configuration at the returned position cannot
-// be used; any other that the source was not reached.
+// Source is where configurations and orders come from. An error with a code of 2xxx, or
+// PlatformBadAnswer, means that the configuration at the returned position cannot be used;
+// any other, that the source was not reached.
 type Source interface {
 	// Latest returns the configuration as it stands, with its position; nil
 	// when there is none yet.
 	Latest(ctx context.Context) (*lapisv1.Configuration, Position, error)
-	// Next waits for a configuration after position. It returns nil and the
-	// position up to which there was none when the wait was over. Errors:
-	// PlatformCompacted when the history after position is deleted.
+	// Next waits for a configuration after a position. When the wait ends without one it
+	// returns nil and the position up to which there was none. Errors: PlatformCompacted
+	// when the history after the given position is deleted.
 	Next(ctx context.Context, after Position, wait time.Duration) (*lapisv1.Configuration, Position, error)
-	// Orders returns all orders as they stand, at the revision that is the source's
-	// position.
+	// Orders returns all orders as they stand, at the revision that is the source's position.
 	Orders(ctx context.Context) (*orders.Set, error)
 }
 
@@ -36,18 +35,16 @@
 // counters may be read at any time.
 type Follower struct {
 	Source Source
-	// Apply puts a configuration in force. It is called for each one that the
-	// source brings, also for one that is in force already.
+	// Apply puts a configuration in force; it may be in force already.
 	Apply func(*lapisv1.Configuration)
-	// ApplyOrders puts orders in force. It is called with each answer, also with one
-	// that asks for what is in force already; nil where operators give no orders.
+	// ApplyOrders puts orders in force, which may be in force already; nil where operators
+	// give no orders.
 	ApplyOrders func(*orders.Set)
 	// OrdersBound is the time within which orders must be in force.
 	OrdersBound time.Duration
-	// Freshness is shared with whoever hears of other daemons' confirmations.
+	// Freshness is shared with what receives other daemons' confirmations.
 	Freshness *Freshness
-	// Confirmed is called after each answer of the source, once what it brought
-	// is in force.
+	// Confirmed is called after each answered poll, once what it brought is in force.
 	Confirmed func()
 	// Awaited reports whether a call waits for the first configuration; nil where none
 	// ever does.
@@ -61,8 +58,8 @@
 	MinInterval func() time.Duration
 	// Random returns numbers between 0 and 1.
 	Random func() float64
-	// Resumed has Run check again whether a poll is due, because the machine was
-	// suspended and the clock has jumped ahead of the timer; nil for never.
+	// Resumed makes Run check again whether a poll is due, because the clock has jumped ahead
+	// of the timer while the machine was suspended; nil for never.
 	Resumed <-chan struct{}
 	Logger  logr.Logger
 
@@ -70,15 +67,14 @@
 	// FailedPolls the polls that were not answered.
 	ConfigurationRequests, OrderRequests, FailedPolls atomic.Int64
 
-	// The following belong to Run. position is how far the source's history is
-	// known, if it is; failing is true after a poll without an answer, the
-	// last one at failedAt.
-	position Position
-	known    bool
-	failing  bool
-	failedAt time.Time
-	// ordersRead is what this daemon has read of the orders itself.
-	ordersRead ordersRead
+	// The following belong to Run. position is how far the source's history has been read,
+	// valid while positionKnown; failing is true after a poll without an answer, the last of
+	// which ended at failedAt.
+	position      Position
+	positionKnown bool
+	failing       bool
+	failedAt      time.Time
+	ordersRead    ordersRead
 }
 
 // Run follows the source until ctx ends.
@@ -100,7 +96,7 @@
 }
 
 // untilPoll returns the time until a poll may be due, 0 or less when it is, and logs what
-// another daemon's confirmation has changed since it was called before.
+// another daemon's confirmation has changed since the last call.
 func (f *Follower) untilPoll(plan *schedule) time.Duration {
 	wasPoller := plan.activePoller
 	starting := plan.confirmed.IsZero()
@@ -122,8 +118,8 @@
 }
 
 // wait waits until a poll may be due; it reports false when ctx ended.
-func (f *Follower) wait(ctx context.Context, most time.Duration) bool {
-	timer := time.NewTimer(most)
+func (f *Follower) wait(ctx context.Context, longest time.Duration) bool {
+	timer := time.NewTimer(longest)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -133,8 +129,8 @@
 	return ctx.Err() == nil
 }
 
-// regained logs that the source's state is followed again, through this daemon itself or
-// another one.
+// regained logs that the source is followed again, through this daemon's own poll or
+// another daemon's.
 func (f *Follower) regained(by string) {
 	f.failing = false
 	f.Logger.Info("source.regained", "position", uint64(f.position), "by", by)
--- a/internal/distribution/configsource/doc.go
+++ b/internal/distribution/configsource/doc.go
@@ -11,10 +11,9 @@
 // schedule of its polls, and the record of confirmations; all in memory, lost with the
 // process. It starts no goroutine: Run works in its caller's.
 //
-// What it relies on. A Source whose answer contains all that was accepted before the poll
-// began. Apply and ApplyOrders put a version in force before they return and advance
-// Freshness. Ages are measured by boottime, because the source goes on while this machine is
-// suspended.
+// What it relies on. A Source whose answer contains all that was accepted before the poll began.
+// Apply and ApplyOrders put a version in force before they return and advance Freshness. Ages
+// are measured by boottime, because the source goes on while this machine is suspended.
 //
 // What must hold. A confirmation is never newer than the start of the poll that gave it. A
 // version that cannot be used, an outage or a slow source leave in force what is in force,
--- a/internal/distribution/configsource/freshness.go
+++ b/internal/distribution/configsource/freshness.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// Versions are what a daemon has in force, 0 for what it has not.
+// Versions are the revisions that a daemon has in force, 0 for none.
 type Versions struct {
-	// Configuration is the revision of the configuration.
 	Configuration uint64
 	// Orders is the revision of the operators' orders.
 	Orders uint64
@@ -27,16 +26,16 @@
 	// mutex protects everything below.
 	mutex    sync.Mutex
 	versions Versions
-	// confirmed is such that nothing newer than versions had been accepted before it.
+	// confirmed is the newest time before which nothing newer than versions was accepted.
 	confirmed time.Time
-	// pending state the same of versions that are not in force here yet, in order of
-	// the configuration's revision.
+	// pending are confirmations of versions that are not in force here yet, in order of the
+	// configuration's revision.
 	pending []confirmation
 }
 
-// maxPending bounds the confirmations that wait for their versions. In a storm of
-// versions a daemon is behind by a few. Chosen, not measured; it must be larger than 1: with
-// only the newest one kept, 5 to 10 daemons polled at once in a storm of versions.
+// maxPending bounds the confirmations that wait for their versions. Chosen, not measured; it
+// must be larger than 1: with only the newest one kept, 5 to 10 daemons polled at once while
+// versions followed each other quickly.
 const maxPending = 16
 
 // confirmation states that nothing newer than versions had been accepted before at.
@@ -50,11 +49,11 @@
 //
 // Conditions, in this order. A confirmation without orders is ignored where operators give
 // orders, and so is one of older orders than those in force. One of versions that are not in
-// force here yet counts from when they are. One that is older than what is known is ignored.
+// force here yet counts once they are. One that is older than the newest known is ignored.
 //
-// Reason: of the configuration, a statement about an older revision holds for a newer one
-// too, because revisions only grow. Of the orders it does not: an order may be given and
-// taken away, and who read them before and after says nothing of who read them between.
+// Reason: a confirmation of an older configuration holds for a newer one too, because
+// revisions only grow. One of older orders does not: an order may be given and withdrawn in
+// between, so that equal orders at two times prove nothing of the time between.
 func (f *Freshness) Confirm(versions Versions, at time.Time) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -113,14 +112,14 @@
 	})
 }
 
-// keepPending keeps a confirmation unless one that is kept says more; mutex is held.
+// keepPending keeps a confirmation unless another one kept covers it; mutex is held.
 func (f *Freshness) keepPending(stated confirmation) {
 	for index, kept := range f.pending {
 		if kept.versions.Orders != stated.versions.Orders {
 			continue
 		}
 		if kept.versions.Configuration > stated.versions.Configuration {
-			// One of an older revision that is as late would say more.
+			// A confirmation of an older revision covers more, so that stated is kept too.
 			break
 		}
 		if !stated.at.After(kept.at) {
@@ -140,7 +139,7 @@
 	})
 }
 
-// InForce returns what is in force and its newest confirmation, zero before the
+// InForce returns what is in force and the time of its newest confirmation, zero before the
 // first.
 func (f *Freshness) InForce() (versions Versions, confirmed time.Time) {
 	f.mutex.Lock()
@@ -148,8 +147,7 @@
 	return f.versions, f.confirmed
 }
 
-// Confirmed returns the newest confirmation of what is in force, zero before the
-// first.
+// Confirmed returns the time of the newest confirmation, zero before the first.
 func (f *Freshness) Confirmed() time.Time {
 	_, confirmed := f.InForce()
 	return confirmed
--- a/internal/distribution/configsource/poll.go
+++ b/internal/distribution/configsource/poll.go
@@ -9,21 +9,22 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// historyTrusted is the age of the last answer from which the configuration is read whole
-// and not the history after that answer. It must be below the time for which sources keep
-// their history, ten seconds; chosen within that, not measured.
-const historyTrusted = 8 * time.Second
-
-// shortestWait is the wait that is stated to a source that is only to say what is there. It
-// is the least that can be stated in milliseconds.
-const shortestWait = time.Millisecond
+const (
+	// historyTrusted is the age of the last answer beyond which the whole configuration is
+	// read instead of the history after that answer. Chosen, not measured; it must be below
+	// the time for which sources keep their history, ten seconds.
+	historyTrusted = 8 * time.Second
+	// shortestWait is the wait asked of Source.Next for an answer at once. Sources count in
+	// milliseconds.
+	shortestWait = time.Millisecond
+)
 
 // poll polls the source once and records the outcome.
 func (f *Follower) poll(ctx context.Context, plan *schedule) {
 	began := boottime.Now()
 	confirmed := f.Freshness.Confirmed()
 	if !plan.activePoller && began.Sub(plan.polledAt) > historyTrusted {
-		f.known = false
+		f.positionKnown = false
 	}
 	err := f.readOnce(ctx, began)
 	if ctx.Err() != nil {
@@ -46,19 +47,18 @@
 	f.Confirmed()
 }
 
-// readOnce reads all that is followed in a poll that began at a time. It succeeds only when
-// both the configuration and the orders are known to be the newest of that time. In quiet
-// times that is one request: the answer about the one names the source's position, which
-// says whether the other may have changed.
+// readOnce reads the configuration and the orders. It succeeds only when both are the newest
+// of the time when the poll began. While nothing changes one request is enough: its answer
+// names the source's position, which tells whether the other may have changed.
 func (f *Follower) readOnce(ctx context.Context, began time.Time) error {
 	overdue := f.ApplyOrders != nil && f.ordersRead.overdue(began, f.OrdersBound)
-	// After a failure the configuration goes first: it must be followed also where
-	// only the orders cannot be had.
+	// After a failure the configuration goes first: it must be followed even where only
+	// the orders cannot be read.
 	if overdue && !f.failing {
 		if err := f.readOrders(ctx, began); err != nil {
 			return err
 		}
-		if f.known && f.ordersRead.position == f.position {
+		if f.positionKnown && f.ordersRead.position == f.position {
 			return nil
 		}
 		return f.readConfiguration(ctx)
@@ -72,12 +72,12 @@
 	return nil
 }
 
-// readConfiguration asks the source for what is newer than the known position, or for
-// the whole. A configuration that cannot be used counts as an answer.
+// readConfiguration asks the source for a newer configuration, or for the whole one when the
+// position is not known. One that cannot be used counts as an answer.
 func (f *Follower) readConfiguration(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout(f.Bound, f.failing))
 	defer cancel()
-	next, err := f.request(ctx, f.position, f.known)
+	next, err := f.request(ctx, f.position, f.positionKnown)
 	if result.Is(err, result.PlatformCompacted) {
 		f.Logger.Info("source.history_gone", "position", uint64(f.position))
 		next, err = f.request(ctx, f.position, false)
@@ -88,7 +88,7 @@
 	}
 	if err == nil {
 		f.position = next
-		f.known = true
+		f.positionKnown = true
 	}
 	return err
 }
@@ -100,7 +100,7 @@
 	return err != nil && ok && (code.Validation() || code == result.PlatformBadAnswer)
 }
 
-// request asks the source once, for the whole when no position is known.
+// request makes one request to the source and applies what it brings.
 func (f *Follower) request(ctx context.Context, position Position, known bool) (Position, error) {
 	var configuration *lapisv1.Configuration
 	var err error
@@ -140,8 +140,8 @@
 	f.FailedPolls.Add(1)
 }
 
-// logTakeOver logs that this daemon is the active poller from now, and how old the last
-// confirmation was that it had heard of.
+// logTakeOver logs that this daemon becomes the active poller, and the age of the newest
+// confirmation that it knew.
 func (f *Follower) logTakeOver(began, confirmed time.Time) {
 	if confirmed.IsZero() {
 		f.Logger.Info("source.lead_taken", "position", uint64(f.position), "confirmed", false)
--- a/internal/distribution/configsource/schedule.go
+++ b/internal/distribution/configsource/schedule.go
@@ -13,12 +13,11 @@
 // the time of the last poll without an answer. All times are in parts of the bound within
 // which an accepted configuration must be in force everywhere.
 //
-// Order: the active poller, whose own confirmation is the newest, polls LeadPart after it;
-// any other daemon polls at a random time between EarliestPart and latestPart after the
-// newest confirmation that it knows; one that knows none polls at a random time up to
-// startPart after its start, or awaitedPart once a call waits. The last two never poll before
-// the wait after their last failed poll is over; after a failure a daemon is not the active
-// poller.
+// Order: the active poller, whose own confirmation is the newest, polls LeadPart after it; any
+// other daemon polls at a random time between EarliestPart and latestPart after the newest
+// confirmation that it knows; one that knows none polls at a random time up to startPart after
+// its start, or awaitedPart once a call waits. The last two never poll before the wait after
+// their last failed poll is over; after a failure a daemon is not the active poller.
 //
 // Reason: answers are nearly always the same for all daemons, and each costs the source.
 // Where each of 295 daemons polled for itself they made 9,240 to 14,128 requests in a
@@ -32,17 +31,15 @@
 	// LeadPart is the time after which the active poller polls again. It must be smaller
 	// than EarliestPart.
 	LeadPart = 0.2
-	// EarliestPart and latestPart bound the time after a confirmation in which
-	// any other daemon polls, unless a newer confirmation comes. The earliest
-	// leaves the active poller time for a late answer; the latest must leave time for an
-	// answer within the bound.
+	// EarliestPart and latestPart bound the time after a confirmation in which any other daemon
+	// polls, unless a newer confirmation comes. The earliest leaves the active poller time for a
+	// late answer; the latest must leave time for an answer within the bound.
 	EarliestPart, latestPart = 0.4, 0.6
 	// startPart bounds the time after its start in which a daemon polls unless
 	// another brings the configuration first.
 	startPart = 0.15
-	// awaitedPart is that bound once a call waits for the configuration. The daemons of
-	// a site that starts for the first time leave each other more time, because none
-	// waits: with all starts hurried 24 to 27 more requests were made at a first start.
+	// awaitedPart is that bound once a call waits for the configuration. With it for all
+	// daemons, 24 to 27 more requests were made when a whole site started.
 	awaitedPart = 0.06
 	// retryMinPart and retryMaxPart bound the time between a poll without an answer and
 	// the next one. The least must not be smaller than AnswerPart.
@@ -50,8 +47,8 @@
 	// startRetryPart is how much of that a daemon without a configuration waits.
 	startRetryPart = 0.5
 	// AnswerPart bounds the time that an answer may take while the source answers. After a
-	// poll without an answer it is the whole bound: a source that is slow all the
-	// time is followed late rather than not at all.
+	// poll without an answer it is the whole bound: a source that is always slow is followed
+	// late rather than not at all.
 	AnswerPart = 0.25
 	// ordersPart is the part of the bound for orders after which the active poller reads
 	// the orders whatever the source's position says. It leaves two thirds for a source
@@ -72,8 +69,7 @@
 	return time.Duration(fraction * float64(of))
 }
 
-// answerTimeout bounds the time that an answer may take; failing is true after a poll
-// without an answer.
+// answerTimeout bounds the wait for an answer; failing is true after a poll without one.
 func answerTimeout(bound time.Duration, failing bool) time.Duration {
 	if failing {
 		return bound
@@ -81,15 +77,15 @@
 	return part(bound, AnswerPart)
 }
 
-// ordersRead is when, and up to which position, a daemon has read the orders itself;
-// zero before the first time.
+// ordersRead is when a daemon last read the orders itself, and at which position; zero before
+// the first time.
 type ordersRead struct {
 	at       time.Time
 	position Position
 }
 
-// overdue reports whether the orders are to be read whatever the source's position says:
-// before the first time, and once ordersPart of their bound is over.
+// overdue reports whether the orders are to be read whatever the source's position is: before
+// the first time, and once ordersPart of their bound is over.
 func (o ordersRead) overdue(now time.Time, bound time.Duration) bool {
 	return o.at.IsZero() || now.Sub(o.at) >= part(bound, ordersPart)
 }
@@ -103,14 +99,14 @@
 	// polledAt, is this daemon's own.
 	activePoller bool
 	polledAt     time.Time
-	// confirmed is the confirmation that delay was drawn for, zero before the first;
-	// until then delay counts from started.
+	// confirmed is the confirmation from which delay counts; while it is zero, delay counts
+	// from started.
 	confirmed time.Time
 	started   time.Time
 	delay     time.Duration
 	// hurried is true once delay was shortened because a call waits.
 	hurried bool
-	// notBefore is when a poll may be repeated that got no answer.
+	// notBefore is when a failed poll may be repeated.
 	notBefore time.Time
 }
 
@@ -120,10 +116,9 @@
 	return plan
 }
 
-// draw returns a random time between two parts of the bound. The density grows
-// exponentially with the time, so that of any number of daemons about one draws an
-// early time and few others one that is as early (Nonnenmacher and Biersack,
-// "Optimal multicast feedback", 1998).
+// draw returns a random time between two parts of the bound. The density grows exponentially
+// with the time, so that about one of any number of daemons draws an early time
+// (Nonnenmacher and Biersack, "Optimal multicast feedback", 1998).
 func (s *schedule) draw(earliest, latest float64, daemons int) time.Duration {
 	steepness := math.Log(float64(max(daemons, 2))) + 1
 	position := math.Log(1+s.random()*(math.Exp(steepness)-1)) / steepness
@@ -152,8 +147,7 @@
 	return due
 }
 
-// hurry shortens the time until the first poll, because a call waits for the
-// configuration.
+// hurry shortens the wait for the first poll, because a call waits for the configuration.
 func (s *schedule) hurry() {
 	if s.hurried || !s.confirmed.IsZero() {
 		return
@@ -180,3 +174,24 @@
 	}
 	s.notBefore = now.Add(max(wait, least))
 }
+
+const (
+	// plannedReadsPart is the part of the source's read limit that all daemons together use
+	// while it fails. Chosen, not measured: the other half is for daemons that start.
+	plannedReadsPart = 0.5
+	// intervalsPerBound is how many times the least interval fits into the bound for a
+	// configuration. Chosen, not measured: a daemon whose polls fail must get several of them
+	// into the bound.
+	intervalsPerBound = 5
+)
+
+// MinInterval returns the least time between a failed poll and the next one, for so many
+// daemons at a source that allows all of them readsPerSecond together (0: no limit), where a
+// configuration must be in force within bound.
+func MinInterval(daemons int, readsPerSecond float64, bound time.Duration) time.Duration {
+	interval := bound / intervalsPerBound
+	if readsPerSecond > 0 {
+		interval = max(interval, time.Duration(float64(daemons)/(readsPerSecond*plannedReadsPart)*float64(time.Second)))
+	}
+	return interval
+}
--- a/internal/distribution/fleet/doc.go
+++ b/internal/distribution/fleet/doc.go
@@ -1,6 +1,5 @@
 // Package fleet is a daemon's part in a fleet without a tree: every daemon may read the
-// configuration source itself, and daemons gossip over the connections that carry their
-// calls.
+// configuration source itself, and daemons gossip over the connections that carry their calls.
 //
 // What it is for. A daemon dials a bounded number of other daemons of each service (the
 // rule is in linkchoice.go). Over the connections of both directions it exchanges
--- a/internal/distribution/fleet/inbound.go
+++ b/internal/distribution/fleet/inbound.go
@@ -6,8 +6,7 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// inboundLink is a link that another daemon opened; this daemon's instances are announced
-// on it.
+// inboundLink is a link that another daemon opened; this daemon's instances are announced on it.
 type inboundLink struct {
 	link callmux.Link
 	// node and place are those of the daemon that opened the link.
--- a/internal/distribution/fleet/linkchoice.go
+++ b/internal/distribution/fleet/linkchoice.go
@@ -32,12 +32,11 @@
 	// its place in a large simulated fleet and served no more (score of a day of growth,
 	// where 1 is the best: 0.693 with 8, 0.683 with 16).
 	linksPerService = 8
-	// localLinks is how many of them are of the own zone, as far as there are
-	// any; the others are for the time when the own zone is lost or full. Chosen; 6 links
-	// to the own zone and 6 to others were tried and served no more (scores of
-	// two days in the four seconds of most load, where 1 is the best: 0.776, 0.737 with 6
-	// and 2, and 0.777, 0.724). It must be smaller than
-	// linksPerService.
+	// localLinks is how many of them are of the own zone, as far as there are any; the others
+	// are for the time when the own zone is lost or full. Chosen; 6 links to the own zone and 6
+	// to others were tried and served no more (scores of two days in the four seconds of most
+	// load, where 1 is the best: 0.776, 0.737 with 6 and 2, and 0.777, 0.724). It must be
+	// smaller than linksPerService.
 	localLinks = linksPerService * 3 / 4
 	// regionLinks is the number of daemons of one service in each other region, as far
 	// as there are any: a call may have its home there, and one of them may be lost. Chosen,
@@ -106,9 +105,8 @@
 	}
 }
 
-// addHighestRanked adds the reachable members that rank first up to count, and the
-// unreachable ones that rank before the last of them. It returns the number of reachable
-// ones added.
+// addHighestRanked adds the reachable members that rank first up to count, and the unreachable
+// ones that rank before the last of them. It returns the number of reachable ones added.
 func addHighestRanked(chosen map[string]bool, self Member, members []candidate, count int) (reachable int) {
 	slices.SortFunc(members, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(rank(self, a.Member), rank(self, b.Member)), cmp.Compare(a.Node, b.Node))
@@ -160,13 +158,12 @@
 	}
 }
 
-// unreachable reports whether another daemon is to be linked to beside the peer; it is
-// evaluated with Fleet.mutex held. Conditions, in this order: another daemon answered at its
-// address; it is not chosen, or its link is open; its link was lost since it was chosen, and
-// that is longer ago than lostLinkReplacedAfter; it never opened within
-// unansweredDialReplacedAfter. Daemons that are not chosen must not count as unreachable:
-// with that, the search for a replacement linked to all daemons of a test with 200 (199
-// links; 16 without it).
+// unreachable reports whether another daemon is to be linked to beside the peer; it is evaluated
+// with Fleet.mutex held. Conditions, in this order: another daemon answered at its address; it
+// is not chosen, or its link is open; its link was lost since it was chosen, and that is longer
+// ago than lostLinkReplacedAfter; it never opened within unansweredDialReplacedAfter. Daemons
+// that are not chosen must not count as unreachable: with that, the search for a replacement
+// linked to all daemons of a test with 200 (199 links; 16 without it).
 func (p *peer) unreachable(now time.Time) bool {
 	switch {
 	case !p.displacedAt.IsZero():
--- a/internal/distribution/fleet/timing.go
+++ b/internal/distribution/fleet/timing.go
@@ -76,9 +76,8 @@
 	zoneGain = 100 * time.Millisecond
 	// regionGain holds between the zones of a region, where bytes have a price. It is two
 	// intervals of the regular heartbeats: one of a zone's several links to others brings a
-	// confirmation soon, and the daemons of the zone pass it on. The scores were 0.686,
-	// 0.708, 0.777 with confirmations sent to other zones at once, and 0.702, 0.713, 0.789
-	// with this.
+	// confirmation soon, and the daemons of the zone pass it on. The scores were 0.686, 0.708,
+	// 0.777 with confirmations sent to other zones at once, and 0.702, 0.713, 0.789 with this.
 	regionGain = 2 * time.Second
 	// otherRegionGain holds between regions, where bytes cost almost four times as much.
 	// It is four intervals of the regular heartbeats, which carry confirmations anyway.
@@ -92,11 +91,10 @@
 	// doubles from the one to the other. Chosen, not measured.
 	directoryRetryMin = 200 * time.Millisecond
 	directoryRetryMax = 2 * time.Second
-	// relistMin is the time until the second list after this daemon was published; it
-	// doubles with each further one, because daemons that start at the same time are missing
-	// from each other's stale lists. Measured only together with starts that do not poll
-	// where others had confirmed: the scores rose from 0.658, 0.696, 0.762 to 0.686, 0.708,
-	// 0.777.
+	// relistMin is the time until the second list after this daemon was published; it doubles
+	// with each further one, because daemons that start at the same time are missing from each
+	// other's stale lists. Measured only together with starts that do not poll where others had
+	// confirmed: the scores rose from 0.658, 0.696, 0.762 to 0.686, 0.708, 0.777.
 	relistMin = 250 * time.Millisecond
 	// directoryInterval is the time between two lists; it may be long because each daemon
 	// also greets those that it dials. Chosen, not measured; it must be larger than
--- a/internal/distribution/holdings/apply.go
+++ b/internal/distribution/holdings/apply.go
@@ -14,11 +14,10 @@
 // or a full update. Chosen, not measured; the size of the history kept elsewhere.
 const keptRemovals = 4096
 
-// Apply applies an update for the services of interest, whole or not at all. The checks
-// come in this order: revision, base, bundles, digest of the whole.
-// Errors: DistributionBelowFloor for an older revision, DistributionWrongBase,
-// DistributionDigestMismatch, DistributionBadBundle, DistributionNotClosed;
-// after an error the holdings are unchanged.
+// Apply applies an update for the services of interest, whole or not at all. The checks come in
+// this order: revision, base, bundles, digest of the whole. Errors: DistributionBelowFloor for
+// an older revision, DistributionWrongBase, DistributionDigestMismatch, DistributionBadBundle,
+// DistributionNotClosed; after an error the holdings are unchanged.
 func (h *Holdings) Apply(update *lapisv1.Update, interest Interest) error {
 	if update.GetToRevision() < h.revision {
 		return result.Errorf(result.DistributionBelowFloor, "revision %d after %d", update.GetToRevision(), h.revision)
--- a/internal/distribution/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -41,8 +41,7 @@
 	lastNamed time.Time
 }
 
-// Candidates remembers daemons that may serve as parent. It is not safe for
-// concurrent use.
+// Candidates remembers daemons that may serve as parent. It is not safe for concurrent use.
 type Candidates struct {
 	zone   string
 	region string
@@ -116,8 +115,7 @@
 	}
 }
 
-// Refusals returns the number of daemons that did not accept since the last
-// success.
+// Refusals returns the number of daemons that did not accept since the last success.
 func (c *Candidates) Refusals() uint32 { return c.refusals }
 
 // Failed notes that address could not be reached or did not greet; it is avoided for
@@ -231,8 +229,7 @@
 	return "", false
 }
 
-// pick chooses at random among addresses; sorting first makes a seeded run
-// repeatable.
+// pick chooses at random among addresses; sorting first makes a seeded run repeatable.
 func (c *Candidates) pick(addresses []string) string {
 	slices.Sort(addresses)
 	return addresses[c.random.IntN(len(addresses))]
--- a/internal/distribution/membership/readers.go
+++ b/internal/distribution/membership/readers.go
@@ -16,8 +16,7 @@
 	// first round without a parent. Chosen, not measured; it must be larger than the
 	// seats of a zone, so that the list may hold a dead machine.
 	firstWindow = 3
-	// maxWindowDoublings keeps the window from overflowing; it is then larger than any
-	// zone.
+	// maxWindowDoublings keeps the window from overflowing; it is then larger than any zone.
 	maxWindowDoublings = 16
 )
 
--- a/internal/distribution/membership/source_backoff.go
+++ b/internal/distribution/membership/source_backoff.go
@@ -2,11 +2,10 @@
 
 import "time"
 
-// SourceBackoff says when a daemon without a parent may ask the object API who the
-// readers of its zone are. The first query waits a random time up to a bound, because
-// a lost parent may have had many children and a whole site may start at once; each
-// later one waits twice as long as the one before, up to another bound. It is not safe
-// for concurrent use.
+// SourceBackoff says when a daemon without a parent may ask the object API who the readers of
+// its zone are. The first query waits a random time up to a bound, because a lost parent may
+// have had many children and a whole site may start at once; each later one waits twice as long
+// as the one before, up to another bound. It is not safe for concurrent use.
 type SourceBackoff struct {
 	rounds        int
 	wait, longest time.Duration
--- a/internal/distribution/objectapi/client.go
+++ b/internal/distribution/objectapi/client.go
@@ -36,8 +36,7 @@
 )
 
 // Client speaks the object API's HTTP/JSON protocol. Requests go to one of the configured
-// addresses until a connection to it fails, then to the next. It is safe for concurrent
-// use.
+// addresses until a connection to it fails, then to the next. It is safe for concurrent use.
 type Client struct {
 	addresses []string
 	token     string
@@ -143,8 +142,7 @@
 	}
 }
 
-// exchange sends a bounded request and decodes the JSON answer into answer,
-// which may be nil.
+// exchange sends a bounded request and decodes the JSON answer into answer, which may be nil.
 func (c *Client) exchange(ctx context.Context, method, path string, query url.Values, body []byte, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, RequestTimeout)
 	defer cancel()
@@ -198,3 +196,37 @@
 	err := c.exchange(ctx, http.MethodGet, "/v1/list", query, nil, &list)
 	return list, err
 }
+
+// machineList is a machine list with the tag by which the platform knows it.
+type machineList struct {
+	tag      string
+	machines []Machine
+}
+
+// Machines implements Store. A list that has not changed is not sent again.
+func (c *Client) Machines(ctx context.Context, zone string) ([]Machine, error) {
+	ctx, cancel := context.WithTimeout(ctx, RequestTimeout)
+	defer cancel()
+	c.mutex.Lock()
+	known := c.lists[zone]
+	c.mutex.Unlock()
+	response, err := c.conditional(ctx, http.MethodGet, "/v1/machines", url.Values{"zone": {zone}}, nil, known.tag)
+	if result.Is(err, result.PlatformNotModified) {
+		return known.machines, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	content, err := c.readBody(response, "/v1/machines")
+	if err != nil {
+		return nil, err
+	}
+	read := machineList{tag: response.Header.Get("ETag")}
+	if err := json.Unmarshal(content, &read.machines); err != nil {
+		return nil, result.Wrap(result.PlatformBadAnswer, err, "decoding the machine list")
+	}
+	c.mutex.Lock()
+	c.lists[zone] = read
+	c.mutex.Unlock()
+	return read.machines, nil
+}
--- a/internal/distribution/objectapi/types.go
+++ b/internal/distribution/objectapi/types.go
@@ -72,8 +72,7 @@
 type Store interface {
 	// Get returns an object. Errors: PlatformNotFound and those above.
 	Get(ctx context.Context, key string) (Object, error)
-	// Put writes value if the object's version is expected, and returns the
-	// new version.
+	// Put writes value if the object's version is expected, and returns the new version.
 	Put(ctx context.Context, key string, value []byte, expected int64) (int64, error)
 	// PutStatus writes the status part if the object's version is expected,
 	// so that a former lease holder cannot write.
@@ -92,9 +91,8 @@
 	Machines(ctx context.Context, zone string) ([]Machine, error)
 }
 
-// Watch is a stream of events. Next blocks until an event, an error, or the end of the
-// context given to Store.Watch; one goroutine may call it. Close may be called from
-// another.
+// Watch is a stream of events. Next blocks until an event, an error, or the end of the context
+// given to Store.Watch; one goroutine may call it. Close may be called from another.
 type Watch interface {
 	Next() (Event, error)
 	Close()
--- a/internal/distribution/revisionfloor/broker.go
+++ b/internal/distribution/revisionfloor/broker.go
@@ -22,8 +22,7 @@
 // soon afterwards as there is somebody to ask; Pending says so again. Its outcome is
 // reported with Answer, or with Abort when it will not come.
 type Broker struct {
-	// waiting came after the read under way began and must not be answered
-	// by it.
+	// waiting came after the read under way began and must not be answered by it.
 	waiting []Waiter
 	// reading is answered by the read under way.
 	reading []Waiter
@@ -79,8 +78,7 @@
 	// PeerHeads are the newest revisions of the other readers to which there is a link, each
 	// as old as that reader's last heartbeat.
 	PeerHeads []uint64
-	// KnownReaders is the number of readers last seen in the seats, this one
-	// included.
+	// KnownReaders is the number of readers last seen in the seats, this one included.
 	KnownReaders int
 }
 
--- a/internal/distribution/tree/child.go
+++ b/internal/distribution/tree/child.go
@@ -83,8 +83,7 @@
 	})
 }
 
-// dropChild removes a session and starts to suspect the endpoints that came through
-// it.
+// dropChild removes a session and starts to suspect the endpoints that came through it.
 func (n *Node) dropChild(session *childSession) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/child_admission.go
+++ b/internal/distribution/tree/child_admission.go
@@ -50,8 +50,7 @@
 	}
 }
 
-// referrals names the daemons to which a refused child should go; the caller holds
-// mutex.
+// referrals names the daemons to which a refused child should go; the caller holds mutex.
 func (n *Node) referrals(referral membership.Referral, session *childSession) []*lapisv1.PeerAddress {
 	switch referral {
 	case membership.ReferToZoneReaders:
@@ -65,8 +64,7 @@
 	}
 }
 
-// asParent returns what decides about this node as a parent; the caller holds
-// mutex.
+// asParent returns what decides about this node as a parent; the caller holds mutex.
 func (n *Node) asParent() membership.Parent {
 	return membership.Parent{
 		Node: n.config.Node, Zone: n.config.Zone, Reader: n.reader, Stopping: n.stopping, Path: n.path,
@@ -102,9 +100,8 @@
 	return sessions, children
 }
 
-// redirects names the children with the smallest subtrees and counts the joining
-// subtree towards the first of them, so that children that join together are
-// spread; the caller holds mutex.
+// redirects names the children with the smallest subtrees and counts the joining subtree towards
+// the first of them, so that children that join together are spread; the caller holds mutex.
 func (n *Node) redirects(joiner *childSession) []*lapisv1.PeerAddress {
 	sessions, children := n.reachableChildren()
 	var peers []*lapisv1.PeerAddress
--- a/internal/distribution/tree/child_send.go
+++ b/internal/distribution/tree/child_send.go
@@ -58,8 +58,7 @@
 	return refusalFrame(refusal)
 }
 
-// heartbeatFor returns a heartbeat, with the path when it changed; the caller
-// holds mutex.
+// heartbeatFor returns a heartbeat, with the path when it changed; the caller holds mutex.
 func (n *Node) heartbeatFor(session *childSession) *lapisv1.ControlFrame {
 	heartbeat := &lapisv1.Heartbeat{Detached: len(n.path) == 0, HeadRevision: n.holdings.Revision()}
 	if session.pathDirty {
@@ -88,10 +87,9 @@
 	return update
 }
 
-// paceUpdate returns how long a large update must wait, so that many children that
-// join together do not take the node's whole bandwidth. Small updates, which are not
-// worth compressing either, pass at once. An update larger than the bucket takes
-// all of it.
+// paceUpdate returns how long a large update must wait, so that many children that join together
+// do not take the node's whole bandwidth. Small updates, which are not worth compressing either,
+// pass at once. An update larger than the bucket takes all of it.
 func (n *Node) paceUpdate(size int) time.Duration {
 	if size < wire.CompressAboveBytes {
 		return 0
@@ -100,8 +98,7 @@
 	return n.catchUp.ReserveN(now, min(size, n.catchUp.Burst())).DelayFrom(now)
 }
 
-// endpointsFor returns the endpoint changes the child lacks; the caller holds
-// mutex.
+// endpointsFor returns the endpoint changes the child lacks; the caller holds mutex.
 func (n *Node) endpointsFor(session *childSession) *lapisv1.EndpointBatch {
 	batch := &lapisv1.EndpointBatch{}
 	if !session.fresh.Empty() && n.holdings.Interest().Covers(session.interest) {
--- a/internal/distribution/tree/config.go
+++ b/internal/distribution/tree/config.go
@@ -41,8 +41,7 @@
 	NoSeat bool
 }
 
-// Applied is a version that the node has verified and that the request path
-// must put in force.
+// Applied is a version that the node has verified and that the request path must put in force.
 type Applied struct {
 	Revision           uint64
 	AcceptedUnixMillis int64
@@ -88,8 +87,7 @@
 	Zone     string
 	Role     Role
 	Revision uint64
-	// InForce is the revision that was handed to the observer, 0 before the
-	// floor is known.
+	// InForce is the revision that was handed to the observer, 0 before the floor is known.
 	InForce    uint64
 	FloorKnown bool
 	// Rooted is true while there is a path to a reader.
--- a/internal/distribution/tree/doc.go
+++ b/internal/distribution/tree/doc.go
@@ -1,9 +1,8 @@
-// Package tree distributes the accepted configuration and the endpoints among the daemons.
-// Every daemon is a Node. Readers, a few in each zone, follow the accept register in the
-// object API; every other node is the child of one parent, so that the nodes of a zone
-// form trees of bounded fan-out with the zone's readers as roots. Updates and endpoints
-// flow down, endpoints and status reports flow up, and readers exchange endpoints with
-// each other.
+// Package tree distributes the accepted configuration and the endpoints among the daemons. Every
+// daemon is a Node. Readers, a few in each zone, follow the accept register in the object API;
+// every other node is the child of one parent, so that the nodes of a zone form trees of bounded
+// fan-out with the zone's readers as roots. Updates and endpoints flow down, endpoints and
+// status reports flow up, and readers exchange endpoints with each other.
 //
 // It owns, in memory only: the holdings, the endpoint registry, the floor requests, the
 // candidates for a parent and the view of the seats of one daemon; one connection to the
--- a/internal/distribution/tree/endpoints.go
+++ b/internal/distribution/tree/endpoints.go
@@ -71,8 +71,7 @@
 	n.drainLeaving(statement, now)
 }
 
-// endpointChanged notifies the observer and schedules sending; the caller holds
-// mutex.
+// endpointChanged notifies the observer and schedules sending; the caller holds mutex.
 func (n *Node) endpointChanged(service string) {
 	if n.config.Interest.Has(service) {
 		n.config.Observer.Endpoints(service, n.registry.Service(service))
@@ -80,8 +79,7 @@
 	n.scheduleFlush()
 }
 
-// scheduleFlush sends endpoint changes after EndpointDebounce; the caller
-// holds mutex.
+// scheduleFlush sends endpoint changes after EndpointDebounce; the caller holds mutex.
 func (n *Node) scheduleFlush() {
 	if n.flushScheduled {
 		return
--- a/internal/distribution/tree/floors.go
+++ b/internal/distribution/tree/floors.go
@@ -91,8 +91,7 @@
 	}
 }
 
-// readFloor answers from the accept register or, during an outage, from what the
-// readers hold.
+// readFloor answers from the accept register or, during an outage, from what the readers hold.
 func (n *Node) readFloor() {
 	time.Sleep(floorSpacing)
 	ctx, cancel := context.WithTimeout(context.Background(), floorReadTimeout)
@@ -108,8 +107,7 @@
 	n.answerFloor(reply)
 }
 
-// readerView returns what this reader knows without the object API; the caller
-// holds mutex.
+// readerView returns what this reader knows without the object API; the caller holds mutex.
 func (n *Node) readerView() revisionfloor.ReaderView {
 	view := revisionfloor.ReaderView{
 		Head:           n.holdings.Revision(),
--- a/internal/distribution/tree/interest.go
+++ b/internal/distribution/tree/interest.go
@@ -6,8 +6,7 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
 )
 
-// neededInterest returns what this node and its children need; the caller
-// holds mutex.
+// neededInterest returns what this node and its children need; the caller holds mutex.
 func (n *Node) neededInterest() holdings.Interest {
 	needed := n.config.Interest
 	for _, child := range n.children {
@@ -16,8 +15,7 @@
 	return needed
 }
 
-// request replaces the interest that the parent is asked to serve; the caller holds
-// mutex.
+// request replaces the interest that the parent is asked to serve; the caller holds mutex.
 func (n *Node) request(interest holdings.Interest) {
 	n.requested = interest
 	n.requestedVersion++
@@ -63,8 +61,7 @@
 	return interest, ok
 }
 
-// coverSubscription notes that the holdings now cover version; the caller
-// holds mutex.
+// coverSubscription notes that the holdings now cover version; the caller holds mutex.
 func (n *Node) coverSubscription(version uint64) {
 	n.coveredVersion = version
 	for pending := range n.pendingInterests {
--- a/internal/distribution/tree/link.go
+++ b/internal/distribution/tree/link.go
@@ -24,9 +24,8 @@
 	sendTimeout = 5 * time.Second
 )
 
-// peerLink is the part that every connection of the tree has in common, whether its
-// peer is the parent, a child or another reader. Its methods are safe for
-// concurrent use.
+// peerLink is the part that every connection of the tree has in common, whether its peer is the
+// parent, a child or another reader. Its methods are safe for concurrent use.
 type peerLink struct {
 	cancel context.CancelFunc
 	wake   chan struct{}
@@ -78,9 +77,8 @@
 	handle func(*lapisv1.ControlFrame) error
 }
 
-// exchange sends and receives on conn until ctx or the link ends, and returns why
-// it ended. A peer that is silent for LinkSilence is taken as lost. The caller
-// closes conn afterwards.
+// exchange sends and receives on conn until ctx or the link ends, and returns why it ended. A
+// peer that is silent for LinkSilence is taken as lost. The caller closes conn afterwards.
 func (n *Node) exchange(ctx context.Context, link peerLink, conn *wire.Conn, protocol linkProtocol) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/distribution/tree/machines.go
+++ b/internal/distribution/tree/machines.go
@@ -15,10 +15,9 @@
 // much larger than MachinesInterval, or a short absence from the list undoes a drain.
 const listDrainHold = 30 * time.Second
 
-// reconcileMachines compares the machine list with the endpoints. Those on a machine
-// listed as leaving drain, because that is safe even if the list is wrong. Those on a
-// machine missing from the list stay: the list lags, and a daemon that is lost is
-// noticed by its parent.
+// reconcileMachines compares the machine list with the endpoints. Those on a machine listed as
+// leaving drain, because that is safe even if the list is wrong. Those on a machine missing from
+// the list stay: the list lags, and a daemon that is lost is noticed by its parent.
 func (n *Node) reconcileMachines(machines []objectapi.Machine) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -39,8 +38,7 @@
 	}
 }
 
-// drainLeaving marks an endpoint on a leaving machine as draining; the caller
-// holds mutex.
+// drainLeaving marks an endpoint on a leaving machine as draining; the caller holds mutex.
 func (n *Node) drainLeaving(statement *lapisv1.Endpoint, now time.Time) {
 	if !n.leaving[statement.GetNode()] || statement.GetState() != lapisv1.Endpoint_STATE_READY {
 		return
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -165,9 +165,8 @@
 	}
 }
 
-// Drain tells the children to look for another parent, as the first step of a
-// planned stop. The node accepts no children and takes no seat afterwards, and a reader
-// gives its seat back.
+// Drain tells the children to look for another parent, as the first step of a planned stop. The
+// node accepts no children and takes no seat afterwards, and a reader gives its seat back.
 func (n *Node) Drain() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -226,8 +225,7 @@
 	return merged
 }
 
-// setPath replaces the path from the root and sends it to the children; the caller
-// holds mutex.
+// setPath replaces the path from the root and sends it to the children; the caller holds mutex.
 func (n *Node) setPath(path []string) {
 	if slices.Equal(n.path, path) {
 		return
@@ -237,8 +235,7 @@
 	n.startFloorRead()
 }
 
-// wakeChildren makes every child's sender compute what the child lacks; the caller
-// holds mutex.
+// wakeChildren makes every child's sender compute what the child lacks; the caller holds mutex.
 func (n *Node) wakeChildren() {
 	for _, child := range n.children {
 		child.signal()
--- a/internal/distribution/tree/reader_lease.go
+++ b/internal/distribution/tree/reader_lease.go
@@ -18,8 +18,7 @@
 // measured; a seat that is not given back is free SeatLease after its last renewal.
 const releaseTimeout = 2 * time.Second
 
-// putLease writes the seat if its version is still the one given, and returns the new
-// version.
+// putLease writes the seat if its version is still the one given, and returns the new version.
 func (r *readerRole) putLease(ctx context.Context, version int64) (int64, error) {
 	config := r.node.config
 	r.renewals++
@@ -71,9 +70,8 @@
 	return object.Version, nil
 }
 
-// renew keeps the lease until it is taken over. While the object API does not
-// answer the node stays reader, suspended: nobody else can take the seat then
-// either.
+// renew keeps the lease until it is taken over. While the object API does not answer the node
+// stays reader, suspended: nobody else can take the seat then either.
 func (r *readerRole) renew(ctx context.Context) error {
 	for {
 		if !sleep.For(ctx, seat.RenewAfter(r.node.config.Tunables.SeatLease.Get(), rand.Float64())) {
@@ -116,10 +114,9 @@
 	}
 }
 
-// seatLost reports whether a renewal that ended with err shows that the seat is no longer
-// this node's: another holder or epoch is in it, or its object is gone. Any other failure
-// leaves the question open, and nobody else could take the seat without the object API
-// either.
+// seatLost reports whether a renewal that ended with err shows that the seat is no longer this
+// node's: another holder or epoch is in it, or its object is gone. Any other failure leaves the
+// question open, and nobody else could take the seat without the object API either.
 func seatLost(err error) bool {
 	return result.Is(err, result.DistributionSeatLost) || result.Is(err, result.PlatformNotFound)
 }
--- a/internal/distribution/tree/reader_mesh.go
+++ b/internal/distribution/tree/reader_mesh.go
@@ -16,18 +16,16 @@
 
 // Times of the links between readers. Both are chosen, not measured.
 const (
-	// meshReconcileInterval is how often a reader compares its links with the
-	// readers it knows. It adds to the time in which a new reader hears of the
-	// endpoints below the others.
+	// meshReconcileInterval is how often a reader compares its links with the readers it knows.
+	// It adds to the time in which a new reader hears of the endpoints below the others.
 	meshReconcileInterval = time.Second
 	// meshRedialPause keeps a reader whose peer refuses from dialing it at once
 	// again. It must be larger than meshReconcileInterval to have an effect.
 	meshRedialPause = 2 * time.Second
 )
 
-// readerLink is a link between two readers. Each sends the other the endpoints of
-// its own subtree; nothing is passed on from one reader to a third. Node.mutex
-// protects its fields.
+// readerLink is a link between two readers. Each sends the other the endpoints of its own
+// subtree; nothing is passed on from one reader to a third. Node.mutex protects its fields.
 type readerLink struct {
 	peerLink
 	peer      string
@@ -58,9 +56,8 @@
 	}
 }
 
-// reconcileMesh dials the readers that lack a link. Of two readers the one
-// with the smaller name dials. While the object API cannot be read, the last known
-// readers count.
+// reconcileMesh dials the readers that lack a link. Of two readers the one with the smaller name
+// dials. While the object API cannot be read, the last known readers count.
 func (n *Node) reconcileMesh(ctx context.Context) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/reader_watch.go
+++ b/internal/distribution/tree/reader_watch.go
@@ -86,8 +86,7 @@
 	return read, ended
 }
 
-// consume handles watch events and merges revisions that follow each other
-// quickly.
+// consume handles watch events and merges revisions that follow each other quickly.
 func (r *readerRole) consume(ctx context.Context, watch objectapi.Watch) error {
 	events, failed := readEvents(ctx, watch)
 	debounce := newDebounce(r.node.config.Tunables.DebounceQuiet.Get(), r.node.config.Tunables.DebounceMax.Get())
@@ -165,3 +164,42 @@
 	}
 	return update
 }
+
+// debounce merges changes that follow each other quickly: it is due a quiet
+// time after the last change, but no later than a maximum after the first.
+type debounce struct {
+	quiet, max time.Duration
+	first      time.Time
+	timer      *time.Timer
+}
+
+func newDebounce(quiet, max time.Duration) *debounce {
+	return &debounce{quiet: quiet, max: max}
+}
+
+// changed notes a change at now.
+func (d *debounce) changed(now time.Time) {
+	if d.first.IsZero() {
+		d.first = now
+	}
+	wait := min(d.quiet, d.first.Add(d.max).Sub(now))
+	if d.timer != nil {
+		d.timer.Stop()
+	}
+	d.timer = time.NewTimer(max(wait, 0))
+}
+
+// due returns a channel that delivers when the changes should be handled; it
+// is nil when there are none.
+func (d *debounce) due() <-chan time.Time {
+	if d.timer == nil {
+		return nil
+	}
+	return d.timer.C
+}
+
+// reset forgets the changes handled.
+func (d *debounce) reset() {
+	d.first = time.Time{}
+	d.timer = nil
+}
--- a/internal/distribution/tree/search.go
+++ b/internal/distribution/tree/search.go
@@ -19,9 +19,8 @@
 	backoff membership.SourceBackoff
 }
 
-// candidatePoll is the middle of the wait before looking again for a known daemon to
-// try. Chosen, not measured; it must be small beside the waits after a refusal, whose
-// end it finds.
+// candidatePoll is the middle of the wait before looking again for a known daemon to try.
+// Chosen, not measured; it must be small beside the waits after a refusal, whose end it finds.
 const candidatePoll = 50 * time.Millisecond
 
 func newSearch(node *Node) *search {
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -1,9 +1,12 @@
 package tree
 
 import (
+	"math/rand/v2"
+	"strings"
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/distribution/membership"
 	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
 	"github.com/lapisvane/lapisvane/internal/distribution/seat"
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
@@ -78,3 +81,123 @@
 		n.logSourceError("reading "+object.Key, err)
 	}
 }
+
+// knownReaders returns the readers of the zone, and a few of other zones, those
+// of the own region first, as far as they are known; the caller holds mutex.
+func (n *Node) knownReaders() []*lapisv1.PeerAddress {
+	if !n.reader {
+		return n.learnedReaders
+	}
+	var readers []*lapisv1.PeerAddress
+	for _, holder := range n.seats.Holders(seat.Prefix, boottime.Now()) {
+		readers = append(readers, holder.Peer)
+	}
+	return membership.ReadersToName(readers, n.config.Zone, n.config.Region, rand.Shuffle)
+}
+
+// zoneReaders returns the known readers of the own zone in random order; the caller holds mutex.
+func (n *Node) zoneReaders() []*lapisv1.PeerAddress {
+	var own []*lapisv1.PeerAddress
+	for _, peer := range n.knownReaders() {
+		if peer.GetZone() == n.config.Zone {
+			own = append(own, peer)
+		}
+	}
+	rand.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
+	return own
+}
+
+// learnReaders records the readers that the parent named and passes them on;
+// the caller holds mutex.
+func (n *Node) learnReaders(readers []*lapisv1.PeerAddress) {
+	if len(readers) == 0 {
+		return
+	}
+	n.candidates.Learn(readers, boottime.Now())
+	n.learnedReaders = readers
+	n.repeatPath()
+}
+
+// repeatPath makes every child session send the path and the readers again; the
+// caller holds mutex.
+func (n *Node) repeatPath() {
+	for _, child := range n.children {
+		child.pathDirty = true
+		child.signal()
+	}
+}
+
+// noteHolders sends the readers to the children when the set changed; the caller holds mutex.
+func (n *Node) noteHolders(now time.Time) {
+	var names strings.Builder
+	for _, holder := range n.seats.Holders(seat.Prefix, now) {
+		names.WriteString(holder.Peer.GetNode() + holder.Peer.GetAddress() + " ")
+	}
+	if names.String() != n.holderNames {
+		n.holderNames = names.String()
+		n.repeatPath()
+	}
+}
+
+// offerVacancies invites children to take vacant seats of their zones, one child for each
+// seat. It offers nothing while the object API cannot be read, because silence of a holder
+// proves nothing then; while this node is stopping; and while its own lease has lapsed,
+// because what it knows of the seats may be as old.
+func (n *Node) offerVacancies(now time.Time) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	if !n.sourceSeen || n.stopping || n.lease.State(now) != seat.StateHolding {
+		return
+	}
+	n.noteHolders(now)
+	zones := map[string]bool{n.config.Zone: true}
+	for _, child := range n.children {
+		zones[child.zone] = true
+	}
+	for zone := range zones {
+		for _, vacancy := range n.seats.Vacancies(zone, "", n.config.Tunables.SeatsPerZone, now) {
+			child := n.bestChild(zone)
+			if child == nil {
+				break
+			}
+			child.offer = &lapisv1.SeatOffer{Seat: vacancy.Seat, Version: vacancy.Version, Epoch: vacancy.Epoch}
+			child.signal()
+		}
+	}
+}
+
+// bestChild returns the child of a zone that should become a reader, nil when there
+// is none; the caller holds mutex.
+func (n *Node) bestChild(zone string) *childSession {
+	sessions, children := n.reachableChildren()
+	index, found := membership.BestReader(children, zone)
+	if !found {
+		return nil
+	}
+	return sessions[index]
+}
+
+// sendHome makes the children of other zones whose zone has a reader again join that
+// reader. Only while the object API can be read is it known who is a reader.
+func (n *Node) sendHome(now time.Time) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	if !n.sourceSeen {
+		return
+	}
+	for _, child := range n.children {
+		if child.zone == n.config.Zone {
+			continue
+		}
+		home := n.seats.Holders(seat.ZonePrefix(child.zone), now)
+		if len(home) == 0 {
+			continue
+		}
+		child.homeReaders = nil
+		for _, holder := range home {
+			child.homeReaders = append(child.homeReaders, holder.Peer)
+		}
+		child.expel = true
+		child.signal()
+	}
+}
--- a/internal/distribution/tunables/distribution.go
+++ b/internal/distribution/tunables/distribution.go
@@ -4,17 +4,15 @@
 //
 // It owns no state, goroutines, connections or files, and relies on package result alone.
 //
-// What must hold between the values of a profile is checked by this package's tests;
-// package settings checks what a site overrides. All daemons of a site use the same
-// profile, because a link is lost when the other side sends less often than this one
-// expects.
+// What must hold between the values of a profile is checked by this package's tests; package
+// settings checks what a site overrides. All daemons of a site use the same profile, because a
+// link is lost when the other side sends less often than this one expects.
 package tunables
 
 import "time"
 
-// Distribution holds the tunables of the distribution tree. Its fields are the keys of
-// the settings file below "distribution". Where a value is said to be chosen, no
-// measurement set it.
+// Distribution holds the tunables of the distribution tree. Its fields are the keys of the
+// settings file below "distribution". Where a value is said to be chosen, no measurement set it.
 type Distribution struct {
 	// Fanout is the largest number of children of one daemon. By arithmetic: 24 children
 	// at 300 B and 0.53 changes a second are 4 KB/s, of a budget of 20 KB/s.
@@ -73,10 +71,9 @@
 	// a daemon without a parent to the object API. Chosen.
 	JoinBackoffMin Duration `json:"join_backoff_min"`
 	JoinBackoffMax Duration `json:"join_backoff_max"`
-	// FirstSourceAsk bounds the random wait before a daemon without a parent asks the
-	// object API for the readers. 3 s instead of 1 s halved the queries of a cold start
-	// of 19,000 simulated daemons, 10,150 to 5,436, but made zones that lost both readers
-	// slower, so it is 1 s.
+	// FirstSourceAsk bounds the random wait before a daemon without a parent asks the object API
+	// for the readers. 3 s instead of 1 s halved the queries of a cold start of 19,000 simulated
+	// daemons, 10,150 to 5,436, but made zones that lost both readers slower, so it is 1 s.
 	FirstSourceAsk Duration `json:"first_source_ask"`
 	// InterestShrinkDelay is how long a daemon keeps services that no child wants any
 	// more. Chosen, larger than the time in which a restarted child is back.
