--- a/internal/distribution/holdings/holdings.go
+++ b/internal/distribution/holdings/holdings.go
@@ -51,16 +51,6 @@
 // Bundles returns a copy of the bundles of the services in interest.
 func (h *Holdings) Bundles(interest Interest) map[string]*lapisv1.EncodedBundle {
 	selected := map[string]*lapisv1.EncodedBundle{}
-	if interest.All {
-		for service, entry := range h.bundles {
-			selected[service] = entry.bundle
-		}
-		return selected
-	}
-	for service := range interest.Services {
-		if entry, ok := h.bundles[service]; ok {
-			selected[service] = entry.bundle
-		}
-	}
+	h.visit(interest, func(service string, entry held) { selected[service] = entry.bundle })
 	return selected
 }
--- a/internal/distribution/membership/join.go
+++ b/internal/distribution/membership/join.go
@@ -48,7 +48,7 @@
 
 // Parent is what decides about a daemon that is asked to become a parent.
 type Parent struct {
-	Node, Zone string
+	Zone string
 	// Reader is true while it holds a seat.
 	Reader bool
 	// Stopping is true after a planned stop began.
--- a/internal/distribution/membership/join_test.go
+++ b/internal/distribution/membership/join_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestDecideJoin(t *testing.T) {
-	relay := membership.Parent{Node: "p", Zone: "z", Path: []string{"r", "p"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
-	reader := membership.Parent{Node: "r", Zone: "z", Reader: true, Path: []string{"r"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
+	relay := membership.Parent{Zone: "z", Path: []string{"r", "p"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
+	reader := membership.Parent{Zone: "z", Reader: true, Path: []string{"r"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
 	child := membership.Joiner{Node: "c", Zone: "z", Redirected: true}
 	with := func(parent membership.Parent, change func(*membership.Parent)) membership.Parent {
 		change(&parent)
@@ -51,7 +51,7 @@
 func TestNobodyIsRefusedForDepthForEver(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		maxDepth := rapid.IntRange(2, 10).Draw(rt, "max depth")
-		reader := membership.Parent{Node: "r", Zone: "z", Reader: true, Path: []string{"r"}, Fanout: 24, MaxDepth: maxDepth}
+		reader := membership.Parent{Zone: "z", Reader: true, Path: []string{"r"}, Fanout: 24, MaxDepth: maxDepth}
 		depth := rapid.IntRange(0, 40).Draw(rt, "depth")
 		verdict := membership.DecideJoin(reader, membership.Joiner{Node: "c", Zone: "z", Depth: depth})
 		if verdict == membership.JoinTooDeep {
--- a/internal/distribution/tree/child_admission.go
+++ b/internal/distribution/tree/child_admission.go
@@ -67,7 +67,7 @@
 // asParent returns what decides about this node as a parent; the caller holds mutex.
 func (n *Node) asParent() membership.Parent {
 	return membership.Parent{
-		Node: n.config.Node, Zone: n.config.Zone, Reader: n.reader, Stopping: n.stopping, Path: n.path,
+		Zone: n.config.Zone, Reader: n.reader, Stopping: n.stopping, Path: n.path,
 		Children: len(n.children), KnowsReaders: len(n.zoneReaders()) > 0,
 		Fanout: n.config.Tunables.Fanout, MaxDepth: n.config.Tunables.MaxDepth,
 	}
--- a/internal/distribution/tree/config.go
+++ b/internal/distribution/tree/config.go
@@ -29,13 +29,13 @@
 	Interest holdings.Interest
 	Tunables tunables.Distribution
 	Network  wire.Network
-	// Store is the object API.
-	Store objectapi.Store
+	Store    objectapi.Store
 	// Counters receives the traffic of all links.
 	Counters *wire.Counters
 	// Random chooses among candidates; the node alone uses it, under its lock.
-	Random   *rand.Rand
-	Logger   logr.Logger
+	Random *rand.Rand
+	Logger logr.Logger
+	// Observer must not be nil.
 	Observer Observer
 	// NoSeat keeps the node from ever becoming a reader.
 	NoSeat bool
@@ -59,19 +59,9 @@
 	Endpoints(service string, endpoints []*lapisv1.Endpoint)
 }
 
-// NopObserver ignores all output.
-type NopObserver struct{}
-
-// Apply implements Observer.
-func (NopObserver) Apply(Applied) {}
-
-// Endpoints implements Observer.
-func (NopObserver) Endpoints(string, []*lapisv1.Endpoint) {}
-
 // Role is a node's place in the tree.
 type Role string
 
-// Roles.
 const (
 	// RoleLeaf has no children.
 	RoleLeaf Role = "leaf"
--- a/internal/distribution/tree/endpoints.go
+++ b/internal/distribution/tree/endpoints.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// Endpoints returns what the node knows of a service's instances. It is safe for
-// concurrent use; the endpoints must not be changed.
+// Endpoints returns the known instances of a service, which must not be changed. It is safe for
+// concurrent use.
 func (n *Node) Endpoints(service string) []*lapisv1.Endpoint {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/floors.go
+++ b/internal/distribution/tree/floors.go
@@ -101,7 +101,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if err != nil {
-		n.logSourceError("reading the accept register", err)
+		n.logStoreError("reading the accept register", err)
 		reply = revisionfloor.DuringOutage(n.readerView())
 	}
 	n.answerFloor(reply)
--- a/internal/distribution/tree/interest.go
+++ b/internal/distribution/tree/interest.go
@@ -61,7 +61,7 @@
 	return interest, ok
 }
 
-// coverSubscription notes that the holdings now cover version; the caller holds mutex.
+// coverSubscription records that the holdings now cover version; the caller holds mutex.
 func (n *Node) coverSubscription(version uint64) {
 	n.coveredVersion = version
 	for pending := range n.pendingInterests {
--- a/internal/distribution/tree/link.go
+++ b/internal/distribution/tree/link.go
@@ -45,10 +45,9 @@
 	}
 }
 
-// close ends the link.
 func (l peerLink) close() { l.cancel() }
 
-// sendOccasion is why a link's sender looks for frames to send.
+// sendOccasion is why a link's sender asks for frames to send.
 type sendOccasion struct {
 	// tick is true at the link's regular interval and false after a signal.
 	tick bool
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -49,8 +49,7 @@
 	// statement about one of them.
 	sequence uint64
 	local    []*lapisv1.Endpoint
-	// leaving names the machines that the machine list shows as leaving; only
-	// a reader knows them.
+	// leaving names the machines that the machine list shows as leaving; only readers read it.
 	leaving map[string]bool
 
 	floors *revisionfloor.Broker
@@ -71,32 +70,26 @@
 	// while there is no path to a reader.
 	path       []string
 	candidates *membership.Candidates
-	// learnedReaders are the zone's readers as the parent named them.
+	// learnedReaders are the readers that the parent named.
 	learnedReaders []*lapisv1.PeerAddress
-	// holderNames is the set of readers that was last sent to the children.
-	holderNames string
-	seats       *seat.Table
-	// sourceSeen is false while the object API cannot be read.
-	sourceSeen bool
-	lease      *seat.Lease
+	// sentReaderNames are the readers that a reader last sent to its children.
+	sentReaderNames string
+	seats           *seat.Table
+	// storeReachable is false while the object API cannot be read.
+	storeReachable bool
+	lease          *seat.Lease
 	// reader is true while the node holds a seat.
 	reader bool
 	// offered is the seat that the last parent offered, nil when there is none.
 	offered *seat.Vacancy
 	// stopping is true after Drain.
 	stopping bool
-	counts   nodeCounts
-}
-
-type nodeCounts struct {
-	joins, resyncs, joinsServed, joinsRefused int64
+	// counts are the numbers of the same names in Info.
+	counts struct{ joins, resyncs, joinsServed, joinsRefused int64 }
 }
 
 // New returns a node that does nothing until Run.
 func New(config Config) *Node {
-	if config.Observer == nil {
-		config.Observer = NopObserver{}
-	}
 	tunables := config.Tunables
 	node := &Node{
 		config:           config,
@@ -119,8 +112,8 @@
 	return node
 }
 
-// Run takes part in the distribution until ctx ends. The node alternates
-// between being a child and, after taking a seat, being a reader.
+// Run takes part in the distribution until ctx ends, as a child and, while the node holds a
+// seat, as a reader.
 func (n *Node) Run(ctx context.Context) {
 	go n.requestOwnFloor()
 	go n.housekeep(ctx)
@@ -231,7 +224,7 @@
 		return
 	}
 	n.path = path
-	n.repeatPath()
+	n.resendPath()
 	n.startFloorRead()
 }
 
--- a/internal/distribution/tree/parent.go
+++ b/internal/distribution/tree/parent.go
@@ -47,7 +47,7 @@
 		}
 		choice, ok := n.nextCandidate()
 		if !ok {
-			vacancy, found = search.querySource(ctx)
+			vacancy, found = search.queryStore(ctx)
 			if found {
 				return vacancy, true
 			}
@@ -85,7 +85,7 @@
 	defer common.close()
 	conn, err := n.dial(ctx, choice.Address)
 	if err != nil {
-		n.noteFailure(choice.Address, err)
+		n.recordFailure(choice.Address, err)
 		return false
 	}
 	defer closeConn(conn)
@@ -97,7 +97,7 @@
 	}
 	accepted, err := n.greetParent(link)
 	if err != nil {
-		n.noteFailure(choice.Address, err)
+		n.recordFailure(choice.Address, err)
 	}
 	if err != nil || !accepted {
 		return false
@@ -112,7 +112,7 @@
 	return true
 }
 
-func (n *Node) noteFailure(address string, cause error) {
+func (n *Node) recordFailure(address string, cause error) {
 	n.config.Logger.V(1).Info("peer.connection_ended", "peer", address, "error", cause)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -196,7 +196,7 @@
 	return true, nil
 }
 
-// refused notes where and when to try again.
+// refused records where and when to try again.
 func (n *Node) refused(link *parentLink, refusal *lapisv1.Refusal) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/reader.go
+++ b/internal/distribution/tree/reader.go
@@ -85,7 +85,7 @@
 		}
 		if err := r.node.config.Store.PutStatus(ctx, r.vacancy.Seat, report, version); err != nil {
 			// Tried again at the next interval; the lease decides whether this node may write at all.
-			r.node.logSourceError("writing the status", err)
+			r.node.logStoreError("writing the status", err)
 			continue
 		}
 		written = report
@@ -103,7 +103,7 @@
 	}
 	report, err := proto.MarshalOptions{Deterministic: true}.Marshal(n.report())
 	if err != nil {
-		n.logSourceError("encoding the status", err)
+		n.logStoreError("encoding the status", err)
 		return nil, 0, false
 	}
 	return report, version, true
@@ -115,7 +115,7 @@
 		machines, err := r.node.config.Store.Machines(ctx, r.node.config.Zone)
 		if err != nil {
 			// What the last list said stays in force until the next one is read.
-			r.node.logSourceError("reading the machine list", err)
+			r.node.logStoreError("reading the machine list", err)
 		} else {
 			r.node.reconcileMachines(machines)
 		}
--- a/internal/distribution/tree/reader_lease.go
+++ b/internal/distribution/tree/reader_lease.go
@@ -42,14 +42,14 @@
 	}
 	if err != nil {
 		// Mostly another daemon was first; the node goes on as a child.
-		r.node.logSourceError("taking "+r.vacancy.Seat, err)
+		r.node.logStoreError("taking "+r.vacancy.Seat, err)
 		return false
 	}
 	r.node.mutex.Lock()
 	defer r.node.mutex.Unlock()
 	r.node.lease = seat.NewLease(r.node.config.Tunables.SeatLease.Get())
 	r.node.lease.Acquired(sentAt, version)
-	r.node.sawSource(sentAt)
+	r.node.markStoreReachable(sentAt)
 	return true
 }
 
@@ -108,7 +108,7 @@
 		return err
 	default:
 		// The object API may be out. The lease becomes suspended when it lapses.
-		r.node.logSourceError("renewing "+r.vacancy.Seat, err)
+		r.node.logStoreError("renewing "+r.vacancy.Seat, err)
 		r.node.lease.State(boottime.Now())
 		return nil
 	}
@@ -148,6 +148,6 @@
 	}
 	if err != nil {
 		// The seat is free all the same when the lease has lapsed.
-		r.node.logSourceError("giving back "+r.vacancy.Seat, err)
+		r.node.logStoreError("giving back "+r.vacancy.Seat, err)
 	}
 }
--- a/internal/distribution/tree/reader_mesh.go
+++ b/internal/distribution/tree/reader_mesh.go
@@ -63,7 +63,7 @@
 	defer n.mutex.Unlock()
 	now := boottime.Now()
 	holders := n.seats.KnownHolders(seat.Prefix)
-	if n.sourceSeen {
+	if n.storeReachable {
 		holders = n.seats.Holders(seat.Prefix, now)
 	}
 	for _, holder := range holders {
--- a/internal/distribution/tree/reader_watch.go
+++ b/internal/distribution/tree/reader_watch.go
@@ -20,25 +20,25 @@
 // failure. Both are chosen, not measured; the larger one must stay under the seat's
 // lease, so that a reader sees the object API again in time to renew.
 const (
-	sourceBackoffMin = 100 * time.Millisecond
-	sourceBackoffMax = 3 * time.Second
+	watchBackoffMin = 100 * time.Millisecond
+	watchBackoffMax = 3 * time.Second
 )
 
 // follow keeps up with the accept register and the seats by a watch.
 func (r *readerRole) follow(ctx context.Context) error {
-	backoff := sourceBackoffMin
+	backoff := watchBackoffMin
 	for ctx.Err() == nil {
 		started := boottime.Now()
 		err := r.followOnce(ctx)
-		r.node.lostSource()
+		r.node.markStoreUnreachable()
 		r.node.config.Logger.V(1).Info("reader.watch_ended", "cause", err)
-		if boottime.Since(started) > sourceBackoffMax {
-			backoff = sourceBackoffMin
+		if boottime.Since(started) > watchBackoffMax {
+			backoff = watchBackoffMin
 		}
 		if !sleep.For(ctx, backoff/2+rand.N(backoff)) {
 			break
 		}
-		backoff = min(2*backoff, sourceBackoffMax)
+		backoff = min(2*backoff, watchBackoffMax)
 	}
 	return ctx.Err()
 }
@@ -177,7 +177,6 @@
 	return &debounce{quiet: quiet, max: max}
 }
 
-// changed notes a change at now.
 func (d *debounce) changed(now time.Time) {
 	if d.first.IsZero() {
 		d.first = now
@@ -189,8 +188,7 @@
 	d.timer = time.NewTimer(max(wait, 0))
 }
 
-// due returns a channel that delivers when the changes should be handled; it
-// is nil when there are none.
+// due returns a channel that delivers when the changes are to be handled, nil for none.
 func (d *debounce) due() <-chan time.Time {
 	if d.timer == nil {
 		return nil
@@ -198,7 +196,6 @@
 	return d.timer.C
 }
 
-// reset forgets the changes handled.
 func (d *debounce) reset() {
 	d.first = time.Time{}
 	d.timer = nil
--- a/internal/distribution/tree/search.go
+++ b/internal/distribution/tree/search.go
@@ -29,7 +29,7 @@
 	return search
 }
 
-// reset notes that the node starts or that a parent accepted.
+// reset starts the waits anew: the node starts, or a parent has accepted it.
 func (s *search) reset() {
 	tunables := s.node.config.Tunables
 	s.backoff = membership.NewSourceBackoff(
@@ -38,9 +38,9 @@
 	)
 }
 
-// querySource waits for candidatePoll and then, when it is due, asks the object API who the
+// queryStore waits for candidatePoll and then, when it is due, asks the object API who the
 // zone's readers are. It returns a seat to take, if any.
-func (s *search) querySource(ctx context.Context) (vacancy seat.Vacancy, found bool) {
+func (s *search) queryStore(ctx context.Context) (vacancy seat.Vacancy, found bool) {
 	if !sleep.For(ctx, candidatePoll/2+rand.N(candidatePoll)) || !s.backoff.Due(boottime.Now()) {
 		return seat.Vacancy{}, false
 	}
@@ -48,8 +48,8 @@
 	config := s.node.config
 	list, err := config.Store.List(ctx, seat.ZonePrefix(config.Zone), "", 0)
 	if err != nil {
-		s.node.lostSource()
-		s.node.logSourceError("reading the zone's seats", err)
+		s.node.markStoreUnreachable()
+		s.node.logStoreError("reading the zone's seats", err)
 		return seat.Vacancy{}, false
 	}
 	vacancies := s.node.findReaders(list.Objects)
@@ -58,7 +58,7 @@
 	}
 	machines, err := config.Store.Machines(ctx, config.Zone)
 	if err != nil {
-		s.node.logSourceError("reading the machine list", err)
+		s.node.logStoreError("reading the machine list", err)
 		return seat.Vacancy{}, false
 	}
 	for _, vacancy := range vacancies {
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -12,37 +12,34 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// lostSource notes that the object API cannot be read.
-func (n *Node) lostSource() {
+func (n *Node) markStoreUnreachable() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.sourceSeen = false
+	n.storeReachable = false
 }
 
-// logSourceError writes why a request to the object API failed. The requests are
-// repeated, so the line is for debugging only.
-func (n *Node) logSourceError(request string, err error) {
+// logStoreError logs why a request to the object API failed; the requests are repeated.
+func (n *Node) logStoreError(request string, err error) {
 	n.config.Logger.V(1).Info("source.request_failed", "request", request, "error", err)
 }
 
-// sawSource notes that the object API can be read; the caller holds mutex.
-func (n *Node) sawSource(now time.Time) {
-	if !n.sourceSeen {
-		n.sourceSeen = true
+// markStoreReachable has all leases counted anew after an outage of the object API; the caller
+// holds mutex.
+func (n *Node) markStoreReachable(now time.Time) {
+	if !n.storeReachable {
+		n.storeReachable = true
 		n.seats.Resume(now)
 	}
 }
 
-// observeSeat records one seat as a watch event shows it.
 func (n *Node) observeSeat(object objectapi.Object) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := boottime.Now()
 	n.recordSeat(object, now)
-	n.noteHolders(now)
+	n.sendChangedReaders(now)
 }
 
-// observeAllSeats records the seats of a list.
 func (n *Node) observeAllSeats(objects []objectapi.Object) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -66,9 +63,9 @@
 	return n.seats.Vacancies(n.config.Zone, n.config.Node, n.config.Tunables.SeatsPerZone, now)
 }
 
-// recordSeats records a list of seats; the caller holds mutex.
+// recordSeats records the seats of a list that was just read; the caller holds mutex.
 func (n *Node) recordSeats(objects []objectapi.Object, now time.Time) {
-	n.sawSource(now)
+	n.markStoreReachable(now)
 	for _, object := range objects {
 		n.recordSeat(object, now)
 	}
@@ -78,7 +75,7 @@
 // keeps what was last known of it.
 func (n *Node) recordSeat(object objectapi.Object, now time.Time) {
 	if err := n.seats.Observe(object, now); err != nil {
-		n.logSourceError("reading "+object.Key, err)
+		n.logStoreError("reading "+object.Key, err)
 	}
 }
 
@@ -115,27 +112,26 @@
 	}
 	n.candidates.Learn(readers, boottime.Now())
 	n.learnedReaders = readers
-	n.repeatPath()
+	n.resendPath()
 }
 
-// repeatPath makes every child session send the path and the readers again; the
-// caller holds mutex.
-func (n *Node) repeatPath() {
+// resendPath has the path and the readers sent to every child again; the caller holds mutex.
+func (n *Node) resendPath() {
 	for _, child := range n.children {
 		child.pathDirty = true
 		child.signal()
 	}
 }
 
-// noteHolders sends the readers to the children when the set changed; the caller holds mutex.
-func (n *Node) noteHolders(now time.Time) {
+// sendChangedReaders sends the readers to the children when the set changed; the caller holds mutex.
+func (n *Node) sendChangedReaders(now time.Time) {
 	var names strings.Builder
 	for _, holder := range n.seats.Holders(seat.Prefix, now) {
 		names.WriteString(holder.Peer.GetNode() + holder.Peer.GetAddress() + " ")
 	}
-	if names.String() != n.holderNames {
-		n.holderNames = names.String()
-		n.repeatPath()
+	if names.String() != n.sentReaderNames {
+		n.sentReaderNames = names.String()
+		n.resendPath()
 	}
 }
 
@@ -146,10 +142,10 @@
 func (n *Node) offerVacancies(now time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if !n.sourceSeen || n.stopping || n.lease.State(now) != seat.StateHolding {
+	if !n.storeReachable || n.stopping || n.lease.State(now) != seat.StateHolding {
 		return
 	}
-	n.noteHolders(now)
+	n.sendChangedReaders(now)
 	zones := map[string]bool{n.config.Zone: true}
 	for _, child := range n.children {
 		zones[child.zone] = true
@@ -182,7 +178,7 @@
 func (n *Node) sendHome(now time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if !n.sourceSeen {
+	if !n.storeReachable {
 		return
 	}
 	for _, child := range n.children {
--- a/internal/distribution/tree/times_test.go
+++ b/internal/distribution/tree/times_test.go
@@ -26,8 +26,8 @@
 		}{
 			{"one renewal that fails suspends the reader", 2 * renewal, lease},
 			{"a renewal that hangs outlasts a whole lease", objectapi.RequestTimeout, lease},
-			{"a reader opens its watch again only after its seat was free", sourceBackoffMax, lease},
-			{"the waits before a watch shrink", sourceBackoffMin, sourceBackoffMax},
+			{"a reader opens its watch again only after its seat was free", watchBackoffMax, lease},
+			{"the waits before a watch shrink", watchBackoffMin, watchBackoffMax},
 			{"a floor read ends by the client's time-out and not by its own", floorReadTimeout, objectapi.RequestTimeout},
 			{"a floor read is repeated before it can end", floorSpacing, floorReadTimeout},
 			{"a refusing reader is dialed again by the next comparison", meshReconcileInterval, meshRedialPause},
