--- a/internal/distribution/configsource/schedule.go
+++ b/internal/distribution/configsource/schedule.go
@@ -23,10 +23,10 @@
 // Where each of 295 daemons polled for itself they made 9,240 to 14,128 requests in a
 // simulated day, which cost 0.15 to 0.30 of its score (1 is the best); with this rule small
 // simulated fleets made 161 to 267, and 300 daemons under virtual time 40 to 60 in 20 s, as 2
-// daemons do. No daemon needs another one: whoever hears of no confirmation polls itself.
+// daemons do. No daemon needs another one: one that learns of no confirmation polls itself.
 //
-// The parts are chosen, not measured; TestParts and TestTimesBesideTheBound hold how they hang
-// together. They leave two fifths of the bound for the answer, and for what a slow daemon adds.
+// The parts are chosen, not measured; TestParts and TestTimesBesideTheBound check their
+// relations. They leave two fifths of the bound for the answer and for a slow daemon.
 const (
 	// LeadPart is the time after which the active poller polls again. It must be smaller
 	// than EarliestPart.
--- a/internal/distribution/endpoint/registry.go
+++ b/internal/distribution/endpoint/registry.go
@@ -30,7 +30,7 @@
 	return Key{Service: endpoint.GetService(), Instance: endpoint.GetInstance()}
 }
 
-// Entry is one endpoint with local bookkeeping.
+// Entry is one endpoint with what this daemon knows of its statement.
 type Entry struct {
 	Endpoint *lapisv1.Endpoint
 	// Change is the registry's change number at the entry's last change.
@@ -274,7 +274,7 @@
 // daemon's, local the instances beside it with the states that it announces. In this order:
 //
 //  1. A statement about an instance of another daemon is not this daemon's to refute.
-//  2. One of a newer process on this machine stands: this process is the one that ends.
+//  2. One of a newer process on this machine holds: this process is the one that ends.
 //  3. One that says suspect or gone of an instance that is there is refuted. A drain is
 //     not: it may come from a reader that knows that the machine is leaving.
 func MustRefute(statement *lapisv1.Endpoint, node string, incarnation uint64, local []*lapisv1.Endpoint) bool {
--- a/internal/distribution/fleet/endpoints.go
+++ b/internal/distribution/fleet/endpoints.go
@@ -20,8 +20,10 @@
 		setOrigin(endpoint, f.config.Self, f.config.Incarnation)
 	}
 	f.local = endpoints
+	for inbound := range f.inbound {
+		signal(inbound.announcementChanged)
+	}
 	f.mutex.Unlock()
-	f.announceToAll()
 	signal(f.reportDue)
 }
 
@@ -32,15 +34,6 @@
 	return f.endpoints()[service]
 }
 
-// announceToAll has this daemon's announcement sent on all inbound links.
-func (f *Fleet) announceToAll() {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	for inbound := range f.inbound {
-		signal(inbound.announcementChanged)
-	}
-}
-
 func (f *Fleet) sendAnnouncement(link callmux.Link) {
 	f.mutex.Lock()
 	announcement := f.announcement()
--- a/internal/distribution/fleet/fleet.go
+++ b/internal/distribution/fleet/fleet.go
@@ -94,8 +94,7 @@
 	}
 }
 
-// Run keeps in touch with the other daemons until ctx ends and all goroutines of the fleet
-// with it.
+// Run keeps in touch with the other daemons until ctx ends, and waits for its goroutines.
 func (f *Fleet) Run(ctx context.Context) {
 	f.running.Go(func() { f.followDirectory(ctx) })
 	f.running.Go(func() { f.report(ctx) })
@@ -108,7 +107,7 @@
 // revision returns the revision of the configuration in force, 0 before the first.
 func (f *Fleet) revision() uint64 { return f.config.InForce().GetRevision() }
 
-// signal wakes whoever waits on channel, without waiting itself.
+// signal wakes the goroutine that waits on channel, without waiting itself.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/distribution/fleet/memory_network_test.go
+++ b/internal/distribution/fleet/memory_network_test.go
@@ -12,7 +12,7 @@
 type memoryNetwork struct {
 	// mutex protects the rest.
 	mutex sync.Mutex
-	// accepting are the listeners by address, dials the times of the dials there.
+	// accepting are the listeners, dials the numbers of dials, each by address.
 	accepting map[string]chan net.Conn
 	dials     map[string]int
 }
--- a/internal/distribution/fleet/timing.go
+++ b/internal/distribution/fleet/timing.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// TestTimes holds how the times of this file hang together, and how they fit into the bound
-// for a configuration, the setting platform.apply_bound (2 s unless set otherwise). Where
+// TestTimes checks the times of this file against each other and against the bound for a
+// configuration, the setting platform.apply_bound (2 s unless set otherwise). Where
 // three scores are given, they are of a quiet day, a day with faults and a day of growth in a
 // small simulated fleet; 1 is the best.
 
@@ -55,7 +55,7 @@
 // must come before this one polls the source itself: both together are smaller than
 // configsource.EarliestPart of the bound for a configuration (0.8 s of 2 s).
 const (
-	// zoneWait is how long a daemon waits at the most for one of its own zone to get a
+	// zoneWait is how long a daemon waits at most for one of its own zone to get a
 	// version that only daemons of other zones have. The wait is drawn at random, so that
 	// about one daemon of a zone fetches the version from another zone. Without the wait two
 	// or three did; the scores were 0.702, 0.713, 0.789 without it and 0.708, 0.726, 0.786
--- a/internal/distribution/holdings/apply.go
+++ b/internal/distribution/holdings/apply.go
@@ -79,7 +79,7 @@
 	delete(h.removed, service)
 }
 
-// restrict sets the interest, drops bundles outside it and notes from which
+// restrict sets the interest, drops bundles outside it and records from which
 // revision removals of newly covered services are known.
 func (h *Holdings) restrict(interest Interest) {
 	previous := h.interest
--- a/internal/distribution/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -34,7 +34,7 @@
 	address string
 	zone    string
 	region  string
-	// failures counts those in a row; the daemon is avoided until notBefore.
+	// failures in a row; the daemon is avoided until notBefore.
 	failures  int
 	notBefore time.Time
 	// lastNamed orders candidates for forgetting.
@@ -50,10 +50,9 @@
 	random *rand.Rand
 	// redirects are addresses to try first, once each.
 	redirects []string
-	// refusals counts the daemons that did not accept since the last success.
+	// refusals counts the daemons that did not accept since the last success, detached those
+	// among them that had no path to a reader.
 	refusals uint32
-	// detached counts the daemons that had no path to a reader themselves since
-	// the last success.
 	detached int
 }
 
@@ -118,8 +117,7 @@
 // Refusals returns the number of daemons that did not accept since the last success.
 func (c *Candidates) Refusals() uint32 { return c.refusals }
 
-// Failed notes that address could not be reached or did not greet; it is avoided for
-// a time that grows with each failure.
+// Failed records that address could not be reached or did not greet.
 func (c *Candidates) Failed(address string, now time.Time) {
 	c.refusals++
 	known, ok := c.known[address]
@@ -137,8 +135,8 @@
 	return min(failurePenalty<<min(failures-1, maxPenaltyDoublings), maxPenalty)
 }
 
-// Refused notes that address answered with a refusal: the daemons that it names are
-// tried first, and itself no sooner than it asks for.
+// Refused records a refusal by address: the daemons that it names are tried first, and address
+// itself no sooner than the refusal allows.
 func (c *Candidates) Refused(address string, refusal *lapisv1.Refusal, now time.Time) {
 	c.Redirect(refusal.GetCandidates(), now)
 	if result.Code(refusal.GetCode()) == result.DistributionDetached {
@@ -147,7 +145,7 @@
 	c.Postponed(address, time.Duration(refusal.GetRetryAfterMillis())*time.Millisecond, now)
 }
 
-// Postponed notes that address is alive but asked to come back later.
+// Postponed records that address is alive but is not to be tried again before wait is over.
 func (c *Candidates) Postponed(address string, wait time.Duration, now time.Time) {
 	c.refusals++
 	if known, ok := c.known[address]; ok {
@@ -155,10 +153,10 @@
 	}
 }
 
-// Detached notes that a daemon had no path to a reader.
+// Detached records that a daemon had no path to a reader.
 func (c *Candidates) Detached() { c.detached++ }
 
-// Succeeded notes that address accepted.
+// Succeeded records that address accepted.
 func (c *Candidates) Succeeded(address string) {
 	c.redirects = nil
 	c.detached = 0
@@ -216,7 +214,7 @@
 
 // nextRedirect returns the first daemon that others named and that may be tried
 // now. One that has just refused waits like any other: daemons that name each
-// other would otherwise be asked in a tight circle, which brought one daemon 3344
+// other would otherwise be tried in a tight loop, which brought one daemon 3344
 // joins in a second (4000 daemons on one machine of 8 cores, 30% restarted).
 func (c *Candidates) nextRedirect(now time.Time) (address string, ok bool) {
 	for len(c.redirects) > 0 {
--- a/internal/distribution/membership/join.go
+++ b/internal/distribution/membership/join.go
@@ -46,7 +46,7 @@
 	patience = 6
 )
 
-// Parent is what decides about a daemon that is asked to become a parent.
+// Parent is what DecideJoin needs to know of the daemon that a child wants to join.
 type Parent struct {
 	Zone string
 	// Reader is true while it holds a seat.
--- a/internal/distribution/membership/source_backoff.go
+++ b/internal/distribution/membership/source_backoff.go
@@ -25,7 +25,7 @@
 // Rounds returns the number of queries.
 func (b *SourceBackoff) Rounds() int { return b.rounds }
 
-// Queried notes a query at now. The next one is due after half to one and a half times
+// Queried records a query at now. The next one is due after half to one and a half times
 // the wait; random, in [0, 1), says where between.
 func (b *SourceBackoff) Queried(now time.Time, random float64) {
 	b.rounds++
--- a/internal/distribution/objectapi/client.go
+++ b/internal/distribution/objectapi/client.go
@@ -164,17 +164,15 @@
 	return object, err
 }
 
-type versionAnswer struct {
-	Version int64 `json:"version"`
-}
-
 func keyAndVersion(key string, expected int64) url.Values {
 	return url.Values{"key": {key}, "version": {strconv.FormatInt(expected, 10)}}
 }
 
 // Put implements Store.
 func (c *Client) Put(ctx context.Context, key string, value []byte, expected int64) (int64, error) {
-	var answer versionAnswer
+	var answer struct {
+		Version int64 `json:"version"`
+	}
 	err := c.exchange(ctx, http.MethodPut, "/v1/object", keyAndVersion(key, expected), value, &answer)
 	return answer.Version, err
 }
--- a/internal/distribution/objectapi/types.go
+++ b/internal/distribution/objectapi/types.go
@@ -65,10 +65,9 @@
 	State   MachineState `json:"state"`
 }
 
-// Store is the object API. It is safe for concurrent use. Errors carry the codes PlatformUnavailable,
-// PlatformConflict, PlatformNotFound, PlatformCompacted, PlatformTooManyWatch
-// and PlatformBadAnswer. After PlatformUnavailable or
-// PlatformBadAnswer a write may have taken effect.
+// Store is the object API. It is safe for concurrent use. Errors carry the codes
+// PlatformUnavailable, PlatformConflict, PlatformNotFound, PlatformCompacted,
+// PlatformTooManyWatch and PlatformBadAnswer; see the package for failed writes.
 type Store interface {
 	// Get returns an object. Errors: PlatformNotFound and those above.
 	Get(ctx context.Context, key string) (Object, error)
--- a/internal/distribution/revisionfloor/broker.go
+++ b/internal/distribution/revisionfloor/broker.go
@@ -18,13 +18,12 @@
 type Waiter func(*lapisv1.FloorReply)
 
 // Broker merges floor requests so that at most one read is under way. It is not safe for
-// concurrent use. A read must be started when Ask, Answer or Abort returns true, or as
-// soon afterwards as there is somebody to ask; Pending says so again. Its outcome is
-// reported with Answer, or with Abort when it will not come.
+// concurrent use. Its user starts a read when Ask, Answer or Abort returns true, or later while
+// Pending does, and reports the outcome with Answer, or with Abort when none will come.
 type Broker struct {
 	// waiting came after the read under way began and must not be answered by it.
 	waiting []Waiter
-	// reading is answered by the read under way.
+	// reading are answered by the read under way.
 	reading []Waiter
 	busy    bool
 }
--- a/internal/distribution/seat/lease.go
+++ b/internal/distribution/seat/lease.go
@@ -97,14 +97,14 @@
 // actions that could fail.
 func (l *Lease) fire(event trigger) { _ = l.machine.FireCtx(context.Background(), event) }
 
-// Acquired notes that the write sent at sentAt took the seat with version.
+// Acquired records that the write sent at sentAt took the seat with version.
 func (l *Lease) Acquired(sentAt time.Time, version int64) {
 	l.fire(triggerAcquired)
 	l.deadline = sentAt.Add(l.duration)
 	l.version = version
 }
 
-// Renewed notes that the renewal sent at sentAt succeeded with version.
+// Renewed records that the renewal sent at sentAt succeeded with version.
 func (l *Lease) Renewed(sentAt time.Time, version int64) {
 	if l.current() != StateHolding && l.current() != StateSuspended {
 		return
@@ -114,10 +114,10 @@
 	l.version = version
 }
 
-// Taken notes that another daemon holds the seat.
+// Taken records that another daemon holds the seat.
 func (l *Lease) Taken() { l.fire(triggerTaken) }
 
-// Released notes that the seat was given back.
+// Released records that the seat was given back.
 func (l *Lease) Released() { l.fire(triggerReleased) }
 
 // MayWrite reports whether the holder may write to the platform at now, and
--- a/internal/distribution/tree/child.go
+++ b/internal/distribution/tree/child.go
@@ -33,7 +33,7 @@
 	sentChange uint64
 	// pathDirty is true when the child must get the path and the readers again.
 	pathDirty bool
-	// expel is true when the child must look for another parent.
+	// expel is true when the child must join another parent.
 	expel bool
 	// homeReaders are the readers of its own zone to which an expelled child of
 	// another zone should go.
--- a/internal/distribution/tree/child_admission.go
+++ b/internal/distribution/tree/child_admission.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// asParent returns what decides about this node as a parent; the caller holds mutex.
+// asParent returns this node as DecideJoin sees it; the caller holds mutex.
 func (n *Node) asParent() membership.Parent {
 	return membership.Parent{
 		Zone: n.config.Zone, Reader: n.reader, Stopping: n.stopping, Path: n.path,
@@ -73,9 +73,8 @@
 	}
 }
 
-// expelDeepChildren makes the children that have children of their own look for
-// another parent, so that this node fits under a parent again; they join anew from
-// the top. The caller holds mutex.
+// expelDeepChildren makes the children that have children of their own join another parent,
+// from the top, so that this node fits under a parent again. The caller holds mutex.
 func (n *Node) expelDeepChildren() {
 	for _, child := range n.children {
 		if child.report.GetDepth() > 0 {
--- a/internal/distribution/tree/child_send.go
+++ b/internal/distribution/tree/child_send.go
@@ -45,7 +45,7 @@
 	return pending
 }
 
-// expulsion is the frame that makes a child look for another parent; the caller holds mutex.
+// expulsion returns the frame that makes a child join another parent; the caller holds mutex.
 func (n *Node) expulsion(session *childSession) *lapisv1.ControlFrame {
 	refusal := &lapisv1.Refusal{
 		Code: uint32(result.DistributionDetached), Reason: "the parent is leaving",
--- a/internal/distribution/tree/floors.go
+++ b/internal/distribution/tree/floors.go
@@ -57,8 +57,8 @@
 	n.startFloorRead()
 }
 
-// startFloorRead passes a floor request on, when one is pending and there is somebody
-// to ask: the object API for a reader, else the parent. The caller holds mutex.
+// startFloorRead passes a pending floor request on, a reader to the object API and any other node
+// to its parent, as soon as there is a path to a reader. The caller holds mutex.
 func (n *Node) startFloorRead() {
 	if !n.floors.Pending() || n.floorIssued || len(n.path) == 0 {
 		return
@@ -75,15 +75,15 @@
 	}
 }
 
-// answerFloor hands a reply to all who wait for it; the caller holds mutex.
+// answerFloor hands a reply to the requests that wait for it; the caller holds mutex.
 func (n *Node) answerFloor(reply *lapisv1.FloorReply) {
 	n.floorIssued = false
 	n.floors.Answer(reply)
 	n.startFloorRead()
 }
 
-// abortFloorRead takes back a request whose answer cannot come any more; it is sent
-// again to the next parent. The caller holds mutex.
+// abortFloorRead takes back a request whose reader or parent is lost; it is sent again to the
+// next parent. The caller holds mutex.
 func (n *Node) abortFloorRead() {
 	if n.floorIssued {
 		n.floorIssued = false
--- a/internal/distribution/tree/link.go
+++ b/internal/distribution/tree/link.go
@@ -201,7 +201,7 @@
 }
 
 // closeConn closes a connection that is no longer used. An error of closing is
-// dropped: nothing depends on it, and whoever reads or writes sees one of its own.
+// dropped: nothing depends on it, and readers and writers get an error of their own.
 func closeConn(conn *wire.Conn) { _ = conn.Close() }
 
 func refusalFrame(refusal *lapisv1.Refusal) *lapisv1.ControlFrame {
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// Drain tells the children to look for another parent, as the first step of a planned stop. The
-// node accepts no children and takes no seat afterwards, and a reader gives its seat back.
+// Drain makes the children join another parent, as the first step of a planned stop. Afterwards
+// the node accepts no children and takes no seat, and a reader gives its seat back.
 func (n *Node) Drain() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/parent.go
+++ b/internal/distribution/tree/parent.go
@@ -210,7 +210,7 @@
 type linkState string
 
 const (
-	// linkSearching has no parent and looks for one.
+	// linkSearching has not dialed a parent yet, or has lost it.
 	linkSearching linkState = "searching"
 	// linkGreeting has sent a Hello and waits for the answer.
 	linkGreeting linkState = "greeting"
--- a/internal/distribution/tree/search.go
+++ b/internal/distribution/tree/search.go
@@ -11,16 +11,16 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// search is the state of a node that no known daemon accepts as child. It
-// asks the object API, rarely, who holds the zone's seats, and takes a vacant
-// one when this machine ranks high enough. Only the goroutine of Node.Run uses it.
+// search is the state of a node that no known daemon accepts as child. It queries the object
+// API, rarely, for the zone's seats, and takes a vacant one when this machine ranks high
+// enough. Only the goroutine of Node.Run uses it.
 type search struct {
 	node    *Node
 	backoff membership.SourceBackoff
 }
 
-// candidatePoll is the middle of the wait before looking again for a known daemon to try.
-// Chosen, not measured; it must be small beside the waits after a refusal, whose end it finds.
+// candidatePoll is the middle of the wait before the candidates are checked again. Chosen, not
+// measured; it must be small beside the waits after a refusal, whose end it finds.
 const candidatePoll = 50 * time.Millisecond
 
 func newSearch(node *Node) *search {
@@ -38,7 +38,7 @@
 	)
 }
 
-// queryStore waits for candidatePoll and then, when it is due, asks the object API who the
+// queryStore waits for candidatePoll and then, when a query is due, asks the object API who the
 // zone's readers are. It returns a seat to take, if any.
 func (s *search) queryStore(ctx context.Context) (vacancy seat.Vacancy, found bool) {
 	if !sleep.For(ctx, candidatePoll/2+rand.N(candidatePoll)) || !s.backoff.Due(boottime.Now()) {
