--- a/internal/distribution/changelog/log_test.go
+++ b/internal/distribution/changelog/log_test.go
@@ -149,9 +149,8 @@
 	revision  uint64
 }
 
-// registerModel is the accept register as a sequential object: each accept of a
-// new operation gets the next number, a repeated one its old number, and a read
-// sees the newest number.
+// registerModel is the accept register as a sequential object: each accept of a new operation
+// gets the next number, a repeated one its old number, and a read sees the newest number.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/distribution/configsource/schedule_test.go
+++ b/internal/distribution/configsource/schedule_test.go
@@ -93,8 +93,7 @@
 	})
 }
 
-// In an outage each daemon asks now and then, and the first that is answered ends
-// it for all.
+// In an outage each daemon asks now and then, and the first that is answered ends it for all.
 func TestOutageCostsFewQuestions(t *testing.T) {
 	playFleet(t, 300, func(source *scriptedSource, mates []*fleetmate) {
 		down := func(down bool) {
--- a/internal/distribution/endpoint/registry_test.go
+++ b/internal/distribution/endpoint/registry_test.go
@@ -18,8 +18,7 @@
 	return &lapisv1.Endpoint{Service: "s", Instance: "i", Node: "n", Incarnation: incarnation, Sequence: sequence, Region: "r1", State: state}
 }
 
-// TestMergeDoesNotDependOnOrder merges random statements in two random orders,
-// with repetitions.
+// TestMergeDoesNotDependOnOrder merges random statements in two random orders, with repetitions.
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		statements := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) *lapisv1.Endpoint {
--- a/internal/distribution/fleet/address_test.go
+++ b/internal/distribution/fleet/address_test.go
@@ -80,8 +80,7 @@
 }
 
 // What is stated of a daemon's address is believed in the order greeting, directory, other
-// daemons; the directory's statement about one that is connected waits for the connection's
-// end.
+// daemons; the directory's statement about one that is connected waits for the connection's end.
 func TestWhoseStatementOfAnAddressCounts(t *testing.T) {
 	former, present := memberAt("moved", "x:1"), memberAt("moved", "x:2")
 	for name, row := range map[string]struct {
--- a/internal/distribution/fleet/linkchoice_test.go
+++ b/internal/distribution/fleet/linkchoice_test.go
@@ -129,10 +129,9 @@
 	}
 }
 
-// One daemon that dies is replaced by one. Those that were not wanted had counted
-// as unreachable because they were not connected, so that a daemon connected to all
-// others of the service to find one, and again after each loss: to 47 of 72, three times
-// in ten seconds.
+// One daemon that dies is replaced by one. Those that were not wanted had counted as unreachable
+// because they were not connected, so that a daemon connected to all others of the service to
+// find one, and again after each loss: to 47 of 72, three times in ten seconds.
 func TestOneLossIsReplacedByOne(t *testing.T) {
 	candidates := site(4, 50)
 	s := &simulatedLinks{self: candidates[0].Member, dead: map[string]bool{}, now: time.Unix(1000, 0)}
--- a/internal/distribution/fleet/memory_network_test.go
+++ b/internal/distribution/fleet/memory_network_test.go
@@ -7,8 +7,7 @@
 	"sync"
 )
 
-// memoryNetwork connects daemons of one test without sockets, so that time may be
-// virtual.
+// memoryNetwork connects daemons of one test without sockets, so that time may be virtual.
 type memoryNetwork struct {
 	// mutex protects the rest.
 	mutex sync.Mutex
--- a/internal/distribution/fleet/timing.go
+++ b/internal/distribution/fleet/timing.go
@@ -104,7 +104,7 @@
 	// entries listed by one daemon is bounded by ten a second. Chosen, not measured.
 	intervalPerMember = 100 * time.Millisecond
 	// maxListInterval, the interval of the largest fleet, bounds the doubling: without it the
-	// duration overflowed after 55 lists, 10 minutes under virtual time, and the directory
-	// was then listed without any wait.
+	// duration overflowed after 10 minutes under virtual time, and the directory was then
+	// listed without any wait.
 	maxListInterval = maxMembers * intervalPerMember
 )
--- a/internal/distribution/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -22,10 +22,11 @@
 	// maxPenaltyDoublings keeps the shift of failurePenalty from overflowing; maxPenalty
 	// is reached before.
 	maxPenaltyDoublings = 6
-	// remoteAfter is the number of daemons without a path to a reader after which other
-	// zones are tried: then it is likely the zone that has lost its readers. Chosen, not
-	// measured; larger than the readers of a zone. That other zones are tried at all took the loss of both readers of a zone
-	// from 7296 to 565 ms (400 daemons in 4 zones on one machine of 8 cores).
+	// remoteAfter is the number of daemons without a path to a reader after which other zones
+	// are tried, because the own zone has probably lost its readers. Chosen, not measured; it
+	// must be larger than the readers of a zone. Trying other zones at all shortened the
+	// recovery from the loss of both readers of a zone from 7296 to 565 ms (400 daemons in 4
+	// zones on one machine of 8 cores).
 	remoteAfter = 3
 )
 
--- a/internal/distribution/membership/source_backoff_test.go
+++ b/internal/distribution/membership/source_backoff_test.go
@@ -10,8 +10,7 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/membership"
 )
 
-// nextQuery returns the wait until a query is due, in steps of a
-// millisecond.
+// nextQuery returns the wait until a query is due, in steps of a millisecond.
 func nextQuery(backoff *membership.SourceBackoff, from time.Time) time.Duration {
 	for wait := time.Duration(0); ; wait += time.Millisecond {
 		if backoff.Due(from.Add(wait)) {
--- a/internal/distribution/tree/cluster_test.go
+++ b/internal/distribution/tree/cluster_test.go
@@ -202,8 +202,7 @@
 	}, poll.WithTimeout(settled), poll.WithDelay(20*time.Millisecond))
 }
 
-// checkHistories fails when a process ever went back, or a machine did over a
-// replacement.
+// checkHistories fails when a process ever went back, or a machine did over a replacement.
 func (c *cluster) checkHistories() {
 	c.t.Helper()
 	floors := map[string]uint64{}
--- a/internal/distribution/tree/floor_test.go
+++ b/internal/distribution/tree/floor_test.go
@@ -86,9 +86,8 @@
 	}
 }
 
-// restartUnderLaggingParent replaces a node that had revision 2 in force by a
-// process whose only parent is still at revision 1, and returns what the
-// machine put in force over both processes.
+// restartUnderLaggingParent replaces a node that had revision 2 in force by a process whose only
+// parent is still at revision 1, and returns what the machine put in force over both processes.
 func restartUnderLaggingParent(t *testing.T, skipFloor bool) []uint64 {
 	t.Helper()
 	c := newCluster(t)
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// sendChangedReaders sends the readers to the children when the set changed; the caller holds mutex.
+// sendChangedReaders sends the readers to the children if they changed; the caller holds mutex.
 func (n *Node) sendChangedReaders(now time.Time) {
 	var names strings.Builder
 	for _, holder := range n.seats.Holders(seat.Prefix, now) {
