--- a/internal/distribution/fleet/directory.go
+++ b/internal/distribution/fleet/directory.go
@@ -35,8 +35,8 @@
 	Members(ctx context.Context) ([]Member, error)
 }
 
-// followDirectory lists the other daemons and publishes this one unless it is listed as it
-// should be, until ctx ends.
+// followDirectory lists the other daemons, and publishes this one unless its entry is correct,
+// until ctx ends.
 func (f *Fleet) followDirectory(ctx context.Context) {
 	schedule := newListSchedule()
 	published := false
@@ -65,8 +65,7 @@
 	}
 }
 
-// listDirectory records the members that the directory lists and reports whether this
-// daemon is among them as it should be.
+// listDirectory records the listed members and reports whether this daemon's entry is correct.
 func (f *Fleet) listDirectory(ctx context.Context, published bool) (found bool, err error) {
 	members, err := f.config.Directory.Members(ctx)
 	if err != nil {
--- a/internal/distribution/fleet/introduction.go
+++ b/internal/distribution/fleet/introduction.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -17,16 +18,11 @@
 // keeps this in memory only and may have restarted since.
 func (f *Fleet) sendWithdrawn(peer *peer, link callmux.Link) {
 	f.mutex.Lock()
-	reminder := &lapisv1.Introduction{}
-	for instance := range peer.withdrawn {
-		reminder.Withdrawn = append(reminder.Withdrawn, instance)
-	}
+	withdrawn := slices.Sorted(maps.Keys(peer.withdrawn))
 	f.mutex.Unlock()
-	if len(reminder.Withdrawn) == 0 {
-		return
+	if len(withdrawn) > 0 {
+		f.send(link, introductionFrame(&lapisv1.Introduction{Withdrawn: withdrawn}))
 	}
-	slices.Sort(reminder.Withdrawn)
-	f.send(link, introductionFrame(reminder))
 }
 
 // requestIntroduction asks any daemon in reach to name the others, because the
--- a/internal/distribution/fleet/linkchoice.go
+++ b/internal/distribution/fleet/linkchoice.go
@@ -58,12 +58,7 @@
 // those chosen as if the evacuated ones did not exist.
 func chooseLinks(self Member, candidates []candidate) map[string]bool {
 	chosen := chooseFrom(self, candidates)
-	callable := make([]candidate, 0, len(candidates))
-	for _, member := range candidates {
-		if !member.evacuated {
-			callable = append(callable, member)
-		}
-	}
+	callable := slices.DeleteFunc(slices.Clone(candidates), func(member candidate) bool { return member.evacuated })
 	if len(callable) < len(candidates) {
 		maps.Copy(chosen, chooseFrom(self, callable))
 	}
--- a/internal/distribution/holdings/delta.go
+++ b/internal/distribution/holdings/delta.go
@@ -67,15 +67,12 @@
 	if !interest.All && h.holdsAll(interest) {
 		return nil
 	}
-	candidates := interest.Services
+	candidates := maps.Keys(interest.Services)
 	if interest.All {
-		candidates = make(map[string]struct{}, len(h.removed))
-		for service := range h.removed {
-			candidates[service] = struct{}{}
-		}
+		candidates = maps.Keys(h.removed)
 	}
 	var removals []*lapisv1.EncodedBundle
-	for _, service := range slices.Sorted(maps.Keys(candidates)) {
+	for _, service := range slices.Sorted(candidates) {
 		if _, held := h.bundles[service]; held {
 			continue
 		}
--- a/internal/distribution/objectapi/watch.go
+++ b/internal/distribution/objectapi/watch.go
@@ -31,7 +31,7 @@
 	}, nil
 }
 
-// clientWatch reads the events of one streaming answer.
+// clientWatch implements Watch over one streaming answer.
 type clientWatch struct {
 	client  *Client
 	body    io.ReadCloser
@@ -39,7 +39,6 @@
 	cancel  context.CancelFunc
 }
 
-// Next implements Watch.
 func (w *clientWatch) Next() (Event, error) {
 	silence := time.AfterFunc(WatchSilence, w.cancel)
 	defer silence.Stop()
@@ -52,7 +51,6 @@
 	return event, nil
 }
 
-// Close implements Watch.
 func (w *clientWatch) Close() {
 	w.cancel()
 	closeBody(w.body)
--- a/internal/distribution/tree/endpoints.go
+++ b/internal/distribution/tree/endpoints.go
@@ -112,18 +112,6 @@
 	}
 }
 
-// suspectNow marks the lost endpoints about which nothing newer was received; the caller
-// holds mutex.
-func (n *Node) suspectNow(lost []lostEndpoint) {
-	now := boottime.Now()
-	for _, candidate := range lost {
-		if !n.registry.Suspect(candidate.key, candidate.incarnation, candidate.sequence, now) {
-			continue
-		}
-		n.endpointChanged(candidate.key.Service)
-	}
-}
-
 // Endpoints returns the known instances of a service, which must not be changed. It is safe for
 // concurrent use.
 func (n *Node) Endpoints(service string) []*lapisv1.Endpoint {
@@ -153,6 +141,11 @@
 	time.AfterFunc(n.config.Tunables.SuspectAfter.Get(), func() {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		n.suspectNow(lost)
+		now := boottime.Now()
+		for _, candidate := range lost {
+			if n.registry.Suspect(candidate.key, candidate.incarnation, candidate.sequence, now) {
+				n.endpointChanged(candidate.key.Service)
+			}
+		}
 	})
 }
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"strings"
 	"time"
 
@@ -94,12 +95,9 @@
 
 // zoneReaders returns the known readers of the own zone in random order; the caller holds mutex.
 func (n *Node) zoneReaders() []*lapisv1.PeerAddress {
-	var own []*lapisv1.PeerAddress
-	for _, peer := range n.knownReaders() {
-		if peer.GetZone() == n.config.Zone {
-			own = append(own, peer)
-		}
-	}
+	own := slices.DeleteFunc(slices.Clone(n.knownReaders()), func(reader *lapisv1.PeerAddress) bool {
+		return reader.GetZone() != n.config.Zone
+	})
 	rand.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
 	return own
 }
