--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -1,6 +1,6 @@
-// Package day plays days on an emulated platform: machines with daemons and
-// instances, a store, an operator and clients, disturbed at set times. Daemons
-// run in the process that plays the day; all connections are on loopback.
+// Package day plays days on an emulated platform: machines with daemons and instances, a store, an
+// operator and clients, with faults at set times. A Site owns all of them, as goroutines of this
+// process with connections on loopback, and Close ends them. It keeps nothing on disk.
 package day
 
 import (
@@ -22,17 +22,17 @@
 type Site struct {
 	Store    *objectstore.Server
 	Machines []*Machine
-	Ledger   *Ledger
+	Ledger   *promise.Ledger
 
 	options Options
 	// mutex protects everything below; version is the newest configuration's.
 	mutex   sync.Mutex
 	version uint64
-	// falls counts the instances that fell over, and fallen is what went wrong when
-	// one started again.
-	falls  int
-	fallen error
-	closed bool
+	// coldCrashes counts the instances that crashed in slow start; restartFailure holds the errors
+	// of restarts after a crash.
+	coldCrashes    int
+	restartFailure error
+	closed         bool
 }
 
 // Start starts a site whose operator has declared the given routes, and waits
@@ -72,7 +72,7 @@
 	s.closed = true
 	s.mutex.Unlock()
 	for _, machine := range s.Machines {
-		if process := machine.take(); process != nil {
+		if process := machine.takeProcess(); process != nil {
 			close(process.force)
 			<-process.ended
 		}
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -1,3 +1,7 @@
+// Package objectstore is a stand-in for the platform's metadata store: kinds of
+// objects with revisions, status and finalizers, conditional writes, lists in
+// pages, watches with a history, rates, and faults that are switched on at run time. A Server owns
+// its listeners and all objects, in memory; Close ends it.
 package objectstore
 
 import (
@@ -9,7 +13,6 @@
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -29,8 +32,8 @@
 type Options struct {
 	// Address is where to listen; "127.0.0.1:0" picks a port.
 	Address string
-	// ReadsPerSecond and WritesPerSecond are borne from all callers together; 0
-	// for no bound. What is beyond gets 429.
+	// ReadsPerSecond and WritesPerSecond bound all callers together, who get 429 beyond; 0 for no
+	// bound.
 	ReadsPerSecond, WritesPerSecond float64
 	// Seed seeds the faults' randomness.
 	Seed uint64
@@ -50,10 +53,8 @@
 	random *rand.Rand
 	// cuts are closed and replaced to end the watches that wait at an address.
 	cuts map[string]chan struct{}
-	// told gives by kind the newest revision at which a reader was told of the kind.
-	told map[string]uint64
-
-	calls, refused atomic.Int64
+	// reported gives by kind the newest revision that a list or watch was answered with.
+	reported map[string]uint64
 }
 
 // Start opens the listener and serves in the background.
@@ -65,7 +66,7 @@
 	server := &Server{
 		table: newTable(), listener: listener,
 		reads: limiter(options.ReadsPerSecond), writes: limiter(options.WritesPerSecond),
-		random: rand.New(rand.NewPCG(options.Seed, 1)), cuts: map[string]chan struct{}{}, told: map[string]uint64{},
+		random: rand.New(rand.NewPCG(options.Seed, 1)), cuts: map[string]chan struct{}{}, reported: map[string]uint64{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.PathObjects, server.serve)
@@ -103,7 +104,7 @@
 
 // PutSpec writes an object's spec as an operator does, whatever the faults.
 func (s *Server) PutSpec(kind, name string, value any) error {
-	spec, err := specOf(value)
+	spec, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
@@ -114,19 +115,19 @@
 	return nil
 }
 
-// Told returns the newest revision at which a reader was told of a kind's objects.
-func (s *Server) Told(kind string) uint64 {
+// ReportedRevision returns the newest revision that a list or watch of a kind was answered with.
+func (s *Server) ReportedRevision(kind string) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.told[kind]
+	return s.reported[kind]
 }
 
-// tell answers a reader of a kind with what stands at a revision.
-func (s *Server) tell(w http.ResponseWriter, kind string, at uint64, value any) {
+// answerAt answers a list or watch of a kind at a revision.
+func (s *Server) answerAt(w http.ResponseWriter, kind string, at uint64, value any) {
 	answer(w, value)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.told[kind] = max(s.told[kind], at)
+	s.reported[kind] = max(s.reported[kind], at)
 }
 
 // Remove deletes an object as an operator does, whatever the faults.
@@ -134,7 +135,6 @@
 
 // serve answers one call.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	s.calls.Add(1)
 	disturbed := s.disturb(localAddress(r))
 	if !s.admit(w, r, disturbed) {
 		return
@@ -164,7 +164,7 @@
 		return
 	}
 	page := s.table.list(kind, query.Get("after"))
-	s.tell(w, kind, page.Revision, page)
+	s.answerAt(w, kind, page.Revision, page)
 }
 
 // watch answers with the changes of a kind after a revision, once there are any or the wait is over.
@@ -178,23 +178,23 @@
 	timer := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWait))
 	defer timer.Stop()
 	for {
-		changes, changed, gone := s.table.since(kind, after)
-		deaf := s.disturb(disturbed.address).faults.Deaf
+		changes, changed, compacted := s.table.since(kind, after)
+		frozen := s.disturb(disturbed.address).faults.FreezeWatches
 		switch {
-		case gone:
+		case compacted:
 			w.WriteHeader(http.StatusGone)
 			return
-		case len(changes.Events) > 0 && !deaf:
-			s.tell(w, kind, changes.Revision, changes)
+		case len(changes.Events) > 0 && !frozen:
+			s.answerAt(w, kind, changes.Revision, changes)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			if deaf {
+			if frozen {
 				changes = platform.Changes{Events: []platform.Event{}, Revision: after}
 			}
-			s.tell(w, kind, changes.Revision, changes)
+			s.answerAt(w, kind, changes.Revision, changes)
 			return
 		case <-disturbed.cut:
 			hangUp(w)
