--- a/internal/distribution/fleet/linkchoice_test.go
+++ b/internal/distribution/fleet/linkchoice_test.go
@@ -100,7 +100,7 @@
 		case endLink:
 			known.stopMaintaining = nil
 			known.lostAt = s.now
-		case leaveLink:
+		case keepLink:
 		}
 		known.connected = known.stopMaintaining != nil && !s.dead[known.Node]
 		if known.stopMaintaining != nil {
@@ -119,20 +119,19 @@
 		want                     linkAction
 	}{
 		{true, false, true, startLink},
-		{true, true, true, leaveLink},
-		{true, true, false, leaveLink},
-		{false, true, false, leaveLink},
+		{true, true, true, keepLink},
+		{true, true, false, keepLink},
+		{false, true, false, keepLink},
 		{false, true, true, endLink},
-		{false, false, true, leaveLink},
+		{false, false, true, keepLink},
 	} {
 		assert.Equal(t, linkActionFor(row.chosen, row.maintained, row.idle), row.want, "%+v", row)
 	}
 }
 
-// One daemon that dies is replaced by one. Those that were not wanted had counted
-// as unreachable because they were not connected, so that a daemon connected to all
-// others of the service to find one, and again after each loss: to 47 of 72, three times
-// in ten seconds.
+// One daemon that dies is replaced by one. Those that were not wanted had counted as unreachable
+// because they were not connected, so that a daemon connected to all others of the service to
+// find one, and again after each loss: to 47 of 72, three times in ten seconds.
 func TestOneLossIsReplacedByOne(t *testing.T) {
 	candidates := site(4, 50)
 	s := &simulatedLinks{self: candidates[0].Member, dead: map[string]bool{}, now: time.Unix(1000, 0)}
--- a/internal/distribution/tree/reader_watch.go
+++ b/internal/distribution/tree/reader_watch.go
@@ -20,25 +20,25 @@
 // failure. Both are chosen, not measured; the larger one must stay under the seat's
 // lease, so that a reader sees the object API again in time to renew.
 const (
-	sourceBackoffMin = 100 * time.Millisecond
-	sourceBackoffMax = 3 * time.Second
+	watchBackoffMin = 100 * time.Millisecond
+	watchBackoffMax = 3 * time.Second
 )
 
 // follow keeps up with the accept register and the seats by a watch.
 func (r *readerRole) follow(ctx context.Context) error {
-	backoff := sourceBackoffMin
+	backoff := watchBackoffMin
 	for ctx.Err() == nil {
 		started := boottime.Now()
 		err := r.followOnce(ctx)
-		r.node.lostSource()
+		r.node.markStoreUnreachable()
 		r.node.config.Logger.V(1).Info("reader.watch_ended", "cause", err)
-		if boottime.Since(started) > sourceBackoffMax {
-			backoff = sourceBackoffMin
+		if boottime.Since(started) > watchBackoffMax {
+			backoff = watchBackoffMin
 		}
 		if !sleep.For(ctx, backoff/2+rand.N(backoff)) {
 			break
 		}
-		backoff = min(2*backoff, sourceBackoffMax)
+		backoff = min(2*backoff, watchBackoffMax)
 	}
 	return ctx.Err()
 }
@@ -86,8 +86,7 @@
 	return read, ended
 }
 
-// consume handles watch events and merges revisions that follow each other
-// quickly.
+// consume handles watch events and merges revisions that follow each other quickly.
 func (r *readerRole) consume(ctx context.Context, watch objectapi.Watch) error {
 	events, failed := readEvents(ctx, watch)
 	debounce := newDebounce(r.node.config.Tunables.DebounceQuiet.Get(), r.node.config.Tunables.DebounceMax.Get())
@@ -165,3 +164,39 @@
 	}
 	return update
 }
+
+// debounce merges changes that follow each other quickly: it is due a quiet
+// time after the last change, but no later than a maximum after the first.
+type debounce struct {
+	quiet, max time.Duration
+	first      time.Time
+	timer      *time.Timer
+}
+
+func newDebounce(quiet, max time.Duration) *debounce {
+	return &debounce{quiet: quiet, max: max}
+}
+
+func (d *debounce) changed(now time.Time) {
+	if d.first.IsZero() {
+		d.first = now
+	}
+	wait := min(d.quiet, d.first.Add(d.max).Sub(now))
+	if d.timer != nil {
+		d.timer.Stop()
+	}
+	d.timer = time.NewTimer(max(wait, 0))
+}
+
+// due returns a channel that delivers when the changes are to be handled, nil for none.
+func (d *debounce) due() <-chan time.Time {
+	if d.timer == nil {
+		return nil
+	}
+	return d.timer.C
+}
+
+func (d *debounce) reset() {
+	d.first = time.Time{}
+	d.timer = nil
+}
--- a/internal/distribution/tree/search.go
+++ b/internal/distribution/tree/search.go
@@ -11,17 +11,16 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// search is the state of a node that no known daemon accepts as child. It
-// asks the object API, rarely, who holds the zone's seats, and takes a vacant
-// one when this machine ranks high enough. Only the goroutine of Node.Run uses it.
+// search is the state of a node that no known daemon accepts as child. It queries the object
+// API, rarely, for the zone's seats, and takes a vacant one when this machine ranks high
+// enough. Only the goroutine of Node.Run uses it.
 type search struct {
 	node    *Node
 	backoff membership.SourceBackoff
 }
 
-// candidatePoll is the middle of the wait before looking again for a known daemon to
-// try. Chosen, not measured; it must be small beside the waits after a refusal, whose
-// end it finds.
+// candidatePoll is the middle of the wait before the candidates are checked again. Chosen, not
+// measured; it must be small beside the waits after a refusal, whose end it finds.
 const candidatePoll = 50 * time.Millisecond
 
 func newSearch(node *Node) *search {
@@ -30,7 +29,7 @@
 	return search
 }
 
-// reset notes that the node starts or that a parent accepted.
+// reset starts the waits anew: the node starts, or a parent has accepted it.
 func (s *search) reset() {
 	tunables := s.node.config.Tunables
 	s.backoff = membership.NewSourceBackoff(
@@ -39,9 +38,9 @@
 	)
 }
 
-// querySource waits for candidatePoll and then, when it is due, asks the object API who the
+// queryStore waits for candidatePoll and then, when a query is due, asks the object API who the
 // zone's readers are. It returns a seat to take, if any.
-func (s *search) querySource(ctx context.Context) (vacancy seat.Vacancy, found bool) {
+func (s *search) queryStore(ctx context.Context) (vacancy seat.Vacancy, found bool) {
 	if !sleep.For(ctx, candidatePoll/2+rand.N(candidatePoll)) || !s.backoff.Due(boottime.Now()) {
 		return seat.Vacancy{}, false
 	}
@@ -49,8 +48,8 @@
 	config := s.node.config
 	list, err := config.Store.List(ctx, seat.ZonePrefix(config.Zone), "", 0)
 	if err != nil {
-		s.node.lostSource()
-		s.node.logSourceError("reading the zone's seats", err)
+		s.node.markStoreUnreachable()
+		s.node.logStoreError("reading the zone's seats", err)
 		return seat.Vacancy{}, false
 	}
 	vacancies := s.node.findReaders(list.Objects)
@@ -59,7 +58,7 @@
 	}
 	machines, err := config.Store.Machines(ctx, config.Zone)
 	if err != nil {
-		s.node.logSourceError("reading the machine list", err)
+		s.node.logStoreError("reading the machine list", err)
 		return seat.Vacancy{}, false
 	}
 	for _, vacancy := range vacancies {
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -1,45 +1,46 @@
 package tree
 
 import (
+	"math/rand/v2"
+	"slices"
+	"strings"
 	"time"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
+	"github.com/lapisvane/lapisvane/internal/distribution/membership"
 	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
 	"github.com/lapisvane/lapisvane/internal/distribution/seat"
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// lostSource notes that the object API cannot be read.
-func (n *Node) lostSource() {
+func (n *Node) markStoreUnreachable() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.sourceSeen = false
+	n.storeReachable = false
 }
 
-// logSourceError writes why a request to the object API failed. The requests are
-// repeated, so the line is for debugging only.
-func (n *Node) logSourceError(request string, err error) {
+// logStoreError logs why a request to the object API failed; the requests are repeated.
+func (n *Node) logStoreError(request string, err error) {
 	n.config.Logger.V(1).Info("source.request_failed", "request", request, "error", err)
 }
 
-// sawSource notes that the object API can be read; the caller holds mutex.
-func (n *Node) sawSource(now time.Time) {
-	if !n.sourceSeen {
-		n.sourceSeen = true
+// markStoreReachable has all leases counted anew after an outage of the object API; the caller
+// holds mutex.
+func (n *Node) markStoreReachable(now time.Time) {
+	if !n.storeReachable {
+		n.storeReachable = true
 		n.seats.Resume(now)
 	}
 }
 
-// observeSeat records one seat as a watch event shows it.
 func (n *Node) observeSeat(object objectapi.Object) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := boottime.Now()
 	n.recordSeat(object, now)
-	n.noteHolders(now)
+	n.sendChangedReaders(now)
 }
 
-// observeAllSeats records the seats of a list.
 func (n *Node) observeAllSeats(objects []objectapi.Object) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -63,9 +64,9 @@
 	return n.seats.Vacancies(n.config.Zone, n.config.Node, n.config.Tunables.SeatsPerZone, now)
 }
 
-// recordSeats records a list of seats; the caller holds mutex.
+// recordSeats records the seats of a list that was just read; the caller holds mutex.
 func (n *Node) recordSeats(objects []objectapi.Object, now time.Time) {
-	n.sawSource(now)
+	n.markStoreReachable(now)
 	for _, object := range objects {
 		n.recordSeat(object, now)
 	}
@@ -75,6 +76,122 @@
 // keeps what was last known of it.
 func (n *Node) recordSeat(object objectapi.Object, now time.Time) {
 	if err := n.seats.Observe(object, now); err != nil {
-		n.logSourceError("reading "+object.Key, err)
+		n.logStoreError("reading "+object.Key, err)
+	}
+}
+
+// knownReaders returns the readers of the zone, and a few of other zones, those
+// of the own region first, as far as they are known; the caller holds mutex.
+func (n *Node) knownReaders() []*lapisv1.PeerAddress {
+	if !n.reader {
+		return n.learnedReaders
+	}
+	var readers []*lapisv1.PeerAddress
+	for _, holder := range n.seats.Holders(seat.Prefix, boottime.Now()) {
+		readers = append(readers, holder.Peer)
+	}
+	return membership.ReadersToName(readers, n.config.Zone, n.config.Region, rand.Shuffle)
+}
+
+// zoneReaders returns the known readers of the own zone in random order; the caller holds mutex.
+func (n *Node) zoneReaders() []*lapisv1.PeerAddress {
+	own := slices.DeleteFunc(slices.Clone(n.knownReaders()), func(reader *lapisv1.PeerAddress) bool {
+		return reader.GetZone() != n.config.Zone
+	})
+	rand.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
+	return own
+}
+
+// learnReaders records the readers that the parent named and passes them on;
+// the caller holds mutex.
+func (n *Node) learnReaders(readers []*lapisv1.PeerAddress) {
+	if len(readers) == 0 {
+		return
+	}
+	n.candidates.Learn(readers, boottime.Now())
+	n.learnedReaders = readers
+	n.resendPath()
+}
+
+// resendPath has the path and the readers sent to every child again; the caller holds mutex.
+func (n *Node) resendPath() {
+	for _, child := range n.children {
+		child.pathDirty = true
+		child.signal()
+	}
+}
+
+// sendChangedReaders sends the readers to the children if they changed; the caller holds mutex.
+func (n *Node) sendChangedReaders(now time.Time) {
+	var names strings.Builder
+	for _, holder := range n.seats.Holders(seat.Prefix, now) {
+		names.WriteString(holder.Peer.GetNode() + holder.Peer.GetAddress() + " ")
+	}
+	if names.String() != n.sentReaderNames {
+		n.sentReaderNames = names.String()
+		n.resendPath()
+	}
+}
+
+// offerVacancies invites children to take vacant seats of their zones, one child for each
+// seat. It offers nothing while the object API cannot be read, because silence of a holder
+// proves nothing then; while this node is stopping; and while its own lease has lapsed,
+// because what it knows of the seats may be as old.
+func (n *Node) offerVacancies(now time.Time) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	if !n.storeReachable || n.stopping || n.lease.State(now) != seat.StateHolding {
+		return
+	}
+	n.sendChangedReaders(now)
+	zones := map[string]bool{n.config.Zone: true}
+	for _, child := range n.children {
+		zones[child.zone] = true
+	}
+	for zone := range zones {
+		for _, vacancy := range n.seats.Vacancies(zone, "", n.config.Tunables.SeatsPerZone, now) {
+			child := n.bestChild(zone)
+			if child == nil {
+				break
+			}
+			child.offer = &lapisv1.SeatOffer{Seat: vacancy.Seat, Version: vacancy.Version, Epoch: vacancy.Epoch}
+			child.signal()
+		}
+	}
+}
+
+// bestChild returns the child of a zone that should become a reader, nil when there
+// is none; the caller holds mutex.
+func (n *Node) bestChild(zone string) *childSession {
+	sessions, children := n.reachableChildren()
+	index, found := membership.BestReader(children, zone)
+	if !found {
+		return nil
+	}
+	return sessions[index]
+}
+
+// sendHome makes the children of other zones whose zone has a reader again join that
+// reader. Only while the object API can be read is it known who is a reader.
+func (n *Node) sendHome(now time.Time) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	if !n.storeReachable {
+		return
+	}
+	for _, child := range n.children {
+		if child.zone == n.config.Zone {
+			continue
+		}
+		home := n.seats.Holders(seat.ZonePrefix(child.zone), now)
+		if len(home) == 0 {
+			continue
+		}
+		child.homeReaders = nil
+		for _, holder := range home {
+			child.homeReaders = append(child.homeReaders, holder.Peer)
+		}
+		child.expel = true
+		child.signal()
 	}
 }
