--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -23,7 +23,6 @@
 	"github.com/lapisvane/lapisvane/internal/daemon/settings"
 	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
 	"github.com/lapisvane/lapisvane/internal/distribution/tree"
-	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 	"github.com/lapisvane/lapisvane/internal/transport/peer"
 	"github.com/lapisvane/lapisvane/internal/transport/tlssetup"
@@ -59,8 +58,8 @@
 	Logger logr.Logger
 	// Network overrides the network between daemons; nil for the settings'.
 	Network wire.Network
-	// Platform connects the daemon with the platform that its machine belongs
-	// to; nil where that has lapisvane's own object API.
+	// Platform is the adapter to the machine's platform; nil where that has lapisvane's own
+	// object API.
 	Platform platformapi.Platform
 	// PlatformDial overrides how the platform is dialed; nil for plain TCP.
 	PlatformDial objectapi.DialFunc
@@ -82,13 +81,8 @@
 	}
 	way := wayOfDistribution(d, config, options)
 	d.incarnation = way.incarnation
-	d.path = newRequestPath(requestPathConfig{
-		settings: &d.settings, logger: d.logger, registry: d.registry, network: network, callCounters: d.callCounters,
-		peerAddress: d.listeners.peer.Addr().String(), way: way,
-		announce: func() { d.distribution.SetLocalEndpoints(d.path.origin.Advertised()) },
-		spread:   func(records []quarantine.Record, from string) { d.distribution.SpreadSuspects(records, from) },
-	})
-	d.distribution = way.build(d.path, network)
+	d.path = newRequestPath(d, network, way)
+	d.distribution = way.build(network)
 	metrics.Register(d.registry, metrics.Sources{
 		Counters: d.counters, Origin: d.path.origin, Calls: d.path.calls, Suspects: d.path.suspects.Sizes,
 	})
@@ -104,10 +98,8 @@
 	return tlssetup.Network(config.PeerTLS.Certificate, config.PeerTLS.Key, config.PeerTLS.Authority)
 }
 
-// Run serves until stop is closed, then stops as planned: it refuses new work,
-// lets the calls in flight finish, and hands its children over. Closing force,
-// or the end of StopLimit, cuts what is still in flight. It returns the number
-// of calls that were cut.
+// Run serves until stop is closed, then drains (distribution.Drain). Closing force, or the
+// end of StopLimit, cuts what is still in flight. It returns the number of calls cut.
 func (d *Daemon) Run(stop, force <-chan struct{}) (cut int64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.start(ctx)
@@ -174,7 +166,7 @@
 	}
 }
 
-// logStart names the build and the settings that matter when lines are read.
+// logStart logs the build and the settings that matter when log lines are read.
 func (d *Daemon) logStart() {
 	config := d.settings.Load()
 	addresses := d.Addresses()
@@ -184,8 +176,7 @@
 		"stop_limit", config.StopLimit.Get())
 }
 
-// Addresses returns where the daemon listens, which matters when a port was chosen by
-// the system.
+// Addresses returns where the daemon listens, with the ports that the system chose.
 func (d *Daemon) Addresses() Addresses { return d.listeners.addresses() }
 
 // Info returns the condition of the daemon in the distribution tree; the zero Info on a
@@ -200,19 +191,16 @@
 // Revision returns the configuration revision in force, 0 before the first.
 func (d *Daemon) Revision() uint64 { return d.path.revision() }
 
-// InFlight returns the number of calls of callers and at instances that are not
-// over.
+// InFlight returns the number of calls of callers, and at instances, that are not over.
 func (d *Daemon) InFlight() int64 { return d.path.inFlight() }
 
-// Quarantined returns the number of kinds of requests that are held back because instances
-// crashed under them.
+// Quarantined returns the number of requests, by fingerprint, that are quarantined.
 func (d *Daemon) Quarantined() int {
-	_, held := d.path.suspects.Sizes()
-	return held
+	_, quarantined := d.path.suspects.Sizes()
+	return quarantined
 }
 
-// ReadyEndpoints returns the number of ready instances of a service that the
-// daemon knows.
+// ReadyEndpoints returns the number of ready instances of a service that the daemon knows.
 func (d *Daemon) ReadyEndpoints(service string) int {
 	ready := 0
 	for _, endpoint := range d.distribution.EndpointsOf(service) {
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -19,9 +19,9 @@
 )
 
 // distribution is how a daemon learns the configuration and the instances of other
-// machines, and how it tells of its own. There are two: treeDistribution, where daemons
+// machines, and announces its own. There are two: treeDistribution, where daemons
 // form a tree below readers of lapisvane's own object API, and platformDistribution, where
-// they tell one another over the connections that carry their calls.
+// they exchange them over the connections that carry their calls.
 type distribution interface {
 	// Run serves until ctx ends, on those of the listeners that are the distribution's.
 	Run(ctx context.Context, listeners listeners)
@@ -35,9 +35,9 @@
 	// daemon opened; nil where such connections carry nothing but calls.
 	AcceptedCalls() func(hello *lapisv1.Hello, link callmux.Link) callmux.Control
 	// SpreadSuspects tells other daemons what is known of requests under which instances
-	// crashed; from is the daemon that said so, empty for this one.
+	// crashed; from is the daemon that reported it, empty for this one.
 	SpreadSuspects(records []quarantine.Record, from string)
-	// Resumed notes that the machine was suspended: what others had told is that much older.
+	// Resumed reports that the machine was suspended: what others reported is that much older.
 	Resumed()
 	// Drain stops as planned: no new work, and what is in flight is seen through. It
 	// returns the number of calls still in flight when force or StopLimit ended the wait.
@@ -60,8 +60,8 @@
 	maintained bool
 	// quarantineStore outlasts all daemons; nil where there is none.
 	quarantineStore quarantine.Store
-	// build makes the distribution around the request path.
-	build func(path *requestPath, network wire.Network) distribution
+	// build makes the distribution once Daemon.path is built.
+	build func(network wire.Network) distribution
 }
 
 // wayOfDistribution is the one place that chooses between the two ways: a platform's, or
@@ -76,15 +76,11 @@
 // treeWay describes the tree. The incarnation is the time, since the tree's members order
 // the processes of a machine by it.
 func treeWay(d *Daemon, config *settings.Daemon, options Options) way {
-	incarnation := uint64(time.Now().UnixNano())
 	return way{
-		incarnation: incarnation, envelope: callapi.DefaultEnvelope,
-		build: func(path *requestPath, network wire.Network) distribution {
+		incarnation: uint64(time.Now().UnixNano()), envelope: callapi.DefaultEnvelope,
+		build: func(network wire.Network) distribution {
 			store := objectapi.NewClient(config.Platform.Addresses, config.Platform.Token, options.PlatformDial)
-			return newTreeDistribution(treeDistributionConfig{
-				path: path, store: store, network: network, counters: d.counters,
-				address: d.listeners.peer.Addr().String(), incarnation: incarnation,
-			})
+			return newTreeDistribution(d, store, network)
 		},
 	}
 }
@@ -92,17 +88,13 @@
 // platformWay describes the distribution on a platform. The incarnation is random there: the
 // time of day may jump, and no order rests on it.
 func platformWay(d *Daemon, config *settings.Daemon, options Options) way {
-	incarnation := rand.Uint64()
 	freshness := &configsource.Freshness{WithOrders: config.EvacuationBound > 0}
 	return way{
-		incarnation: incarnation, envelope: options.Platform.Envelope(),
+		incarnation: rand.Uint64(), envelope: options.Platform.Envelope(),
 		timing: platformTiming(config, freshness), maintained: true,
 		quarantineStore: options.Platform.Quarantine(),
-		build: func(path *requestPath, _ wire.Network) distribution {
-			return newPlatformDistribution(platformDistributionConfig{
-				path: path, platform: options.Platform, freshness: freshness,
-				address: d.listeners.peer.Addr().String(), incarnation: incarnation,
-			})
+		build: func(wire.Network) distribution {
+			return newPlatformDistribution(d, options.Platform, freshness)
 		},
 	}
 }
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -42,23 +42,14 @@
 	return opened, nil
 }
 
-// all returns the sockets that are open.
-func (l *listeners) all() []net.Listener {
-	var open []net.Listener
+// close closes every socket. A server closes its socket when its context ends, so an error
+// only says that this one is closed already.
+func (l *listeners) close() {
 	for _, listener := range []net.Listener{l.peer, l.caller, l.callerTLS, l.operator, l.metrics, l.instances, l.readiness} {
 		if listener != nil {
-			open = append(open, listener)
+			_ = listener.Close()
 		}
 	}
-	return open
-}
-
-// close closes every socket. Whoever serves one has closed it already when its context
-// ended, so the errors tell nothing.
-func (l *listeners) close() {
-	for _, listener := range l.all() {
-		_ = listener.Close()
-	}
 }
 
 // Addresses are where a daemon listens; empty for what it does not serve.
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -5,6 +5,7 @@
 	"io"
 	"os"
 	"os/signal"
+	"runtime/debug"
 	"syscall"
 
 	"github.com/cloudwego/hertz/pkg/common/hlog"
@@ -18,8 +19,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// flagsOfDaemon are the command line options; they win over the file.
-type flagsOfDaemon struct {
+// daemonFlags are the command line options; they win over the file.
+type daemonFlags struct {
 	Settings         string   `short:"s" long:"settings" description:"settings file (YAML)"`
 	Node             string   `long:"node" description:"the machine's stable name"`
 	Zone             string   `long:"zone" description:"the machine's zone"`
@@ -38,7 +39,7 @@
 }
 
 // apply puts the given flags over the settings.
-func (f *flagsOfDaemon) apply(target *settings.Daemon) {
+func (f *daemonFlags) apply(target *settings.Daemon) {
 	texts := []struct {
 		value string
 		field *string
@@ -67,12 +68,11 @@
 	}
 }
 
-// Main runs the program and returns its exit code: 0 after a planned stop that
-// cut nothing, 1 when calls were cut, 2 when the settings cannot be used.
-//
-// adapters are the platforms' adapters by the form that the settings name.
+// Main runs the program and returns its exit code: 0 after a planned stop that cut nothing,
+// 1 when calls were cut, 2 when the settings cannot be used. adapters are keyed by
+// platform.form of the settings.
 func Main(arguments []string, adapters map[string]Adapter) int {
-	options := &flagsOfDaemon{}
+	options := &daemonFlags{}
 	parser := flags.NewNamedParser("lapisvaned", flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "The daemon beside back ends and callers: proxy on the request path, and relay or reader in the distribution of configuration. Flags win over the settings file. SIGTERM stops as planned; a second one cuts what is in flight."
 	if _, err := parser.AddGroup("Options", "", options); err != nil {
@@ -114,9 +114,9 @@
 // Adapter connects a daemon with a platform at an address.
 type Adapter func(address string, logger logr.Logger) platformapi.Platform
 
-// watchSettings takes in changes of the settings file, at a SIGHUP and without
-// one, as long as the process runs.
-func watchSettings(running *Daemon, options *flagsOfDaemon) {
+// watchSettings applies changes of the settings file, at a SIGHUP and without one, as long
+// as the process runs.
+func watchSettings(running *Daemon, options *daemonFlags) {
 	received := make(chan os.Signal, 1)
 	signal.Notify(received, syscall.SIGHUP)
 	watcher := &reloader{
@@ -126,6 +126,20 @@
 	go watcher.run(context.Background())
 }
 
-// QuietHTTPLibrary keeps the HTTP library from writing log lines of its own
-// form; what matters of them is counted and logged as events.
+// QuietHTTPLibrary discards the HTTP library's own log lines; what matters of them is
+// counted and logged as events.
 func QuietHTTPLibrary() { hlog.SetOutput(io.Discard) }
+
+// buildVersion returns the revision that the program was built from, as far as it is known.
+func buildVersion() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" && len(setting.Value) >= 12 {
+			return setting.Value[:12]
+		}
+	}
+	return info.Main.Version
+}
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -1,4 +1,7 @@
-// Package metrics exposes a daemon's condition to Prometheus.
+// Package metrics exposes a daemon's state to Prometheus. It owns the names and help texts
+// of the metrics and the server of GET /metrics. It keeps no figures: each is read, when
+// the page is fetched, from the part that counts it, so those reads must be safe for
+// concurrent use. The names are those of docs/OPERATIONS.md, and dashboards rely on them.
 package metrics
 
 import (
@@ -26,9 +29,9 @@
 	Counters *wire.Counters
 	Origin   *origin.Origin
 	Calls    *callmux.Client
-	// Suspects returns the number of requests under which instances ended, and of those
-	// held back.
-	Suspects func() (suspects, held int)
+	// Suspects returns the number of requests under which instances crashed, and of those
+	// quarantined.
+	Suspects func() (suspects, quarantined int)
 }
 
 // Register adds the daemon's metrics to registry.
@@ -41,8 +44,8 @@
 		return float64(suspects)
 	})
 	gauge(registry, "lapisvane_requests_quarantined", "Those of them that do not reach instances any more.", func() float64 {
-		_, held := sources.Suspects()
-		return float64(held)
+		_, quarantined := sources.Suspects()
+		return float64(quarantined)
 	})
 	counter(registry, "lapisvane_control_bytes_in_total", "Bytes of control received from daemons.",
 		func() float64 { return float64(sources.Counters.BytesIn.Load()) })
@@ -74,17 +77,17 @@
 	gauge(registry, "lapisvane_revision_held", "Newest revision held.",
 		func() float64 { return float64(node.Info().Revision) })
 	gauge(registry, "lapisvane_floor_known", "1 once the daemon knows which version it may apply.",
-		func() float64 { return truth(node.Info().FloorKnown) })
+		func() float64 { return boolValue(node.Info().FloorKnown) })
 	gauge(registry, "lapisvane_tree_rooted", "1 while there is a way to a reader.",
-		func() float64 { return truth(node.Info().Rooted) })
+		func() float64 { return boolValue(node.Info().Rooted) })
 	gauge(registry, "lapisvane_tree_children", "Children in the distribution tree.",
 		func() float64 { return float64(node.Info().Children) })
 	gauge(registry, "lapisvane_tree_depth", "Levels from the reader, 1 for a reader.",
 		func() float64 { return float64(node.Info().Depth) })
 	gauge(registry, "lapisvane_reader", "1 while the daemon holds a reader seat.",
-		func() float64 { return truth(node.Info().Role == tree.RoleReader) })
+		func() float64 { return boolValue(node.Info().Role == tree.RoleReader) })
 	gauge(registry, "lapisvane_reader_suspended", "1 while the seat's lease could not be renewed.",
-		func() float64 { return truth(node.Info().SeatState == "suspended") })
+		func() float64 { return boolValue(node.Info().SeatState == "suspended") })
 	gauge(registry, "lapisvane_endpoints", "Back-end instances known.",
 		func() float64 { return float64(node.Info().Endpoints) })
 	counter(registry, "lapisvane_tree_joins_total", "Parents that accepted this daemon.",
@@ -105,7 +108,7 @@
 	registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, value))
 }
 
-func truth(value bool) float64 {
+func boolValue(value bool) float64 {
 	if value {
 		return 1
 	}
@@ -126,8 +129,8 @@
 const ownPrefix = "lapisvane_"
 
 // ownFirst gathers lapisvane's own metrics ahead of those of the language's runtime and of
-// the process. Collectors that keep only the first few kilobytes of a page got none of
-// ours: those of the runtime alone fill 4,000 bytes.
+// the process, whose page alone fills 4,000 bytes: a collector that keeps only the first few
+// kilobytes would get none of ours.
 type ownFirst struct{ gatherer prometheus.Gatherer }
 
 // Gather implements prometheus.Gatherer.
--- a/internal/daemon/metrics/platform.go
+++ b/internal/daemon/metrics/platform.go
@@ -43,7 +43,7 @@
 		}
 		return time.Since(since).Seconds()
 	})
-	gauge(registry, "lapisvane_ready", "1 while callers may be sent here.", func() float64 { return truth(sources.Ready()) })
+	gauge(registry, "lapisvane_ready", "1 while callers may be sent here.", func() float64 { return boolValue(sources.Ready()) })
 	gauge(registry, "lapisvane_members_known", "Other daemons known.", func() float64 { return float64(sources.Fleet.Known()) })
 	gauge(registry, "lapisvane_members_connected", "Daemons that calls can be sent to.",
 		func() float64 { return float64(sources.Fleet.Connected()) })
@@ -90,7 +90,7 @@
 		func() float64 { return float64(sources.Follower.OrderRequests.Load()) })
 }
 
-// registerCold adds the metrics of what cold instances get.
+// registerCold adds the metrics of the admission to cold instances.
 func registerCold(registry *prometheus.Registry, instances *origin.Origin) {
 	sum := func(read func(admission.PaceUse) float64) func() float64 {
 		return func() float64 {
--- a/internal/daemon/pausewatch.go
+++ b/internal/daemon/pausewatch.go
@@ -9,16 +9,16 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Times of the watch for pauses.
+// Times of the watch for pauses; both are chosen, not measured.
 const (
 	pauseCheck = 500 * time.Millisecond
 	// pauseNoticed is the time without processor from which a pause is logged.
 	pauseNoticed = time.Second
 )
 
-// watchPauses logs when the process did not run for a while, because it was
-// stopped or starved, or the machine suspended, until ctx ends: what it believes of
-// others is that old. resumed is called after a suspension.
+// watchPauses logs, until ctx ends, when the process did not run for a while because it was
+// stopped or starved or the machine was suspended: what it knows of other daemons is that
+// much older. resumed is called after a suspension.
 func watchPauses(ctx context.Context, logger logr.Logger, resumed func()) {
 	ticker := time.NewTicker(pauseCheck)
 	defer ticker.Stop()
--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -24,22 +24,21 @@
 // Times of a daemon on a platform.
 const (
 	// readyGrace is how long a starting daemon waits for its instance and for
-	// other daemons before it takes callers without them. Chosen, not measured: above
+	// other daemons before it is ready without them. Chosen, not measured: above
 	// the time in which daemons that start together find one another.
 	readyGrace = 3 * time.Second
-	// callersDrain is how long callers may still come after the daemon said
-	// that it is not ready. Chosen, not measured: above the interval at which readiness
+	// callersDrain is how long new calls are still accepted after the daemon
+	// stopped being ready. Chosen, not measured: above the interval at which readiness
 	// is polled, below the stop limit.
 	callersDrain = 2500 * time.Millisecond
-	// instancesDrain is how long a stopping daemon takes calls for the instance beside
-	// it, as far as they end before it does: the instance would idle meanwhile, while
-	// others refuse for load. On a played day that stops 41 machines in turn the users'
+	// instancesDrain is how long a stopping daemon admits calls to the instances beside
+	// it that end before it does: those would idle while others refuse for load. On a played day that stops 41 machines in turn the users'
 	// score was 0.716 and 0.729 without it and 0.760 with it.
 	instancesDrain = 2 * time.Second
 	// callsPart is the part of the stop limit in which calls may last; the rest is for the
 	// end of the process. Chosen, not measured.
 	callsPart = 7.0 / 8
-	// answersDrain is how long the last answers are given to leave the machine. Chosen, not
+	// answersDrain is the time for the last answers to reach their callers. Chosen, not
 	// measured: a few ways of the network, 40 ms between regions.
 	answersDrain = 100 * time.Millisecond
 )
@@ -56,7 +55,7 @@
 )
 
 // platformPeerTiming bounds the connections between daemons on a platform. Silence is
-// below the time after which a daemon in touch must know what others know (3 s by default),
+// below the contact time (setting platform.contact, 3 s by default),
 // and above two intervals of KeepAlive, so that one lost frame ends no connection. The three
 // figures are chosen, not measured.
 var platformPeerTiming = callmux.Timing{KeepAlive: time.Second, Silence: 2500 * time.Millisecond, Write: time.Second}
@@ -70,15 +69,15 @@
 	return timing
 }
 
-// heartbeatOf is what other daemons are told.
+// heartbeatOf returns what this daemon's heartbeats state.
 func heartbeatOf(freshness *configsource.Freshness) callmux.Heartbeat {
 	versions, confirmed := freshness.InForce()
 	return callmux.Heartbeat{Revision: versions.Configuration, Orders: versions.Orders, Confirmed: confirmed}
 }
 
-// platformDistribution is a daemon's part in the distribution on a platform: daemons tell
-// each other of configurations, orders and instances over the connections between them,
-// and some ask the platform's store (configsource).
+// platformDistribution is a daemon's part in the distribution on a platform: daemons
+// exchange configurations, orders and instances over the connections between them, and some
+// poll the platform's store (configsource).
 type platformDistribution struct {
 	path     *requestPath
 	platform platformapi.Platform
@@ -93,7 +92,7 @@
 	// inForceAt is when that came in force, in nanoseconds since started.
 	inForceAt atomic.Int64
 	// orders puts the operators' orders in force.
-	orders ordersPart
+	orders ordersState
 	// members is the number of daemons known, this one included.
 	members atomic.Int64
 	// resumed is sent to after a suspension of the machine.
@@ -103,34 +102,24 @@
 	mutex sync.Mutex
 }
 
-// platformDistributionConfig is what a platformDistribution is built from.
-type platformDistributionConfig struct {
-	path      *requestPath
-	platform  platformapi.Platform
-	freshness *configsource.Freshness
-	// address is where other daemons reach this one.
-	address     string
-	incarnation uint64
-}
-
-func newPlatformDistribution(config platformDistributionConfig) *platformDistribution {
-	values := config.path.settings.Load()
+func newPlatformDistribution(d *Daemon, platform platformapi.Platform, freshness *configsource.Freshness) *platformDistribution {
+	values := d.settings.Load()
 	p := &platformDistribution{
-		path: config.path, platform: config.platform, freshness: config.freshness,
+		path: d.path, platform: platform, freshness: freshness,
 		started: time.Now(), resumed: make(chan struct{}, 1),
 	}
 	p.members.Store(1)
-	p.orders = ordersPart{follow: p.followOrders, unknown: map[string]bool{}}
+	p.orders = ordersState{follow: p.followOrders, unknown: map[string]bool{}}
 	p.fleet = fleet.New(fleet.Config{
-		Self:        fleet.Member{Node: values.Node, Address: config.address, Zone: values.Zone, Region: values.Region, Service: values.Service},
-		Incarnation: config.incarnation, Directory: config.platform.Directory(), Calls: p.path.calls, Observer: p,
+		Self:        fleet.Member{Node: values.Node, Address: d.listeners.peer.Addr().String(), Zone: values.Zone, Region: values.Region, Service: values.Service},
+		Incarnation: d.incarnation, Directory: platform.Directory(), Calls: p.path.calls, Observer: p,
 		InForce: p.inForce.Load, Orders: p.ordersInForce(), Suspects: p.path.suspects.Known, Freshness: p.freshness,
 		Withdrawn: p.path.origin.Withdrawn, Random: rand.Float64, Logger: p.path.logger,
 	})
 	p.follower = &configsource.Follower{
-		Source: config.platform.Source(), Apply: p.Offer, Freshness: p.freshness, Confirmed: p.fleet.SendHeartbeats,
+		Source: platform.Source(), Apply: p.Offer, Freshness: p.freshness, Confirmed: p.fleet.SendHeartbeats,
 		ApplyOrders: p.ordersReader(), OrdersBound: p.ordersBound(),
-		Awaited: p.path.snapshots.Awaited, Bound: p.askBound(), Daemons: func() int { return int(p.members.Load()) },
+		Awaited: p.path.snapshots.Awaited, Bound: p.pollBound(), Daemons: func() int { return int(p.members.Load()) },
 		MinInterval: p.minInterval, Random: rand.Float64, Resumed: p.resumed, Logger: p.path.logger,
 	}
 	return p
@@ -143,10 +132,7 @@
 
 // stall bounds the time in which a daemon that does not answer is noticed.
 func (p *platformDistribution) stall() callmux.Stall {
-	return callmux.Stall{
-		Check: stallCheck, Quiet: stallQuiet, Answer: stallAnswer,
-		Changed: p.fleet.Stalled,
-	}
+	return callmux.Stall{Check: stallCheck, Quiet: stallQuiet, Answer: stallAnswer, Changed: p.fleet.Stalled}
 }
 
 // Run implements distribution.
@@ -191,8 +177,8 @@
 	p.fleet.SpreadSuspects(records, from)
 }
 
-// Resumed implements distribution: the source is asked as soon as the age of what others
-// had told says so.
+// Resumed implements distribution: the follower looks again whether the source has to be
+// polled, since what others reported became older at once.
 func (p *platformDistribution) Resumed() {
 	select {
 	case p.resumed <- struct{}{}:
@@ -270,9 +256,8 @@
 // Withdraw implements fleet.Observer.
 func (p *platformDistribution) Withdraw(instance string) { p.path.origin.Withdraw(instance) }
 
-// startDraining sends callers elsewhere and refuses calls that would not end by endsBy.
-// After instancesDrain the instances beside the daemon take none any more; the returned timer
-// does that.
+// startDraining sends callers elsewhere and refuses calls that would not end by endsBy. The
+// returned timer stops the instances beside the daemon after instancesDrain.
 func (p *platformDistribution) startDraining(endsBy time.Time) (instances *time.Timer) {
 	path := p.path
 	p.draining.Store(true)
@@ -284,21 +269,20 @@
 	})
 }
 
-// Drain implements distribution: callers are sent elsewhere, instances soon take no new
-// work here, and what is in flight is seen through. It returns the number of
-// calls that were still in flight when force or the limit ended the wait.
+// Drain implements distribution: callers are sent elsewhere, the instances beside the daemon
+// are stopped after instancesDrain, and the calls in flight finish.
 func (p *platformDistribution) Drain(force <-chan struct{}) (cut int64) {
 	path := p.path
-	lasts := time.Duration(callsPart * float64(path.settings.Load().StopLimit.Get()))
-	limit := time.NewTimer(lasts)
+	callsLimit := time.Duration(callsPart * float64(path.settings.Load().StopLimit.Get()))
+	limit := time.NewTimer(callsLimit)
 	defer limit.Stop()
-	instances := p.startDraining(time.Now().Add(lasts - answersDrain))
+	instances := p.startDraining(time.Now().Add(callsLimit - answersDrain))
 	defer instances.Stop()
-	left := time.NewTimer(callersDrain)
-	defer left.Stop()
+	callers := time.NewTimer(callersDrain)
+	defer callers.Stop()
 	poll := time.NewTicker(inFlightPoll)
 	defer poll.Stop()
-	callersGone := false
+	callersRefused := false
 	var idleSince time.Time
 	for {
 		select {
@@ -306,14 +290,14 @@
 			return path.reportCut("a second signal")
 		case <-limit.C:
 			return path.endCalls()
-		case <-left.C:
-			// Whoever still comes is refused before anything ran, so that
-			// the end of the process cuts nothing.
+		case <-callers.C:
+			// From here on a new call is refused before anything ran, so that the end of
+			// the process cuts nothing.
 			path.gateway.Stop()
-			callersGone = true
+			callersRefused = true
 		case <-poll.C:
 			switch {
-			case !callersGone || path.inFlight() > 0:
+			case !callersRefused || path.inFlight() > 0:
 				idleSince = time.Time{}
 			case idleSince.IsZero():
 				idleSince = time.Now()
--- a/internal/daemon/platform_orders.go
+++ b/internal/daemon/platform_orders.go
@@ -12,10 +12,10 @@
 // fromStore names the platform's store as where orders came from.
 const fromStore = "store"
 
-// ordersPart is what a daemon keeps of the operators' orders.
-type ordersPart struct {
-	// follow puts a set in force that took the place of before. It is called for one
-	// set at a time, and returns once calls are handled by it.
+// ordersState is what a daemon keeps of the operators' orders.
+type ordersState struct {
+	// follow puts a set in force in place of before. It is called for one set at a time, and
+	// returns once calls are handled by it.
 	follow func(before, now *orders.Set, by string)
 
 	// mutex is held while a set is put in force and protects unknown, the zones in
@@ -33,9 +33,8 @@
 	return p.path.settings.Load().EvacuationBound.Get()
 }
 
-// askBound is the time within which everything that is asked of the source must be in
-// force.
-func (p *platformDistribution) askBound() time.Duration {
+// pollBound is the time within which everything that polls read must be in force.
+func (p *platformDistribution) pollBound() time.Duration {
 	bound := p.path.settings.Load().Platform.ApplyBound.Get()
 	if p.freshness.WithOrders {
 		bound = min(bound, p.ordersBound())
@@ -68,8 +67,8 @@
 	return !p.freshness.WithOrders || versions.Orders > 0
 }
 
-// holdBack keeps a configuration until the first orders are known, so that nothing is
-// sent before; p.mutex is held.
+// holdBack keeps a configuration until the first orders are known, so that no call is sent
+// before, and reports whether it did; p.mutex is held.
 func (p *platformDistribution) holdBack(configuration *lapisv1.Configuration) bool {
 	if p.ordersKnown() {
 		return false
@@ -91,26 +90,27 @@
 	}
 }
 
-// readOrders takes in the store's answer.
+// readOrders offers the store's answer.
 func (p *platformDistribution) readOrders(set *orders.Set) {
-	p.takeOrders(fromStore, func() (*orders.Set, bool) { return p.path.orders.Read(set) })
+	p.applyOrders(fromStore, func() (*orders.Set, bool) { return p.path.orders.Read(set) })
 }
 
 // OfferOrders implements fleet.Observer.
 func (p *platformDistribution) OfferOrders(set *orders.Set, from string) {
-	p.takeOrders(from, func() (*orders.Set, bool) { return p.path.orders.Replace(set) })
+	p.applyOrders(from, func() (*orders.Set, bool) { return p.path.orders.Replace(set) })
 }
 
-// takeOrders puts orders in force that replace takes in, and passes them on.
-func (p *platformDistribution) takeOrders(by string, replace func() (before *orders.Set, taken bool)) {
+// applyOrders puts orders in force if replace finds them newer, and passes them on; by is
+// who brought them.
+func (p *platformDistribution) applyOrders(by string, replace func() (before *orders.Set, replaced bool)) {
 	p.orders.mutex.Lock()
 	defer p.orders.mutex.Unlock()
-	before, taken := replace()
+	before, replaced := replace()
 	now := p.path.orders.Load()
 	for _, zone := range now.GivenAgain(before) {
 		p.path.logger.Info("orders.given_again", "zone", zone, "revision", now.Revision(), "by", by)
 	}
-	if !taken {
+	if !replaced {
 		return
 	}
 	p.orders.follow(before, now, by)
@@ -122,8 +122,8 @@
 	}
 }
 
-// followOrders puts orders in force for the instances beside the daemon; callers'
-// attempts look at the current set themselves.
+// followOrders puts orders in force for the instances beside the daemon; attempts of calls
+// read the current set themselves.
 func (p *platformDistribution) followOrders(before, now *orders.Set, by string) {
 	p.path.origin.SetEvacuated(now.Evacuated(p.path.settings.Load().Zone))
 	p.path.logger.Info("orders.in_force", "revision", now.Revision(), "before", before.Revision(), "zones", strings.Join(now.Zones(), ","), "by", by)
--- a/internal/daemon/platformapi/port.go
+++ b/internal/daemon/platformapi/platform.go
@@ -1,7 +1,7 @@
-// Package platformapi states what lapisvane asks of the platform that its machines
-// belong to, where that is not lapisvane's own object API. An adapter
-// implements it and translates, nothing more: decisions, state and recovery
-// stay in the product.
+// Package platformapi is the interface between a daemon and the platform that its machine
+// belongs to, where that is not lapisvane's own object API. It holds types only and owns no
+// state; it relies on the packages that define what an adapter exchanges with them. An
+// adapter translates, nothing more: decisions, state and recovery stay in those packages.
 package platformapi
 
 import (
@@ -15,31 +15,31 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
 )
 
-// Instances takes in what the instances beside the daemon state.
+// Instances receives the heartbeats of the instances beside the daemon. An adapter
+// acknowledges a message once the method has returned.
 type Instances interface {
-	// Register takes in a heartbeat; its return acknowledges it.
+	// Register records a heartbeat.
 	Register(registration origin.Registration)
-	// Withdraw notes that an instance leaves; its return acknowledges it.
+	// Withdraw records that an instance retires.
 	Withdraw(instance string)
 }
 
-// Platform is one platform.
+// Platform is the adapter to one platform.
 type Platform interface {
 	// Source is where the configuration in force and the operators' orders come from.
 	Source() configsource.Source
 	// Directory is where daemons find each other.
 	Directory() fleet.Directory
-	// Quarantine is where what daemons know of requests under which instances ended
-	// outlasts all of them.
+	// Quarantine stores the records of requests under which instances crashed, so that they
+	// outlast all daemons.
 	Quarantine() quarantine.Store
 	// Envelope names the header fields of requests and answers.
 	Envelope() callapi.Envelope
 	// ServeInstances serves the heartbeats of the instances beside the daemon
 	// until ctx ends.
 	ServeInstances(ctx context.Context, listener net.Listener, instances Instances)
-	// ServeReadiness tells whoever asks whether callers may be sent here, until
-	// ctx ends.
+	// ServeReadiness answers whether callers may be sent here, until ctx ends.
 	ServeReadiness(ctx context.Context, listener net.Listener, ready func() bool)
-	// Close ends what is kept open.
+	// Close closes the adapter's connections.
 	Close()
 }
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -12,7 +12,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Times of the records in the platform's store. All are chosen, not measured.
+// Times of reading and writing the records in the platform's store. All are chosen, not measured.
 const (
 	// saveRetryMin and saveRetryMax bound the time between two tries after failures; the
 	// wait doubles from one to the other.
@@ -20,9 +20,9 @@
 	saveRetryMax = 5 * time.Second
 	// idleWait is the time between two rounds when nothing is due.
 	idleWait = time.Minute
-	// othersSave is how long the daemon beside the crashed instance has to store its
-	// record before any other daemon does; the others follow within othersSpread, at random, so that
-	// one write is usually enough. othersSave must be above a few answers of the store.
+	// othersSave is how long the daemon beside the crashed instance has to store its record
+	// before any other daemon does; it must be above a few answers of the store. The others
+	// follow at random within othersSpread, so that one write is usually enough.
 	othersSave   = time.Second
 	othersSpread = 3 * time.Second
 	// loadAgain is when a starting daemon reads the records a second time: the first
@@ -36,7 +36,7 @@
 type suspects struct {
 	*quarantine.Registry
 	logger logr.Logger
-	// spread tells other daemons.
+	// spread sends records to other daemons.
 	spread func(records []quarantine.Record, from string)
 	// store keeps what must outlast all daemons; nil where there is none.
 	store quarantine.Store
@@ -52,8 +52,8 @@
 }
 
 // Crashed implements origin.CrashReporter.
-func (s *suspects) Crashed(instance string, id uint64, had []quarantine.InFlight) {
-	changed := s.Registry.Crashed(id, had)
+func (s *suspects) Crashed(instance string, id uint64, inFlight []quarantine.InFlight) {
+	changed := s.Registry.Crashed(id, inFlight)
 	s.spread(changed, "")
 	s.noteChanged(changed, "instance "+instance)
 }
--- a/internal/daemon/quarantine_test.go
+++ b/internal/daemon/quarantine_test.go
@@ -13,8 +13,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// What is held back may run again, to see, when its time has passed for all others, also
-// where this machine was suspended meanwhile.
+// The time until a trial of a quarantined request is due goes on while the machine is
+// suspended.
 func TestHeldBackTimeGoesOnWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -9,18 +9,20 @@
 	"strings"
 	"time"
 
+	"github.com/pkg/errors"
+
 	"github.com/lapisvane/lapisvane/internal/daemon/settings"
 )
 
-// settingsPoll is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPoll is how often the settings file is checked: it may change without a signal.
+// Chosen, not measured.
 const settingsPoll = 2 * time.Second
 
 // reloadable are the settings that take effect while the daemon runs, by the
 // first part of their key.
 var reloadable = map[string]bool{"service": true, "retries": true, "stop_limit": true}
 
-// reloader takes in changes of the settings file.
+// reloader applies changes of the settings file.
 type reloader struct {
 	daemon *Daemon
 	path   string
@@ -45,7 +47,7 @@
 	return fileStamp{size: info.Size(), modified: info.ModTime()}
 }
 
-// run takes in changes until ctx ends.
+// run applies changes until ctx ends.
 func (r *reloader) run(ctx context.Context) {
 	r.seen = stampOf(r.path)
 	ticker := time.NewTicker(settingsPoll)
@@ -70,11 +72,14 @@
 	r.seen = stampOf(r.path)
 	d := r.daemon
 	next, err := r.read()
+	var changed []string
+	if err == nil {
+		changed, err = changedKeys(d.settings.Load(), next)
+	}
 	if err != nil {
 		d.logger.Error(err, "settings.refused", "cause", cause)
 		return
 	}
-	changed := changedKeys(d.settings.Load(), next)
 	applied := slices.DeleteFunc(slices.Clone(changed), func(key string) bool { return !reloadable[key] })
 	waiting := slices.DeleteFunc(changed, func(key string) bool { return reloadable[key] })
 	updated := *d.settings.Load()
@@ -85,24 +90,30 @@
 		"need_restart", strings.Join(waiting, ","))
 }
 
-// changedKeys returns the first parts of the keys whose values differ, in
-// order.
-func changedKeys(before, after *settings.Daemon) []string {
-	old, now := valuesOf(before), valuesOf(after)
-	var changed []string
+// changedKeys returns the first parts of the keys whose values differ, in order.
+func changedKeys(before, after *settings.Daemon) (changed []string, err error) {
+	old, err := valuesByKey(before)
+	if err != nil {
+		return nil, err
+	}
+	now, err := valuesByKey(after)
+	if err != nil {
+		return nil, err
+	}
 	for _, key := range slices.Sorted(maps.Keys(now)) {
 		if string(old[key]) != string(now[key]) {
 			changed = append(changed, key)
 		}
 	}
-	return changed
+	return changed, nil
 }
 
-func valuesOf(read *settings.Daemon) map[string]json.RawMessage {
-	values := map[string]json.RawMessage{}
+// valuesByKey returns the encoded settings by the first part of their key.
+func valuesByKey(read *settings.Daemon) (values map[string]json.RawMessage, err error) {
 	encoded, err := json.Marshal(read)
-	if err == nil {
-		_ = json.Unmarshal(encoded, &values)
+	if err != nil {
+		return nil, errors.Wrap(err, "encoding the settings")
 	}
-	return values
+	err = json.Unmarshal(encoded, &values)
+	return values, errors.Wrap(err, "decoding the settings by key")
 }
--- a/internal/daemon/requestpath.go
+++ b/internal/daemon/requestpath.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/go-logr/logr"
-	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/daemon/settings"
@@ -25,7 +24,7 @@
 // Times of the end of calls at a planned stop.
 const (
 	// inFlightPoll is how often a stopping daemon counts its calls in flight. Chosen, not
-	// measured: well below answersLeave and cutAnswers.
+	// measured: well below answersDrain and cutAnswers.
 	inFlightPoll = 20 * time.Millisecond
 	// cutAnswers bounds how long the answers of cut calls may take to be written. Chosen,
 	// not measured: above a few ways of the network, 40 ms between regions.
@@ -47,51 +46,38 @@
 	orders *orders.Current
 }
 
-// requestPathConfig is what a requestPath is built from.
-type requestPathConfig struct {
-	settings     *atomic.Pointer[settings.Daemon]
-	logger       logr.Logger
-	registry     *prometheus.Registry
-	network      wire.Network
-	callCounters *wire.Counters
-	// peerAddress is where other daemons reach this one.
-	peerAddress string
-	way         way
-	// announce tells the distribution that the instances beside the daemon changed, spread
-	// what is known of requests under which instances crashed.
-	announce func()
-	spread   func(records []quarantine.Record, from string)
-}
-
-// newRequestPath builds the parts of the request path; none of them runs yet.
-func newRequestPath(config requestPathConfig) *requestPath {
-	values := config.settings.Load()
-	decisions := decision.New(config.logger, values.DecisionLinesPerSecond, time.Now)
+// newRequestPath builds the parts of the request path; none of them runs yet. The changes
+// that it passes to d.distribution come only after d runs.
+func newRequestPath(d *Daemon, network wire.Network, way way) *requestPath {
+	values := d.settings.Load()
+	decisions := decision.New(d.logger, values.DecisionLinesPerSecond, time.Now)
+	announce := func() { d.distribution.SetLocalEndpoints(d.path.origin.Advertised()) }
+	spread := func(records []quarantine.Record, from string) { d.distribution.SpreadSuspects(records, from) }
 	p := &requestPath{
-		settings: config.settings, logger: config.logger,
+		settings: &d.settings, logger: d.logger,
 		snapshots: &snapshot.Store{}, orders: &orders.Current{},
 		balancer: balance.New(values.Node, values.Zone, values.Region, time.Now),
-		suspects: newSuspects(config.logger, config.way.quarantineStore, config.spread),
+		suspects: newSuspects(d.logger, way.quarantineStore, spread),
 	}
 	p.origin = origin.New(origin.Config{
 		Backends: backendsOf(values), Crashes: p.suspects,
 		QueueLength: values.Calls.QueueLength, QueueTime: values.Calls.QueueTime.Get(),
-		Envelope: config.way.envelope, Changed: config.announce, Decisions: decisions, Logger: config.logger, Region: values.Region,
+		Envelope: way.envelope, Changed: announce, Decisions: decisions, Logger: d.logger, Region: values.Region,
 		Cold: origin.ColdBound{Overshoot: values.ColdStarts.Overshoot, Allowance: values.ColdStarts.Slack},
 	})
 	p.calls = &callmux.Client{
-		Network: config.network, Counters: config.callCounters, Timing: config.way.timing, Maintained: config.way.maintained,
+		Network: network, Counters: d.callCounters, Timing: way.timing, Maintained: way.maintained,
 		Hello: &lapisv1.Hello{
 			ProtocolVersion: wire.ProtocolVersion, Purpose: lapisv1.Hello_PURPOSE_CALLS,
-			Node: values.Node, Incarnation: config.way.incarnation, Zone: values.Zone, Region: values.Region,
-			Address: config.peerAddress, Service: values.Service,
+			Node: values.Node, Incarnation: way.incarnation, Zone: values.Zone, Region: values.Region,
+			Address: d.listeners.peer.Addr().String(), Service: values.Service,
 		},
 	}
 	p.gateway = gateway.New(gateway.Config{
-		Node: values.Node, Incarnation: config.way.incarnation, Snapshots: p.snapshots, Balancer: p.balancer,
+		Node: values.Node, Incarnation: way.incarnation, Snapshots: p.snapshots, Balancer: p.balancer,
 		Local: p.origin, Remote: p.calls, DefaultDeadline: values.Calls.DefaultDeadline.Get(),
-		Envelope: config.way.envelope, CallerService: p.callerService, Retries: retryLimits(values.Retries),
-		Decisions: decisions, Registry: config.registry, RepeatShare: p.origin.RepeatShare, Evacuated: p.orders.Evacuated,
+		Envelope: way.envelope, CallerService: p.callerService, Retries: retryLimits(values.Retries),
+		Decisions: decisions, Registry: d.registry, RepeatShare: p.origin.RepeatShare, Evacuated: p.orders.Evacuated,
 		SentAhead: sentAhead(values.SentAhead), Quarantine: p.suspects,
 	})
 	return p
@@ -141,8 +127,8 @@
 	return p.gateway.InFlight() + int64(p.origin.InFlight())
 }
 
-// endCalls ends the calls that outlasted the stop limit and waits until callers
-// have been told so: a connection that ends without a word tells them nothing.
+// endCalls cuts the calls that outlasted the stop limit and waits until their callers have
+// the answers: from a closed connection they could not tell whether the call ran.
 func (p *requestPath) endCalls() (cut int64) {
 	cut = p.reportCut("stop_limit " + p.settings.Load().StopLimit.Get().String())
 	p.gateway.Cut()
--- a/internal/daemon/settings/daemon.go
+++ b/internal/daemon/settings/daemon.go
@@ -1,3 +1,8 @@
+// Package settings reads and checks the settings file of lapisvaned. A file is strict: an
+// unknown key, a bad address, a missing value or a number out of range is refused with a
+// numbered error that names the key. The package owns the keys, their forms and defaults; it
+// keeps no state, and relies on tunables for the profiles of distribution and on result for
+// the errors. Every key that a file may hold must go on loading as it does.
 package settings
 
 import (
@@ -26,13 +31,13 @@
 	// MetricsAddress serves Prometheus metrics; empty for none.
 	MetricsAddress string   `json:"metrics_address"`
 	Platform       Platform `json:"platform"`
-	// InstanceAddress takes in the heartbeats of the instances beside the
-	// daemon, on a platform where they register themselves; empty for none.
+	// InstanceAddress receives the heartbeats of the instances beside the daemon, on a
+	// platform where they register themselves; empty for none.
 	InstanceAddress string `json:"instance_address"`
-	// ReadinessAddress tells a platform whether callers may come; empty for
-	// none.
+	// ReadinessAddress answers a platform whether callers may be sent here; empty for none.
 	ReadinessAddress string `json:"readiness_address"`
-	// Service is the service that runs on the machine; back ends are told.
+	// Service is the service that runs on the machine; calls from here name it as their
+	// caller.
 	Service string `json:"service"`
 	// LinkMegabits is the rate of the machine's link in Mbit/s, 0 where it is not
 	// known. Long bodies are sent so that short calls get past them on it.
@@ -47,8 +52,8 @@
 	Backends []Backend `json:"backends"`
 	PeerTLS  PeerTLS   `json:"peer_tls"`
 	Calls    Calls     `json:"calls"`
-	// EvacuationBound is the time in which every daemon in touch must follow an
-	// operator's order to evacuate a zone; 0 where operators give no such orders.
+	// EvacuationBound is the time within which an operator's order to evacuate a zone must be
+	// in force on every connected daemon; 0 where operators give no such orders.
 	EvacuationBound tunables.Duration `json:"evacuation_bound"`
 	// ColdStarts bounds what instances get that have just started.
 	ColdStarts ColdStarts `json:"cold_starts"`
@@ -83,11 +88,11 @@
 	ReadsPerSecond float64 `json:"reads_per_second"`
 	// WritesPerSecond is accepted and has no effect.
 	WritesPerSecond float64 `json:"writes_per_second"`
-	// Contact is the time after which a daemon that reaches the platform again
-	// must know what it knows.
+	// Contact is the time after which a daemon that reaches the platform again must know
+	// what the platform holds.
 	Contact tunables.Duration `json:"contact"`
-	// ApplyBound is the time in which an accepted configuration must be in
-	// force on every daemon in touch.
+	// ApplyBound is the time within which an accepted configuration must be in force on
+	// every connected daemon.
 	ApplyBound tunables.Duration `json:"apply_bound"`
 }
 
@@ -100,12 +105,11 @@
 	Burst float64 `json:"burst"`
 }
 
-// ColdStarts bounds the calls to a cold instance: in no second more than the pool's
-// rate of cold instances times Overshoot, and Slack more. Both 0 set no bound beside
-// that rate.
+// ColdStarts bounds the calls to a cold instance: in any second at most the pool's rate of
+// cold instances times Overshoot, plus Slack. Both 0 leave that rate as the only bound.
 type ColdStarts struct {
 	Overshoot float64 `json:"overshoot"`
-	// Slack is in calls.
+	// Slack is the allowance above the rate, in calls.
 	Slack float64 `json:"slack"`
 }
 
@@ -116,8 +120,7 @@
 	Address  string `json:"address"`
 }
 
-// PeerTLS names the files for mutual TLS between daemons; all empty for plain
-// TCP.
+// PeerTLS names the files for mutual TLS between daemons; all empty for plain TCP.
 type PeerTLS struct {
 	Certificate string `json:"certificate"`
 	Key         string `json:"key"`
@@ -140,8 +143,8 @@
 	// Requests bounds those that are unanswered behind another one, of all
 	// connections.
 	Requests int `json:"requests"`
-	// BytesPerConnection and Bytes bound the answers that wait for their turn, of
-	// one connection and of all.
+	// BytesPerConnection and Bytes bound the answers that wait for earlier ones, of one
+	// connection and of all.
 	BytesPerConnection int64 `json:"bytes_per_connection"`
 	Bytes              int64 `json:"bytes"`
 }
@@ -152,11 +155,10 @@
 	ProfileBytes       = "bytes"
 )
 
-// decisionLinesPerSecond bounds the lines about requests where a file says
-// nothing.
+// decisionLinesPerSecond is the default of DecisionLinesPerSecond. Chosen, not measured.
 const decisionLinesPerSecond = 200
 
-// DefaultDaemon returns the settings that hold where a file says nothing.
+// DefaultDaemon returns the defaults. Its figures are chosen, not measured.
 func DefaultDaemon() Daemon {
 	return Daemon{
 		Profile: ProfileConvergence,
--- a/internal/daemon/tree_distribution.go
+++ b/internal/daemon/tree_distribution.go
@@ -33,31 +33,20 @@
 	store *objectapi.Client
 }
 
-// treeDistributionConfig is what a treeDistribution is built from.
-type treeDistributionConfig struct {
-	path     *requestPath
-	store    *objectapi.Client
-	network  wire.Network
-	counters *wire.Counters
-	// address is where other daemons reach this one.
-	address     string
-	incarnation uint64
-}
-
-func newTreeDistribution(config treeDistributionConfig) *treeDistribution {
-	values := config.path.settings.Load()
+func newTreeDistribution(d *Daemon, store *objectapi.Client, network wire.Network) *treeDistribution {
+	values := d.settings.Load()
 	services := append([]string(nil), values.Services...)
 	for _, backend := range values.Backends {
 		services = append(services, backend.Service)
 	}
-	t := &treeDistribution{path: config.path, store: config.store}
+	t := &treeDistribution{path: d.path, store: store}
 	t.node = tree.New(tree.Config{
-		Node: values.Node, Incarnation: config.incarnation, Zone: values.Zone, Region: values.Region,
-		Address: config.address, Seeds: values.Seeds,
+		Node: values.Node, Incarnation: d.incarnation, Zone: values.Zone, Region: values.Region,
+		Address: d.listeners.peer.Addr().String(), Seeds: values.Seeds,
 		Interest: holdings.NewInterest(services...), Tunables: values.Tunables(),
-		Network: config.network, Store: config.store, Counters: config.counters,
+		Network: network, Store: store, Counters: d.counters,
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Logger: config.path.logger, Observer: t, NoSeat: values.NoSeat,
+		Logger: d.logger, Observer: t, NoSeat: values.NoSeat,
 	})
 	return t
 }
@@ -112,15 +101,15 @@
 	return nil
 }
 
-// SpreadSuspects implements distribution: daemons in a tree count crashes each for itself.
+// SpreadSuspects implements distribution: each daemon of a tree counts crashes for itself.
 func (t *treeDistribution) SpreadSuspects([]quarantine.Record, string) {}
 
 // Resumed implements distribution: the tree's leases and silences are measured by the time
 // since boot, so nothing has to be done.
 func (t *treeDistribution) Resumed() {}
 
-// Drain implements distribution: new calls are refused, children are handed over, and what
-// is in flight is seen through.
+// Drain implements distribution: new calls are refused, children are handed over, and the
+// calls in flight finish.
 func (t *treeDistribution) Drain(force <-chan struct{}) (cut int64) {
 	t.path.gateway.Stop()
 	t.path.origin.Stop()
