--- a/internal/daemon/platform_orders.go
+++ b/internal/daemon/platform_orders.go
@@ -92,12 +92,12 @@
 
 // readOrders offers the store's answer.
 func (p *platformDistribution) readOrders(set *orders.Set) {
-	p.applyOrders(fromStore, func() (*orders.Set, bool) { return p.path.orders.Read(set) })
+	p.applyOrders(fromStore, func() (*orders.Set, bool) { return p.path.orders.ApplyStored(set) })
 }
 
 // OfferOrders implements fleet.Observer.
 func (p *platformDistribution) OfferOrders(set *orders.Set, from string) {
-	p.applyOrders(from, func() (*orders.Set, bool) { return p.path.orders.Replace(set) })
+	p.applyOrders(from, func() (*orders.Set, bool) { return p.path.orders.ApplyReceived(set) })
 }
 
 // applyOrders puts orders in force if replace finds them newer, and passes them on; by is
--- a/internal/distribution/configsource/fleetmates_test.go
+++ b/internal/distribution/configsource/fleetmates_test.go
@@ -123,7 +123,7 @@
 				if ordersBound > 0 {
 					mate.freshness.WithOrders = true
 					follower.OrdersBound = ordersBound
-					follower.ApplyOrders = func(set *orders.Set) { mate.applyOrders(set, mate.orders.Read, mates) }
+					follower.ApplyOrders = func(set *orders.Set) { mate.applyOrders(set, mate.orders.ApplyStored, mates) }
 				}
 			})
 			mate.stop = run(mate.follower)
@@ -161,7 +161,7 @@
 				mate.apply(&lapisv1.Configuration{Revision: versions.Configuration})
 			}
 			if set != nil && !mate.is(func(m *fleetmate) bool { return m.unordered }) {
-				mate.applyOrders(set, mate.orders.Replace, mates)
+				mate.applyOrders(set, mate.orders.ApplyReceived, mates)
 			}
 		})
 	}
--- a/internal/distribution/fleet/followers_test.go
+++ b/internal/distribution/fleet/followers_test.go
@@ -26,7 +26,7 @@
 // OfferOrders implements Observer.
 func (f *follower) OfferOrders(set *orders.Set, _ string) {
 	f.orderMessages.Add(1)
-	if _, taken := f.orders.Replace(set); taken {
+	if _, taken := f.orders.ApplyReceived(set); taken {
 		now := time.Now()
 		f.takenAt.Store(&now)
 		if spreading := f.fleet.Load(); spreading != nil {
@@ -60,7 +60,7 @@
 		test(func(index int, known *orders.Set, adjust ...func(*Config)) *follower {
 			joined := &follower{offerFunc: func(*lapisv1.Configuration) {}, registry: quarantine.NewRegistry(time.Now)}
 			if known != nil {
-				joined.orders.Replace(known)
+				joined.orders.ApplyReceived(known)
 			}
 			member := memberAt(fmt.Sprintf("%c-%d", 'A'+index, index), fmt.Sprintf("x:%d", index))
 			follow := func(config *Config) {
--- a/internal/model/digest/digest.go
+++ b/internal/model/digest/digest.go
@@ -38,8 +38,8 @@
 	low, high uint64
 }
 
-// MemberOf returns the member for a name and the digest of its content. The name goes in with its
-// length, so that no two pairs run into one another.
+// MemberOf returns the member for a name and the digest of its content. The name is hashed with
+// its length, so that no two pairs have the same input.
 func MemberOf(name string, content []byte) Member {
 	hasher := sha256.New()
 	var length [4]byte
@@ -57,8 +57,7 @@
 	s.high += member.high
 }
 
-// Remove removes a member that was added before; the digest of what was not added is wrong
-// from then on.
+// Remove removes a member that was added before; after removing any other the digest is wrong.
 func (s *Set) Remove(member Member) {
 	s.low -= member.low
 	s.high -= member.high
--- a/internal/model/fingerprint/fingerprint.go
+++ b/internal/model/fingerprint/fingerprint.go
@@ -1,9 +1,9 @@
-// Package fingerprint derives keys of requests from what they ask for, so that one that comes again
-// under another request id, from another client and at another daemon, is recognised.
+// Package fingerprint derives keys of requests from what they ask for, so that a request that
+// comes again with another id, from another client or at another daemon is recognised.
 //
 // It owns nothing and relies on SHA-256 and on callapi.HostName. What must hold: every daemon
-// derives the same keys, and the stored ones stay valid over releases; whoever sends requests cannot
-// make one that has the key of another, hence a cryptographic hash.
+// derives the same keys, and stored keys stay valid over releases; nobody can make a request with
+// the key of another, hence a cryptographic hash.
 package fingerprint
 
 import (
@@ -44,16 +44,15 @@
 	return Line{Method: open.GetMethod(), Host: open.GetHost(), Target: open.GetTarget()}
 }
 
-// Keys are those of one request at several levels. The zero value of a level means that it is
-// not known.
+// Keys are the keys of one request at several levels; the zero value of a level is not known.
 type Keys struct {
 	Head Head
-	// Full is of all that is asked for: line, host, query and body.
+	// Full covers method, host, path, query and body.
 	Full Key
 	// Path leaves the query out. It equals Full where there is none.
 	Path Key
-	// Partial is of the line, host and stated length, for a request whose body is not
-	// known to its end.
+	// Partial covers method, host, path and stated length, for a request whose body is not known
+	// to its end.
 	Partial Key
 }
 
--- a/internal/model/locality/locality.go
+++ b/internal/model/locality/locality.go
@@ -1,11 +1,11 @@
-// Package locality says how far instances and daemons are from one another, by zone and
-// region. It owns nothing; its values may be used by several goroutines.
+// Package locality ranks how far instances and daemons are from one another, by zone and region.
+// It owns nothing; its values may be used by several goroutines.
 //
 // What must hold: where regions are not known nothing is far, so that a fleet of one region, or
 // of none, behaves as if there were no regions.
 package locality
 
-// Tier is how far something is: the nearer, the less.
+// Tier is how far something is; a lower one is nearer.
 type Tier int
 
 // Tiers, nearest first.
@@ -15,13 +15,12 @@
 	OtherRegion
 )
 
-// Place is where a daemon or an instance stands; an empty region is not known.
+// Place is where a daemon or an instance runs; an empty region is not known.
 type Place struct {
 	Zone, Region string
 }
 
-// TierOf returns how far other is from p. A region that is not known counts as the own
-// one, so that where none is known nothing is far.
+// TierOf returns how far other is from p. An unknown region counts as the own one.
 func (p Place) TierOf(other Place) Tier {
 	switch {
 	case other.Zone == p.Zone:
--- a/internal/model/meshconfig/accept.go
+++ b/internal/model/meshconfig/accept.go
@@ -7,8 +7,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// GroupOf returns the group that owns the object; ok is false when it does not
-// exist.
+// GroupOf returns the group that owns the object; ok is false when it does not exist.
 func (s *State) GroupOf(key ObjectKey) (group string, ok bool) {
 	kind, name := key.split()
 	switch kind {
@@ -25,9 +24,7 @@
 	}
 }
 
-type groupOwned interface{ GetGroup() string }
-
-func groupOf[T groupOwned](objects map[string]T, name string) (string, bool) {
+func groupOf[T interface{ GetGroup() string }](objects map[string]T, name string) (string, bool) {
 	object, ok := objects[name]
 	if !ok {
 		return "", false
@@ -69,7 +66,8 @@
 	if err := s.checkRemovals(proposal); err != nil {
 		return nil, nil, err
 	}
-	affected := s.affectedServices(proposal.GetChanges())
+	affected := map[string]bool{}
+	s.addAffected(affected, proposal.GetChanges())
 	next := s.clone()
 	next.Revision = s.Revision + 1
 	next.AcceptedUnixMillis = now.UnixMilli()
--- a/internal/model/meshconfig/bundle.go
+++ b/internal/model/meshconfig/bundle.go
@@ -67,6 +67,8 @@
 	return nil
 }
 
+// replaceBundle verifies a bundle and puts it in place of the earlier one of its service, or
+// removes that. Errors: those of DecodeBundle.
 func (s *State) replaceBundle(encoded *lapisv1.EncodedBundle) error {
 	service := encoded.GetService()
 	if previous, ok := s.Bundles[service]; ok {
@@ -84,14 +86,7 @@
 	return nil
 }
 
-// affectedServices returns the services whose bundle may change, by the
-// references before the changes.
-func (s *State) affectedServices(changes []*lapisv1.Change) map[string]bool {
-	affected := map[string]bool{}
-	s.addAffected(affected, changes)
-	return affected
-}
-
+// addAffected adds the services whose bundle the changes may change, by the references of s.
 func (s *State) addAffected(affected map[string]bool, changes []*lapisv1.Change) {
 	for _, change := range changes {
 		kind, name := ChangeKey(change).split()
@@ -137,6 +132,7 @@
 	return changed, nil
 }
 
+// rebuildBundle encodes the bundle of a service anew; it returns nil where nothing changed.
 func (s *State) rebuildBundle(service string, bundle *lapisv1.Bundle) (*lapisv1.EncodedBundle, error) {
 	previous, existed := s.Bundles[service]
 	pool, exists := s.Pools[service]
--- a/internal/model/meshconfig/file.go
+++ b/internal/model/meshconfig/file.go
@@ -19,7 +19,10 @@
 	Remove  []RemoveFile `json:"remove,omitempty"`
 }
 
-// PoolFile is one pool in a proposal file.
+// The types below are the objects of a proposal file; api/lapisv1 says what
+// the fields mean.
+
+// PoolFile is one pool.
 type PoolFile struct {
 	Name            string   `json:"name"`
 	Group           string   `json:"group"`
@@ -29,7 +32,7 @@
 	Retired         []string `json:"retired,omitempty"`
 }
 
-// RouteFile is one route in a proposal file.
+// RouteFile is one route.
 type RouteFile struct {
 	Name           string   `json:"name"`
 	Group          string   `json:"group"`
@@ -45,7 +48,7 @@
 	AllowedRegions []string `json:"allowed_regions,omitempty"`
 }
 
-// SecretFile is one TLS key pair in a proposal file.
+// SecretFile is one TLS key pair.
 type SecretFile struct {
 	Name           string `json:"name"`
 	Group          string `json:"group"`
@@ -53,7 +56,7 @@
 	PrivateKeyPEM  string `json:"private_key_pem"`
 }
 
-// ShareFile is one share in a proposal file.
+// ShareFile is one share.
 type ShareFile struct {
 	Name    string `json:"name"`
 	Group   string `json:"group"`
--- a/internal/model/meshconfig/key.go
+++ b/internal/model/meshconfig/key.go
@@ -1,11 +1,14 @@
 package meshconfig
 
-import "github.com/lapisvane/lapisvane/api/lapisv1"
+import (
+	"strings"
+
+	"github.com/lapisvane/lapisvane/api/lapisv1"
+)
 
 // Kind is the kind of a configuration object.
 type Kind string
 
-// Kinds of objects.
 const (
 	KindPool   Kind = "pool"
 	KindRoute  Kind = "route"
@@ -22,12 +25,11 @@
 }
 
 func (k ObjectKey) split() (Kind, string) {
-	for index := range len(k) {
-		if k[index] == '/' {
-			return Kind(k[:index]), string(k[index+1:])
-		}
+	kind, name, found := strings.Cut(string(k), "/")
+	if !found {
+		return "", string(k)
 	}
-	return "", string(k)
+	return Kind(kind), name
 }
 
 // Kind returns the kind of the object.
--- a/internal/model/meshconfig/validate.go
+++ b/internal/model/meshconfig/validate.go
@@ -17,7 +17,7 @@
 const (
 	// maxNameLength is in bytes: that of a DNS label.
 	maxNameLength = 63
-	// maxSlots bounds the calls that one instance runs at once.
+	// maxSlots bounds the calls that one instance runs at a time.
 	maxSlots = 4096
 	// maxConnectionLimit bounds the connections of one instance, by the number of ports.
 	maxConnectionLimit = 65535
@@ -151,6 +151,7 @@
 	return prefix == "/" || path.Clean(prefix) == strings.TrimSuffix(prefix, "/")
 }
 
+// matchKeys returns what a route matches, a text for each method; two routes must share none.
 func matchKeys(route *lapisv1.Route) []string {
 	methods := route.GetMethods()
 	if len(methods) == 0 {
@@ -163,6 +164,7 @@
 	return keys
 }
 
+// validateSecrets checks the secrets that the revision changed: parsing a key pair is costly.
 func (s *State) validateSecrets(faults *result.List) {
 	for _, name := range slices.Sorted(maps.Keys(s.Secrets)) {
 		if s.ObjectRevisions[KeyOf(KindSecret, name)] != s.Revision {
--- a/internal/model/orders/orders.go
+++ b/internal/model/orders/orders.go
@@ -1,6 +1,6 @@
-// Package orders holds what operators ask for beside the configuration: the evacuation of
-// zones. Orders are known as a whole, at a revision of the store that they are written to; a
-// daemon follows the newest that it learned of.
+// Package orders holds the operators' orders beside the configuration: the evacuation of zones.
+// Orders are known as a whole, at a revision of the store that they are written to; a daemon
+// follows the newest that it learned of.
 //
 // The package owns the orders in force on a daemon (Current), in memory. It does no I/O: what
 // other daemons and the store answer is passed in, what must be spread is returned. It relies on the
@@ -39,7 +39,7 @@
 	return &Set{message: message, evacuated: evacuated}
 }
 
-// Revision returns the store's revision at which the orders stood so, 0 for nil.
+// Revision returns the store's revision at which these were the orders, 0 for nil.
 func (s *Set) Revision() uint64 { return s.Message().GetRevision() }
 
 // Message returns the message of the set, nil for nil.
@@ -62,12 +62,12 @@
 	return zones
 }
 
-// SameAs reports whether two sets ask for the same, whatever their revisions.
+// SameAs reports whether two sets evacuate the same zones, whatever their revisions.
 func (s *Set) SameAs(other *Set) bool {
 	return (s == nil) == (other == nil) && slices.Equal(s.Zones(), other.Zones())
 }
 
-// restated returns the same orders as they stand at another revision.
+// restated returns the same orders at another revision.
 func (s *Set) restated(revision uint64) *Set {
 	return &Set{
 		message:   &lapisv1.Orders{Revision: revision, Evacuations: s.Message().GetEvacuations()},
@@ -75,8 +75,8 @@
 	}
 }
 
-// GivenAgain returns the zones whose orders were taken away and given again between
-// before and s, so that they are evacuated in both.
+// GivenAgain returns the zones that are evacuated in both sets, but by different orders: the
+// first was taken back and another given in between.
 func (s *Set) GivenAgain(before *Set) []string {
 	given := map[string]uint64{}
 	for _, evacuation := range before.Message().GetEvacuations() {
@@ -107,13 +107,12 @@
 // Evacuated reports whether the instances of a zone get no calls.
 func (c *Current) Evacuated(zone string) bool { return c.Load().Evacuated(zone) }
 
-// Replace applies another daemon's set if it is newer than the present one, and
-// returns the one before. One that is older than what this daemon has read from the
-// store since, and asks for something else, is a change that was taken back
-// meanwhile: the present orders are then restated at the revision read, so that
-// whoever follows the older ones learns better. changed is true where the present set
-// has another revision now, which must be spread.
-func (c *Current) Replace(set *Set) (before *Set, changed bool) {
+// ApplyReceived applies another daemon's set if it is newer than the present one, and returns
+// the one before. A set that is no newer than what this daemon has read from the store, and
+// differs from the present one, was taken back meanwhile: then the present orders are restated at
+// the revision read, so that daemons that follow the received ones drop them. changed is true
+// where the present set has another revision now, which must be spread.
+func (c *Current) ApplyReceived(set *Set) (before *Set, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	before = c.Load()
@@ -127,10 +126,10 @@
 	return before, true
 }
 
-// Read applies what the store has answered to this daemon. Where it asks for the
-// same as the present set, that one keeps its revision, so that nothing is spread
-// anew, and changed is false.
-func (c *Current) Read(set *Set) (before *Set, changed bool) {
+// ApplyStored applies what the store has answered to this daemon. A set that evacuates the same
+// zones as the present one takes its revision, so that nothing is spread anew, and changed is
+// false.
+func (c *Current) ApplyStored(set *Set) (before *Set, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	before = c.Load()
--- a/internal/model/orders/orders_test.go
+++ b/internal/model/orders/orders_test.go
@@ -20,30 +20,30 @@
 
 func TestNewestOrdersOfOthersWin(t *testing.T) {
 	current := &orders.Current{}
-	before, taken := current.Replace(set(5, 4, "b", "a"))
+	before, taken := current.ApplyReceived(set(5, 4, "b", "a"))
 	assert.Assert(t, taken && before == nil)
 	for _, older := range []*orders.Set{set(5, 4), set(4, 4)} {
-		_, taken = current.Replace(older)
+		_, taken = current.ApplyReceived(older)
 		assert.Assert(t, !taken)
 	}
 	assert.DeepEqual(t, current.Load().Zones(), []string{"a", "b"})
-	_, taken = current.Replace(set(6, 4, "b"))
+	_, taken = current.ApplyReceived(set(6, 4, "b"))
 	assert.Assert(t, taken && !current.Evacuated("a") && current.Evacuated("b"))
 }
 
-// What the store says anew is not spread anew; that an order was given again between
-// two readings is seen once.
+// Orders that the store repeats at a later revision are not spread anew; that an order was given
+// again between two readings is seen once.
 func TestSameOrdersKeepTheirRevision(t *testing.T) {
 	current := &orders.Current{}
-	_, taken := current.Read(set(5, 4, "a"))
+	_, taken := current.ApplyStored(set(5, 4, "a"))
 	assert.Assert(t, taken)
-	before, taken := current.Read(set(9, 8, "a"))
+	before, taken := current.ApplyStored(set(9, 8, "a"))
 	assert.Assert(t, !taken)
 	assert.Equal(t, current.Load().Revision(), uint64(5))
 	assert.DeepEqual(t, current.Load().GivenAgain(before), []string{"a"})
-	before, _ = current.Read(set(11, 8, "a"))
+	before, _ = current.ApplyStored(set(11, 8, "a"))
 	assert.Equal(t, len(current.Load().GivenAgain(before)), 0)
-	_, taken = current.Read(set(8, 0))
+	_, taken = current.ApplyStored(set(8, 0))
 	assert.Assert(t, !taken && current.Evacuated("a"), "an answer that was overtaken")
 }
 
@@ -51,16 +51,16 @@
 // knew neither: the older order must not come back through the first.
 func TestOrderTakenAwayDoesNotComeBack(t *testing.T) {
 	first, second := &orders.Current{}, &orders.Current{}
-	first.Read(set(5, 0))
-	second.Read(set(5, 0))
-	first.Read(set(7, 7, "a"))
-	second.Read(set(8, 0))
+	first.ApplyStored(set(5, 0))
+	second.ApplyStored(set(5, 0))
+	first.ApplyStored(set(7, 7, "a"))
+	second.ApplyStored(set(8, 0))
 	assert.Equal(t, second.Load().Revision(), uint64(5))
 
-	_, taken := second.Replace(first.Load())
+	_, taken := second.ApplyReceived(first.Load())
 	assert.Assert(t, taken, "it must be stated anew")
 	assert.Assert(t, !second.Evacuated("a"))
-	_, taken = first.Replace(second.Load())
+	_, taken = first.ApplyReceived(second.Load())
 	assert.Assert(t, taken && !first.Evacuated("a"))
 	assert.Equal(t, first.Load().Revision(), second.Load().Revision())
 }
--- a/internal/model/quarantine/record.go
+++ b/internal/model/quarantine/record.go
@@ -28,8 +28,8 @@
 	Age time.Duration
 	// Stored is true once the platform's store has the crashes.
 	Stored bool
-	// Local is true where this daemon is the one beside the instance that crashed last. It
-	// does not leave the daemon.
+	// Local is true where this daemon is the one beside the instance that crashed last. It is
+	// not sent to others.
 	Local bool
 }
 
@@ -41,7 +41,7 @@
 	maxRefuted = 24
 )
 
-// Count returns the number of instances that crashed, those refuted left out.
+// Count returns the number of instances that crashed, without the refuted crashes.
 func (r *Record) Count() int {
 	distinct := 0
 	for index, crash := range r.Crashes {
@@ -52,19 +52,19 @@
 	return distinct
 }
 
-// from reports whether a request of the caller was in flight in one of the crashes.
-func (r *Record) from(caller string) bool {
+// involves reports whether a request of the caller was in flight in one of the crashes.
+func (r *Record) involves(caller string) bool {
 	return slices.ContainsFunc(r.Crashes, func(crash Crash) bool { return crash.Caller == caller })
 }
 
-// add adds a crash; it reports whether the record changed. In a full record one from a caller
-// that is in none yet takes the place of the oldest.
+// add adds a crash; it reports whether the record changed. In a full record one of a caller
+// that is not involved yet replaces the oldest.
 func (r *Record) add(crash Crash) bool {
 	if slices.Contains(r.Refuted, crash.ID) || slices.Contains(r.Crashes, crash) {
 		return false
 	}
 	if len(r.Crashes) >= maxCrashes {
-		if r.from(crash.Caller) {
+		if r.involves(crash.Caller) {
 			return false
 		}
 		r.Crashes = slices.Delete(r.Crashes, 0, 1)
@@ -73,7 +73,7 @@
 	return true
 }
 
-// refute takes a crash out for good; it reports whether the record changed.
+// refute removes a crash for good; it reports whether the record changed.
 func (r *Record) refute(id uint64) bool {
 	if slices.Contains(r.Refuted, id) {
 		return false
--- a/internal/model/quarantine/registry.go
+++ b/internal/model/quarantine/registry.go
@@ -34,7 +34,7 @@
 	entries map[fingerprint.Key]*entry
 	// heads counts the suspects with each head.
 	heads map[fingerprint.Head]int
-	// sweptAt is when entries were last looked through for those to forget.
+	// sweptAt is when the entries were last swept.
 	sweptAt time.Time
 }
 
@@ -55,8 +55,8 @@
 	return &Registry{now: now, entries: map[fingerprint.Key]*entry{}, heads: map[fingerprint.Head]int{}}
 }
 
-// Suspected reports whether any request with the head of the line is a suspect; when not, no
-// other question about it needs to be asked. While there is no suspect at all, which is usual,
+// Suspected reports whether any request with the head of the line is a suspect; where none is,
+// Count and Evaluate need not be called. While there is no suspect at all, which is usual,
 // nothing is hashed: a call without a body then costs 89 ns and 1 allocation in place of 953 ns and
 // 10 (BenchmarkNothingSuspected).
 func (r *Registry) Suspected(line fingerprint.Line) bool {
@@ -87,15 +87,15 @@
 }
 
 // Evaluate decides on a request of a caller. It is quarantined when enough instances crashed
-// under one of its keys, and one of them had it from the same caller: nobody can have the
-// requests of others held back by sending them himself.
+// under one of its keys, at least one of them with a request of the same caller in flight: so no
+// caller can get the requests of others quarantined by sending them itself.
 func (r *Registry) Evaluate(keys []fingerprint.Key, caller string) Verdict {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
 	for _, key := range keys {
 		known, ok := r.entries[key]
-		if !ok || now.Sub(known.lastAt) > memory || stateOf(known.Count()) != stateQuarantined || !known.from(caller) {
+		if !ok || now.Sub(known.lastAt) > memory || stateOf(known.Count()) != stateQuarantined || !known.involves(caller) {
 			continue
 		}
 		verdict := Verdict{Quarantined: true, Key: key, Crashes: known.Count(), Trials: known.Trials}
@@ -196,8 +196,8 @@
 	return changed
 }
 
-// mergeFrom merges a record of another daemon or the store; it reports whether anything
-// changed that others may lack.
+// mergeFrom merges a record of another daemon or the store; it reports whether the entry must
+// be passed on.
 func (e *entry) mergeFrom(record Record, now time.Time) (updated bool) {
 	updated = e.Merge(record)
 	if at := now.Add(-record.Age); at.After(e.lastAt) {
--- a/internal/model/quarantine/retention.go
+++ b/internal/model/quarantine/retention.go
@@ -10,7 +10,7 @@
 // What is remembered, and for how long.
 const (
 	// refutedMemory is how long refuted crashes are remembered, so that a record of them that
-	// was still under way does not count again; as often the entries are swept. Chosen, not
+	// was still under way does not count again. It is also the interval of sweeps. Chosen, not
 	// measured: longer than records take from daemon to daemon, and below memory.
 	refutedMemory = time.Minute
 	// maxEntries bounds the entries, at about 300 bytes each (estimated) 1.2 MB. Chosen, not
@@ -32,7 +32,8 @@
 	return known
 }
 
-// recount follows whether an entry is a suspect; the caller holds mutex.
+// recount updates heads and suspected after the crashes of an entry changed; the caller holds
+// mutex.
 func (r *Registry) recount(known *entry) {
 	suspected := len(known.Crashes) > 0
 	if suspected == known.counted {
@@ -57,7 +58,7 @@
 	delete(r.entries, known.Key)
 }
 
-// sweep forgets entries that are over their time; the caller holds mutex.
+// sweep forgets entries older than memory or refutedMemory; the caller holds mutex.
 func (r *Registry) sweep(now time.Time) {
 	if now.Sub(r.sweptAt) < refutedMemory {
 		return
@@ -74,9 +75,9 @@
 	}
 }
 
-// evict forgets one entry of the caller that has the most, so that none can make the registry
-// forget what others did: the one with the fewest crashes, of those the oldest. The caller
-// holds mutex.
+// evict forgets one entry of the caller that has the most, so that no caller can make the
+// registry forget the entries of others: the one with the fewest crashes, of those the oldest.
+// mutex is held.
 func (r *Registry) evict() {
 	sizes := map[string]int{}
 	for _, known := range r.entries {
--- a/internal/model/quarantine/rule.go
+++ b/internal/model/quarantine/rule.go
@@ -11,21 +11,21 @@
 const (
 	// quarantineAt is the number of crashes from which a request is quarantined. Set by the
 	// requirement, which bounds further crashes from the third on (docs/design/0022); fewer would
-	// hold back more of those that only ran beside a guilty one.
+	// quarantine more of those that only ran beside a guilty one.
 	quarantineAt = 3
-	// notRepeatedAt is the number of crashes from which a daemon does not send a request to
-	// another instance by itself. Chosen, not measured: below quarantineAt, and above 1, since one
+	// notRepeatedAt is the number of crashes from which a daemon does not retry a request at
+	// another instance. Chosen, not measured: below quarantineAt, and above 1, since one
 	// repeat saves those that only ran beside a guilty one, five of six with six slots.
 	notRepeatedAt = 2
 	// memory is how long after its last crash a suspect is remembered. Chosen, not measured: far
 	// above trialAfter.
 	memory = time.Hour
 	// trialAfter is the time after the last crash from which one quarantined request may run
-	// as a trial. Chosen, not measured: longer than news of a crash takes to all daemons.
+	// as a trial. Chosen, not measured: longer than a report of a crash takes to all daemons.
 	trialAfter = time.Minute
 	// maxTrials bounds the trials of a suspect, since each may cost an instance. Set by the
 	// requirement of at most three further crashes: with one visit of each of two further
-	// calling services, which are not held back before their first crash, one is left.
+	// calling services, which are not quarantined before their first crash, one is left.
 	maxTrials = 1
 )
 
@@ -38,9 +38,9 @@
 const (
 	// stateRefuted is without a crash that counts.
 	stateRefuted state = iota
-	// stateSuspect may be repeated at another instance.
+	// stateSuspect may be retried at another instance.
 	stateSuspect
-	// stateNotRepeated is not sent to another instance by itself; its next request is served.
+	// stateNotRepeated is not retried; the next request under its key is served.
 	stateNotRepeated
 	// stateQuarantined reaches no instance, but for a trial.
 	stateQuarantined
@@ -60,28 +60,28 @@
 	}
 }
 
-// MayRepeat reports whether a daemon may send a request to another instance by itself after
-// so many instances crashed under what it asks for.
+// MayRepeat reports whether a daemon may retry a request at another instance after that many
+// crashes under its keys.
 func MayRepeat(crashes int) bool { return stateOf(crashes) < stateNotRepeated }
 
 // Verdict is what is decided on a request.
 type Verdict struct {
 	// Quarantined is true when it must not reach an instance.
 	Quarantined bool
-	// Key is what it is held back for, Crashes the number of instances that crashed.
+	// Key is the key that is quarantined, Crashes the number of instances that crashed under it.
 	Key     fingerprint.Key
 	Crashes int
-	// RetryAfter is the time until one may run again.
+	// RetryAfter is the time until such a request may run again.
 	RetryAfter time.Duration
 	// TrialDue is true when one may run as a trial, if the store grants it. Trials is the
-	// number of those before.
+	// number of earlier ones.
 	TrialDue bool
 	Trials   uint32
 }
 
-// nextRun returns the time until a quarantined request may run again: as a trial while
-// there are trials left, else once the suspect is forgotten. age is the time since its newest
-// crash; trialDue is true where a trial may be asked for now.
+// nextRun returns the time until a quarantined request may run again: as a trial while there are
+// trials left, else once the suspect is forgotten. age is the time since its newest crash;
+// trialDue is true where a trial may be claimed now.
 func nextRun(age time.Duration, trials uint32) (wait time.Duration, trialDue bool) {
 	if trials < maxTrials {
 		return max(trialAfter-age, 0), age >= trialAfter
--- a/internal/model/snapshot/route.go
+++ b/internal/model/snapshot/route.go
@@ -7,14 +7,14 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// compareSpecificity puts a longer prefix before a shorter one and one with
-// methods before one without.
+// compareSpecificity puts a longer prefix before a shorter one, then a route with methods before
+// one without.
 func compareSpecificity(a, b *lapisv1.Route) int {
 	if difference := len(b.GetPathPrefix()) - len(a.GetPathPrefix()); difference != 0 {
 		return difference
 	}
-	if methodsA, methodsB := len(a.GetMethods()) > 0, len(b.GetMethods()) > 0; methodsA != methodsB {
-		if methodsA {
+	if withMethods := len(a.GetMethods()) > 0; withMethods != (len(b.GetMethods()) > 0) {
+		if withMethods {
 			return -1
 		}
 		return 1
@@ -22,11 +22,10 @@
 	return strings.Compare(a.GetName(), b.GetName())
 }
 
-// Match returns the route for a request, nil when there is none. Its conditions, in this order: the
-// routes of the request's host go before those of any host; among them the longest path prefix
-// that matches whole segments goes first, with one that names methods before one that does not;
-// one that names methods must name that of the request. host has no port and is in lower case
-// (callapi.HostName).
+// Match returns the route for a request, nil when there is none. Conditions, in this order: routes
+// of the request's host before those of any host; the longest path prefix of whole segments;
+// routes that name the request's method before those that name none. A route that names other
+// methods does not match. host has no port and is in lower case (callapi.HostName).
 func (s *Snapshot) Match(host, path, method string) *lapisv1.Route {
 	if route := matchIn(s.routes[host], path, method); route != nil || host == "" {
 		return route
--- a/internal/model/snapshot/snapshot.go
+++ b/internal/model/snapshot/snapshot.go
@@ -48,8 +48,8 @@
 	certificates map[string]*tls.Certificate
 }
 
-// Build decodes and checks bundles into a snapshot; what did not change is
-// taken from previous, which may be nil. Errors: DistributionDigestMismatch,
+// Build decodes and checks bundles into a snapshot; unchanged services are reused from previous,
+// which may be nil. Errors: DistributionDigestMismatch,
 // DistributionBadBundle (also for a key pair that cannot be used), DistributionNotClosed.
 func Build(revision uint64, acceptedUnixMillis int64, bundles map[string]*lapisv1.EncodedBundle, previous *Snapshot) (*Snapshot, error) {
 	next := &Snapshot{
--- a/internal/model/snapshot/store.go
+++ b/internal/model/snapshot/store.go
@@ -10,8 +10,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Store holds the snapshot in force. It is safe for concurrent use, but that only one goroutine
-// at a time may replace the snapshot. Readers take it without a lock.
+// Store holds the snapshot in force. It is safe for concurrent use, except that only one goroutine
+// at a time may replace the snapshot. Reading it takes no lock.
 type Store struct {
 	current atomic.Pointer[Snapshot]
 
@@ -26,8 +26,8 @@
 // Current returns the snapshot in force, nil before the first.
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// Await returns the snapshot in force. Before the first it waits for that, at most for
-// timeout and until ctx ends, and returns nil when none came.
+// Await returns the snapshot in force. Before the first one it waits, at most for timeout and
+// until ctx ends, and returns nil when none came.
 func (s *Store) Await(ctx context.Context, timeout time.Duration) *Snapshot {
 	if current := s.current.Load(); current != nil {
 		return current
@@ -44,7 +44,7 @@
 	return s.current.Load()
 }
 
-// Awaited reports whether anybody waits for the first snapshot.
+// Awaited reports whether a call waits for the first snapshot.
 func (s *Store) Awaited() bool { return s.waiting.Load() > 0 }
 
 // first returns the channel that is closed with the first snapshot.
