--- a/internal/shared/boottime/boottime.go
+++ b/internal/shared/boottime/boottime.go
@@ -1,10 +1,10 @@
 // Package boottime returns a time that goes on while the machine is suspended.
 //
 // The steady clock, by which time.Now measures and timers fire, stands while the machine is
-// suspended; CLOCK_BOOTTIME does not. What a daemon believes of others (that nothing newer
-// was accepted, that a lease is its own, that a member is there) grows old meanwhile, and is
-// measured by this clock. What only the own machine does (waiting for an answer, the heartbeats
-// of an instance beside the daemon) stands still with it, and is measured by the steady one.
+// suspended; CLOCK_BOOTTIME does not. What a daemon knows of others (that nothing newer was
+// accepted, that it holds a lease, that a member is there) grows old meanwhile, and is measured
+// by this clock. What concerns its own machine only (the wait for an answer, the heartbeats of an
+// instance beside the daemon) stands still as well, and is measured by the steady one.
 //
 // The package owns one clock for the process, and relies on CLOCK_MONOTONIC and CLOCK_BOOTTIME of
 // the kernel. It has no goroutines and is safe for concurrent use.
@@ -88,8 +88,8 @@
 // Suspended returns the time for which the machine was suspended since the process started.
 func Suspended() time.Duration { return process.Load().refreshed() }
 
-// Now returns the time, at most refreshEvery behind a resumption. Its differences, to other times of this package only, include the
-// time for which the machine was suspended.
+// Now returns a time whose differences to other times of this package include the time for which
+// the machine was suspended, from refreshEvery after it resumed at the latest.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
 // Since returns the time since an earlier time of this package.
--- a/internal/shared/logging/async.go
+++ b/internal/shared/logging/async.go
@@ -16,9 +16,8 @@
 // below the part of the stop limit that is left for the end.
 const flushTimeout = 200 * time.Millisecond
 
-// AsyncWriter hands lines to a writer in the background, so that whoever logs
-// never waits for it. Lines beyond a bound are dropped, counted, and the count
-// is written once there is room again.
+// AsyncWriter passes lines to a writer in the background, so that logging never waits for it. Lines
+// beyond queueLines are dropped and counted, and the count is written once there is room again.
 type AsyncWriter struct {
 	writer  io.Writer
 	lines   chan []byte
@@ -68,7 +67,7 @@
 	}
 }
 
-// put writes a line. An error of the output has no place where it could be reported but the output.
+// put writes a line. An error of the output could be reported nowhere but there.
 func (a *AsyncWriter) put(line []byte) {
 	_, _ = a.writer.Write(line)
 	if dropped := a.dropped.Swap(0); dropped > 0 {
--- a/internal/shared/logging/sink.go
+++ b/internal/shared/logging/sink.go
@@ -1,3 +1,11 @@
+// Package logging writes one line of key=value pairs for each event, behind the logr interface (logr
+// over log/slog).
+//
+// It owns the goroutine of each AsyncWriter, which ends with Close. Loggers are safe for concurrent
+// use.
+//
+// What must hold: logging through an AsyncWriter never waits for the output; dropped lines are
+// counted, and the count is written; an event stays on one line.
 package logging
 
 import (
@@ -31,7 +39,7 @@
 // the time of day in UTC. The text handler of log/slog renders the lines.
 func New(writer io.Writer, verbosity int) logr.Logger {
 	return logr.FromSlogHandler(slog.NewTextHandler(writer, &slog.HandlerOptions{
-		// logr hands the verbosity on as a negative level.
+		// logr passes the verbosity as a negative level.
 		Level:       slog.Level(-verbosity),
 		ReplaceAttr: render,
 	}))
@@ -50,8 +58,7 @@
 	}))
 }
 
-// render gives the handler's own fields their names here, and values a form on
-// one line.
+// render gives the handler's own fields the project's names, and values a form on one line.
 func render(_ []string, attribute slog.Attr) slog.Attr {
 	switch attribute.Key {
 	case slog.MessageKey:
--- a/internal/transport/callmux/call.go
+++ b/internal/transport/callmux/call.go
@@ -11,10 +11,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Handle carries out one attempt at the daemon at address. When the connection
-// is lost it asks that daemon, over a new one, to fence the attempt; only if
-// the daemon is still the same process and had not started it, the call is
-// reported as not run. Errors: CallNotRunUnreachable, CallUnknownOutcome, CallDeadline,
+// Handle carries out one attempt at the daemon at address. An attempt whose connection is lost is
+// fenced over a new one (fenceLost), and reported as not run only where that proves it. Errors: CallNotRunUnreachable, CallUnknownOutcome, CallDeadline,
 // CallCancelled, and what the peer answers (5xxx).
 func (c *Client) Handle(ctx context.Context, address string, call *callapi.Call) (*callapi.Answer, error) {
 	current, err := c.sessionTo(ctx, address)
@@ -102,9 +100,8 @@
 	return opened.session.send(frames...)
 }
 
-// sendRequestBody streams the caller's body. The other side grants the first
-// credit when the back end takes the call, so nothing of the body is used up
-// by a call that is refused.
+// sendRequestBody streams the caller's body. The other side grants the first credit when the back
+// end starts to read it, so that a call that is refused has consumed nothing of the body.
 func sendRequestBody(ctx context.Context, opened *stream, call *callapi.Call) {
 	err := opened.sendBody(ctx, call.Body, call.Trailers)
 	if err == nil || opened.cause() != nil || ctx.Err() != nil {
@@ -118,7 +115,7 @@
 // answerStream is the body of an answer.
 type answerStream struct {
 	stream *stream
-	// stop ends the sending of the request body, and release the watch over the call's context.
+	// stop ends the sending of the request body, release the watch over the call's context.
 	stop    context.CancelFunc
 	release func() bool
 	// whole is true once the body was read to its end.
--- a/internal/transport/callmux/connect.go
+++ b/internal/transport/callmux/connect.go
@@ -12,23 +12,16 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// OtherDaemonError says that the daemon at an address is not the one that was
-// expected there.
-type OtherDaemonError struct {
-	Address, Expected string
-	// Found is the daemon that answered.
-	Found string
-}
+// OtherDaemonError is for an address at which another daemon answers (Found) than was expected.
+type OtherDaemonError struct{ Address, Expected, Found string }
 
 // Error implements error.
 func (e *OtherDaemonError) Error() string {
 	return fmt.Sprintf("%s answers at %s, not %s", e.Found, e.Address, e.Expected)
 }
 
-// Connect opens a session to the daemon node at address that calls use from then on.
-// It takes the place of a session to an earlier process there, and never that of a
-// working one: calls are on their way on it. control receives what concerns the
-// daemons themselves.
+// Connect opens a session to the daemon node at address that calls use from then on. It replaces a
+// session to an earlier process there, but never a working one, which carries calls.
 // Errors: CallNotRunUnreachable, *OtherDaemonError.
 func (c *Client) Connect(ctx context.Context, node, address string, control Control) (Link, error) {
 	opened, err := c.open(ctx, address, control)
--- a/internal/transport/callmux/doc.go
+++ b/internal/transport/callmux/doc.go
@@ -5,9 +5,9 @@
 // only its own call and a call's memory is bounded.
 //
 // The package owns the connections to other daemons (Client) and what runs on an accepted one
-// (Server): for each session a goroutine that reads and one that sends heartbeats, for each call that
-// came in one that carries it out. All of it ends with the session. It relies on package wire
-// for frames, on package peer for accepted connections and on the Origin for the calls that come in.
+// (Server): for each session a goroutine that reads and one that sends heartbeats, and one for each
+// call received. All of them end with the session. It relies on package wire for frames, on package
+// peer for accepted connections and on the Origin to run the calls received.
 //
 // What must hold: a call whose connection is lost counts as not run only where the same process of
 // the peer has fenced it before it started (fence.go); a peer's confirmation never looks
--- a/internal/transport/callmux/echoes.go
+++ b/internal/transport/callmux/echoes.go
@@ -7,8 +7,8 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// rememberedFrames is how many of the own heartbeats an echo may refer to. Chosen, not measured:
-// the peer echoes the newest, so that more than a few are never on their way.
+// rememberedFrames is how many of the heartbeats sent an echo may refer to. Chosen, not measured:
+// the peer echoes the newest, so no more than a few are ever on their way.
 const rememberedFrames = 8
 
 // echoes relate the heartbeats of both sides of a session, so that an age
@@ -25,7 +25,7 @@
 	peer Heartbeat
 }
 
-// next returns what the next heartbeat says of this daemon's confirmation.
+// next returns the freshness that the next heartbeat carries.
 func (e *echoes) next(local Heartbeat, now time.Time) *lapisv1.Freshness {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -43,10 +43,9 @@
 	return freshness
 }
 
-// receive returns the heartbeat in a frame. The frame was made no earlier than this
-// daemon's frame that it echoes, and the time that the peer held that one; the
-// confirmation is older than that by the age in the frame. However long the frame was
-// on its way, it therefore does not look fresher than it is.
+// receive returns the heartbeat in a frame. The frame was made no earlier than when the frame that
+// it echoes was sent, plus the time for which the peer held that one; the confirmation is older by
+// the age in the frame. So it does not look fresher than it is, however long the frame took.
 func (e *echoes) receive(frame *lapisv1.CallFrame, now time.Time) Heartbeat {
 	freshness := frame.GetFreshness()
 	e.mutex.Lock()
@@ -65,8 +64,8 @@
 	return heartbeat
 }
 
-// lacks reports whether the peer would learn from a heartbeat now: of a newer
-// revision of either kind, or of a confirmation that is newer by more than gain.
+// lacks reports whether the peer lacks a newer revision of either kind, or a confirmation that is
+// newer by more than gain.
 func (e *echoes) lacks(local Heartbeat, gain time.Duration) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/transport/callmux/fence.go
+++ b/internal/transport/callmux/fence.go
@@ -8,7 +8,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// A fence makes sure that an attempt does not start any more, and says whether it did before. A call
+// A fence keeps an attempt from starting from then on, and reports whether it had started. A call
 // whose connection was lost may be sent elsewhere only where it is proved not to have run.
 
 // fenceLost fences an attempt on a lost connection over a new one, within fenceTimeout. It returns
@@ -31,7 +31,7 @@
 	return result.Wrap(result.CallNotRunUnreachable, lost, "the attempt was fenced before it started")
 }
 
-// fenced hands the answer to a fence to whoever waits for it.
+// fenced passes the peer's answer to the fence that waits for it.
 func (s *session) fenced(answer *lapisv1.CallFenced) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/transport/callmux/heartbeat.go
+++ b/internal/transport/callmux/heartbeat.go
@@ -7,8 +7,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Heartbeat is what an empty frame says of its sender: what is in force there, and how
-// recently that was confirmed.
+// Heartbeat is the content of an empty frame: what is in force at its sender, and how recently that
+// was confirmed.
 type Heartbeat struct {
 	// Revision is the configuration in force at the sender, 0 before the first.
 	Revision uint64
@@ -20,8 +20,8 @@
 	Confirmed time.Time
 }
 
-// receiveHeartbeat applies an empty frame. A peer that has received no heartbeat of this side yet is answered
-// at once, because it cannot use ages before.
+// receiveHeartbeat applies an empty frame. A peer that has received no heartbeat of this side yet is
+// answered at once, since it cannot bound an age before (echoes).
 func (s *session) receiveHeartbeat(frame *lapisv1.CallFrame) {
 	if frame.GetFreshness() == nil && frame.GetRevision() == 0 {
 		return
@@ -48,8 +48,8 @@
 	return frame
 }
 
-// keepAlive sends heartbeats until the session ends, so that silence means loss, and ahead of
-// time where the peer lacks what they say.
+// keepAlive sends heartbeats until the session ends, so that silence means loss, and early ones
+// where the peer lacks their content.
 func (s *session) keepAlive() {
 	ticker := time.NewTicker(s.timing.KeepAlive)
 	defer ticker.Stop()
--- a/internal/transport/callmux/inflight.go
+++ b/internal/transport/callmux/inflight.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// On a narrow link a long body must not hold up the short calls behind it: at 5 Mbit/s
-// one of 60 kB occupies the link for 0.1 s. A body therefore has no more on its way than
-// the narrower of both machines' links carries in linkTime, whatever the memory of the
-// receiver allows.
+// On a narrow link a long body must not delay the short calls behind it: at 5 Mbit/s one of 60 kB
+// occupies the link for 0.1 s. A body therefore has no more on its way than the narrower of both
+// machines' links carries in linkTime, even where the window allows more.
 
 const (
 	// linkTime is how long the bytes of one body that are on their way may occupy a
@@ -13,11 +12,11 @@
 	// worth of a disturbed day 0.755 with 256 KiB and 0.791 with 16 KiB, calls refused or failed 876
 	// and 364.
 	linkTime = 25 * time.Millisecond
-	// minInFlight, in bytes, keeps a body going over a link with a long way. Chosen, not
+	// minInFlight, in bytes, keeps a body flowing over a link with long latency. Chosen, not
 	// measured.
 	minInFlight = 8 << 10
-	// inFlightPieces is the number of pieces that the bytes on their way come in; as
-	// many times they are acknowledged. Chosen, not measured: above 1, or a body would wait for
+	// inFlightPieces is the number of pieces that the bytes on their way are sent, and
+	// acknowledged, in. Chosen, not measured: above 1, or a body would wait for
 	// each acknowledgement.
 	inFlightPieces = 4
 )
--- a/internal/transport/callmux/link.go
+++ b/internal/transport/callmux/link.go
@@ -28,8 +28,8 @@
 // Close ends the session and the calls on it; cause is what they report.
 func (l Link) Close(cause error) { l.session.close(cause) }
 
-// HeartbeatEarly sends a heartbeat ahead of its time, unless the peer said as much itself: a
-// confirmation must be newer by gain. It does not wait.
+// HeartbeatEarly sends a heartbeat ahead of its time where the peer lacks a newer revision, or a
+// confirmation that is newer by more than gain. It does not wait.
 func (l Link) HeartbeatEarly(gain time.Duration) {
 	select {
 	case l.session.early <- gain:
@@ -37,8 +37,8 @@
 	}
 }
 
-// Control receives what concerns the daemons themselves. Its functions may be nil; they are called
-// by the goroutine that reads the session, one frame after the other, and must not block.
+// Control receives the frames of a session that belong to no call. Its functions may be nil; they
+// are called by the goroutine that reads the session, one frame after the other, and must not block.
 type Control struct {
 	// Frame receives the frames that are not empty.
 	Frame func(*lapisv1.CallFrame)
--- a/internal/transport/callmux/server.go
+++ b/internal/transport/callmux/server.go
@@ -6,8 +6,6 @@
 	"io"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
@@ -18,11 +16,10 @@
 // has in flight at one instance.
 const maxStreams = 8192
 
-// Origin is what a Server hands calls to.
+// Origin runs the calls that a Server receives.
 type Origin interface {
 	callapi.Handler
-	// Fence makes sure that an attempt does not start any more and reports
-	// whether it did before.
+	// Fence keeps an attempt from starting from now on and reports whether it had started.
 	Fence(attempt string) (started bool)
 }
 
@@ -35,8 +32,7 @@
 	// Counters receive the traffic of calls.
 	Counters *wire.Counters
 	Timing   Timing
-	// Accepted is called with each new session and returns what receives that
-	// which concerns the daemons themselves; it may be nil.
+	// Accepted is called with each new session and returns its Control; it may be nil.
 	Accepted func(hello *lapisv1.Hello, link Link) Control
 }
 
@@ -124,9 +120,9 @@
 	return context.WithTimeout(ctx, time.Duration(open.GetDeadlineMillis())*time.Millisecond)
 }
 
-// sendAnswer sends the head and the body. A body of known length that is not long is
-// read whole first, so that its instance is free for the next call however narrow the
-// link; a small one goes out in one write with its head.
+// sendAnswer sends the head and the body. A body of known length up to BufferedBodyBytes is read
+// whole first, so that its instance is free for the next call however narrow the link; one of a
+// single piece is sent in one write with its head.
 func sendAnswer(ctx context.Context, session *session, stream *stream, answer *callapi.Answer) error {
 	head := &lapisv1.CallFrame{Call: stream.id, Body: &lapisv1.CallFrame_Head{Head: answer.Head}}
 	length := answer.Head.GetContentLength()
@@ -147,6 +143,5 @@
 		return stream.sendBody(ctx, bytes.NewReader(body), answer.Trailers)
 	}
 	data := &lapisv1.CallData{Data: body, End: true, Trailers: answer.Trailers()}
-	frames := []proto.Message{head, &lapisv1.CallFrame{Call: stream.id, Body: &lapisv1.CallFrame_Data{Data: data}}}
-	return session.send(frames...)
+	return session.send(head, &lapisv1.CallFrame{Call: stream.id, Body: &lapisv1.CallFrame_Data{Data: data}})
 }
--- a/internal/transport/callmux/session.go
+++ b/internal/transport/callmux/session.go
@@ -14,14 +14,11 @@
 
 // session is one connection that carries calls.
 type session struct {
-	conn   *wire.Conn
-	timing Timing
-	// control receives what concerns the daemons themselves.
+	conn    *wire.Conn
+	timing  Timing
 	control Control
-	// echoes relate the heartbeats of both sides.
-	echoes echoes
-	// early asks for a heartbeat ahead of its time, if the peer lacks a newer revision or a
-	// confirmation that is newer by the time that is sent here.
+	echoes  echoes
+	// early asks for a heartbeat ahead of its time (Link.HeartbeatEarly).
 	early chan time.Duration
 	// incarnation is that of the peer daemon.
 	incarnation uint64
@@ -38,8 +35,8 @@
 
 	// mutex protects everything below.
 	mutex sync.Mutex
-	// pingedAt is when the peer was asked for a sign of life that has not come, zero where
-	// none is awaited; stalled is closed when it took too long (stall.go).
+	// pingedAt is when the peer was sent a ping that it has not answered, zero where no answer is
+	// awaited; stalled is closed when the answer took too long (stall.go).
 	pingedAt time.Time
 	stalled  chan struct{}
 	streams  map[uint64]*stream
@@ -50,13 +47,12 @@
 }
 
 func newSession(conn *wire.Conn, incarnation uint64, timing Timing) *session {
-	opened := &session{
+	return &session{
 		conn: conn, timing: timing.orDefault(), incarnation: incarnation, closed: make(chan struct{}),
 		streams: map[uint64]*stream{}, fences: map[string]chan *lapisv1.CallFenced{},
 		stalled: make(chan struct{}), early: make(chan time.Duration, 1), inFlight: windowBytes,
+		openedAt: time.Now(),
 	}
-	opened.openedAt = time.Now()
-	return opened
 }
 
 // send writes frames in one piece. An error has ended the session.
@@ -70,8 +66,8 @@
 	return err
 }
 
-// notify sends frames that nothing waits for. An error needs no care of the caller: it has ended the
-// session with all its streams, and the end of a session is reported by whoever runs it.
+// notify sends frames that nothing waits for. An error has ended the session with all its streams,
+// and the reader of the session reports that.
 func (s *session) notify(frames ...proto.Message) { _ = s.send(frames...) }
 
 // close ends the session and all its streams; the first cause stands.
@@ -199,5 +195,5 @@
 	return nil
 }
 
-// noteReceived notes that a frame came.
+// noteReceived records the time of the newest frame.
 func (s *session) noteReceived() { s.receivedAfter.Store(int64(time.Since(s.openedAt))) }
--- a/internal/transport/callmux/stall.go
+++ b/internal/transport/callmux/stall.go
@@ -14,9 +14,9 @@
 type Stall struct {
 	// Check is the interval of the checks.
 	Check time.Duration
-	// Quiet is the time without any frame after which a peer with calls on their way is asked for
-	// a sign of life, and Answer how long that may take. Together they must be below
-	// Timing.Silence, or the connection is lost first.
+	// Quiet is the time without any frame after which a peer with calls on their way is pinged,
+	// and Answer how long its next frame may take. Together they must be below Timing.Silence, or
+	// the connection is lost first.
 	Quiet, Answer time.Duration
 	// Changed is called when the connection to an address stalls or recovers.
 	Changed func(address string, stalled bool)
@@ -56,20 +56,20 @@
 const (
 	// stepNone is for a peer that answers, or whose answer is still awaited.
 	stepNone stallStep = iota
-	// stepPing asks the peer for a sign of life.
+	// stepPing pings the peer.
 	stepPing
-	// stepStall takes the peer as stalled.
+	// stepStall marks the peer as stalled.
 	stepStall
-	// stepRecover takes it as answering again.
+	// stepRecover marks it as answering again.
 	stepRecover
 )
 
-// quietPeer is what a check looks at.
+// quietPeer is the input of a check.
 type quietPeer struct {
-	// receivedAt is when the newest frame came, and pingedAt when the peer was asked for a sign of
-	// life that has not come, zero where none is awaited.
+	// receivedAt is when the newest frame came, and pingedAt when a ping was sent that was not
+	// answered, zero where no answer is awaited.
 	receivedAt, pingedAt time.Time
-	// waiting is true while calls are on their way, and stalled while the peer is taken so.
+	// waiting is true while calls are on their way, and stalled while the peer is marked so.
 	waiting, stalled bool
 }
 
@@ -110,7 +110,7 @@
 	return false, peer.stalled
 }
 
-// quietPeer returns the state of the peer; a frame since the ping is the sign of life.
+// quietPeer returns the state of the peer; any frame since the ping answers it.
 func (s *session) quietPeer() quietPeer {
 	receivedAt := s.openedAt.Add(time.Duration(s.receivedAfter.Load()))
 	s.mutex.Lock()
--- a/internal/transport/callmux/stream.go
+++ b/internal/transport/callmux/stream.go
@@ -16,7 +16,7 @@
 	session *session
 	// head delivers the answer's head on the calling side.
 	head chan *lapisv1.CallHead
-	// done is closed when the stream was reset; failure then says why.
+	// done is closed when the stream failed, with failure as the cause.
 	done chan struct{}
 
 	// mutex protects everything below; changed is closed and replaced when
@@ -33,7 +33,7 @@
 	trailers  []*lapisv1.HeaderField
 	failure   error
 	// credit is what this side may still send; unacknowledged is what it sent and the
-	// peer has not said that it read. The peer's first grant acknowledges nothing:
+	// peer has not acknowledged by a grant. The peer's first grant acknowledges nothing:
 	// granted is true once it came.
 	credit         int
 	unacknowledged int
@@ -114,8 +114,8 @@
 	}
 }
 
-// take copies what is at hand, and returns the credit to grant and a channel to
-// wait on when nothing is.
+// take copies what was received, and returns the credit to grant and, when nothing was, a channel to
+// wait on.
 func (s *stream) take(buffer []byte) (count, grant int, wait <-chan struct{}, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/transport/callmux/times.go
+++ b/internal/transport/callmux/times.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// How long a peer is waited for, from the shortest to the longest; TestTimesHangTogether holds
-// which must be below which. What a daemon on a platform sets itself (KeepAlive, Silence,
-// Write, and the bounds of Stall) stands with its settings and is tested there.
+// How long a peer is waited for, from the shortest to the longest; TestTimesHangTogether checks
+// which must be below which. The times that a daemon on a platform sets (KeepAlive, Silence, Write
+// and the bounds of Stall) are in package daemon and tested there.
 const (
-	// fencePoll is the interval at which a call looks for a new connection over which its attempt
+	// fencePoll is the interval at which a call polls for a new connection over which its attempt
 	// can be fenced. Chosen, not measured: several times within fenceTimeout.
 	fencePoll = 20 * time.Millisecond
 	// dialRetry is how long a failed dial is remembered, so that calls to a dead daemon fail at
 	// once. Chosen, not measured: below fenceTimeout, so that a fence outlasts one.
 	dialRetry = 200 * time.Millisecond
 	// dialTimeout bounds the handshake of a connection, which takes two ways of the network, 40 ms
-	// between regions. What leads nowhere is given up before the kernel sends its opening packet
+	// between regions. A dial without answer is given up before the kernel sends the opening packet
 	// again, after 1 s: the peer may be back sooner. With it the worth of the worst window after a
 	// loss of power was 0.78 and 0.85 (two seeds); without it, in a trial whose first dials also
 	// did not wait, 0.69 and 0.83.
 	dialTimeout = 300 * time.Millisecond
-	// fenceTimeout bounds the question whether a call whose connection was lost had started,
-	// the new connection included. Chosen, not measured: above dialTimeout.
+	// fenceTimeout bounds the fencing of a call whose connection was lost, the wait for a new
+	// connection included. Chosen, not measured: above dialTimeout.
 	fenceTimeout = 500 * time.Millisecond
 	// openTimeout bounds the opening of a session, from the dial to the peer's greeting.
 	// Chosen, not measured: not above the time that the accepting side gives a greeting.
@@ -30,15 +30,13 @@
 type Timing struct {
 	// KeepAlive is the interval of heartbeats, so that silence means loss.
 	KeepAlive time.Duration
-	// Silence is the time without any frame after which a session is taken as
-	// lost.
+	// Silence is the time without any frame after which a session counts as lost.
 	Silence time.Duration
 	// Write bounds the sending of a frame.
 	Write time.Duration
-	// Local returns what heartbeats say of this daemon; it may be nil.
+	// Local returns the state that heartbeats carry; it may be nil.
 	Local func() Heartbeat
-	// LinkMegabits is the rate of the machine's link in Mbit/s, 0 where it is not
-	// known.
+	// LinkMegabits is the rate of the machine's link in Mbit/s, 0 where it is not known.
 	LinkMegabits float64
 }
 
--- a/internal/transport/callmux/window.go
+++ b/internal/transport/callmux/window.go
@@ -11,8 +11,8 @@
 	// that the call can be sent again. Chosen, not measured.
 	BufferedBodyBytes = 64 << 10
 	// openingBodyBytes is the largest body that is sent along with the opening frame,
-	// before the call is admitted. A longer one of a refused call would fill the
-	// links of just those daemons that have too much to do: with 64 KiB the share of worth on an
+	// before the call is admitted. Longer bodies of refused calls would fill the
+	// links of overloaded daemons: with 64 KiB the share of worth on an
 	// overloaded day with links of 10 Mbit/s fell to 0.11 within 14 s, with 4 KiB to 0.53.
 	openingBodyBytes = 4 << 10
 	// windowBytes is what one direction of a stream may have in flight. Chosen, not measured: not
--- a/internal/transport/peer/server.go
+++ b/internal/transport/peer/server.go
@@ -33,8 +33,8 @@
 	// maxGreetings bounds the connections that have not greeted yet; further ones wait in the
 	// kernel.
 	maxGreetings = 256
-	// acceptPause is the pause after a connection that could not be accepted, such as for want of
-	// file descriptors.
+	// acceptPause is the pause after a connection could not be accepted, such as for lack of file
+	// descriptors.
 	acceptPause = 10 * time.Millisecond
 )
 
@@ -78,7 +78,7 @@
 // serve greets one connection, calls greeted, and runs the handler until it ends.
 func (s *Server) serve(ctx context.Context, raw net.Conn, greeted func()) {
 	conn := wire.NewConn(raw, s.Counters)
-	// What closing a connection returns says nothing that its reader does not report.
+	// The reader reports why a connection ended; closing it adds nothing.
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	defer func() { _ = conn.Close() }()
--- a/internal/transport/wire/compress.go
+++ b/internal/transport/wire/compress.go
@@ -1,6 +1,11 @@
 package wire
 
 import (
+	"bytes"
+	"compress/flate"
+	"io"
+	"sync"
+
 	"google.golang.org/protobuf/proto"
 
 	"github.com/lapisvane/lapisvane/api/lapisv1"
@@ -11,8 +16,8 @@
 // frames do not shrink.
 const CompressAboveBytes = 512
 
-// Compress returns frame, or an equivalent compressed frame when that is
-// smaller. A frame that cannot be encoded is returned as it is, since sending it reports the error.
+// Compress returns frame, or an equivalent compressed frame when that is smaller. A frame that
+// cannot be encoded is returned as it is: sending it reports the error.
 func Compress(frame *lapisv1.ControlFrame) *lapisv1.ControlFrame {
 	encoded, err := proto.Marshal(frame)
 	if err != nil || len(encoded) < CompressAboveBytes {
@@ -25,8 +30,8 @@
 	return &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Compressed{Compressed: deflated}}
 }
 
-// Decompress returns the frame inside a compressed frame, or frame itself. The
-// result is bounded by MaxFrameBytes and is never itself compressed.
+// Decompress returns the frame inside a compressed frame, at most MaxFrameBytes large and not
+// compressed itself, or frame if it is not compressed.
 // Errors: ProtocolTooLarge, ProtocolBadFrame.
 func Decompress(frame *lapisv1.ControlFrame) (*lapisv1.ControlFrame, error) {
 	compressed, ok := frame.GetBody().(*lapisv1.ControlFrame_Compressed)
@@ -46,3 +51,39 @@
 	}
 	return inner, nil
 }
+
+// compressors holds flate writers, whose tables are costly to make.
+var compressors = sync.Pool{New: func() any {
+	// It fails on an unknown level only.
+	writer, _ := flate.NewWriter(io.Discard, flate.DefaultCompression)
+	return writer
+}}
+
+// Deflate returns content compressed. It is safe for concurrent use.
+func Deflate(content []byte) ([]byte, error) {
+	var buffer bytes.Buffer
+	compressor := compressors.Get().(*flate.Writer)
+	defer compressors.Put(compressor)
+	compressor.Reset(&buffer)
+	if _, err := compressor.Write(content); err != nil {
+		return nil, err
+	}
+	if err := compressor.Close(); err != nil {
+		return nil, err
+	}
+	return buffer.Bytes(), nil
+}
+
+// Inflate reverses Deflate, for up to MaxFrameBytes of content. Errors:
+// ProtocolTooLarge, ProtocolBadFrame.
+func Inflate(deflated []byte) ([]byte, error) {
+	reader := flate.NewReader(bytes.NewReader(deflated))
+	content, err := io.ReadAll(io.LimitReader(reader, MaxFrameBytes+1))
+	if err != nil {
+		return nil, result.Wrap(result.ProtocolBadFrame, err, "decompressing a frame")
+	}
+	if len(content) > MaxFrameBytes {
+		return nil, result.Errorf(result.ProtocolTooLarge, "a compressed frame holds more than %d bytes", MaxFrameBytes)
+	}
+	return content, nil
+}
--- a/internal/transport/wire/conn.go
+++ b/internal/transport/wire/conn.go
@@ -1,3 +1,13 @@
+// Package wire carries the Protocol Buffers frames that daemons exchange over
+// TCP or TLS. A connection starts with a fixed preface; every frame is
+// length-prefixed and bounded in size, so that a peer that sends garbage costs
+// no more than one bounded buffer.
+//
+// The package owns the buffers of a connection and counts its traffic; it has no goroutines. It
+// relies on Network for connections, which tests replace.
+//
+// What must hold: the frames of one SendAll are not mixed with others; a frame, compressed or not,
+// holds at most MaxFrameBytes.
 package wire
 
 import (
@@ -48,8 +58,8 @@
 	closeOnce  sync.Once
 }
 
-// bufferBytes is the size of each of the two buffers of a connection; small because a daemon may hold
-// hundreds of connections. Chosen, not measured.
+// bufferBytes is the size of each of the two buffers of a connection. Chosen, not measured: small,
+// since a daemon may hold hundreds of connections.
 const bufferBytes = 4 << 10
 
 // NewConn wraps raw; counters may be shared by all connections of a daemon, or nil.
@@ -68,8 +78,8 @@
 	}
 }
 
-// UseCounters counts the traffic from now on elsewhere, once the greeting has said
-// what the connection carries. No other method may run at the same time.
+// UseCounters replaces the counters, once the greeting has said what the connection carries. No
+// other method may run at the same time.
 func (c *Conn) UseCounters(counters *Counters) {
 	c.counters = counters
 	c.counted.counters = counters
@@ -103,8 +113,8 @@
 	return c.SendAll(frame)
 }
 
-// SendAll writes several frames with one flush. Errors: ProtocolTimeout, whatever kept the
-// frames from being written; the connection cannot be used any more then.
+// SendAll writes several frames with one flush. Errors: ProtocolTimeout for every failure; the
+// connection cannot be used any more then.
 func (c *Conn) SendAll(frames ...proto.Message) error {
 	c.writeMutex.Lock()
 	defer c.writeMutex.Unlock()
