--- a/internal/operators/ctl/client.go
+++ b/internal/operators/ctl/client.go
@@ -1,7 +1,7 @@
 // Package ctl is the operators' client, lapisctl: it runs commands of the query language
 // against a daemon and prints the answers.
 //
-// It owns one HTTP client and reads proposal and token files; it keeps nothing. It relies on
+// It owns one HTTP client, reads proposal and token files, and stores nothing. It relies on
 // package query for the language and the conditions, and on any daemon's operators'
 // interface (package operator).
 //
--- a/internal/operators/ctl/main.go
+++ b/internal/operators/ctl/main.go
@@ -16,7 +16,7 @@
 // no flag names one.
 const TokenVariable = "LAPISVANE_TOKEN"
 
-type flagsOfControl struct {
+type controlFlags struct {
 	Address   string `short:"a" long:"address" description:"operator address of a daemon, IP:port" default:"127.0.0.1:7500"`
 	TokenFile string `long:"token-file" description:"file with the operator's token (else the variable LAPISVANE_TOKEN)"`
 	Output    string `short:"o" long:"output" description:"form of the answer" choice:"table" choice:"json" default:"table"`
@@ -25,7 +25,7 @@
 // Main runs the program and returns its exit code: 0 when the command was
 // done, 1 when it was refused, 2 for a wrong command line.
 func Main(arguments []string) int {
-	options := &flagsOfControl{}
+	options := &controlFlags{}
 	parser := flags.NewNamedParser("lapisctl", flags.HelpFlag|flags.PassDoubleDash)
 	parser.Usage = "[OPTIONS] [COMMAND]"
 	parser.LongDescription = "Queries and commands for operators. Without a command it reads commands from standard input.\n\n" + query.HelpText
--- a/internal/operators/ctl/session.go
+++ b/internal/operators/ctl/session.go
@@ -15,7 +15,7 @@
 	Client *Client
 	// Format is OutputTable or OutputJSON.
 	Format string
-	// Out gets answers and the prompt, Err the failures.
+	// Out receives answers and the prompt, Err the failures.
 	Out io.Writer
 	Err io.Writer
 }
--- a/internal/operators/operator/auth.go
+++ b/internal/operators/operator/auth.go
@@ -21,8 +21,8 @@
 // AdminGroup may change the objects of every group.
 const AdminGroup = "*"
 
-// tokensLifetime is how long read tokens are used before they are read again; a token that
-// is taken away works for so long. Chosen, not measured.
+// tokensLifetime is how long the operators are cached; a revoked token works that much longer.
+// Chosen, not measured.
 const tokensLifetime = 5 * time.Second
 
 // Operator is one operator as kept in the platform.
@@ -43,8 +43,8 @@
 type authenticator struct {
 	store objectapi.Store
 
-	// mutex protects the cache and is held while it is read anew, so that requests that
-	// come together read the operators once.
+	// mutex protects the cache and is held while it is refreshed, so that concurrent requests read
+	// the operators once.
 	mutex     sync.Mutex
 	operators []Operator
 	readAt    time.Time
@@ -116,8 +116,7 @@
 	return faults.Err()
 }
 
-// owners returns the groups that must agree to a change: those of the object
-// before and after it.
+// owners returns the groups that own what a change touches, before and after it.
 func owners(state *meshconfig.State, proposedPools map[string]string, change *lapisv1.Change) []string {
 	var groups []string
 	key := meshconfig.ChangeKey(change)
--- a/internal/operators/operator/backends.go
+++ b/internal/operators/operator/backends.go
@@ -13,16 +13,20 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// maxRebases bounds how often a change of a back end is written again after another
-// change of the pool was first. Chosen, not measured; larger than the operators that
+// maxRebases bounds how often a change of a back end is rebased because another change of the
+// pool was accepted first. Chosen, not measured; larger than the operators that
 // change one pool at the same time.
 const maxRebases = 20
 
 // changeBackend drains, undrains or retires a back end. The change commutes with those of
 // other back ends of the pool, so when another change of the pool was accepted first it is
-// made again from the new state. Errors: those of changedPool, a *result.List of
-// OperatorForbidden, OperatorBusy after maxRebases, those of changelog.Log.Accept.
+// made again from the new state. Errors: OperatorRequestMalformed without an operation id,
+// those of changedPool, a *result.List of OperatorForbidden, OperatorBusy after maxRebases,
+// those of changelog.Log.Accept.
 func (s *Server) changeBackend(ctx context.Context, operator Operator, request opapi.BackendRequest) (*opapi.AcceptAnswer, error) {
+	if request.OperationID == "" {
+		return nil, result.Errorf(result.OperatorRequestMalformed, "operation_id")
+	}
 	for range maxRebases {
 		state, err := s.log.Refresh(ctx)
 		if err != nil {
--- a/internal/operators/operator/doc.go
+++ b/internal/operators/operator/doc.go
@@ -8,7 +8,7 @@
 // changelog to accept and to read revisions, on meshconfig to parse and validate, on the
 // status that readers write beside their seats, and on the tree's node for back ends.
 //
-// What must hold: operators change only what belongs to their group, whoever proposed it;
-// no answer shows a private key; every failure leaves with a numbered code; a change that
-// is sent again with the same operation id takes effect once.
+// What must hold: operators change only what belongs to their group, whoever proposed it; no
+// answer shows a private key; every failure carries a numbered code; a change that is repeated
+// with the same operation id takes effect once.
 package operator
--- a/internal/operators/operator/failure.go
+++ b/internal/operators/operator/failure.go
@@ -24,8 +24,8 @@
 	} else {
 		code, coded := result.CodeOf(err)
 		if !coded {
-			// No error without a code is known to come here. Code 0 would say that all is
-			// well; this one tells the operator to repeat, which is safe.
+			// No error without a code is known to occur. Code 0 would mean success; this one
+			// tells the operator to repeat, which is safe.
 			code = result.OperatorOutcomeUnknown
 		}
 		failure.Faults = append(failure.Faults, opapi.Fault{Code: uint32(code), Name: code.String(), Detail: err.Error()})
--- a/internal/operators/operator/history.go
+++ b/internal/operators/operator/history.go
@@ -11,8 +11,8 @@
 	"github.com/lapisvane/lapisvane/internal/operators/opapi"
 )
 
-// diff lists the objects that changed after revision from, up to revision to; the larger
-// one counts as to. Errors: OperatorUnknownRevision for one that is no longer kept.
+// diff lists the objects that changed after revision from, up to revision to; the two may come in
+// either order. Errors: OperatorUnknownRevision for one that is no longer kept.
 func (s *Server) diff(ctx context.Context, from, to uint64) (*opapi.Table, error) {
 	if from > to {
 		from, to = to, from
@@ -41,7 +41,7 @@
 		return "removed"
 	}
 	if secret := change.GetSecret(); secret != nil {
-		fingerprint, expires := identify(secret)
+		fingerprint, expires := certificateOf(secret)
 		return "set to fingerprint " + fingerprint + " expiring " + expires
 	}
 	compact := prototext.MarshalOptions{}
--- a/internal/operators/operator/proposals.go
+++ b/internal/operators/operator/proposals.go
@@ -39,6 +39,15 @@
 	return proposal, err
 }
 
+// validate checks a proposal without storing it. Errors: those of prepare.
+func (s *Server) validate(ctx context.Context, operator Operator, request opapi.ProposeRequest) (*opapi.ProposeAnswer, error) {
+	proposal, err := s.prepare(ctx, operator, request)
+	if err != nil {
+		return nil, err
+	}
+	return answerOf(proposal), nil
+}
+
 // propose stores a proposal under the operator's operation id. Errors:
 // OperatorRequestMalformed, those of prepare, OperatorOperationReused,
 // OperatorOutcomeUnknown.
@@ -52,7 +61,7 @@
 	}
 	// When the stored proposal cannot be read, the write below finds out whether it exists.
 	if stored, err := s.log.Proposal(ctx, request.OperationID); err == nil {
-		return s.proposedBefore(proposal, stored)
+		return repeatedAnswer(proposal, stored)
 	}
 	if err := s.log.Propose(ctx, proposal); err != nil {
 		return nil, err
@@ -60,9 +69,9 @@
 	return answerOf(proposal), nil
 }
 
-// proposedBefore answers a proposal that is repeated because its first answer was lost:
-// the base revision may have moved, the rest must be the same.
-func (s *Server) proposedBefore(proposal, stored *lapisv1.Proposal) (*opapi.ProposeAnswer, error) {
+// repeatedAnswer answers a proposal that is repeated because its first answer was lost: the base
+// revision may have moved, the rest must be the same. Errors: OperatorOperationReused.
+func repeatedAnswer(proposal, stored *lapisv1.Proposal) (*opapi.ProposeAnswer, error) {
 	again := proto.Clone(proposal).(*lapisv1.Proposal)
 	again.BaseRevision = stored.GetBaseRevision()
 	if !proto.Equal(again, stored) {
--- a/internal/operators/operator/server.go
+++ b/internal/operators/operator/server.go
@@ -23,15 +23,14 @@
 
 // Bounds of the interface. Both are chosen, not measured.
 const (
-	// maxConcurrent bounds the requests that are served at a time; one more is answered
-	// with OperatorBusy. Waits for a revision count too.
+	// maxConcurrent bounds the requests that are served at a time, waits for a revision
+	// included; one more is answered with OperatorBusy.
 	maxConcurrent = 16
 	// idleTimeout is how long an unused connection of a client stays open.
 	idleTimeout = time.Minute
 )
 
-// EndpointSource returns what is known of a service's instances. It must be safe for
-// concurrent use.
+// EndpointSource returns the known instances of a service. It must be safe for concurrent use.
 type EndpointSource interface {
 	Endpoints(service string) []*lapisv1.Endpoint
 }
@@ -71,10 +70,10 @@
 	engine.GET(opapi.PathShow, s.endpoint(opapi.ServeTimeout, s.serveShow))
 	engine.GET(opapi.PathDiff, s.endpoint(opapi.ServeTimeout, s.serveDiff))
 	engine.GET(opapi.PathWait, s.endpoint(opapi.MaxWait+opapi.ServeTimeout, s.serveWait))
-	engine.POST(opapi.PathValidate, s.endpoint(opapi.ServeTimeout, s.serveValidate))
-	engine.POST(opapi.PathPropose, s.endpoint(opapi.ServeTimeout, s.servePropose))
-	engine.POST(opapi.PathAccept, s.endpoint(opapi.ServeTimeout, s.serveAccept))
-	engine.POST(opapi.PathBackend, s.endpoint(opapi.ServeTimeout, s.serveBackend))
+	engine.POST(opapi.PathValidate, s.endpoint(opapi.ServeTimeout, decoded(s.validate)))
+	engine.POST(opapi.PathPropose, s.endpoint(opapi.ServeTimeout, decoded(s.propose)))
+	engine.POST(opapi.PathAccept, s.endpoint(opapi.ServeTimeout, decoded(s.accept)))
+	engine.POST(opapi.PathBackend, s.endpoint(opapi.ServeTimeout, decoded(s.changeBackend)))
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	// Run ends when the listener is closed, with an error that says only that.
@@ -133,45 +132,14 @@
 	return s.wait(ctx, revision, limit)
 }
 
-func (s *Server) serveValidate(ctx context.Context, operator Operator, rc *app.RequestContext) (any, error) {
-	var request opapi.ProposeRequest
-	if err := decode(rc, &request); err != nil {
-		return nil, err
-	}
-	proposal, err := s.prepare(ctx, operator, request)
-	if err != nil {
-		return nil, err
-	}
-	return answerOf(proposal), nil
-}
-
-func (s *Server) servePropose(ctx context.Context, operator Operator, rc *app.RequestContext) (any, error) {
-	var request opapi.ProposeRequest
-	if err := decode(rc, &request); err != nil {
-		return nil, err
-	}
-	return s.propose(ctx, operator, request)
-}
-
-func (s *Server) serveAccept(ctx context.Context, operator Operator, rc *app.RequestContext) (any, error) {
-	var request opapi.AcceptRequest
-	if err := decode(rc, &request); err != nil {
-		return nil, err
-	}
-	return s.accept(ctx, operator, request)
-}
-
-func (s *Server) serveBackend(ctx context.Context, operator Operator, rc *app.RequestContext) (any, error) {
-	var request opapi.BackendRequest
-	if err := decode(rc, &request); err != nil {
-		return nil, err
-	}
-	if request.OperationID == "" {
-		return nil, result.Errorf(result.OperatorRequestMalformed, "operation_id")
+// decoded returns the handler that decodes the request's body for handle. Errors:
+// OperatorRequestMalformed, and those of handle.
+func decoded[Request, Answer any](handle func(context.Context, Operator, Request) (Answer, error)) handler {
+	return func(ctx context.Context, operator Operator, rc *app.RequestContext) (any, error) {
+		var request Request
+		if err := json.Unmarshal(rc.Request.Body(), &request); err != nil {
+			return nil, result.Wrap(result.OperatorRequestMalformed, err, "decoding the request")
+		}
+		return handle(ctx, operator, request)
 	}
-	return s.changeBackend(ctx, operator, request)
-}
-
-func decode(rc *app.RequestContext, target any) error {
-	return result.Wrap(result.OperatorRequestMalformed, json.Unmarshal(rc.Request.Body(), target), "decoding the request")
 }
--- a/internal/operators/operator/show_configuration.go
+++ b/internal/operators/operator/show_configuration.go
@@ -27,7 +27,7 @@
 		table.Rows = append(table.Rows, []string{
 			name, route.GetGroup(), route.GetPool(), route.GetHost(), route.GetPathPrefix(), strings.Join(route.GetMethods(), ","),
 			route.GetSecret(), classOf(route.GetCallClass()), number(uint64(route.GetCallClass().GetDeadlineMillis())),
-			changed(state, meshconfig.KindRoute, name),
+			lastChanged(state, meshconfig.KindRoute, name),
 		})
 	}
 	return table
@@ -57,7 +57,7 @@
 		pool := state.Pools[name]
 		table.Rows = append(table.Rows, []string{
 			name, pool.GetGroup(), number(uint64(pool.GetSlots())), number(uint64(pool.GetConnectionLimit())),
-			strings.Join(pool.GetDrained(), ","), strings.Join(pool.GetRetired(), ","), changed(state, meshconfig.KindPool, name),
+			strings.Join(pool.GetDrained(), ","), strings.Join(pool.GetRetired(), ","), lastChanged(state, meshconfig.KindPool, name),
 		})
 	}
 	return table
@@ -70,7 +70,7 @@
 	for _, name := range slices.Sorted(maps.Keys(state.Shares)) {
 		share := state.Shares[name]
 		table.Rows = append(table.Rows, []string{
-			name, share.GetGroup(), share.GetPool(), number(uint64(share.GetPercent())), changed(state, meshconfig.KindShare, name),
+			name, share.GetGroup(), share.GetPool(), number(uint64(share.GetPercent())), lastChanged(state, meshconfig.KindShare, name),
 		})
 	}
 	return table
@@ -82,9 +82,9 @@
 		{Name: "name"}, {Name: "group"}, {Name: "fingerprint"}, {Name: "expires"}, {Name: "changed", Numeric: true},
 	}}
 	for _, name := range slices.Sorted(maps.Keys(state.Secrets)) {
-		fingerprint, expires := identify(state.Secrets[name])
+		fingerprint, expires := certificateOf(state.Secrets[name])
 		table.Rows = append(table.Rows, []string{
-			name, state.Secrets[name].GetGroup(), fingerprint, expires, changed(state, meshconfig.KindSecret, name),
+			name, state.Secrets[name].GetGroup(), fingerprint, expires, lastChanged(state, meshconfig.KindSecret, name),
 		})
 	}
 	return table
@@ -94,9 +94,9 @@
 // the certificates of a site apart.
 const fingerprintBytes = 8
 
-// identify returns the start of the SHA-256 of a secret's certificate and when it expires.
-// Both are empty for what is not a certificate, which validation refuses before.
-func identify(secret *lapisv1.Secret) (fingerprint, expires string) {
+// certificateOf returns the start of the SHA-256 of a secret's certificate and when it expires.
+// Both are empty for anything else than a certificate, which validation refuses.
+func certificateOf(secret *lapisv1.Secret) (fingerprint, expires string) {
 	block, _ := pem.Decode(secret.GetCertificatePem())
 	if block == nil {
 		return "", ""
@@ -109,8 +109,8 @@
 	return fingerprint, expires
 }
 
-// changed returns the revision that last changed an object.
-func changed(state *meshconfig.State, kind meshconfig.Kind, name string) string {
+// lastChanged returns the revision that last changed an object.
+func lastChanged(state *meshconfig.State, kind meshconfig.Kind, name string) string {
 	return number(state.ObjectRevisions[meshconfig.KeyOf(kind, name)])
 }
 
--- a/internal/operators/operator/show_fleet.go
+++ b/internal/operators/operator/show_fleet.go
@@ -16,7 +16,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// fleetStatus is what the readers report together.
+// fleetStatus is the sum of the readers' reports.
 type fleetStatus struct {
 	reports []*lapisv1.StatusReport
 	// unreadable names the seats whose object cannot be decoded.
@@ -25,8 +25,8 @@
 	machines int
 }
 
-// fleet reads the status of all seats and the machine list. Errors: platform codes.
-func (s *Server) fleet(ctx context.Context) (*fleetStatus, error) {
+// readFleet reads the status of all seats and the machine list. Errors: platform codes.
+func (s *Server) readFleet(ctx context.Context) (*fleetStatus, error) {
 	list, err := s.config.Store.List(ctx, seat.Prefix, "", 0)
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	return nodes > 0 && lowest >= revision
 }
 
-// notes says what the reports do not cover.
+// notes returns the remark on what the reports do not cover.
 func (f *fleetStatus) notes() []string {
 	if len(f.unreadable) == 0 {
 		return nil
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	fleet, err := s.fleet(ctx)
+	fleet, err := s.readFleet(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 		{Name: "revision", Numeric: true}, {Name: "proxies", Numeric: true}, {Name: "author"}, {Name: "accepted"}, {Name: "newest"},
 	}}
 	for _, revision := range slices.Backward(slices.Sorted(maps.Keys(counts))) {
-		author, accepted, err := s.origin(ctx, revision)
+		author, accepted, err := s.acceptance(ctx, revision)
 		if err != nil {
 			table.Notes = append(table.Notes, fmt.Sprintf("revision %d could not be read: %v", revision, err))
 		}
@@ -109,9 +109,9 @@
 	return table, nil
 }
 
-// origin returns who proposed a revision and when it was accepted, both empty for one that
+// acceptance returns who proposed a revision and when it was accepted, both empty for one that
 // is no longer kept. Errors: platform codes.
-func (s *Server) origin(ctx context.Context, revision uint64) (author, accepted string, err error) {
+func (s *Server) acceptance(ctx context.Context, revision uint64) (author, accepted string, err error) {
 	record, err := s.log.Revision(ctx, revision)
 	if result.Is(err, result.OperatorUnknownRevision) {
 		return "", "", nil
@@ -124,7 +124,7 @@
 }
 
 func (s *Server) showProxies(ctx context.Context) (*opapi.Table, error) {
-	fleet, err := s.fleet(ctx)
+	fleet, err := s.readFleet(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operators/operator/wait.go
+++ b/internal/operators/operator/wait.go
@@ -29,7 +29,7 @@
 	started := time.Now()
 	var unread error
 	for {
-		fleet, err := s.fleet(ctx)
+		fleet, err := s.readFleet(ctx)
 		if err == nil && fleet.allAtLeast(revision) {
 			return waitedTable(revision, fleet, time.Since(started)), nil
 		}
--- a/internal/operators/query/filter.go
+++ b/internal/operators/query/filter.go
@@ -47,7 +47,7 @@
 	return true, nil
 }
 
-// compile returns the test that a condition makes of the rows of a table.
+// compile returns the test of rows for a condition.
 func compile(columns []opapi.Column, condition *Condition) (rowTest, error) {
 	for index, column := range columns {
 		if column.Name != condition.Field {
