--- a/internal/lab/backendstub/ledger.go
+++ b/internal/lab/backendstub/ledger.go
@@ -8,7 +8,7 @@
 	Instance string
 }
 
-// Ledger notes every execution. It is safe for concurrent use; the zero value
+// Ledger records every execution. It is safe for concurrent use; the zero value
 // is ready.
 type Ledger struct {
 	mutex      sync.Mutex
@@ -16,7 +16,7 @@
 	cancelled  int
 }
 
-// run notes that call began to run at instance.
+// run records that call began to run at instance.
 func (l *Ledger) run(call, instance string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -39,7 +39,7 @@
 	return append([]Execution(nil), l.executions[call]...)
 }
 
-// Cancelled returns the number of executions that saw their caller leave.
+// Cancelled returns the number of executions whose caller disconnected or ran out of time.
 func (l *Ledger) Cancelled() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -56,16 +56,3 @@
 	}
 	return total
 }
-
-// Doubled returns the calls that ran more than once.
-func (l *Ledger) Doubled() []string {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	var doubled []string
-	for call, runs := range l.executions {
-		if len(runs) > 1 {
-			doubled = append(doubled, call)
-		}
-	}
-	return doubled
-}
--- a/internal/lab/backendstub/server.go
+++ b/internal/lab/backendstub/server.go
@@ -1,3 +1,7 @@
+// Package backendstub is a stand-in for a back end: a server with slots, a connection limit, a cost
+// for each new connection, a cold start, shedding, cancellation, and faults that can be switched on
+// while it runs. A ledger shared by all stand-ins records every execution of every call, so that
+// tests find a call that ran twice.
 package backendstub
 
 import (
@@ -27,9 +31,6 @@
 	HeaderWork = "Lab-Work-Us"
 	// HeaderAnswerBytes asks for an answer of that size.
 	HeaderAnswerBytes = "Lab-Answer-Bytes"
-	// HeaderDepth asks the back end to call on through its own daemon so many
-	// more times.
-	HeaderDepth = "Lab-Depth"
 	// HeaderInstance names the answering instance.
 	HeaderInstance = "Lab-Instance"
 	// HeaderBodyDigest is the SHA-256 of the request body.
@@ -49,11 +50,6 @@
 	// Draining refuses new calls, stating that they did not run; those that run
 	// go on.
 	Draining bool
-	// StatedLoad is what the load endpoint says, whatever the truth; negative
-	// for the truth.
-	StatedLoad float64
-	// StatedHealthy is what the health endpoint says, whatever the truth.
-	StatedHealthy bool
 }
 
 // Options configure a Server.
@@ -71,10 +67,7 @@
 	ColdFactor int
 	Behaviour  Behaviour
 	Ledger     *Ledger
-	// Next is the caller address of the daemon beside the back end, for calls
-	// with a depth.
-	Next string
-	Seed uint64
+	Seed       uint64
 }
 
 // Server is the stand-in.
@@ -84,20 +77,15 @@
 	http     *http.Server
 	slots    chan struct{}
 	started  time.Time
-	client   *http.Client
 	// Connections counts accepted connections.
 	Connections atomic.Int64
 	open        atomic.Int64
 	running     atomic.Int64
 	peakRunning atomic.Int64
-	lastNew     atomic.Int64
-	// Rejected counts connections beyond the limit.
-	Rejected atomic.Int64
 
 	mutex     sync.Mutex
 	behaviour Behaviour
 	random    *rand.Rand
-	next      string
 }
 
 // Start opens the listener and serves in the background.
@@ -111,15 +99,10 @@
 	}
 	server := &Server{
 		options: options, started: time.Now(), slots: make(chan struct{}, max(options.Slots, 1)),
-		behaviour: options.Behaviour, random: rand.New(rand.NewPCG(options.Seed, 2)), next: options.Next,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 10 * time.Second}},
+		behaviour: options.Behaviour, random: rand.New(rand.NewPCG(options.Seed, 2)),
 	}
 	server.listener = &limitedListener{Listener: listener, server: server}
-	mux := http.NewServeMux()
-	mux.HandleFunc("/healthz", server.serveHealth)
-	mux.HandleFunc("/load", server.serveLoad)
-	mux.HandleFunc("/", server.serveCall)
-	server.http = &http.Server{Handler: mux, ReadHeaderTimeout: 30 * time.Second}
+	server.http = &http.Server{Handler: http.HandlerFunc(server.serveCall), ReadHeaderTimeout: 30 * time.Second}
 	go func() { _ = server.http.Serve(server.listener) }()
 	return server, nil
 }
@@ -128,10 +111,7 @@
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Close ends the server and cuts its connections.
-func (s *Server) Close() {
-	_ = s.http.Close()
-	s.client.CloseIdleConnections()
-}
+func (s *Server) Close() { _ = s.http.Close() }
 
 // SetBehaviour replaces the behaviour.
 func (s *Server) SetBehaviour(behaviour Behaviour) {
@@ -140,20 +120,10 @@
 	s.behaviour = behaviour
 }
 
-// SetNext sets the caller address of the daemon beside the back end.
-func (s *Server) SetNext(address string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.next = address
-}
-
 // PeakRunning returns the most calls that ran at once.
 func (s *Server) PeakRunning() int64 { return s.peakRunning.Load() }
 
-// LastNewWork returns when the last call began to run.
-func (s *Server) LastNewWork() time.Time { return time.Unix(0, s.lastNew.Load()) }
-
-// plan is what happens to one call, drawn once.
+// plan is the faults of one call, drawn once.
 type plan struct {
 	behaviour                         Behaviour
 	resetBefore, resetAfter, truncate bool
@@ -169,20 +139,6 @@
 	}
 }
 
-func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	if !s.draw().behaviour.StatedHealthy {
-		http.Error(w, "unhealthy", http.StatusServiceUnavailable)
-	}
-}
-
-func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	load := s.draw().behaviour.StatedLoad
-	if load < 0 {
-		load = float64(s.running.Load()) / float64(cap(s.slots))
-	}
-	_, _ = fmt.Fprintf(w, "%.3f\n", load)
-}
-
 // serveCall runs one call: it waits for a slot, works, and answers with the
 // call's name, its own name and the digest of what it received.
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
@@ -209,7 +165,6 @@
 	case <-r.Context().Done():
 		return
 	}
-	s.lastNew.Store(time.Now().UnixNano())
 	s.options.Ledger.run(r.Header.Get(HeaderCall), s.options.Instance)
 	digest, err := s.work(r, planned)
 	if err != nil {
@@ -233,7 +188,7 @@
 	return r.WithContext(ctx), cancel
 }
 
-// work reads the body, takes the service time and calls on if asked.
+// work reads the body and takes the service time.
 func (s *Server) work(r *http.Request, planned plan) (digest string, err error) {
 	hasher := sha256.New()
 	if _, err := io.Copy(hasher, r.Body); err != nil {
@@ -249,50 +204,12 @@
 	if !sleep.For(r.Context(), duration) {
 		return "", r.Context().Err()
 	}
-	if err := s.callOn(r); err != nil {
-		return "", err
-	}
 	return hex.EncodeToString(hasher.Sum(nil)), nil
 }
 
-// callOn makes the next call of a chain through the daemon beside the back end
-// and passes on the deadline and the attempt count, as a service should.
-func (s *Server) callOn(r *http.Request) error {
-	depth, err := strconv.Atoi(r.Header.Get(HeaderDepth))
-	if err != nil || depth <= 0 {
-		return nil
-	}
-	s.mutex.Lock()
-	next := s.next
-	s.mutex.Unlock()
-	request, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+next+r.URL.RequestURI(), nil)
-	if err != nil {
-		return err
-	}
-	request.Host = r.Host
-	for _, name := range []string{callapi.HeaderDeadline, callapi.HeaderAttempt, HeaderWork} {
-		if value := r.Header.Get(name); value != "" {
-			request.Header.Set(name, value)
-		}
-	}
-	request.Header.Set(HeaderDepth, strconv.Itoa(depth-1))
-	request.Header.Set(HeaderCall, fmt.Sprintf("%s.%d", r.Header.Get(HeaderCall), depth))
-	response, err := s.client.Do(request)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = response.Body.Close() }()
-	_, err = io.Copy(io.Discard, response.Body)
-	return err
-}
-
-// AnswerLine is the first line of every answer.
-func AnswerLine(call, instance, digest string) string {
-	return fmt.Sprintf("call=%s instance=%s body=%s\n", call, instance, digest)
-}
-
+// answer writes a first line that names the call, padded to the size that the call asks for.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, planned plan, digest string) {
-	line := AnswerLine(r.Header.Get(HeaderCall), s.options.Instance, digest)
+	line := fmt.Sprintf("call=%s instance=%s body=%s\n", r.Header.Get(HeaderCall), s.options.Instance, digest)
 	w.Header().Set(HeaderInstance, s.options.Instance)
 	w.Header().Set(HeaderBodyDigest, digest)
 	size, _ := strconv.Atoi(r.Header.Get(HeaderAnswerBytes))
@@ -329,7 +246,6 @@
 		}
 		limit := int64(l.server.options.ConnectionLimit)
 		if limit > 0 && l.server.open.Load() >= limit {
-			l.server.Rejected.Add(1)
 			_ = conn.Close()
 			continue
 		}
--- a/internal/lab/callload/caller.go
+++ b/internal/lab/callload/caller.go
@@ -1,3 +1,5 @@
+// Package callload is a stand-in for callers: it makes calls at a rate, checks every
+// answer against what was asked for, and tallies the outcomes.
 package callload
 
 import (
@@ -22,7 +24,6 @@
 // Outcome is what a caller learned of one call.
 type Outcome string
 
-// Outcomes as seen by a caller.
 const (
 	// OutcomeDone is a whole answer with the right content.
 	OutcomeDone Outcome = "done"
@@ -35,15 +36,12 @@
 
 // CallResult is one finished call.
 type CallResult struct {
-	Call       string
-	Outcome    Outcome
-	Status     int
-	Result     string
-	RetryAfter string
-	Instance   string
-	Latency    time.Duration
-	// Finished is when the call was over.
-	Finished time.Time
+	Call     string
+	Outcome  Outcome
+	Status   int
+	Result   string
+	Instance string
+	Latency  time.Duration
 }
 
 // Caller makes calls and checks their answers.
@@ -72,13 +70,11 @@
 	started := time.Now()
 	finished := c.exchange(ctx, call)
 	finished.Call = call
-	finished.Finished = time.Now()
-	finished.Latency = finished.Finished.Sub(started)
+	finished.Latency = time.Since(started)
 	return finished
 }
 
-// oneShot hides the body's type from the HTTP client, so that it cannot send
-// it twice.
+// oneShot hides the body's type from the HTTP client, so that it cannot send it twice.
 type oneShot struct{ io.Reader }
 
 // body returns the request body. The HTTP client repeats a GET on its own when
@@ -114,14 +110,14 @@
 	content, err := io.ReadAll(response.Body)
 	finished := CallResult{
 		Status: response.StatusCode, Result: response.Header.Get(callapi.HeaderResult),
-		RetryAfter: response.Header.Get("Retry-After"), Instance: response.Header.Get(backendstub.HeaderInstance),
+		Instance: response.Header.Get(backendstub.HeaderInstance),
 	}
-	finished.Outcome = judgeAnswer(response, content, err, call)
+	finished.Outcome = checkAnswer(response, content, err, call)
 	return finished
 }
 
-// failureOutcome judges a call without any answer: only a refused connection
-// proves that it did not run.
+// failureOutcome returns the outcome of a call without an answer: only a refused connection proves
+// that it did not run.
 func failureOutcome(err error) Outcome {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -130,7 +126,7 @@
 	return OutcomeUnknown
 }
 
-func judgeAnswer(response *http.Response, content []byte, readErr error, call string) Outcome {
+func checkAnswer(response *http.Response, content []byte, readErr error, call string) Outcome {
 	if readErr != nil {
 		return OutcomeUnknown
 	}
@@ -156,46 +152,38 @@
 	Workers int
 	// Rate is the number of calls per second in all; 0 for as fast as the
 	// workers can.
-	Rate float64
-	// FromDue counts latency from when a call was due, so that a call that
-	// waits for a free worker counts in full. Otherwise it counts from when the
-	// call was sent, which leaves out the spread of this process's own timers.
-	FromDue  bool
+	Rate     float64
 	Duration time.Duration
 	// Name is the prefix of the calls' names.
 	Name string
-	// Honour makes a worker wait the Retry-After of a refusal, at most this
-	// long; 0 for not at all.
-	Honour time.Duration
 }
 
-// Tally sums up a load.
+// Tally is the sum of a load's calls.
 type Tally struct {
 	Done, Wrong, NotRun, Unknown int64
 	// Latency holds the latencies of calls done, in microseconds.
 	Latency *hdrhistogram.Histogram
 	Results map[string]int64
-	Elapsed time.Duration
 	// ByInstance counts the calls done by instance.
 	ByInstance map[string]int64
-	// Outcomes keeps every call's result when Keep was set.
-	Outcomes []CallResult
+	// Calls are all calls in the order of their ends.
+	Calls []CallResult
 }
 
 // Total returns the number of calls.
 func (t *Tally) Total() int64 { return t.Done + t.Wrong + t.NotRun + t.Unknown }
 
-// MaxLatencyMicros bounds the latency histogram.
-const MaxLatencyMicros = 120 * 1000 * 1000
+// maxLatencyMicros bounds the latency histogram. Chosen, not measured.
+const maxLatencyMicros = 120 * 1000 * 1000
 
-func NewTally() *Tally {
+func newTally() *Tally {
 	return &Tally{
-		Latency: hdrhistogram.New(1, MaxLatencyMicros, 3),
+		Latency: hdrhistogram.New(1, maxLatencyMicros, 3),
 		Results: map[string]int64{}, ByInstance: map[string]int64{},
 	}
 }
 
-func (t *Tally) Add(finished CallResult) {
+func (t *Tally) add(finished CallResult) {
 	switch finished.Outcome {
 	case OutcomeDone:
 		t.Done++
@@ -209,7 +197,7 @@
 		t.Unknown++
 	}
 	t.Results[finished.Result]++
-	t.Outcomes = append(t.Outcomes, finished)
+	t.Calls = append(t.Calls, finished)
 }
 
 // Run makes the calls until the duration is over or ctx ends.
@@ -227,40 +215,23 @@
 		workers.Wait()
 		close(finished)
 	}()
-	tally := NewTally()
+	tally := newTally()
 	for one := range finished {
-		tally.Add(one)
+		tally.add(one)
 	}
-	tally.Elapsed = time.Since(started)
 	return tally
 }
 
 func (l *Load) work(ctx context.Context, started time.Time, count *atomic.Int64, finished chan<- CallResult) {
 	for ctx.Err() == nil {
 		number := count.Add(1)
-		due := time.Now()
 		if l.Rate > 0 {
-			due = started.Add(time.Duration(float64(number) / l.Rate * float64(time.Second)))
-			if !SleepUntil(ctx, due) {
+			due := started.Add(time.Duration(float64(number) / l.Rate * float64(time.Second)))
+			if !sleep.For(ctx, time.Until(due)) {
 				return
 			}
 		}
 		// A call that has begun is finished even if the load ends.
-		one := l.Caller.Do(context.WithoutCancel(ctx), fmt.Sprintf("%s-%d", l.Name, number))
-		if l.FromDue {
-			one.Latency = time.Since(due)
-		}
-		finished <- one
-		l.honour(ctx, one)
+		finished <- l.Caller.Do(context.WithoutCancel(ctx), fmt.Sprintf("%s-%d", l.Name, number))
 	}
 }
-
-func (l *Load) honour(ctx context.Context, one CallResult) {
-	seconds, err := time.ParseDuration(one.RetryAfter + "s")
-	if l.Honour > 0 && err == nil {
-		SleepUntil(ctx, time.Now().Add(min(seconds, l.Honour)))
-	}
-}
-
-// SleepUntil waits until due; it reports false when ctx ended first.
-func SleepUntil(ctx context.Context, due time.Time) bool { return sleep.For(ctx, time.Until(due)) }
--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -33,7 +33,7 @@
 	}
 	broken := 0
 	started := time.Now()
-	for index := 0; c.another(index, time.Since(started)); index++ {
+	for index := 0; c.playsAnother(index, time.Since(started)); index++ {
 		count, err := playDay(day.StandardPlan(seed+uint64(index), c.Length, c.Faults, kinds))
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed+uint64(index), err)
@@ -49,9 +49,8 @@
 	return nil
 }
 
-// another reports whether one more day is played after so many, which took so
-// long.
-func (c *emulateCommand) another(played int, took time.Duration) bool {
+// playsAnother reports whether one more day is played after the days played so far.
+func (c *emulateCommand) playsAnother(played int, took time.Duration) bool {
 	if c.For > 0 {
 		return took < c.For
 	}
--- a/internal/lab/explain.go
+++ b/internal/lab/explain.go
@@ -2,15 +2,13 @@
 
 import (
 	"fmt"
-	"io"
 	"os"
 	"slices"
 
 	"github.com/lapisvane/lapisvane/internal/lab/explain"
 )
 
-// explainCommand tells from the log lines of several daemons what happened to
-// requests.
+// explainCommand finds from the log lines of several daemons what happened to requests.
 type explainCommand struct {
 	Request string `long:"request" description:"id of one request; without it all that failed are summed up by cause"`
 	Files   struct {
@@ -30,22 +28,22 @@
 	}
 	journal := explain.NewJournal(lines)
 	if c.Request != "" {
-		return tellStory(journal, c.Request)
+		return printStory(journal, c.Request)
 	}
-	sumUp(journal, len(lines), skipped)
+	printSummary(journal, len(lines), skipped)
 	return nil
 }
 
-// readLogs reads the lines of several files; skipped counts what is no line of a
-// daemon. An error names the file.
+// readLogs reads the lines of several files; skipped counts other lines than a daemon's. An error
+// names the file.
 func readLogs(paths []string) (lines []explain.Line, skipped int, err error) {
 	for _, path := range paths {
-		read, passed, err := readLog(path)
+		read, skippedHere, err := readLog(path)
 		if err != nil {
 			return nil, 0, fmt.Errorf("%s: %w", path, err)
 		}
 		lines = append(lines, read...)
-		skipped += passed
+		skipped += skippedHere
 	}
 	return lines, skipped, nil
 }
@@ -59,11 +57,11 @@
 		return nil, 0, err
 	}
 	defer func() { _ = file.Close() }()
-	return explain.Read(io.Reader(file))
+	return explain.Read(file)
 }
 
-// tellStory prints one request's lines in order and its cause.
-func tellStory(journal *explain.Journal, request string) error {
+// printStory prints one request's lines in order and its cause.
+func printStory(journal *explain.Journal, request string) error {
 	story := journal.Story(request)
 	if len(story) == 0 {
 		return fmt.Errorf("no line is about request %q; successes are sampled, failures too under load", request)
@@ -82,8 +80,8 @@
 	return nil
 }
 
-// sumUp counts the requests that failed by cause.
-func sumUp(journal *explain.Journal, lines, skipped int) {
+// printSummary prints the failed requests by cause.
+func printSummary(journal *explain.Journal, lines, skipped int) {
 	failed := journal.Failed()
 	counts := map[explain.Cause]int{}
 	examples := map[explain.Cause]string{}
--- a/internal/lab/explain/cause.go
+++ b/internal/lab/explain/cause.go
@@ -1,3 +1,5 @@
+// Package explain reads the log lines of several daemons and finds what happened to a request and
+// why: its lines in order, and the cause that they prove.
 package explain
 
 import (
@@ -23,7 +25,7 @@
 	CauseOverload Cause = "overload"
 	// CauseNoInstance: no instance of the service could take work.
 	CauseNoInstance Cause = "no-instance"
-	// CauseQuarantined: instances ended under what the request asks for.
+	// CauseQuarantined: instances crashed under the request's keys.
 	CauseQuarantined Cause = "quarantined"
 	// CauseInstanceBroke: the instance took the request and broke off.
 	CauseInstanceBroke Cause = "instance-broke"
@@ -37,9 +39,9 @@
 	CauseDaemonLost Cause = "daemon-lost"
 	// CauseUnreachable: no connection to the instance could be opened.
 	CauseUnreachable Cause = "unreachable"
-	// CauseCallerLeft: the caller went away first.
+	// CauseCallerLeft: the caller disconnected first.
 	CauseCallerLeft Cause = "caller-left"
-	// CauseLeaving: the instance or the daemon was leaving.
+	// CauseLeaving: the instance or the daemon was draining.
 	CauseLeaving Cause = "leaving"
 	// CauseNoConfiguration: the daemon had no configuration yet.
 	CauseNoConfiguration Cause = "no-configuration"
@@ -51,7 +53,7 @@
 	CauseBadRequest Cause = "bad-request"
 )
 
-// Events of decisions and of what daemons believe that are read here.
+// Events that are read here.
 const (
 	eventCallFailed    = "call.failed"
 	eventCallAnswered  = "call.answered"
@@ -66,14 +68,14 @@
 	eventSampled       = "decisions.sampled"
 )
 
-// nearby is how far apart the loss of a daemon and that of a call over it may
-// be noticed.
+// nearby is how far apart the lines about the loss of a daemon and about a call to it may be. Chosen,
+// not measured: above the 2.5 s of silence after which a daemon counts as lost.
 const nearby = 3 * time.Second
 
 // Verdict is the cause of a request's end, with the line that proves it.
 type Verdict struct {
 	Cause Cause
-	// Proof tells the cause in words.
+	// Proof describes the cause.
 	Proof string
 	// Line is the line that the proof rests on.
 	Line *Line
@@ -83,8 +85,8 @@
 type Journal struct {
 	lines     []Line
 	byRequest map[string][]*Line
-	// beliefs are the lines that are not about one request, in order.
-	beliefs []*Line
+	// daemonLines are the lines about daemons and not about one request, in order.
+	daemonLines []*Line
 }
 
 // NewJournal returns a journal of lines, which it sorts.
@@ -94,7 +96,7 @@
 	for index := range lines {
 		line := &lines[index]
 		if line.Request == "" {
-			journal.beliefs = append(journal.beliefs, line)
+			journal.daemonLines = append(journal.daemonLines, line)
 			continue
 		}
 		journal.byRequest[line.Request] = append(journal.byRequest[line.Request], line)
@@ -117,7 +119,7 @@
 	return requests
 }
 
-// isEnd reports whether a line tells of a request's end without success.
+// isEnd reports whether a line is about a request's end without success.
 func isEnd(line *Line) bool {
 	return line.Event == eventCallFailed || (line.Event == eventCallAnswered && line.Number("status") >= callapi.FirstServerError)
 }
@@ -138,17 +140,17 @@
 	return Verdict{Cause: CauseUnexplained, Proof: "no line tells of its end"}
 }
 
-// orSampled returns verdict, or that lines of the request were left out when the
-// daemon that it misses lines of says that it sampled then.
+// orSampled returns verdict, or CauseSampled where the daemon whose lines are missing was sampling
+// at that time and left the request out.
 func (j *Journal) orSampled(request string, verdict Verdict) Verdict {
-	for _, belief := range j.beliefs {
-		distance := belief.At.Sub(verdict.Line.At)
+	for _, line := range j.daemonLines {
+		distance := line.At.Sub(verdict.Line.At)
 		// The line comes after the time that it is about.
-		if belief.Event != eventSampled || distance < 0 || distance > nearby || belief.Node != verdict.Line.Get("member") {
+		if line.Event != eventSampled || distance < 0 || distance > nearby || line.Node != verdict.Line.Get("member") {
 			continue
 		}
-		if 1<<decision.Rank(request) < belief.Number("one_of") {
-			return Verdict{CauseSampled, belief.Node + " wrote the lines of one request of " + belief.Get("one_of"), belief}
+		if 1<<decision.Rank(request) < line.Number("one_of") {
+			return Verdict{CauseSampled, line.Node + " wrote the lines of one request of " + line.Get("one_of"), line}
 		}
 	}
 	return verdict
@@ -215,7 +217,7 @@
 	}
 }
 
-// explainLoss tells a lost daemon from an instance that broke off.
+// explainLoss distinguishes a lost daemon from an instance that broke off.
 func (j *Journal) explainLoss(attempt, origin *Line) Verdict {
 	if origin != nil {
 		cause := CauseInstanceBroke
@@ -225,16 +227,16 @@
 		return Verdict{cause, fmt.Sprintf("instance %s, %s ms after it came there: %s", origin.Get("instance"), origin.Get("took_ms"), origin.Get("detail")), origin}
 	}
 	member := attempt.Get("member")
-	for _, belief := range j.beliefs {
-		if distance := belief.At.Sub(attempt.At); distance < -nearby || distance > nearby {
+	for _, line := range j.daemonLines {
+		if distance := line.At.Sub(attempt.At); distance < -nearby || distance > nearby {
 			continue
 		}
-		lost := belief.Event == eventFleetLost || belief.Event == eventFleetStalled
-		if lost && belief.Get("member") == member {
-			return Verdict{CauseDaemonLost, fmt.Sprintf("%s lost %s (%s)", belief.Node, member, belief.Event), belief}
+		lost := line.Event == eventFleetLost || line.Event == eventFleetStalled
+		if lost && line.Get("member") == member {
+			return Verdict{CauseDaemonLost, fmt.Sprintf("%s lost %s (%s)", line.Node, member, line.Event), line}
 		}
-		if belief.Event == eventStarted && belief.Node == member {
-			return Verdict{CauseDaemonLost, member + " started anew", belief}
+		if line.Event == eventStarted && line.Node == member {
+			return Verdict{CauseDaemonLost, member + " started anew", line}
 		}
 	}
 	if attempt.Get("member") == attempt.Node {
@@ -243,37 +245,37 @@
 	return Verdict{Cause: CauseUnexplained, Proof: "neither " + member + " nor a lost connection to it tells of the attempt", Line: attempt}
 }
 
-// explainNoRoute tells a daemon that was behind from a route that was nowhere.
+// explainNoRoute distinguishes a daemon with an old configuration from a route that no daemon had.
 func (j *Journal) explainNoRoute(end *Line) Verdict {
 	own := end.Number("revision")
-	for _, belief := range j.beliefs {
-		if belief.At.After(end.At) {
+	for _, line := range j.daemonLines {
+		if line.At.After(end.At) {
 			break
 		}
-		if belief.Event == eventInForce && belief.Number("revision") > own {
+		if line.Event == eventInForce && line.Number("revision") > own {
 			return Verdict{CauseOldConfiguration, fmt.Sprintf("%s had revision %d in force, %s already had %s %s before",
-				end.Node, own, belief.Node, belief.Get("revision"), end.At.Sub(belief.At)), belief}
+				end.Node, own, line.Node, line.Get("revision"), end.At.Sub(line.At)), line}
 		}
 	}
 	return Verdict{CauseNoRoute, fmt.Sprintf("no route in revision %d: %s", own, end.Get("detail")), end}
 }
 
-// leaving tells since when a daemon was stopping.
+// leaving describes since when a daemon was stopping.
 func (j *Journal) leaving(end *Line) string {
-	for index := len(j.beliefs) - 1; index >= 0; index-- {
-		belief := j.beliefs[index]
-		if belief.Event == eventStopping && belief.Node == end.Node && belief.At.Before(end.At) {
-			return fmt.Sprintf("%s was stopping for %s", end.Node, end.At.Sub(belief.At))
+	for index := len(j.daemonLines) - 1; index >= 0; index-- {
+		line := j.daemonLines[index]
+		if line.Event == eventStopping && line.Node == end.Node && line.At.Before(end.At) {
+			return fmt.Sprintf("%s was stopping for %s", end.Node, end.At.Sub(line.At))
 		}
 	}
 	return end.Get("detail")
 }
 
 func (j *Journal) sinceStart(end *Line) string {
-	for index := len(j.beliefs) - 1; index >= 0; index-- {
-		belief := j.beliefs[index]
-		if belief.Event == eventStarted && belief.Node == end.Node && belief.At.Before(end.At) {
-			return fmt.Sprintf(", it had started %s before", end.At.Sub(belief.At))
+	for index := len(j.daemonLines) - 1; index >= 0; index-- {
+		line := j.daemonLines[index]
+		if line.Event == eventStarted && line.Node == end.Node && line.At.Before(end.At) {
+			return fmt.Sprintf(", it had started %s before", end.At.Sub(line.At))
 		}
 	}
 	return ""
--- a/internal/lab/explain/line.go
+++ b/internal/lab/explain/line.go
@@ -20,7 +20,7 @@
 	keyRequest = "request"
 )
 
-// maxLineBytes bounds the length of one line.
+// maxLineBytes bounds the length of one line. Chosen, not measured.
 const maxLineBytes = 1 << 20
 
 // Field is one key=value pair.
@@ -55,9 +55,8 @@
 	return number
 }
 
-// Read reads the lines of a log. What stands before a line's time is passed
-// over, and so are lines without an event; skipped counts these. An error names
-// the line that is no key=value line although it begins as one.
+// Read reads the lines of a log, from their time on. skipped counts lines without time or event. An
+// error names the line that begins as a key=value line and is none.
 func Read(reader io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLineBytes)
--- a/internal/lab/explain/timeline.go
+++ b/internal/lab/explain/timeline.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Second is what ended badly in one second.
+// Second is the failed requests of one second.
 type Second struct {
 	// From is the time since the journal's first line.
 	From time.Duration
--- a/internal/lab/main.go
+++ b/internal/lab/main.go
@@ -1,3 +1,6 @@
+// Package lab is the command line of lapislab: stand-ins for the platform, back ends
+// and callers, days on the emulated platform, and tools that read the logs of daemons.
+// It owns no state; each stand-in has a package of its own.
 package lab
 
 import (
@@ -34,22 +37,20 @@
 			return cli.Fail(os.Stderr, err, cli.ExitUsage)
 		}
 	}
-	failure := &failedCheck{}
+	// failure keeps a command's own failure apart from a wrong command line.
+	var failure error
 	parser.CommandHandler = func(command flags.Commander, rest []string) error {
 		if command == nil {
 			return nil
 		}
-		failure.err = command.Execute(rest)
+		failure = command.Execute(rest)
 		return nil
 	}
 	if _, code, done := cli.Parse(parser, arguments); done {
 		return code
 	}
-	if failure.err != nil {
-		return cli.Fail(os.Stderr, failure.err, cli.ExitFailed)
+	if failure != nil {
+		return cli.Fail(os.Stderr, failure, cli.ExitFailed)
 	}
 	return cli.ExitOK
 }
-
-// failedCheck keeps a command's own failure apart from a wrong command line.
-type failedCheck struct{ err error }
--- a/internal/lab/objectapistub/server.go
+++ b/internal/lab/objectapistub/server.go
@@ -1,3 +1,7 @@
+// Package objectapistub is a stand-in for the platform: an object API with
+// versions, compare-and-swap, watches and compaction, and a lagging machine
+// list, served over HTTP/JSON. Faults can be switched on while it runs. It
+// deliberately shares no HTTP code with the product's servers.
 package objectapistub
 
 import (
@@ -20,11 +24,10 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// DefaultWatchCap is the number of concurrent watches that the object API
-// bears, unless told otherwise.
-const DefaultWatchCap = 40
-
+// Bounds of the stand-in. Chosen, not measured.
 const (
+	// defaultWatchCap is the number of concurrent watches where Options name none.
+	defaultWatchCap  = 40
 	bookmarkInterval = time.Second
 	maxBodyBytes     = 32 << 20
 )
@@ -42,7 +45,7 @@
 	EventDelayMillis int `json:"event_delay_millis"`
 	// CrossEvents sends the events of one burst in reverse order.
 	CrossEvents bool `json:"cross_events"`
-	// FreezeMachines stops the machine list from following reality.
+	// FreezeMachines stops updates of the machine list.
 	FreezeMachines bool `json:"freeze_machines"`
 }
 
@@ -73,7 +76,7 @@
 	Address string
 	// Token is required from clients when not empty.
 	Token string
-	// WatchCap bounds concurrent watches; 0 means DefaultWatchCap.
+	// WatchCap bounds concurrent watches; 0 means the default.
 	WatchCap int
 	// MachineLag is how far the machine list lags behind reality.
 	MachineLag time.Duration
@@ -97,7 +100,7 @@
 		broken:   make(chan struct{}),
 	}
 	if server.watchCap == 0 {
-		server.watchCap = DefaultWatchCap
+		server.watchCap = defaultWatchCap
 	}
 	server.http = &http.Server{Handler: server.routes(), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = server.http.Serve(listener) }()
@@ -131,9 +134,9 @@
 // RemoveMachine removes a machine; the list shows it after its lag.
 func (s *Server) RemoveMachine(node string) { s.machines.remove(node) }
 
-// Load is what the stand-in bore.
+// Load counts what the stand-in served.
 type Load struct {
-	Requests, RefusedWatches, PeakWatchers, Watchers int64
+	Requests, RefusedWatches, PeakWatchers int64
 }
 
 // Load returns the totals since the start.
@@ -142,7 +145,6 @@
 		Requests:       s.requests.Load(),
 		RefusedWatches: s.refused.Load(),
 		PeakWatchers:   s.peakWatchers.Load(),
-		Watchers:       s.watchers.Load(),
 	}
 }
 
@@ -156,8 +158,6 @@
 	mux.HandleFunc("GET /v1/watch", s.admit(s.serveWatch))
 	mux.HandleFunc("GET /v1/machines", s.admit(s.serveMachines))
 	mux.HandleFunc("PUT /lab/faults", s.serveFaults)
-	mux.HandleFunc("PUT /lab/machine", s.serveSetMachine)
-	mux.HandleFunc("GET /lab/load", func(w http.ResponseWriter, _ *http.Request) { answer(w, s.Load(), nil) })
 	return mux
 }
 
@@ -270,8 +270,8 @@
 	s.stream(w, r, version)
 }
 
-// stream sends events until the caller leaves, the store compacts past the
-// watch, or the fault down is switched on.
+// stream sends events until the client disconnects, the store compacts past the watch, or the fault
+// down is switched on.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, version int64) {
 	prefixes := r.URL.Query()["prefix"]
 	s.mutex.Lock()
@@ -336,15 +336,6 @@
 	s.SetFaults(faults)
 }
 
-func (s *Server) serveSetMachine(w http.ResponseWriter, r *http.Request) {
-	var machine objectapi.Machine
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&machine); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	s.SetMachine(machine)
-}
-
 func answer(w http.ResponseWriter, value any, err error) {
 	if err == nil {
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -83,15 +83,14 @@
 	ColdStart      time.Duration `long:"cold-start" description:"time in which calls take ten times as long"`
 	ShedAbove      int           `long:"shed-above" description:"refuse calls while more than so many run"`
 	Draining       bool          `long:"draining" description:"refuse new calls as not run"`
-	Next           string        `long:"next" description:"caller address of the daemon beside it, for chains of calls"`
 }
 
 // Execute implements flags.Commander.
 func (c *backendCommand) Execute([]string) error {
 	backend, err := backendstub.Start(backendstub.Options{
 		Address: c.Address, Instance: c.Instance, Slots: c.Slots, ConnectionLimit: c.Connections,
-		ConnectionCost: c.ConnectionCost, ColdStart: c.ColdStart, ColdFactor: 10, Next: c.Next,
-		Behaviour: backendstub.Behaviour{ServiceTime: c.ServiceTime, ShedAbove: c.ShedAbove, Draining: c.Draining, StatedLoad: -1, StatedHealthy: true},
+		ConnectionCost: c.ConnectionCost, ColdStart: c.ColdStart, ColdFactor: 10,
+		Behaviour: backendstub.Behaviour{ServiceTime: c.ServiceTime, ShedAbove: c.ShedAbove, Draining: c.Draining},
 	})
 	if err != nil {
 		return err
--- a/internal/lab/testsite/calls_test.go
+++ b/internal/lab/testsite/calls_test.go
@@ -140,7 +140,7 @@
 // disagreements lists the calls whose outcome does not fit the ledger.
 func disagreements(site *testsite.Site, tally *callload.Tally) []string {
 	var list []string
-	for _, one := range tally.Outcomes {
+	for _, one := range tally.Calls {
 		runs := len(site.Ledger.Runs(one.Call))
 		switch {
 		case runs > 1:
--- a/internal/lab/testsite/profile.go
+++ b/internal/lab/testsite/profile.go
@@ -1,7 +1,6 @@
 package testsite
 
 import (
-	"strings"
 	"time"
 
 	"github.com/lapisvane/lapisvane/internal/daemon/settings"
@@ -13,8 +12,6 @@
 	Name string
 	// Zones are the names of the zones.
 	Zones []string
-	// Services gives the number of instances of each service.
-	Services []ServiceShape
 	// Slots, Connections and ConnectionCost are the limits of each instance.
 	Slots, Connections int
 	ConnectionCost     time.Duration
@@ -26,26 +23,13 @@
 	Seed         uint64
 }
 
-// ServiceShape is a service with its number of instances.
-type ServiceShape struct {
-	Name      string
-	Instances int
-}
-
 // Swancycle is the shape of a bicycle rental with four zones in one city,
 // which weighs convergence time.
 func Swancycle() Profile {
 	return Profile{
 		Name: "swancycle", Zones: []string{"perth-1", "perth-2", "perth-3", "perth-4"},
-		Services: []ServiceShape{{"ride-desk", 7}, {"fleet-yard", 5}},
-		Slots:    6, Connections: 130, ConnectionCost: time.Millisecond, ServiceTime: 5 * time.Millisecond,
+		Slots: 6, Connections: 130, ConnectionCost: time.Millisecond, ServiceTime: 5 * time.Millisecond,
 		Distribution: settings.ProfileConvergence, MachineLag: 2 * time.Second,
 		StopLimit: tunables.Duration(time.Minute), Seed: 1,
 	}
 }
-
-// SplitBackend splits "service/instance".
-func SplitBackend(name string) (service, instance string) {
-	service, instance, _ = strings.Cut(name, "/")
-	return service, instance
-}
--- a/internal/lab/testsite/site.go
+++ b/internal/lab/testsite/site.go
@@ -1,14 +1,18 @@
+// Package testsite starts a small site for tests: stand-ins for the
+// object API and back ends, real daemons, and operators.
 package testsite
 
 import (
 	"context"
 	"encoding/json"
 	"fmt"
+	"strings"
 	"sync"
 	"time"
 
 	"github.com/go-logr/logr"
 
+	"github.com/lapisvane/lapisvane/api/lapisv1"
 	"github.com/lapisvane/lapisvane/internal/daemon"
 	"github.com/lapisvane/lapisvane/internal/daemon/settings"
 	"github.com/lapisvane/lapisvane/internal/distribution/changelog"
@@ -78,7 +82,7 @@
 	backend, err := backendstub.Start(backendstub.Options{
 		Address: Loopback, Instance: instance, Slots: s.profile.Slots, ConnectionLimit: s.profile.Connections,
 		ConnectionCost: s.profile.ConnectionCost, Ledger: s.Ledger, Seed: s.profile.Seed,
-		Behaviour: backendstub.Behaviour{ServiceTime: s.profile.ServiceTime, StatedLoad: -1, StatedHealthy: true},
+		Behaviour: backendstub.Behaviour{ServiceTime: s.profile.ServiceTime},
 	})
 	if err == nil {
 		s.Backends[service+"/"+instance] = backend
@@ -89,12 +93,8 @@
 // StartDaemon runs a daemon in zone beside the given back ends
 // ("service/instance").
 func (s *Site) StartDaemon(node, zone string, services []string, backends ...string) (*Member, error) {
-	config := s.baseSettings(node, zone)
+	config := s.baseSettings(node, zone, backends...)
 	config.Services = services
-	for _, name := range backends {
-		service, instance := SplitBackend(name)
-		config.Backends = append(config.Backends, settings.Backend{Service: service, Instance: instance, Address: s.Backends[name].Address()})
-	}
 	return s.startWith(config)
 }
 
@@ -108,17 +108,13 @@
 
 // StartSecureDaemon runs a daemon that speaks mutual TLS to other daemons.
 func (s *Site) StartSecureDaemon(node, zone string, keys settings.PeerTLS, backends ...string) (*Member, error) {
-	config := s.baseSettings(node, zone)
+	config := s.baseSettings(node, zone, backends...)
 	config.Services = []string{"*"}
 	config.PeerTLS = keys
-	for _, name := range backends {
-		service, instance := SplitBackend(name)
-		config.Backends = append(config.Backends, settings.Backend{Service: service, Instance: instance, Address: s.Backends[name].Address()})
-	}
 	return s.startWith(config)
 }
 
-func (s *Site) baseSettings(node, zone string) *settings.Daemon {
+func (s *Site) baseSettings(node, zone string, backends ...string) *settings.Daemon {
 	config := settings.DefaultDaemon()
 	config.Node, config.Zone, config.Region = node, zone, s.profile.Name
 	config.PeerAddress, config.CallerAddress, config.OperatorAddress = Loopback, Loopback, Loopback
@@ -126,6 +122,10 @@
 	config.Profile = s.profile.Distribution
 	config.Distribution = json.RawMessage(`{"first_source_ask": "100ms"}`)
 	config.StopLimit = s.profile.StopLimit
+	for _, name := range backends {
+		service, instance, _ := strings.Cut(name, "/")
+		config.Backends = append(config.Backends, settings.Backend{Service: service, Instance: instance, Address: s.Backends[name].Address()})
+	}
 	return &config
 }
 
@@ -145,12 +145,8 @@
 		defer close(member.done)
 		member.Cut = running.Run(member.stop, member.force)
 	}()
-	addresses := running.Addresses()
-	for _, backend := range config.Backends {
-		s.Backends[backend.Service+"/"+backend.Instance].SetNext(addresses.Caller)
-	}
 	s.Platform.SetMachine(objectapi.Machine{
-		Node: config.Node, Address: addresses.Peer, Zone: config.Zone, Region: config.Region, State: objectapi.MachineLive,
+		Node: config.Node, Address: running.Addresses().Peer, Zone: config.Zone, Region: config.Region, State: objectapi.MachineLive,
 	})
 	s.Daemons[config.Node] = member
 	return member, nil
@@ -187,18 +183,13 @@
 	s.Platform.Close()
 }
 
-// Control returns an operators' client of a daemon.
-func (s *Site) Control(node string) *ctl.Client {
-	return ctl.NewClient(s.Daemons[node].Daemon.Addresses().Operator, AdminToken)
-}
-
 // Command runs one command of the operators' language at a daemon.
 func (s *Site) Command(ctx context.Context, node, line string) (*opapi.Table, error) {
 	command, err := query.Parse(line)
 	if err != nil {
 		return nil, err
 	}
-	return s.Control(node).Run(ctx, command)
+	return ctl.NewClient(s.Daemons[node].Daemon.Addresses().Operator, AdminToken).Run(ctx, command)
 }
 
 // Accept makes changes the next revision without an operator's interface.
@@ -207,7 +198,14 @@
 	if err != nil {
 		return 0, err
 	}
-	return acceptChanges(ctx, s.Store, operation, changes)
+	log := changelog.New(s.Store, time.Now)
+	state, err := log.Refresh(ctx)
+	if err != nil {
+		return 0, err
+	}
+	return log.Accept(ctx, &lapisv1.Proposal{
+		OperationId: operation, Author: LabAdmin, BaseRevision: state.Revision, Changes: changes,
+	})
 }
 
 // WaitInForce waits until every daemon has revision in force.
@@ -250,5 +248,3 @@
 		}
 	}
 }
-
-func newLog(store objectapi.Store) *changelog.Log { return changelog.New(store, time.Now) }
