--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -34,13 +34,13 @@
 	// AcceptedCalls returns what is called with each connection for calls that another
 	// daemon opened; nil where such connections carry nothing but calls.
 	AcceptedCalls() func(hello *lapisv1.Hello, link callmux.Link) callmux.Control
-	// SpreadSuspects tells other daemons what is known of requests under which instances
-	// crashed; from is the daemon that reported it, empty for this one.
+	// SpreadSuspects sends records of suspects to other daemons; from is the daemon that
+	// reported them, empty for this one.
 	SpreadSuspects(records []quarantine.Record, from string)
 	// Resumed reports that the machine was suspended: what others reported is that much older.
 	Resumed()
-	// Drain stops as planned: no new work, and what is in flight is seen through. It
-	// returns the number of calls still in flight when force or StopLimit ended the wait.
+	// Drain stops as planned: no new work, and the calls in flight finish. It returns the
+	// number of calls still in flight when force or StopLimit ended the wait.
 	Drain(force <-chan struct{}) (cut int64)
 	// RegisterMetrics adds the metrics of this way of distribution.
 	RegisterMetrics(registry *prometheus.Registry)
@@ -51,7 +51,7 @@
 // way is one of the two ways of distribution, with what the request path needs to know of
 // it before it can be built.
 type way struct {
-	// incarnation tells this process from earlier ones on the machine.
+	// incarnation distinguishes this process from earlier ones on the machine.
 	incarnation uint64
 	envelope    callapi.Envelope
 	// timing bounds the connections for calls; maintained is true where the distribution
--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -32,8 +32,8 @@
 	// is polled, below the stop limit.
 	callersDrain = 2500 * time.Millisecond
 	// instancesDrain is how long a stopping daemon admits calls to the instances beside
-	// it that end before it does: those would idle while others refuse for load. On a played day that stops 41 machines in turn the users'
-	// score was 0.716 and 0.729 without it and 0.760 with it.
+	// it that end before it does: those would idle while others refuse for load. On a day that
+	// stops 41 machines in turn the score was 0.716 and 0.729 without it and 0.760 with it.
 	instancesDrain = 2 * time.Second
 	// callsPart is the part of the stop limit in which calls may last; the rest is for the
 	// end of the process. Chosen, not measured.
@@ -43,10 +43,10 @@
 	answersDrain = 100 * time.Millisecond
 )
 
-// Noticing a daemon that does not answer: one that is quiet for stallQuiet while calls are
-// on their way is asked for a sign of life, and is stalled without one in stallAnswer. Its
-// instances are suspect then, and repeatable calls go elsewhere; the connection stays open,
-// since lost packets look alike. Failed calls fell from 1.6 to 1.1 percent on a day with two
+// Times of noticing a daemon that does not answer: it is pinged when it was quiet for stallQuiet
+// while calls are on their way, and is stalled without an answer within stallAnswer. Then its
+// instances are suspect and repeatable calls go elsewhere; the connection stays open, since
+// packet loss looks the same. Failed calls fell from 1.6 to 1.1 percent on a day with two
 // frozen machines, against noticing silence after 2.5 s only.
 const (
 	stallCheck  = 100 * time.Millisecond
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -94,7 +94,7 @@
 	}
 	granted, err := s.store.Try(ctx, verdict.Key, verdict.Trials)
 	s.logger.Info("request.trial", "key", verdict.Key, "ended", verdict.Crashes, "trials", verdict.Trials, "granted", granted, "error", err)
-	// The trial counts whoever was granted it, and also when the store did not answer.
+	// The trial counts for whichever daemon it was granted, and also when the store did not answer.
 	s.spread(s.NoteTrial(verdict.Key, verdict.Trials+1), "")
 	return granted
 }
--- a/internal/daemon/quarantine_test.go
+++ b/internal/daemon/quarantine_test.go
@@ -15,7 +15,7 @@
 
 // The time until a trial of a quarantined request is due goes on while the machine is
 // suspended.
-func TestHeldBackTimeGoesOnWhileSuspended(t *testing.T) {
+func TestTrialBecomesDueWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -33,7 +33,7 @@
 	seen    fileStamp
 }
 
-// fileStamp tells one state of a file from another.
+// fileStamp identifies a state of a file.
 type fileStamp struct {
 	size     int64
 	modified time.Time
--- a/internal/daemon/settings/daemon.go
+++ b/internal/daemon/settings/daemon.go
@@ -77,7 +77,7 @@
 	tunables tunables.Distribution
 }
 
-// Platform tells where the platform is.
+// Platform is how the platform is reached and what it allows.
 type Platform struct {
 	// Form names the adapter; empty for lapisvane's own object API.
 	Form      string   `json:"form"`
--- a/internal/lab/explain/cause.go
+++ b/internal/lab/explain/cause.go
@@ -14,14 +14,14 @@
 // Cause is what a request's lines prove.
 type Cause string
 
-// The causes that are told apart.
+// The causes that lines prove.
 const (
 	// CauseUnexplained: the lines prove nothing.
 	CauseUnexplained Cause = "unexplained"
 	// CauseSampled: a daemon did not write its lines of the request, because it
 	// had too many.
 	CauseSampled Cause = "sampled"
-	// CauseOverload: all instances that were asked were full.
+	// CauseOverload: all instances that were tried were full.
 	CauseOverload Cause = "overload"
 	// CauseNoInstance: no instance of the service could take work.
 	CauseNoInstance Cause = "no-instance"
--- a/internal/lab/testsite/calls_test.go
+++ b/internal/lab/testsite/calls_test.go
@@ -286,7 +286,7 @@
 	assert.Equal(t, site.Ledger.Total(), 1)
 }
 
-// trickle is a request body that is sent in pieces until it is told to end.
+// trickle is a request body that is sent in pieces until its channel is closed.
 type trickle struct {
 	pieces chan []byte
 	sent   int
@@ -360,8 +360,8 @@
 }
 
 // TestCallsThatOutlastAStopAreAnswered stops the caller's daemon while its call
-// is at a back end for longer than the daemon has: the caller is told that the
-// outcome is unknown, in a whole answer.
+// is at a back end for longer than the daemon has: the caller gets a whole
+// answer, which says that the outcome is unknown.
 func TestCallsThatOutlastAStopAreAnswered(t *testing.T) {
 	site := startSite(t, 1, func(profile *testsite.Profile) {
 		profile.StopLimit = tunables.Duration(500 * time.Millisecond)
--- a/internal/model/fingerprint/fingerprint_test.go
+++ b/internal/model/fingerprint/fingerprint_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestPartsDoNotRunIntoOneAnother(t *testing.T) {
+func TestPartsAreDelimited(t *testing.T) {
 	one := fingerprint.Of(fingerprint.Line{Method: "GET", Host: "a", Target: "/b?c"}, nil)
 	other := fingerprint.Of(fingerprint.Line{Method: "GET", Host: "a", Target: "/bc"}, nil)
 	assert.Assert(t, one.Full != other.Full)
--- a/internal/model/meshconfig/bundle.go
+++ b/internal/model/meshconfig/bundle.go
@@ -115,8 +115,7 @@
 	}
 }
 
-// rebuildBundles encodes the affected bundles anew and returns those that
-// changed, in order of service.
+// rebuildBundles encodes the affected bundles and returns those that changed, in order of service.
 func (s *State) rebuildBundles(affected map[string]bool) ([]*lapisv1.EncodedBundle, error) {
 	members := s.collectMembers(affected)
 	var changed []*lapisv1.EncodedBundle
@@ -132,7 +131,7 @@
 	return changed, nil
 }
 
-// rebuildBundle encodes the bundle of a service anew; it returns nil where nothing changed.
+// rebuildBundle encodes the bundle of a service; it returns nil where nothing changed.
 func (s *State) rebuildBundle(service string, bundle *lapisv1.Bundle) (*lapisv1.EncodedBundle, error) {
 	previous, existed := s.Bundles[service]
 	pool, exists := s.Pools[service]
--- a/internal/model/quarantine/registry_test.go
+++ b/internal/model/quarantine/registry_test.go
@@ -65,7 +65,7 @@
 	assert.Equal(t, registry.Count(beside.Keys), 1)
 }
 
-// Nobody can have another caller's requests held back, nor make the registry forget.
+// No caller can get another one's requests quarantined, nor make the registry forget.
 func TestCallersDoNotReachEachOther(t *testing.T) {
 	registry, theirs := newClocked(), inFlightOf("/same", "attacker")
 	for crash := range uint64(5) {
@@ -89,8 +89,8 @@
 	assert.Assert(t, suspects <= maxEntries)
 }
 
-// A query that changes with every try does not hide what is asked for, and others that ask
-// for the path with other queries are not held back while they are answered.
+// A query that changes with every try does not hide a poison request, and requests for the path
+// with other queries are not quarantined while they are answered.
 func TestQueries(t *testing.T) {
 	registry := newClocked()
 	for crash := range uint64(3) {
@@ -201,8 +201,8 @@
 	assert.Equal(t, len(other.Merge([]Record{stored})), 0)
 }
 
-// However many instances crashed under what one caller sends, another one is held back from its
-// first on.
+// However many instances crashed under the requests of one caller, those of another are
+// quarantined from its first crash on.
 func TestFullRecordKnowsEachCaller(t *testing.T) {
 	registry := newClocked()
 	for crash := range uint64(2 * maxCrashes) {
--- a/internal/model/quarantine/rule.go
+++ b/internal/model/quarantine/rule.go
@@ -6,8 +6,8 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// The rule looks at the number of instances that crashed under a request and were not
-// refuted, at the time since the newest crash, and at the trials so far.
+// Inputs of the rule: the number of crashes under a request that were not refuted, the time since
+// the newest one, and the trials so far.
 const (
 	// quarantineAt is the number of crashes from which a request is quarantined. Set by the
 	// requirement, which bounds further crashes from the third on (docs/design/0022); fewer would
--- a/internal/operators/opapi/opapi.go
+++ b/internal/operators/opapi/opapi.go
@@ -58,7 +58,7 @@
 	File        string `json:"file"`
 }
 
-// ProposeAnswer tells what was proposed.
+// ProposeAnswer is what was proposed.
 type ProposeAnswer struct {
 	Proposal     string `json:"proposal,omitempty"`
 	BaseRevision uint64 `json:"base_revision"`
@@ -70,7 +70,7 @@
 	Proposal string `json:"proposal"`
 }
 
-// AcceptAnswer tells the revision that a change became.
+// AcceptAnswer is the revision that a change became.
 type AcceptAnswer struct {
 	Revision uint64 `json:"revision"`
 }
--- a/internal/transport/callmux/admission_test.go
+++ b/internal/transport/callmux/admission_test.go
@@ -63,8 +63,7 @@
 	return client, listener.Addr().String()
 }
 
-// A refused call must not have filled the link with its body: it is the daemon
-// that has too much to do that refuses.
+// The body of a refused call is not sent: it would fill the link of an overloaded daemon.
 func TestRefusedCallsLeaveTheirBodiesBehind(t *testing.T) {
 	content := strings.Repeat("x", 60_000)
 	for name, row := range map[string]struct {
--- a/internal/transport/callmux/inflight_test.go
+++ b/internal/transport/callmux/inflight_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// endNoting notes when it was read to its end.
+// endNoting records whether it was read to its end.
 type endNoting struct {
 	io.Reader
 	ended atomic.Bool
--- a/internal/transport/callmux/stall_test.go
+++ b/internal/transport/callmux/stall_test.go
@@ -58,8 +58,8 @@
 	})
 }
 
-// While the caller's daemon stops as planned, a call stays with a peer that has fallen
-// silent: the instance there may be at work on it.
+// While the caller's daemon stops as planned, a call stays with a silent peer: the
+// instance there may be working on it.
 func TestCallStaysWithASilentPeerDuringAPlannedStop(t *testing.T) {
 	for _, stays := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/transport/callmux/suspended_test.go
+++ b/internal/transport/callmux/suspended_test.go
@@ -10,8 +10,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// The age of its last confirmation that a daemon sends to others includes the time for which its
-// machine was suspended since: they would not ask for themselves.
+// The age of a confirmation that a daemon sends includes the time for which its machine was
+// suspended since: others would not poll for themselves otherwise.
 func TestSuspendedDaemonTellsHowOldItsConfirmationIs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
@@ -25,8 +25,8 @@
 	})
 }
 
-// What another daemon echoes after this machine was suspended is as old as that makes it.
-func TestConfirmationHeardAfterASuspension(t *testing.T) {
+// A confirmation that another daemon sends after this machine was suspended is that much older.
+func TestSuspensionAgesEchoedConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
--- a/internal/transport/peer/server_test.go
+++ b/internal/transport/peer/server_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// A connection that does not greet is closed after GreetingTimeout, without a line but for
-// debugging: whoever scans ports fills no log.
+// A connection that does not greet is closed after GreetingTimeout, and logged for debugging only,
+// so that a port scan does not fill the log.
 func TestSilentConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
