--- a/internal/daemon/quarantine_test.go
+++ b/internal/daemon/quarantine_test.go
@@ -13,9 +13,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// What is held back may run again, to see, when its time has passed for all others, also
-// where this machine was suspended meanwhile.
-func TestHeldBackTimeGoesOnWhileSuspended(t *testing.T) {
+// The time until a trial of a quarantined request is due goes on while the machine is
+// suspended.
+func TestTrialBecomesDueWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
