--- a/internal/distribution/tree/floors.go
+++ b/internal/distribution/tree/floors.go
@@ -65,7 +65,8 @@
 	}
 	if n.reader {
 		n.floorIssued = true
-		go n.readFloor()
+		n.floorReads++
+		go n.readFloor(n.floorReads)
 		return
 	}
 	if n.parent != nil {
@@ -87,12 +88,15 @@
 func (n *Node) abortFloorRead() {
 	if n.floorIssued {
 		n.floorIssued = false
+		n.floorReads++
 		n.floors.Abort()
 	}
 }
 
 // readFloor answers from the accept register or, during an outage, from what the readers hold.
-func (n *Node) readFloor() {
+// read is its number; once another one began or this one was given up, its answer may be too
+// old for the requests that wait, and counts no more.
+func (n *Node) readFloor(read uint64) {
 	time.Sleep(floorSpacing)
 	ctx, cancel := context.WithTimeout(context.Background(), floorReadTimeout)
 	defer cancel()
@@ -100,6 +104,9 @@
 	reply := &lapisv1.FloorReply{Revision: revision, Authority: lapisv1.FloorReply_AUTHORITY_SOURCE}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
+	if read != n.floorReads {
+		return
+	}
 	if err != nil {
 		n.logStoreError("reading the accept register", err)
 		reply = revisionfloor.DuringOutage(n.readerView())
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -56,8 +56,10 @@
 	// floorIssued is true while a floor request is under way at this reader or was sent
 	// to the parent.
 	floorIssued bool
-	floorKnown  bool
-	floor       uint64
+	// floorReads counts the reads of the accept register for a floor that began or were given up.
+	floorReads uint64
+	floorKnown bool
+	floor      uint64
 	// inForce is the revision last handed to the observer, 0 before the first.
 	inForce uint64
 	// refusal is the last version that could not be applied, nil since one could.
