--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -160,8 +160,7 @@
 	l.Tally.add(outcome, time.Since(started))
 }
 
-// attempt makes one try. It tells how long to wait before another, and whether
-// there may be one.
+// attempt makes one try. It tells how long to wait before another, and whether there may be one.
 func (l *Load) attempt(class Class, target Target, transport *http.Transport, body []byte, deadline time.Time, fresh bool) (Outcome, time.Duration, bool) {
 	address := target.Address()
 	if address == "" {
@@ -184,8 +183,7 @@
 	return l.evaluate(class, id, response)
 }
 
-// announce enters a request that waits for so many milliseconds into the ledger and
-// returns its id.
+// announce enters a request that waits for so many milliseconds into the ledger and returns its id.
 func (l *Load) announce(class Class, target Target, body []byte, wait int64) string {
 	id := "r" + strconv.FormatUint(nextRequest.Add(1), 36)
 	l.Ledger.Sent(promise.Request{
--- a/internal/lab/emulator/day/day_test.go
+++ b/internal/lab/emulator/day/day_test.go
@@ -266,9 +266,8 @@
 	}
 }
 
-// The store turns some machines away while it serves the others and the
-// operator: a new version comes in force on all of them all the same, and one of
-// those that starts meanwhile serves too.
+// The store turns some machines away while it serves the others and the operator: a new version
+// comes in force on all of them all the same, and one of those that starts meanwhile serves too.
 func TestStoreTurnsSomeMachinesAway(t *testing.T) {
 	for name, faults := range map[string]objectstore.Faults{
 		"refused": {Down: true},
--- a/internal/lab/emulator/day/explain_test.go
+++ b/internal/lab/emulator/day/explain_test.go
@@ -18,8 +18,7 @@
 // allLines is more than a daemon writes, so that no request is left out.
 const allLines = 1_000_000
 
-// lockedBuffer collects the lines of all daemons, of which some come after their
-// site was closed.
+// lockedBuffer collects the lines of all daemons, of which some come after their site was closed.
 type lockedBuffer struct {
 	// mutex protects written.
 	mutex   sync.Mutex
@@ -112,9 +111,8 @@
 	}
 }
 
-// The daemon beside an instance knows its calls by where they come from, and
-// takes those of repeated runs out of the budget of the service that they are
-// for.
+// The daemon beside an instance knows its calls by where they come from, and takes those of
+// repeated runs out of the budget of the service that they are for.
 func TestCallsOfRepeatedRunsAreKnown(t *testing.T) {
 	output := &lockedBuffer{}
 	options := day.DefaultOptions()
--- a/internal/lab/emulator/day/machine.go
+++ b/internal/lab/emulator/day/machine.go
@@ -19,16 +19,14 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Machine is one machine of the emulated platform: a daemon and the instance
-// beside it.
+// Machine is one machine of the emulated platform: a daemon and the instance beside it.
 type Machine struct {
 	Name    string
 	Zone    string
 	Service string
 
 	site *Site
-	// host is the machine's own loopback address, and store where the store
-	// serves it.
+	// host is the machine's own loopback address, and store where the store serves it.
 	host, store string
 	// daemonLock is held while the daemon is ended and started again, instanceLock while
 	// the instance is.
@@ -94,8 +92,7 @@
 	portCaller
 	portInstances
 	portReadiness
-	// portFirstInstance is that of a machine's first instance; each new one
-	// gets the next.
+	// portFirstInstance is that of a machine's first instance; each new one gets the next.
 	portFirstInstance = 21000
 )
 
@@ -197,8 +194,7 @@
 	warm = false
 )
 
-// startInstance starts an instance of service beside the daemon, at address or
-// at any.
+// startInstance starts an instance of service beside the daemon, at address or at any.
 func (m *Machine) startInstance(service, address string, isCold bool) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -270,8 +266,7 @@
 	// Regions gives the region of each zone; others lie in one region.
 	Regions map[string]string
 	Contact time.Duration
-	// ApplyBound is the time in which daemons are told that a configuration must
-	// be in force.
+	// ApplyBound is the time in which daemons are told that a configuration must be in force.
 	ApplyBound time.Duration
 	Grace      time.Duration
 	// DrainBound is the time after which a draining instance gets nothing.
@@ -300,7 +295,6 @@
 	return crashFactor*o.ColdRate + o.ColdSlack
 }
 
-// region returns the region of a zone.
 func (o Options) region(zone string) string {
 	if region, given := o.Regions[zone]; given {
 		return region
@@ -311,8 +305,7 @@
 // Placement is one machine of a service in a zone.
 type Placement struct{ Zone, Service string }
 
-// DefaultOptions is a small site of two services in three zones, with short
-// times.
+// DefaultOptions is a small site of two services in three zones, with short times.
 func DefaultOptions() Options {
 	return Options{
 		Machines: []Placement{
--- a/internal/lab/emulator/day/play.go
+++ b/internal/lab/emulator/day/play.go
@@ -158,7 +158,6 @@
 	err         error
 }
 
-// change declares configurations until ctx ends.
 func (p *play) change(ctx context.Context) {
 	for p.plan.ChangeEvery > 0 && sleep.For(ctx, p.plan.ChangeEvery) {
 		started := time.Now()
@@ -188,7 +187,6 @@
 	}
 }
 
-// inject carries out one fault.
 func (p *play) inject(ctx context.Context, fault Fault, random *rand.Rand) {
 	machine := p.site.Machines[random.IntN(len(p.site.Machines))]
 	switch fault.Kind {
@@ -321,7 +319,6 @@
 	}
 }
 
-// half returns half of the machines, drawn by random.
 func (p *play) half(random *rand.Rand) []*Machine {
 	machines := slices.Clone(p.site.Machines)
 	random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -91,7 +91,6 @@
 	s.Store.SetFaults(faults)
 }
 
-// services returns the services of the site, each once.
 func (s *Site) services() []string {
 	seen := map[string]bool{}
 	var services []string
--- a/internal/lab/emulator/day/standard.go
+++ b/internal/lab/emulator/day/standard.go
@@ -21,8 +21,7 @@
 	}
 }
 
-// StandardClasses are the requests of the standard day at factor times its
-// rate.
+// StandardClasses are the requests of the standard day at factor times its rate.
 func StandardClasses(factor float64) []client.Class {
 	return []client.Class{
 		{
--- a/internal/lab/emulator/day/zone.go
+++ b/internal/lab/emulator/day/zone.go
@@ -67,8 +67,7 @@
 	}
 }
 
-// RestartZone crashes all instances of a zone at once; others start cold at their
-// addresses.
+// RestartZone crashes all instances of a zone at once; others start cold at their addresses.
 func (s *Site) RestartZone(zone string, down time.Duration) error {
 	machines := s.InZone(zone)
 	failures := make([]error, len(machines))
--- a/internal/lab/emulator/day/zones_test.go
+++ b/internal/lab/emulator/day/zones_test.go
@@ -153,8 +153,7 @@
 	keepsPromises(t, site)
 }
 
-// Requests whose route names a region run in it alone, also while one of its zones is
-// evacuated.
+// Requests whose route names a region run in it alone, also while one of its zones is evacuated.
 func TestRequestsStayInTheirRegion(t *testing.T) {
 	site, tally, stop := startZoned(t, 1)
 	awaitServed(t, tally, 200)
--- a/internal/lab/emulator/instance/instance.go
+++ b/internal/lab/emulator/instance/instance.go
@@ -21,8 +21,7 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Behaviour is what can be changed while an instance runs. The zero value is a
-// well-behaved one.
+// Behaviour is what can be changed while an instance runs. The zero value is a well-behaved one.
 type Behaviour struct {
 	// Slowdown is how many times longer work takes; below 1 counts as 1.
 	Slowdown float64
@@ -34,13 +33,11 @@
 	Extra float64
 	// ExtraAfter is how long after the first the second one comes.
 	ExtraAfter time.Duration
-	// Unframed is the share of the answers without length, which end with the
-	// connection.
+	// Unframed is the share of the answers without length, which end with the connection.
 	Unframed float64
 	// Garbage is the share of the answers that are not HTTP.
 	Garbage float64
-	// Early is the share of the requests that are refused before their body is
-	// read.
+	// Early is the share of the requests that are refused before their body is read.
 	Early float64
 	// Fail is the share of the requests that run and are answered with a failure.
 	Fail float64
@@ -83,8 +80,7 @@
 	// ServiceTime is the mean time of work on a request.
 	ServiceTime       time.Duration
 	HeartbeatInterval time.Duration
-	// ColdFor is how long the instance is cold after the start: its work takes
-	// twice as long.
+	// ColdFor is how long the instance is cold after the start: its work takes twice as long.
 	ColdFor time.Duration
 	// Region is that of the machine.
 	Region string
@@ -219,7 +215,6 @@
 	return acknowledged
 }
 
-// sendHeartbeats registers at intervals until the instance ends.
 func (i *Instance) sendHeartbeats() {
 	for {
 		if !i.current().Silent && !i.draining.Load() {
--- a/internal/lab/emulator/instance/serve.go
+++ b/internal/lab/emulator/instance/serve.go
@@ -86,7 +86,6 @@
 	}
 }
 
-// reset resets a connection.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -249,7 +248,6 @@
 	return true
 }
 
-// call makes a call through the daemon beside the instance.
 func (i *Instance) call(ctx context.Context, parent *http.Request, path string) bool {
 	id := parent.Header.Get(platform.HeaderRequestID) + ".1." + strconv.FormatUint(i.sequence.Add(1), 10)
 	i.options.Ledger.Sent(promise.Request{
@@ -277,7 +275,6 @@
 	return err == nil && response.StatusCode == http.StatusOK
 }
 
-// health answers the question for the instance's health.
 func (i *Instance) health(conn net.Conn) connectionFate {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %d\r\nContent-Length: 0\r\n\r\n", platform.HeaderInstance, i.id,
 		platform.HeaderColdRemaining, i.cold.remaining(time.Now()).Milliseconds())
--- a/internal/lab/emulator/objectstore/faults.go
+++ b/internal/lab/emulator/objectstore/faults.go
@@ -7,15 +7,13 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Writes that are done late are done after lateMin and up to lateSpread more. Chosen, not
-// measured.
+// Writes that are done late are done after lateMin and up to lateSpread more. Chosen, not measured.
 const (
 	lateMin    = 50 * time.Millisecond
 	lateSpread = 200 * time.Millisecond
 )
 
-// Faults are the disturbances that can be switched on. The zero value is a
-// healthy store.
+// Faults are the disturbances that can be switched on. The zero value is a healthy store.
 type Faults struct {
 	// Down answers every call with 503; nothing is done.
 	Down bool
@@ -47,8 +45,7 @@
 	return f
 }
 
-// SetFaults replaces the faults in force. Watches that wait end when the store
-// goes down.
+// SetFaults replaces the faults in force. Watches that wait end when the store goes down.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -133,7 +133,6 @@
 // Remove deletes an object as an operator does, whatever the faults.
 func (s *Server) Remove(kind, name string) { s.table.remove(kind, name, 0) }
 
-// serve answers one call.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	disturbed := s.disturb(localAddress(r))
 	if !s.admit(w, r, disturbed) {
@@ -244,7 +243,6 @@
 	}
 }
 
-// perform makes the change that a call asks for.
 func (s *Server) perform(method, kind, name, part string, object platform.Object, expected uint64) writeResult {
 	if object.Metadata.Revision == 0 {
 		object.Metadata.Revision = expected
@@ -261,7 +259,6 @@
 	}
 }
 
-// localAddress is where a call came in.
 func localAddress(r *http.Request) string {
 	local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	if !ok {
--- a/internal/lab/emulator/objectstore/table.go
+++ b/internal/lab/emulator/objectstore/table.go
@@ -21,8 +21,7 @@
 
 // table holds the objects and the history of their changes.
 type table struct {
-	// mutex protects everything below; changed is closed and replaced with
-	// each change.
+	// mutex protects everything below; changed is closed and replaced with each change.
 	mutex    sync.Mutex
 	revision uint64
 	kinds    map[string]map[string]platform.Object
@@ -44,8 +43,7 @@
 }
 
 // mutate changes an object; change gets the present one, and returns the next one or false to keep
-// it. The caller's revision, unless 0, must be that of
-// the present object.
+// it. The caller's revision, unless 0, must be that of the present object.
 func (t *table) mutate(kind, name string, expected uint64, change func(platform.Object, bool) (platform.Object, bool)) writeResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -115,7 +113,6 @@
 	})
 }
 
-// get returns one object.
 func (t *table) get(kind, name string) (platform.Object, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -141,9 +138,8 @@
 	return page
 }
 
-// since returns the changes of a kind after a revision, and a channel that is
-// closed with the next change; compacted is true when the history does not reach
-// back.
+// since returns the changes of a kind after a revision, and a channel that is closed with the next
+// change; compacted is true when the history does not reach back.
 func (t *table) since(kind string, after uint64) (changes platform.Changes, wait <-chan struct{}, compacted bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -160,7 +156,6 @@
 	return changes, t.changed, false
 }
 
-// compactHistory drops the history.
 func (t *table) compactHistory() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/lab/emulator/promise/delivery.go
+++ b/internal/lab/emulator/promise/delivery.go
@@ -99,8 +99,7 @@
 	}
 }
 
-// Second counts what came in the second up to the newest. It is not safe for
-// concurrent use.
+// Second counts what came in the second up to the newest. It is not safe for concurrent use.
 type Second struct{ times []time.Time }
 
 // Add counts one more and returns how many came in the second that ends with it.
--- a/internal/lab/emulator/promise/promise.go
+++ b/internal/lab/emulator/promise/promise.go
@@ -28,8 +28,7 @@
 	Drain Kind = "drain"
 	// Route: a request ran at a service that no configuration allows.
 	Route Kind = "route"
-	// Config: a request was handled by a version that must no longer be in
-	// force.
+	// Config: a request was handled by a version that must no longer be in force.
 	Config Kind = "config"
 	// Denied: a valid request was answered as an invalid one.
 	Denied Kind = "denied"
@@ -62,11 +61,9 @@
 	// Caller is the service of the machine where it starts.
 	Caller string
 	SentAt time.Time
-	// Wait is how long the client says that it waits; 0 where that is not
-	// checked.
+	// Wait is how long the client says that it waits; 0 where that is not checked.
 	Wait time.Duration
-	// Attempts bounds the instances that may run it; 0 where that is not
-	// checked.
+	// Attempts bounds the instances that may run it; 0 where that is not checked.
 	Attempts int
 	// Regions are those in which its route allows it to run; empty for all.
 	Regions []string
@@ -99,8 +96,7 @@
 	Request string
 	Status  int
 	Stamp   string
-	// Whole is true when the body was received to its end and is the one that
-	// belongs to Stamp.
+	// Whole is true when the body was received to its end and is the one that belongs to Stamp.
 	Whole bool
 	// NotRead is true for a request without an answer that stood behind one that
 	// closed its connection.
@@ -189,8 +185,7 @@
 	}
 }
 
-// Ran records that an instance began to work on a request, and checks what can
-// be checked then.
+// Ran records that an instance began to work on a request, and checks what can be checked then.
 func (l *Ledger) Ran(run Run) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/requestpath/admission/doc.go
+++ b/internal/requestpath/admission/doc.go
@@ -8,10 +8,9 @@
 // bucket (pace.go) for a back end in slow start. Whether an arriving call starts,
 // waits or is refused, and when a refused one may come back, is decided in decision.go.
 //
-// The package owns one Queue for each back end: its waiting calls, the counts of running
-// ones, its limit and its bucket. It starts no goroutines; a timer runs while calls wait for a
-// token. Nothing is stored: a daemon that starts anew begins with an empty bucket and a full
-// limit.
+// The package owns one Queue for each back end: its waiting calls, the counts of running ones, its
+// limit and its bucket. It starts no goroutines; a timer runs while calls wait for a token. Nothing
+// is stored: a daemon that starts anew begins with an empty bucket and a full limit.
 //
 // It relies on a steady clock, which the caller passes in, and on its callers to release each
 // slot once. It does no I/O and does not know instances, routes or services.
--- a/internal/requestpath/admission/pace.go
+++ b/internal/requestpath/admission/pace.go
@@ -26,8 +26,7 @@
 	// 0.783, 0.790 on another; no instance crashed at 2.5, and those that got about 5 times
 	// their rate did.
 	coldRateFactor = 2.5
-	// leastBurst lets a call go at all: a bucket that holds less than one token never
-	// admits any.
+	// leastBurst lets a call go at all: a bucket that holds less than one token never admits any.
 	leastBurst = 1
 	// tokenRounding is what a sum of parts of a token may lack of a whole one, in tokens. It is far
 	// above the rounding error of such a sum in float64 (about 1e-15) and far below one token.
@@ -46,8 +45,7 @@
 }
 
 // PaceWithin returns the pace of a back end that states a capacity of perSecond calls a second
-// while it is cold, and must not get more than perSecond*overshoot+allowance calls in any
-// second.
+// while it is cold, and must not get more than perSecond*overshoot+allowance calls in any second.
 //
 // In any second at most Burst and PerSecond calls are admitted together, so both are chosen to
 // stay under the bound less paceMargin. Without a bound (overshoot and allowance 0), and while
--- a/internal/requestpath/origin/coldness.go
+++ b/internal/requestpath/origin/coldness.go
@@ -46,8 +46,7 @@
 )
 
 // coldness is what is known of whether an instance is cold. Times are by the steady clock: while
-// the machine is suspended the instance does not warm up either. It is not safe for concurrent
-// use.
+// the machine is suspended the instance does not warm up either. It is not safe for concurrent use.
 type coldness struct {
 	bound ColdBound
 	// perSecond is the capacity of a cold instance as its pool states it, in calls a second,
--- a/internal/requestpath/origin/coldness_test.go
+++ b/internal/requestpath/origin/coldness_test.go
@@ -64,8 +64,7 @@
 	instance.coldUntilHeartbeat()
 }
 
-// A daemon that ends and starts anew within the second keeps the bound with the one
-// before.
+// A daemon that ends and starts anew within the second keeps the bound with the one before.
 func TestRestartedDaemonKeepsTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, after := newFixture(t, 4), newFixture(t, 4)
@@ -137,9 +136,8 @@
 	})
 }
 
-// After an instance crashed while it was cold, those that start beside the daemon get no
-// more than the rate of their pool; after a while, and after the crash of a warm one,
-// they get more again.
+// After an instance crashed while it was cold, those that start beside the daemon get no more than
+// the rate of their pool; after a while, and after the crash of a warm one, they get more again.
 func TestColdInstancesArePacedCautiouslyAfterACrash(t *testing.T) {
 	for name, row := range map[string]struct {
 		coldFor, later time.Duration
--- a/internal/requestpath/origin/connection.go
+++ b/internal/requestpath/origin/connection.go
@@ -22,8 +22,7 @@
 	// back end does not say. It is short because a back end that closes one
 	// just as a call is written to it makes that call's outcome unknown.
 	backendIdleTimeout = 4 * time.Second
-	// keepAliveMargin is taken off the time that a back end states, but not more than half of
-	// it.
+	// keepAliveMargin is taken off the time that a back end states, but not more than half of it.
 	keepAliveMargin = 2 * time.Second
 	// backendBufferBytes is the size of each of a connection's two buffers.
 	backendBufferBytes = 4 << 10
@@ -201,10 +200,9 @@
 
 // Constants of idleBound. Both are chosen, not measured.
 const (
-	// droppedWithin is the time after a request was sent in which a broken connection counts as
-	// one that the back end had dropped while it was idle. It must be above a round trip on the
-	// machine and below the usual service time, or calls that the back end broke off itself are
-	// counted.
+	// droppedWithin is the time after a request was sent in which a broken connection counts as one
+	// that the back end had dropped while it was idle. It must be above a round trip on the machine
+	// and below the usual service time, or calls that the back end broke off itself are counted.
 	droppedWithin = 20 * time.Millisecond
 	// idleMemory is how long a lowered bound holds. It must be above backendIdleTimeout, or a
 	// connection outlives what was learned.
--- a/internal/requestpath/origin/evacuation_test.go
+++ b/internal/requestpath/origin/evacuation_test.go
@@ -226,8 +226,7 @@
 	}
 }
 
-// A call keeps the homes that it came with while it waits, whatever comes in force
-// meanwhile.
+// A call keeps the homes that it came with while it waits, whatever comes in force meanwhile.
 func TestHomesChangeWhileACallWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := running(t)
--- a/internal/requestpath/origin/inflight.go
+++ b/internal/requestpath/origin/inflight.go
@@ -11,8 +11,7 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// inFlightCall is a call that an instance has, or had a moment ago. It is safe for concurrent
-// use.
+// inFlightCall is a call that an instance has, or had a moment ago. It is safe for concurrent use.
 type inFlightCall struct {
 	open *lapisv1.CallOpen
 	// mutex protects the rest, which the reader of the body writes.
--- a/internal/requestpath/origin/liveness.go
+++ b/internal/requestpath/origin/liveness.go
@@ -32,10 +32,9 @@
 	// is taken as down. Chosen, not measured; it must be above 1: one connection may be lost
 	// on its way.
 	downAfterFailures = 3
-	// probeAfterBroken is the number of calls that broke off within brokenCallWindow,
-	// without an answer in between, after which the instance is probed for a connection.
-	// Both are chosen, not measured; single calls break because a connection was idle for too long
-	// or was reset.
+	// probeAfterBroken is the number of calls that broke off within brokenCallWindow, without an
+	// answer in between, after which the instance is probed for a connection. Both are chosen, not
+	// measured; single calls break because a connection was idle for too long or was reset.
 	probeAfterBroken = 3
 	brokenCallWindow = 500 * time.Millisecond
 	// probeSpacing is the least time between two such probes. Chosen, not measured; it must
@@ -162,9 +161,8 @@
 
 // crashEvidence is what is known of an instance of which a call broke off.
 type crashEvidence struct {
-	// polls is how often the instance's calls were looked at; inFlight and reported are from
-	// the last time: the calls that it still has, and whether another call found that it
-	// crashed.
+	// polls is how often the instance's calls were looked at; inFlight and reported are from the
+	// last time: the calls that it still has, and whether another call found that it crashed.
 	polls    int
 	inFlight int
 	reported bool
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -39,8 +39,7 @@
 	Crashes CrashReporter
 	// Changed is called, from any goroutine, when what Advertised returns changed.
 	Changed func()
-	// Decisions receives the lines about requests, nil for none, and Logger
-	// those about instances.
+	// Decisions receives the lines about requests, nil for none, and Logger those about instances.
 	Decisions *decision.Log
 	Logger    logr.Logger
 }
@@ -55,8 +54,7 @@
 	keys        *dedupCache
 	running     sync.WaitGroup
 	counts      counters
-	// executing counts the calls that instances have, repeating those of them
-	// that are repeats.
+	// executing counts the calls that instances have, repeating those of them that are repeats.
 	executing, repeating atomic.Int64
 
 	// mutex protects everything below.
--- a/internal/requestpath/origin/refusal.go
+++ b/internal/requestpath/origin/refusal.go
@@ -11,9 +11,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// This file holds why a call is refused beside its instance, and when its caller may come back.
-// All of it is pure; handle.go asks in this order, and each refusal proves that the call did not
-// run:
+// This file holds why a call is refused beside its instance, and when its caller may come back. All
+// of it is pure; handle.go asks in this order, and each refusal proves that the call did not run:
 //
 //	on arrival       the instance is not here (unknownRefusal)
 //	                 the daemon ends before the call must be over (checkShutdown)
