--- a/internal/requestpath/origin/crash.go
+++ b/internal/requestpath/origin/crash.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	instance.inFlight.removeUnanswered(sent, time.Now())
-	if !isBreak(err) || !o.hasCrashed(ctx, instance) {
+	if !result.Is(err, result.CallUnknownOutcome) || !o.hasCrashed(ctx, instance) {
 		return err
 	}
 	crashed := result.Errorf(result.CallInstanceCrashed, "instance %s ended", instance.Name)
@@ -61,11 +61,6 @@
 	return crashed
 }
 
-// isBreak reports whether a call was handed over and its connection broke.
-func isBreak(err error) bool {
-	return result.Is(err, result.CallUnknownOutcome) || result.Is(err, result.CallTruncated)
-}
-
 // hasCrashed carries out what nextCrashCheck asks for, for an instance of which a call broke off.
 // It takes up to crashPolls times crashPollInterval, and crashProbeTimeout.
 func (o *Origin) hasCrashed(ctx context.Context, instance *Instance) bool {
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -30,7 +30,7 @@
 	returned = true
 	if err != nil {
 		err = o.noteUnanswered(ctx, instance, sent, err)
-		instance.noteCall(err, func() { o.probe(instance) })
+		o.noteCall(instance, err)
 		slot.Release(false)
 		if callapi.OutcomeOf(err) == callapi.OutcomeUnknown {
 			o.counts.handedOver.Add(1)
@@ -40,7 +40,7 @@
 	}
 	o.counts.handedOver.Add(1)
 	instance.inFlight.remove(sent)
-	instance.noteCall(nil, nil)
+	o.noteCall(instance, nil)
 	if refusal := o.refusalOf(instance, response); refusal != nil {
 		_ = response.Body.Close() // It only ends the exchange, and never fails.
 		slot.Release(result.Is(refusal, result.CallNotRunShed))
@@ -51,7 +51,7 @@
 	head.Load = instance.queue.Load()
 	head.ServiceMicros = uint32(time.Since(began).Microseconds())
 	broke := func(err error) {
-		instance.noteCall(err, func() { o.probe(instance) })
+		o.noteCall(instance, err)
 		o.logFailure(call, err, began)
 	}
 	body := &answerBody{body: response.Body, slot: slot, broke: broke}
--- a/internal/requestpath/origin/health.go
+++ b/internal/requestpath/origin/health.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// noteCall records what the end of a call shows of whether the instance is up; probe has it
-// probed for a connection.
-func (i *Instance) noteCall(err error, probe func()) {
+// noteCall records what the end of a call shows of whether the instance is up; it reports whether
+// the instance is to be probed for a connection.
+func (i *Instance) noteCall(err error) (probeDue bool) {
 	switch evidenceOf(err) {
 	case evidenceAnswer:
 		i.noteConnection(nil)
@@ -18,12 +18,10 @@
 		i.noteConnection(err)
 	case evidenceBroke:
 		i.mutex.Lock()
-		probeDue := i.reachability.noteBroken(time.Now())
-		i.mutex.Unlock()
-		if probeDue {
-			probe()
-		}
+		defer i.mutex.Unlock()
+		return i.reachability.noteBroken(time.Now())
 	}
+	return false
 }
 
 // noteConnection records whether the back end accepts connections; err tells why it does not.
@@ -87,6 +85,13 @@
 	i.logger.Info("instance.up", "instance", i.Name, "service", i.Service)
 }
 
+// noteCall records the end of a call at its instance, and probes the instance if it is due.
+func (o *Origin) noteCall(instance *Instance, err error) {
+	if instance.noteCall(err) {
+		o.probe(instance)
+	}
+}
+
 // probe finds out, in the background, whether an instance of which calls broke off accepts a
 // connection.
 func (o *Origin) probe(instance *Instance) {
--- a/internal/requestpath/origin/health_test.go
+++ b/internal/requestpath/origin/health_test.go
@@ -28,12 +28,12 @@
 		}()
 		synctest.Wait()
 		for range downAfterFailures {
-			instance.noteCall(result.Errorf(result.CallNotRunUnreachable, "refused"), nil)
+			instance.noteCall(result.Errorf(result.CallNotRunUnreachable, "refused"))
 		}
 		synctest.Wait()
 		assert.Assert(t, result.Is(<-waiting, result.CallNotRunUnreachable))
 		assert.Equal(t, fixture.Advertised()[0].GetState(), lapisv1.Endpoint_STATE_SUSPECT)
-		instance.noteCall(nil, nil)
+		instance.noteCall(nil)
 		assert.Equal(t, fixture.press(2*time.Second), 0, "an answer that was on its way brings it up")
 		assert.Assert(t, contains(fixture.lines[len(fixture.lines)-1], `"instance.down"`, `"cause"="no_connections"`, `"waiting"=1`))
 		fixture.heartbeat(0, 0)
@@ -68,7 +68,7 @@
 		fixture.heartbeat(0, 0)
 		instance, _ := fixture.instance("desk", "desk-1")
 		for range downAfterFailures {
-			instance.noteCall(result.Errorf(result.CallNotRunUnreachable, "refused"), nil)
+			instance.noteCall(result.Errorf(result.CallNotRunUnreachable, "refused"))
 		}
 		instance.Drain(DrainOperator)
 		fixture.heartbeat(0, 0)
@@ -93,7 +93,7 @@
 	fixture.heartbeat(0, 0)
 	instance, _ := fixture.instance("desk", "desk-1")
 	for range probeAfterBroken {
-		instance.noteCall(result.Errorf(result.CallUnknownOutcome, "reset"), func() { fixture.probe(instance) })
+		fixture.noteCall(instance, result.Errorf(result.CallUnknownOutcome, "reset"))
 	}
 	for end := time.Now().Add(5 * time.Second); instance.State() != StateDown; time.Sleep(time.Millisecond) {
 		assert.Assert(t, time.Now().Before(end), "it is not probed")
