--- a/internal/distribution/fleet/directory.go
+++ b/internal/distribution/fleet/directory.go
@@ -26,8 +26,8 @@
 // tierOf returns how far another member is.
 func (m Member) tierOf(other Member) locality.Tier { return m.place().TierOf(other.place()) }
 
-// Directory is where daemons find each other. Any error means that the call had no effect
-// that can be relied on; it is made again.
+// Directory is where daemons find each other. After any error the call is made again,
+// because it may or may not have had an effect.
 type Directory interface {
 	// Publish makes a member known; doing it twice does no harm.
 	Publish(ctx context.Context, member Member) error
@@ -35,8 +35,8 @@
 	Members(ctx context.Context) ([]Member, error)
 }
 
-// followDirectory lists the other daemons and publishes this one unless it is listed as it
-// should be, until ctx ends.
+// followDirectory lists the other daemons, and publishes this one unless its entry is correct,
+// until ctx ends.
 func (f *Fleet) followDirectory(ctx context.Context) {
 	schedule := newListSchedule()
 	published := false
@@ -65,8 +65,7 @@
 	}
 }
 
-// listDirectory records the members that the directory lists and reports whether this
-// daemon is among them as it should be.
+// listDirectory records the listed members and reports whether this daemon's entry is correct.
 func (f *Fleet) listDirectory(ctx context.Context, published bool) (found bool, err error) {
 	members, err := f.config.Directory.Members(ctx)
 	if err != nil {
@@ -101,7 +100,6 @@
 // publishedNow records that this daemon was written to the directory, or may have been.
 func (s *listSchedule) publishedNow() { s.relist = relistMin }
 
-// afterFailure returns the wait after a call that failed.
 func (s *listSchedule) afterFailure() time.Duration {
 	wait := s.retry
 	s.retry = min(2*s.retry, directoryRetryMax)
@@ -116,11 +114,10 @@
 	return wait
 }
 
-// jitterParts is the inverse of the largest part that is added to a wait, so that daemons that
-// started together do not go on together. Chosen, not measured.
+// jitterParts is the inverse of the largest part that jitter adds. Chosen, not measured.
 const jitterParts = 4
 
-// jitter lengthens a wait by up to one of jitterParts.
+// jitter lengthens a wait at random, so that daemons that started together get out of step.
 func (f *Fleet) jitter(wait time.Duration) time.Duration {
 	return wait + time.Duration(f.config.Random()*float64(wait)/jitterParts)
 }
--- a/internal/distribution/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -22,10 +22,11 @@
 	// maxPenaltyDoublings keeps the shift of failurePenalty from overflowing; maxPenalty
 	// is reached before.
 	maxPenaltyDoublings = 6
-	// remoteAfter is the number of daemons without a path to a reader after which other
-	// zones are tried: then it is likely the zone that has lost its readers. Chosen, not
-	// measured; larger than the readers of a zone. That other zones are tried at all took the loss of both readers of a zone
-	// from 7296 to 565 ms (400 daemons in 4 zones on one machine of 8 cores).
+	// remoteAfter is the number of daemons without a path to a reader after which other zones
+	// are tried, because the own zone has probably lost its readers. Chosen, not measured; it
+	// must be larger than the readers of a zone. Trying other zones at all shortened the
+	// recovery from the loss of both readers of a zone from 7296 to 565 ms (400 daemons in 4
+	// zones on one machine of 8 cores).
 	remoteAfter = 3
 )
 
@@ -34,15 +35,14 @@
 	address string
 	zone    string
 	region  string
-	// failures counts those in a row; the daemon is avoided until notBefore.
+	// failures in a row; the daemon is avoided until notBefore.
 	failures  int
 	notBefore time.Time
 	// lastNamed orders candidates for forgetting.
 	lastNamed time.Time
 }
 
-// Candidates remembers daemons that may serve as parent. It is not safe for
-// concurrent use.
+// Candidates remembers daemons that may serve as parent. It is not safe for concurrent use.
 type Candidates struct {
 	zone   string
 	region string
@@ -51,10 +51,9 @@
 	random *rand.Rand
 	// redirects are addresses to try first, once each.
 	redirects []string
-	// refusals counts the daemons that did not accept since the last success.
+	// refusals counts the daemons that did not accept since the last success, detached those
+	// among them that had no path to a reader.
 	refusals uint32
-	// detached counts the daemons that had no path to a reader themselves since
-	// the last success.
 	detached int
 }
 
@@ -116,12 +115,10 @@
 	}
 }
 
-// Refusals returns the number of daemons that did not accept since the last
-// success.
+// Refusals returns the number of daemons that did not accept since the last success.
 func (c *Candidates) Refusals() uint32 { return c.refusals }
 
-// Failed notes that address could not be reached or did not greet; it is avoided for
-// a time that grows with each failure.
+// Failed records that address could not be reached or did not greet.
 func (c *Candidates) Failed(address string, now time.Time) {
 	c.refusals++
 	known, ok := c.known[address]
@@ -139,8 +136,8 @@
 	return min(failurePenalty<<min(failures-1, maxPenaltyDoublings), maxPenalty)
 }
 
-// Refused notes that address answered with a refusal: the daemons that it names are
-// tried first, and itself no sooner than it asks for.
+// Refused records a refusal by address: the daemons that it names are tried first, and address
+// itself no sooner than the refusal allows.
 func (c *Candidates) Refused(address string, refusal *lapisv1.Refusal, now time.Time) {
 	c.Redirect(refusal.GetCandidates(), now)
 	if result.Code(refusal.GetCode()) == result.DistributionDetached {
@@ -149,7 +146,7 @@
 	c.Postponed(address, time.Duration(refusal.GetRetryAfterMillis())*time.Millisecond, now)
 }
 
-// Postponed notes that address is alive but asked to come back later.
+// Postponed records that address is alive but is not to be tried again before wait is over.
 func (c *Candidates) Postponed(address string, wait time.Duration, now time.Time) {
 	c.refusals++
 	if known, ok := c.known[address]; ok {
@@ -157,10 +154,10 @@
 	}
 }
 
-// Detached notes that a daemon had no path to a reader.
+// Detached records that a daemon had no path to a reader.
 func (c *Candidates) Detached() { c.detached++ }
 
-// Succeeded notes that address accepted.
+// Succeeded records that address accepted.
 func (c *Candidates) Succeeded(address string) {
 	c.redirects = nil
 	c.detached = 0
@@ -218,7 +215,7 @@
 
 // nextRedirect returns the first daemon that others named and that may be tried
 // now. One that has just refused waits like any other: daemons that name each
-// other would otherwise be asked in a tight circle, which brought one daemon 3344
+// other would otherwise be tried in a tight loop, which brought one daemon 3344
 // joins in a second (4000 daemons on one machine of 8 cores, 30% restarted).
 func (c *Candidates) nextRedirect(now time.Time) (address string, ok bool) {
 	for len(c.redirects) > 0 {
@@ -231,8 +228,7 @@
 	return "", false
 }
 
-// pick chooses at random among addresses; sorting first makes a seeded run
-// repeatable.
+// pick chooses at random among addresses; sorting first makes a seeded run repeatable.
 func (c *Candidates) pick(addresses []string) string {
 	slices.Sort(addresses)
 	return addresses[c.random.IntN(len(addresses))]
--- a/internal/distribution/tree/child.go
+++ b/internal/distribution/tree/child.go
@@ -33,7 +33,7 @@
 	sentChange uint64
 	// pathDirty is true when the child must get the path and the readers again.
 	pathDirty bool
-	// expel is true when the child must look for another parent.
+	// expel is true when the child must join another parent.
 	expel bool
 	// homeReaders are the readers of its own zone to which an expelled child of
 	// another zone should go.
@@ -83,8 +83,7 @@
 	})
 }
 
-// dropChild removes a session and starts to suspect the endpoints that came through
-// it.
+// dropChild removes a session and starts to suspect the endpoints that came through it.
 func (n *Node) dropChild(session *childSession) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/link.go
+++ b/internal/distribution/tree/link.go
@@ -24,9 +24,8 @@
 	sendTimeout = 5 * time.Second
 )
 
-// peerLink is the part that every connection of the tree has in common, whether its
-// peer is the parent, a child or another reader. Its methods are safe for
-// concurrent use.
+// peerLink is the part that every connection of the tree has in common, whether its peer is the
+// parent, a child or another reader. Its methods are safe for concurrent use.
 type peerLink struct {
 	cancel context.CancelFunc
 	wake   chan struct{}
@@ -46,10 +45,9 @@
 	}
 }
 
-// close ends the link.
 func (l peerLink) close() { l.cancel() }
 
-// sendOccasion is why a link's sender looks for frames to send.
+// sendOccasion is why a link's sender asks for frames to send.
 type sendOccasion struct {
 	// tick is true at the link's regular interval and false after a signal.
 	tick bool
@@ -78,9 +76,8 @@
 	handle func(*lapisv1.ControlFrame) error
 }
 
-// exchange sends and receives on conn until ctx or the link ends, and returns why
-// it ended. A peer that is silent for LinkSilence is taken as lost. The caller
-// closes conn afterwards.
+// exchange sends and receives on conn until ctx or the link ends, and returns why it ended. A
+// peer that is silent for LinkSilence is taken as lost. The caller closes conn afterwards.
 func (n *Node) exchange(ctx context.Context, link peerLink, conn *wire.Conn, protocol linkProtocol) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -204,7 +201,7 @@
 }
 
 // closeConn closes a connection that is no longer used. An error of closing is
-// dropped: nothing depends on it, and whoever reads or writes sees one of its own.
+// dropped: nothing depends on it, and readers and writers get an error of their own.
 func closeConn(conn *wire.Conn) { _ = conn.Close() }
 
 func refusalFrame(refusal *lapisv1.Refusal) *lapisv1.ControlFrame {
