--- a/internal/lab/backendstub/ledger.go
+++ b/internal/lab/backendstub/ledger.go
@@ -3,10 +3,7 @@
 import "sync"
 
 // Execution is one run of a call at a back end.
-type Execution struct {
-	Call     string
-	Instance string
-}
+type Execution struct{ Instance string }
 
 // Ledger records every execution. It is safe for concurrent use; the zero value
 // is ready.
@@ -23,7 +20,7 @@
 	if l.executions == nil {
 		l.executions = map[string][]Execution{}
 	}
-	l.executions[call] = append(l.executions[call], Execution{Call: call, Instance: instance})
+	l.executions[call] = append(l.executions[call], Execution{Instance: instance})
 }
 
 func (l *Ledger) cancel() {
--- a/internal/lab/objectapistub/store.go
+++ b/internal/lab/objectapistub/store.go
@@ -55,15 +55,24 @@
 	return s.version, nil
 }
 
-func (s *store) putStatus(key string, status []byte, expected int64) error {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+// existing returns an object that must be there with the expected version; the caller holds mutex.
+func (s *store) existing(key string, expected int64) (objectapi.Object, error) {
 	object, ok := s.objects[key]
 	if !ok {
-		return result.Errorf(result.PlatformNotFound, "%s", key)
+		return object, result.Errorf(result.PlatformNotFound, "%s", key)
 	}
 	if expected != objectapi.VersionAny && object.Version != expected {
-		return result.Errorf(result.PlatformConflict, "%s has version %d, not %d", key, object.Version, expected)
+		return object, result.Errorf(result.PlatformConflict, "%s has version %d, not %d", key, object.Version, expected)
+	}
+	return object, nil
+}
+
+func (s *store) putStatus(key string, status []byte, expected int64) error {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	object, err := s.existing(key, expected)
+	if err != nil {
+		return err
 	}
 	object.Status = status
 	s.objects[key] = object
@@ -73,12 +82,8 @@
 func (s *store) remove(key string, expected int64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	object, ok := s.objects[key]
-	if !ok {
-		return result.Errorf(result.PlatformNotFound, "%s", key)
-	}
-	if expected != objectapi.VersionAny && object.Version != expected {
-		return result.Errorf(result.PlatformConflict, "%s has version %d, not %d", key, object.Version, expected)
+	if _, err := s.existing(key, expected); err != nil {
+		return err
 	}
 	s.version++
 	delete(s.objects, key)
--- a/internal/model/snapshot/snapshot.go
+++ b/internal/model/snapshot/snapshot.go
@@ -150,9 +150,6 @@
 	return service, ok
 }
 
-// Services returns the names of the services held, in order.
-func (s *Snapshot) Services() []string { return slices.Sorted(maps.Keys(s.services)) }
-
 // Certificate returns the key pair for a host, falling back to that of routes
 // without a host; nil when there is none.
 func (s *Snapshot) Certificate(host string) *tls.Certificate {
--- a/internal/transport/callmux/client.go
+++ b/internal/transport/callmux/client.go
@@ -74,10 +74,8 @@
 }
 
 // Close closes all connections; the calls on them end with unknown outcome.
-func (c *Client) Close() { c.CloseAll(result.Errorf(result.CallUnknownOutcome, "the daemon stopped")) }
-
-// CloseAll closes all connections for the given cause.
-func (c *Client) CloseAll(cause error) {
+func (c *Client) Close() {
+	cause := result.Errorf(result.CallUnknownOutcome, "the daemon stopped")
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, link := range c.peers {
--- a/internal/transport/wire/conn.go
+++ b/internal/transport/wire/conn.go
@@ -36,21 +36,15 @@
 // before any frame is read.
 var preface = []byte("LPSV1\n")
 
-// Counters counts the bytes and frames of one daemon. It is safe for concurrent
-// use; the zero value is ready.
-type Counters struct {
-	BytesIn, BytesOut   atomic.Int64
-	FramesIn, FramesOut atomic.Int64
-}
+// Counters counts the bytes of one daemon. It is safe for concurrent use; the zero value is ready.
+type Counters struct{ BytesIn, BytesOut atomic.Int64 }
 
 // Conn is a connection that carries frames. Send may be called from several
 // goroutines, Receive from one.
 type Conn struct {
-	raw      net.Conn
-	reader   *bufio.Reader
-	counted  *countingConn
-	counters *Counters
-	maxFrame int64
+	raw     net.Conn
+	reader  *bufio.Reader
+	counted *countingConn
 
 	// writeMutex protects writer.
 	writeMutex sync.Mutex
@@ -69,19 +63,16 @@
 	}
 	counted := &countingConn{Conn: raw, counters: counters}
 	return &Conn{
-		raw:      raw,
-		counted:  counted,
-		reader:   bufio.NewReaderSize(counted, bufferBytes),
-		writer:   bufio.NewWriterSize(counted, bufferBytes),
-		counters: counters,
-		maxFrame: MaxFrameBytes,
+		raw:     raw,
+		counted: counted,
+		reader:  bufio.NewReaderSize(counted, bufferBytes),
+		writer:  bufio.NewWriterSize(counted, bufferBytes),
 	}
 }
 
 // UseCounters replaces the counters, once the greeting has said what the connection carries. No
 // other method may run at the same time.
 func (c *Conn) UseCounters(counters *Counters) {
-	c.counters = counters
 	c.counted.counters = counters
 }
 
@@ -122,7 +113,6 @@
 		if _, err := protodelim.MarshalTo(c.writer, frame); err != nil {
 			return result.Wrap(result.ProtocolTimeout, err, "writing a frame")
 		}
-		c.counters.FramesOut.Add(1)
 	}
 	return result.Wrap(result.ProtocolTimeout, c.writer.Flush(), "flushing")
 }
@@ -131,16 +121,15 @@
 // closed between frames. Errors: ProtocolTooLarge, ProtocolBadFrame,
 // ProtocolTimeout.
 func (c *Conn) Receive(frame proto.Message) error {
-	options := protodelim.UnmarshalOptions{MaxSize: c.maxFrame}
-	err := options.UnmarshalFrom(c.reader, frame)
+	err := protodelim.UnmarshalOptions{MaxSize: MaxFrameBytes}.UnmarshalFrom(c.reader, frame)
 	if err == nil {
-		c.counters.FramesIn.Add(1)
 		return nil
 	}
 	return classify(err)
 }
 
-// classify gives an error of reading its result code.
+// classify gives an error of reading its result code. It is a function of its own because the targets
+// of errors.As are allocated, which a frame without an error does not need.
 func classify(err error) error {
 	var tooLarge *protodelim.SizeTooLargeError
 	var network net.Error
