--- a/internal/distribution/membership/join_test.go
+++ b/internal/distribution/membership/join_test.go
@@ -3,16 +3,19 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
 	"github.com/lapisvane/lapisvane/internal/distribution/membership"
+	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
+	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 func TestDecideJoin(t *testing.T) {
-	relay := membership.Parent{Node: "p", Zone: "z", Path: []string{"r", "p"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
-	reader := membership.Parent{Node: "r", Zone: "z", Reader: true, Path: []string{"r"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
+	relay := membership.Parent{Zone: "z", Path: []string{"r", "p"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
+	reader := membership.Parent{Zone: "z", Reader: true, Path: []string{"r"}, KnowsReaders: true, Fanout: 2, MaxDepth: 4}
 	child := membership.Joiner{Node: "c", Zone: "z", Redirected: true}
 	with := func(parent membership.Parent, change func(*membership.Parent)) membership.Parent {
 		change(&parent)
@@ -51,7 +54,7 @@
 func TestNobodyIsRefusedForDepthForEver(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		maxDepth := rapid.IntRange(2, 10).Draw(rt, "max depth")
-		reader := membership.Parent{Node: "r", Zone: "z", Reader: true, Path: []string{"r"}, Fanout: 24, MaxDepth: maxDepth}
+		reader := membership.Parent{Zone: "z", Reader: true, Path: []string{"r"}, Fanout: 24, MaxDepth: maxDepth}
 		depth := rapid.IntRange(0, 40).Draw(rt, "depth")
 		verdict := membership.DecideJoin(reader, membership.Joiner{Node: "c", Zone: "z", Depth: depth})
 		if verdict == membership.JoinTooDeep {
@@ -69,3 +72,38 @@
 	children[3].Zone = "y"
 	assert.DeepEqual(t, membership.Redirects(children, "z", "4", 2), []int{1, 2})
 }
+
+func TestEachVerdictHasItsRefusal(t *testing.T) {
+	cases := []struct {
+		verdict  membership.JoinVerdict
+		code     result.Code
+		referral membership.Referral
+		shortest time.Duration
+		longest  time.Duration
+	}{
+		{membership.JoinDetached, result.DistributionDetached, membership.ReferToNobody, 500 * time.Millisecond, 500 * time.Millisecond},
+		{membership.JoinLoop, result.DistributionLoop, membership.ReferToNobody, 300 * time.Millisecond, 600 * time.Millisecond},
+		{membership.JoinTooDeep, result.DistributionTooDeep, membership.ReferToZoneReaders, 300 * time.Millisecond, 600 * time.Millisecond},
+		{membership.JoinForeign, result.DistributionParentFull, membership.ReferToReaders, 300 * time.Millisecond, 600 * time.Millisecond},
+		{membership.JoinReadersFirst, result.DistributionParentFull, membership.ReferToZoneReaders, 300 * time.Millisecond, 600 * time.Millisecond},
+		{membership.JoinFull, result.DistributionParentFull, membership.ReferToChildren, 300 * time.Millisecond, 600 * time.Millisecond},
+		{membership.JoinTooFast, result.DistributionParentFull, membership.ReferToChildren, 300 * time.Millisecond, 600 * time.Millisecond},
+	}
+	for _, test := range cases {
+		refusal := membership.RefuseJoin(test.verdict, 0)
+		assert.Equal(t, refusal.Code, test.code)
+		assert.Equal(t, refusal.Referral, test.referral)
+		assert.Equal(t, refusal.RetryAfter, test.shortest)
+		assert.Equal(t, membership.RefuseJoin(test.verdict, 1).RetryAfter, test.longest)
+		assert.Assert(t, refusal.Reason != "")
+	}
+}
+
+// A child waits for a parent without a path to a reader for the detached grace; one that
+// asks such a parent must be able to ask again within it.
+func TestRetryAtADetachedParentLiesWithinTheGrace(t *testing.T) {
+	for _, profile := range []tunables.Distribution{tunables.Convergence(), tunables.Bytes()} {
+		retry := membership.RefuseJoin(membership.JoinDetached, 1).RetryAfter
+		assert.Assert(t, retry < profile.DetachedGrace.Get())
+	}
+}
--- a/internal/distribution/tree/child_admission.go
+++ b/internal/distribution/tree/child_admission.go
@@ -50,8 +50,7 @@
 	}
 }
 
-// referrals names the daemons to which a refused child should go; the caller holds
-// mutex.
+// referrals names the daemons to which a refused child should go; the caller holds mutex.
 func (n *Node) referrals(referral membership.Referral, session *childSession) []*lapisv1.PeerAddress {
 	switch referral {
 	case membership.ReferToZoneReaders:
@@ -65,19 +64,17 @@
 	}
 }
 
-// asParent returns what decides about this node as a parent; the caller holds
-// mutex.
+// asParent returns this node as DecideJoin sees it; the caller holds mutex.
 func (n *Node) asParent() membership.Parent {
 	return membership.Parent{
-		Node: n.config.Node, Zone: n.config.Zone, Reader: n.reader, Stopping: n.stopping, Path: n.path,
+		Zone: n.config.Zone, Reader: n.reader, Stopping: n.stopping, Path: n.path,
 		Children: len(n.children), KnowsReaders: len(n.zoneReaders()) > 0,
 		Fanout: n.config.Tunables.Fanout, MaxDepth: n.config.Tunables.MaxDepth,
 	}
 }
 
-// expelDeepChildren makes the children that have children of their own look for
-// another parent, so that this node fits under a parent again; they join anew from
-// the top. The caller holds mutex.
+// expelDeepChildren makes the children that have children of their own join another parent,
+// from the top, so that this node fits under a parent again. The caller holds mutex.
 func (n *Node) expelDeepChildren() {
 	for _, child := range n.children {
 		if child.report.GetDepth() > 0 {
@@ -102,9 +99,8 @@
 	return sessions, children
 }
 
-// redirects names the children with the smallest subtrees and counts the joining
-// subtree towards the first of them, so that children that join together are
-// spread; the caller holds mutex.
+// redirects names the children with the smallest subtrees and counts the joining subtree towards
+// the first of them, so that children that join together are spread; the caller holds mutex.
 func (n *Node) redirects(joiner *childSession) []*lapisv1.PeerAddress {
 	sessions, children := n.reachableChildren()
 	var peers []*lapisv1.PeerAddress
--- a/internal/distribution/tree/config.go
+++ b/internal/distribution/tree/config.go
@@ -29,20 +29,19 @@
 	Interest holdings.Interest
 	Tunables tunables.Distribution
 	Network  wire.Network
-	// Store is the object API.
-	Store objectapi.Store
+	Store    objectapi.Store
 	// Counters receives the traffic of all links.
 	Counters *wire.Counters
 	// Random chooses among candidates; the node alone uses it, under its lock.
-	Random   *rand.Rand
-	Logger   logr.Logger
+	Random *rand.Rand
+	Logger logr.Logger
+	// Observer must not be nil.
 	Observer Observer
 	// NoSeat keeps the node from ever becoming a reader.
 	NoSeat bool
 }
 
-// Applied is a version that the node has verified and that the request path
-// must put in force.
+// Applied is a version that the node has verified and that the request path must put in force.
 type Applied struct {
 	Revision           uint64
 	AcceptedUnixMillis int64
@@ -60,19 +59,9 @@
 	Endpoints(service string, endpoints []*lapisv1.Endpoint)
 }
 
-// NopObserver ignores all output.
-type NopObserver struct{}
-
-// Apply implements Observer.
-func (NopObserver) Apply(Applied) {}
-
-// Endpoints implements Observer.
-func (NopObserver) Endpoints(string, []*lapisv1.Endpoint) {}
-
 // Role is a node's place in the tree.
 type Role string
 
-// Roles.
 const (
 	// RoleLeaf has no children.
 	RoleLeaf Role = "leaf"
@@ -88,8 +77,7 @@
 	Zone     string
 	Role     Role
 	Revision uint64
-	// InForce is the revision that was handed to the observer, 0 before the
-	// floor is known.
+	// InForce is the revision that was handed to the observer, 0 before the floor is known.
 	InForce    uint64
 	FloorKnown bool
 	// Rooted is true while there is a path to a reader.
--- a/internal/distribution/tree/endpoints.go
+++ b/internal/distribution/tree/endpoints.go
@@ -71,8 +71,7 @@
 	n.drainLeaving(statement, now)
 }
 
-// endpointChanged notifies the observer and schedules sending; the caller holds
-// mutex.
+// endpointChanged notifies the observer and schedules sending; the caller holds mutex.
 func (n *Node) endpointChanged(service string) {
 	if n.config.Interest.Has(service) {
 		n.config.Observer.Endpoints(service, n.registry.Service(service))
@@ -80,8 +79,7 @@
 	n.scheduleFlush()
 }
 
-// scheduleFlush sends endpoint changes after EndpointDebounce; the caller
-// holds mutex.
+// scheduleFlush sends endpoint changes after EndpointDebounce; the caller holds mutex.
 func (n *Node) scheduleFlush() {
 	if n.flushScheduled {
 		return
@@ -114,20 +112,8 @@
 	}
 }
 
-// suspectNow marks the lost endpoints about which nothing newer was received; the caller
-// holds mutex.
-func (n *Node) suspectNow(lost []lostEndpoint) {
-	now := boottime.Now()
-	for _, candidate := range lost {
-		if !n.registry.Suspect(candidate.key, candidate.incarnation, candidate.sequence, now) {
-			continue
-		}
-		n.endpointChanged(candidate.key.Service)
-	}
-}
-
-// Endpoints returns what the node knows of a service's instances. It is safe for
-// concurrent use; the endpoints must not be changed.
+// Endpoints returns the known instances of a service, which must not be changed. It is safe for
+// concurrent use.
 func (n *Node) Endpoints(service string) []*lapisv1.Endpoint {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -155,6 +141,11 @@
 	time.AfterFunc(n.config.Tunables.SuspectAfter.Get(), func() {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		n.suspectNow(lost)
+		now := boottime.Now()
+		for _, candidate := range lost {
+			if n.registry.Suspect(candidate.key, candidate.incarnation, candidate.sequence, now) {
+				n.endpointChanged(candidate.key.Service)
+			}
+		}
 	})
 }
--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -1,13 +1,11 @@
-// Package client is a stand-in for the clients of the emulated platform: they
-// send requests to the daemon of their machine, try again as they may, and
-// check every answer.
+// Package client is a stand-in for the clients of the emulated platform: they send requests to the
+// daemon of their machine, retry as they may, and check every answer. A Load owns their connections
+// and goroutines, which end with Run, and records requests and answers in a promise.Ledger.
 package client
 
 import (
 	"bytes"
 	"context"
-	"crypto/sha256"
-	"encoding/hex"
 	"io"
 	"math/rand/v2"
 	"net/http"
@@ -144,7 +142,7 @@
 	}
 }
 
-// request sees one request through its tries.
+// request sends one request, with its retries.
 func (l *Load) request(class Class, target Target, transport *http.Transport, body []byte) {
 	started := time.Now()
 	deadline := started.Add(class.Deadline)
@@ -183,7 +181,7 @@
 		return Failed, 0, class.Safe
 	}
 	defer func() { _ = response.Body.Close() }()
-	return l.judge(class, id, response)
+	return l.evaluate(class, id, response)
 }
 
 // announce enters a request that waits for so many milliseconds into the ledger and
@@ -191,7 +189,7 @@
 func (l *Load) announce(class Class, target Target, body []byte, wait int64) string {
 	id := "r" + strconv.FormatUint(nextRequest.Add(1), 36)
 	l.Ledger.Sent(promise.Request{
-		ID: id, Services: set(class.Services), Safe: class.Safe, BodyDigest: digestOf(body),
+		ID: id, Services: set(class.Services), Safe: class.Safe, BodyDigest: promise.DigestOf(body),
 		Caller: target.Service(), SentAt: time.Now(), Wait: time.Duration(wait) * time.Millisecond, Attempts: class.Attempts, Regions: class.Regions,
 	})
 	return id
@@ -219,8 +217,9 @@
 	return request, nil
 }
 
-// judge notes an answer and tells what comes next.
-func (l *Load) judge(class Class, id string, response *http.Response) (Outcome, time.Duration, bool) {
+// evaluate records an answer. Like attempt it returns how long to wait before another try, and
+// whether there may be one.
+func (l *Load) evaluate(class Class, id string, response *http.Response) (Outcome, time.Duration, bool) {
 	received, readErr := io.ReadAll(response.Body)
 	stamp := response.Header.Get(platform.HeaderStamp)
 	success := response.StatusCode/100 == 2
@@ -248,11 +247,3 @@
 	}
 	return members
 }
-
-func digestOf(body []byte) string {
-	if len(body) == 0 {
-		return ""
-	}
-	sum := sha256.Sum256(body)
-	return hex.EncodeToString(sum[:])
-}
--- a/internal/requestpath/gateway/headers.go
+++ b/internal/requestpath/gateway/headers.go
@@ -3,6 +3,7 @@
 import (
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
 
@@ -32,19 +33,13 @@
 		}
 		fields = append(fields, &lapisv1.HeaderField{Name: string(key), Value: string(value)})
 	})
-	for _, name := range trailerNames(rc) {
-		fields = append(fields, &lapisv1.HeaderField{Name: "Trailer", Value: name})
+	for _, trailer := range trailersOf(rc) {
+		fields = append(fields, &lapisv1.HeaderField{Name: "Trailer", Value: trailer.GetName()})
 	}
 	fields = append(fields, &lapisv1.HeaderField{Name: "Via", Value: "1.1 lapisvane"})
 	return fields
 }
 
-func trailerNames(rc *app.RequestContext) []string {
-	var names []string
-	rc.Request.Header.Trailer().VisitAll(func(key, _ []byte) { names = append(names, string(key)) })
-	return names
-}
-
 func trailersOf(rc *app.RequestContext) []*lapisv1.HeaderField {
 	var fields []*lapisv1.HeaderField
 	rc.Request.Header.Trailer().VisitAll(func(key, value []byte) {
@@ -53,6 +48,13 @@
 	return fields
 }
 
+// statedDeadline returns the time that the caller says it will wait, 0 where it says none; ok
+// is false for what is no number.
+func (g *Gateway) statedDeadline(rc *app.RequestContext) (stated time.Duration, ok bool) {
+	millis, err := strconv.ParseInt(string(rc.Request.Header.Peek(g.config.Envelope.Deadline)), 10, 64)
+	return time.Duration(max(millis, 0)) * time.Millisecond, err == nil
+}
+
 // maxChainAttempt bounds the number of retries that a caller may state. Chosen, not measured;
 // any number above 0 has the same effect on the retry rule.
 const maxChainAttempt = 1000
--- a/internal/requestpath/gateway/pipeline/writing.go
+++ b/internal/requestpath/gateway/pipeline/writing.go
@@ -18,15 +18,6 @@
 	return exchange.isOldest
 }
 
-// begin prepares the head of an answer that is written in pieces.
-func (c *connection) begin(exchange *Exchange) {
-	c.mutex.Lock()
-	c.decideEnd(exchange)
-	exchange.begun = true
-	c.mutex.Unlock()
-	c.setPersistence(exchange)
-}
-
 // decideEnd decides whether the answer of the oldest exchange closes the
 // connection; nothing is passed on behind it then. The caller holds mutex.
 func (c *connection) decideEnd(exchange *Exchange) {
@@ -78,8 +69,8 @@
 	}
 }
 
-// writeNext writes the oldest answer. It reports false, and gives up writing, when
-// that is not finished.
+// writeNext writes the oldest answer. It reports false, and ends the writing, when that is not
+// finished.
 func (c *connection) writeNext() bool {
 	exchange := c.nextFinished()
 	if exchange == nil {
@@ -92,8 +83,8 @@
 	return true
 }
 
-// nextFinished returns the oldest exchange when it is finished. Otherwise it sends what was
-// written and leaves the writing to that exchange.
+// nextFinished returns the oldest exchange when it is finished. Otherwise it flushes what was
+// written and lets that exchange write its answer later.
 func (c *connection) nextFinished() *Exchange {
 	for flushed := false; ; flushed = true {
 		c.mutex.Lock()
@@ -115,8 +106,7 @@
 	}
 }
 
-// stopWriting ends the writing and tells the oldest exchange that it may write. The caller
-// holds mutex.
+// stopWriting ends the writing and lets the oldest exchange write. The caller holds mutex.
 func (c *connection) stopWriting() {
 	c.writing = false
 	if len(c.open) == 0 {
@@ -129,8 +119,8 @@
 	}
 }
 
-// becomeIdle tells whoever waits that nothing is open any more, and bounds how long the
-// connection may stay so. The caller holds mutex.
+// becomeIdle wakes whoever waits for idle and bounds how long the connection may stay so. The
+// caller holds mutex.
 func (c *connection) becomeIdle() {
 	c.idleChanged.Broadcast()
 	c.wakeLocked()
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -10,38 +10,34 @@
 
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 	"github.com/lapisvane/lapisvane/internal/model/quarantine"
-	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
 // Bounds of what is read whole before a request is checked.
 const (
-	// maxHeldBody is the longest request body that is read whole to know what the request asks
-	// for, and maxHeldBodies bounds all that are held so together, both in bytes. Only requests
-	// to a path under which instances crashed are read so; a longer one is checked by its path
-	// and length. Chosen, not measured; four bodies of the greatest length fit.
+	// maxHeldBody is the longest request body that is read whole to know the request's keys, and
+	// maxHeldBodies bounds all that are held at a time, both in bytes. Only bodies to a path under
+	// which instances crashed are held; a longer one is checked by its path and length. Chosen, not
+	// measured; four bodies of the greatest length fit.
 	maxHeldBody   = 4 << 20
 	maxHeldBodies = 16 << 20
-	// trialTimeout bounds the question to the platform's store whether one quarantined request
-	// may run as a trial. Chosen, not measured. The request waits meanwhile, and is refused when
-	// there is no answer.
+	// trialTimeout bounds ClaimTrial, for which the request waits; without an answer it is
+	// refused. Chosen, not measured.
 	trialTimeout = 200 * time.Millisecond
 )
 
-// Quarantine tells which requests must not reach an instance because instances crashed
-// under what they ask for. Its methods are safe for concurrent use; all but
-// ClaimTrial return at once.
+// Quarantine decides which requests are held back because instances crashed under their keys. Its
+// methods are safe for concurrent use; all but ClaimTrial return at once.
 type Quarantine interface {
 	// Suspected reports whether instances crashed under requests with the head of the line. It
-	// is asked for each request, and false for nearly all.
+	// is called for each request, and false for nearly all.
 	Suspected(line fingerprint.Line) bool
 	// Evaluate decides on a request of a calling service.
 	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 	// Count returns the number of instances that crashed under requests with the keys.
 	Count(keys []fingerprint.Key) int
-	// ClaimTrial asks the platform's store for the grant to let one quarantined request run
-	// as a trial. One daemon of all gets it; it returns false also when the store does not
-	// answer before ctx ends.
+	// ClaimTrial asks the platform's store for the grant to run one quarantined request as a
+	// trial, which one daemon of all gets; false also when there is no answer before ctx ends.
 	ClaimTrial(ctx context.Context, verdict quarantine.Verdict) bool
 }
 
@@ -60,14 +56,14 @@
 
 func (h *heldBodies) release(count int64) { h.bytes.Add(-count) }
 
-// checkQuarantine refuses a request that is quarantined, and keeps the keys of one under which
-// some instances crashed, so that its attempts know. done gives back what was held for that.
+// checkQuarantine refuses a request that is quarantined, unless it may run as a trial, and stores
+// the keys of one under which instances crashed in call. done ends the hold of its body.
 // Errors: CallNotRunQuarantined and those of reading the body.
 func (g *Gateway) checkQuarantine(ctx context.Context, rc *app.RequestContext, call *call) (done func(), err error) {
 	done = func() {}
-	suspects := g.config.Quarantine
+	registry := g.config.Quarantine
 	line := fingerprint.LineOf(call.opening)
-	if suspects == nil || !suspects.Suspected(line) {
+	if registry == nil || !registry.Suspected(line) {
 		return done, nil
 	}
 	if call.body.streamed != nil {
@@ -76,17 +72,17 @@
 		}
 	}
 	call.keys = keysOf(line, call.body)
-	verdict := suspects.Evaluate(call.keys, call.opening.GetCallerService())
+	verdict := registry.Evaluate(call.keys, call.opening.GetCallerService())
 	if !verdict.Quarantined {
 		return done, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	if verdict.TrialDue && suspects.ClaimTrial(ctx, verdict) {
+	if verdict.TrialDue && registry.ClaimTrial(ctx, verdict) {
 		call.opening.Trial = true
 		return done, nil
 	}
-	return done, origin.Quarantined(verdict)
+	return done, verdict.Refusal()
 }
 
 // keysOf returns the keys of a request: by its whole body, or by what is known of one that
--- a/internal/requestpath/origin/registration_test.go
+++ b/internal/requestpath/origin/registration_test.go
@@ -32,8 +32,7 @@
 	return origin.Registration{Service: "desk", Instance: instance, Address: address, Slots: 2, Sequence: 1}
 }
 
-// An instance that left is dropped once nothing of it is in flight; it stayed in
-// the map, with its watch and in every announcement, until the daemon ended.
+// An instance that left is dropped once nothing of it is in flight.
 func TestInstancesThatLeftAreDropped(t *testing.T) {
 	for name, leave := range map[string]func(*origin.Origin){
 		"says farewell": func(o *origin.Origin) { o.Withdraw("desk-1") },
@@ -73,8 +72,8 @@
 	})
 }
 
-// What left stays away whatever is heard of it late, and calls for it are refused
-// as for one that drains.
+// An instance that left stays away whatever late heartbeats say, and calls for it are refused as for
+// one that drains.
 func TestInstanceThatLeftDoesNotComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running, stop := startOrigin(t)
@@ -93,7 +92,7 @@
 	})
 }
 
-// One that was only silent may come back under its name.
+// An instance that was only silent may come back under its name.
 func TestSilentInstanceComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running, stop := startOrigin(t)
@@ -108,32 +107,32 @@
 	})
 }
 
-// A heartbeat that was held up may arrive after its instance has crashed and another one
-// has registered at its address, also at a daemon that has started anew since and has
-// forgotten the first one. The present one was withdrawn for good by it.
+// A delayed heartbeat may arrive after its instance has crashed and another one has registered at its
+// address, also at a daemon that has restarted since and does not know the first one. It must not
+// withdraw the present one.
 func TestLateHeartbeatOfAnEarlierInstance(t *testing.T) {
-	beat := func(instance string, sequence uint64) origin.Registration {
+	heartbeat := func(instance string, sequence uint64) origin.Registration {
 		stated := registration(instance, "127.0.0.1:1")
 		stated.Sequence = sequence
 		return stated
 	}
 	for name, row := range map[string]struct {
-		beats []origin.Registration
-		ready string
+		heartbeats []origin.Registration
+		ready      string
 	}{
-		"earlier one known":                    {[]origin.Registration{beat("old", 7), beat("new", 1), beat("old", 8), beat("new", 2)}, "new"},
-		"earlier one forgotten":                {[]origin.Registration{beat("new", 1), beat("old", 8), beat("new", 2)}, "new"},
-		"earlier one forgotten, twice late":    {[]origin.Registration{beat("new", 1), beat("old", 8), beat("old", 9), beat("new", 2)}, "new"},
-		"both in the middle of their lives":    {[]origin.Registration{beat("new", 5), beat("old", 8), beat("new", 6)}, "new"},
-		"a later one takes over":               {[]origin.Registration{beat("old", 7), beat("new", 1)}, "new"},
-		"a later one whose first beat is lost": {[]origin.Registration{beat("old", 7), beat("new", 2), beat("new", 3), beat("new", 4)}, "new"},
-		"leaving late":                         {[]origin.Registration{beat("new", 1), {Service: "desk", Instance: "old", Address: "127.0.0.1:1", Slots: 2, Sequence: 9, Draining: true}, beat("new", 2)}, "new"},
+		"earlier one known":                    {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 1), heartbeat("old", 8), heartbeat("new", 2)}, "new"},
+		"earlier one forgotten":                {[]origin.Registration{heartbeat("new", 1), heartbeat("old", 8), heartbeat("new", 2)}, "new"},
+		"earlier one forgotten, twice late":    {[]origin.Registration{heartbeat("new", 1), heartbeat("old", 8), heartbeat("old", 9), heartbeat("new", 2)}, "new"},
+		"both in the middle of their lives":    {[]origin.Registration{heartbeat("new", 5), heartbeat("old", 8), heartbeat("new", 6)}, "new"},
+		"a later one takes over":               {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 1)}, "new"},
+		"a later one whose first beat is lost": {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 2), heartbeat("new", 3), heartbeat("new", 4)}, "new"},
+		"leaving late":                         {[]origin.Registration{heartbeat("new", 1), {Service: "desk", Instance: "old", Address: "127.0.0.1:1", Slots: 2, Sequence: 9, Draining: true}, heartbeat("new", 2)}, "new"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				running, stop := startOrigin(t)
 				defer stop()
-				for _, stated := range row.beats {
+				for _, stated := range row.heartbeats {
 					running.Register(stated)
 					time.Sleep(1600 * time.Millisecond)
 				}
