--- a/internal/requestpath/gateway/pipeline/quota.go
+++ b/internal/requestpath/gateway/pipeline/quota.go
@@ -48,6 +48,9 @@
 	defer q.mutex.Unlock()
 	if q.requests < q.limits.RequestsAhead {
 		q.requests++
+		// It may be in the queue yet, woken by something else. Left there, it would be woken
+		// in place of a connection that still waits.
+		q.waiting = slices.DeleteFunc(q.waiting, func(waiting *connection) bool { return waiting == conn })
 		return true
 	}
 	if !slices.Contains(q.waiting, conn) {
