--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -79,10 +79,10 @@
 	if d.listeners, err = listen(network, config); err != nil {
 		return nil, err
 	}
-	way := wayOfDistribution(d, config, options)
-	d.incarnation = way.incarnation
-	d.path = newRequestPath(d, network, way)
-	d.distribution = way.build(network)
+	mode := chooseMode(d, config, options)
+	d.incarnation = mode.incarnation
+	d.path = newRequestPath(d, network, mode)
+	d.distribution = mode.build(network)
 	metrics.Register(d.registry, metrics.Sources{
 		Counters: d.counters, Origin: d.path.origin, Calls: d.path.calls, Suspects: d.path.suspects.Sizes,
 	})
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -48,9 +48,9 @@
 	Close()
 }
 
-// way is one of the two ways of distribution, with what the request path needs to know of
+// mode is one of the two ways of distribution, with what the request path needs to know of
 // it before it can be built.
-type way struct {
+type mode struct {
 	// incarnation distinguishes this process from earlier ones on the machine.
 	incarnation uint64
 	envelope    callapi.Envelope
@@ -64,19 +64,19 @@
 	build func(network wire.Network) distribution
 }
 
-// wayOfDistribution is the one place that chooses between the two ways: a platform's, or
+// chooseMode is the one place that chooses between the two ways: a platform's, or
 // the tree over lapisvane's own object API.
-func wayOfDistribution(d *Daemon, config *settings.Daemon, options Options) way {
+func chooseMode(d *Daemon, config *settings.Daemon, options Options) mode {
 	if options.Platform == nil {
-		return treeWay(d, config, options)
+		return treeMode(d, config, options)
 	}
-	return platformWay(d, config, options)
+	return platformMode(d, config, options)
 }
 
-// treeWay describes the tree. The incarnation is the time, since the tree's members order
+// treeMode describes the tree. The incarnation is the time, since the tree's members order
 // the processes of a machine by it.
-func treeWay(d *Daemon, config *settings.Daemon, options Options) way {
-	return way{
+func treeMode(d *Daemon, config *settings.Daemon, options Options) mode {
+	return mode{
 		incarnation: uint64(time.Now().UnixNano()), envelope: callapi.DefaultEnvelope,
 		build: func(network wire.Network) distribution {
 			store := objectapi.NewClient(config.Platform.Addresses, config.Platform.Token, options.PlatformDial)
@@ -85,11 +85,11 @@
 	}
 }
 
-// platformWay describes the distribution on a platform. The incarnation is random there: the
+// platformMode describes the distribution on a platform. The incarnation is random there: the
 // time of day may jump, and no order rests on it.
-func platformWay(d *Daemon, config *settings.Daemon, options Options) way {
+func platformMode(d *Daemon, config *settings.Daemon, options Options) mode {
 	freshness := &configsource.Freshness{WithOrders: config.EvacuationBound > 0}
-	return way{
+	return mode{
 		incarnation: rand.Uint64(), envelope: options.Platform.Envelope(),
 		timing: platformTiming(config, freshness), maintained: true,
 		quarantineStore: options.Platform.Quarantine(),
--- a/internal/daemon/requestpath.go
+++ b/internal/daemon/requestpath.go
@@ -48,7 +48,7 @@
 
 // newRequestPath builds the parts of the request path; none of them runs yet. The changes
 // that it passes to d.distribution come only after d runs.
-func newRequestPath(d *Daemon, network wire.Network, way way) *requestPath {
+func newRequestPath(d *Daemon, network wire.Network, mode mode) *requestPath {
 	values := d.settings.Load()
 	decisions := decision.New(d.logger, values.DecisionLinesPerSecond, time.Now)
 	announce := func() { d.distribution.SetLocalEndpoints(d.path.origin.Advertised()) }
@@ -57,26 +57,26 @@
 		settings: &d.settings, logger: d.logger,
 		snapshots: &snapshot.Store{}, orders: &orders.Current{},
 		balancer: balance.New(values.Node, values.Zone, values.Region, time.Now),
-		suspects: newSuspects(d.logger, way.quarantineStore, spread),
+		suspects: newSuspects(d.logger, mode.quarantineStore, spread),
 	}
 	p.origin = origin.New(origin.Config{
 		Backends: backendsOf(values), Crashes: p.suspects,
 		QueueLength: values.Calls.QueueLength, QueueTime: values.Calls.QueueTime.Get(),
-		Envelope: way.envelope, Changed: announce, Decisions: decisions, Logger: d.logger, Region: values.Region,
+		Envelope: mode.envelope, Changed: announce, Decisions: decisions, Logger: d.logger, Region: values.Region,
 		Cold: origin.ColdBound{Overshoot: values.ColdStarts.Overshoot, Allowance: values.ColdStarts.Slack},
 	})
 	p.calls = &callmux.Client{
-		Network: network, Counters: d.callCounters, Timing: way.timing, Maintained: way.maintained,
+		Network: network, Counters: d.callCounters, Timing: mode.timing, Maintained: mode.maintained,
 		Hello: &lapisv1.Hello{
 			ProtocolVersion: wire.ProtocolVersion, Purpose: lapisv1.Hello_PURPOSE_CALLS,
-			Node: values.Node, Incarnation: way.incarnation, Zone: values.Zone, Region: values.Region,
+			Node: values.Node, Incarnation: mode.incarnation, Zone: values.Zone, Region: values.Region,
 			Address: d.listeners.peer.Addr().String(), Service: values.Service,
 		},
 	}
 	p.gateway = gateway.New(gateway.Config{
-		Node: values.Node, Incarnation: way.incarnation, Snapshots: p.snapshots, Balancer: p.balancer,
+		Node: values.Node, Incarnation: mode.incarnation, Snapshots: p.snapshots, Balancer: p.balancer,
 		Local: p.origin, Remote: p.calls, DefaultDeadline: values.Calls.DefaultDeadline.Get(),
-		Envelope: way.envelope, CallerService: p.callerService, Retries: retryLimits(values.Retries),
+		Envelope: mode.envelope, CallerService: p.callerService, Retries: retryLimits(values.Retries),
 		Decisions: decisions, Registry: d.registry, RepeatShare: p.origin.RepeatShare, Evacuated: p.orders.Evacuated,
 		SentAhead: sentAhead(values.SentAhead), Quarantine: p.suspects,
 	})
