--- a/cmd/lapislab/main.go
+++ b/cmd/lapislab/main.go
@@ -1,5 +1,5 @@
-// Command lapislab is the emulator of the platform, back ends and callers, and
-// the tool for load and experiments.
+// Command lapislab has stand-ins for the platform, back ends and callers, an emulated platform,
+// and the tools that read logs.
 package main
 
 import (
--- a/internal/lab/callload/caller.go
+++ b/internal/lab/callload/caller.go
@@ -1,5 +1,9 @@
-// Package callload is a stand-in for callers: it makes calls at a rate, checks every
-// answer against what was asked for, and tallies the outcomes.
+// Package callload is a stand-in for callers: it makes calls at a rate, checks every answer
+// against what was asked for, and tallies the outcomes.
+//
+// It owns its HTTP connections and the goroutines of one Run, which ends them. It relies on
+// answers in the form of package backendstub. What must hold: each call is counted once, as
+// done, not run, unknown or wrong.
 package callload
 
 import (
--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -1,6 +1,9 @@
-// Package client is a stand-in for the clients of the emulated platform: they send requests to the
-// daemon of their machine, retry as they may, and check every answer. A Load owns their connections
-// and goroutines, which end with Run, and records requests and answers in a promise.Ledger.
+// Package client is a stand-in for the clients of the emulated platform: they send requests to
+// the daemon of their machine, try again as they may, and check every answer.
+//
+// It owns its connections and the goroutines of its loads, which end with their context. It
+// relies on the names of package platform and records what it sent and got in the ledger of
+// package promise.
 package client
 
 import (
--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -1,6 +1,11 @@
-// Package day plays days on an emulated platform: machines with daemons and instances, a store, an
-// operator and clients, with faults at set times. A Site owns all of them, as goroutines of this
-// process with connections on loopback, and Close ends them. It keeps nothing on disk.
+// Package day plays days on an emulated platform: machines with daemons and instances, a
+// store, an operator and clients, disturbed at set times. Daemons run in the process that
+// plays the day; all connections are on loopback.
+//
+// It owns everything that a Site starts and ends it with Close. A day follows from its seed: load,
+// faults and their times are drawn from it, so that a seed that once failed is played again; what
+// the processors do meanwhile is not. It relies on packages client, instance, objectstore and
+// promise, and runs the product's daemon with its adapter unchanged.
 package day
 
 import (
--- a/internal/lab/emulator/promise/promise.go
+++ b/internal/lab/emulator/promise/promise.go
@@ -1,6 +1,9 @@
-// Package promise checks the invariants ("promises") of a run on the emulated platform. Its Ledger
-// records what clients sent, what instances ran, what was answered and acknowledged, and lists the
-// breaches that follow from that. It does no I/O and starts no goroutines.
+// Package promise keeps the ledger of a run on the emulated platform: what clients sent, what
+// instances ran, what was answered and acknowledged. From it follow the broken promises.
+//
+// It owns the ledger, in memory, and is safe for concurrent use. It does no I/O and relies on its
+// users to record each event once, with the time at which it happened. A promise is evaluated
+// at the end of the run; what the disturbances excuse is part of its rule.
 package promise
 
 import (
--- a/internal/lab/explain/cause.go
+++ b/internal/lab/explain/cause.go
@@ -1,5 +1,9 @@
-// Package explain reads the log lines of several daemons and finds what happened to a request and
-// why: its lines in order, and the cause that they prove.
+// Package explain reads the log lines of several daemons and finds out what happened to a
+// request and why: its lines in order, and the cause that they prove.
+//
+// It owns no state; a Journal holds the lines that were read. It relies on the names of events
+// and keys, which docs/OPERATIONS.md lists. What must hold: a cause is named only where lines
+// prove it, else the request counts as unexplained.
 package explain
 
 import (
--- a/internal/lab/main.go
+++ b/internal/lab/main.go
@@ -1,6 +1,9 @@
-// Package lab is the command line of lapislab: stand-ins for the platform, back ends
-// and callers, days on the emulated platform, and tools that read the logs of daemons.
-// It owns no state; each stand-in has a package of its own.
+// Package lab is the command line of lapislab: stand-ins for the platform, back ends and
+// callers, days on the emulated platform, and tools that read the logs of daemons.
+//
+// It owns no state but the processes' listeners while a command runs; each stand-in has a
+// package of its own. It relies on all planes, and nothing but cmd/lapislab relies on it. All
+// load goes to the addresses that the command line names, loopback by default.
 package lab
 
 import (
--- a/internal/lab/testsite/site.go
+++ b/internal/lab/testsite/site.go
@@ -1,5 +1,8 @@
-// Package testsite starts a small site for tests: stand-ins for the
-// object API and back ends, real daemons, and operators.
+// Package testsite starts a small site for tests: stand-ins for the object API and back ends,
+// real daemons in the test's process, and operators.
+//
+// A Site owns what it starts, on loopback, and ends it with Close; it is not safe for concurrent
+// changes. It is used by tests only, and its certificates by lapislab peer-keys.
 package testsite
 
 import (
--- a/internal/shared/cli/cli.go
+++ b/internal/shared/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds what the command lines of the programs have in common: options, exit codes
-// and signals. It owns the process's handling of SIGTERM and SIGINT once Signals was called.
+// Package cli holds what the programs' command lines share: parsing, exit codes, signals.
+// It owns the registration of signals of its process and relies on go-flags.
 package cli
 
 import (
--- a/internal/shared/sleep/sleep.go
+++ b/internal/shared/sleep/sleep.go
@@ -1,4 +1,5 @@
-// Package sleep waits for a time or the end of a context. It owns nothing.
+// Package sleep waits for a time or the end of a context. It has no state. Its timers stand
+// while the machine is suspended.
 package sleep
 
 import (
