--- a/internal/requestpath/balance/balancer.go
+++ b/internal/requestpath/balance/balancer.go
@@ -9,22 +9,24 @@
 	"github.com/lapisvane/lapisvane/internal/model/snapshot"
 )
 
-// Balancer holds the instances of all services with what this daemon observed of them. It
-// is safe for concurrent use.
+// Balancer holds the instances of all services and this daemon's observations of them. It is safe
+// for concurrent use.
 type Balancer struct {
 	daemon string
 	place  locality.Place
 	now    func() time.Time
 
-	// mutex protects services; the slices in it are replaced, not changed.
+	// mutex protects services. The slices in the map are replaced, never modified.
 	mutex    sync.RWMutex
 	services map[string][]*Target
-	// created is when the balancer was made, as the start of slow starts.
+	// created is the creation time of the balancer. Instances added shortly after it get no slow
+	// start.
 	created time.Time
 }
 
-// New returns a balancer for the daemon of that name in zone and region; an empty region is
-// not known, and all instances count as in it. now is the clock.
+// New returns a balancer for the named daemon in the given zone and region. An empty region means
+// that the region is unknown; all instances then count as being in the daemon's region. now is the
+// clock.
 func New(daemon, zone, region string, now func() time.Time) *Balancer {
 	return &Balancer{
 		daemon: daemon, place: locality.Place{Zone: zone, Region: region},
@@ -32,8 +34,8 @@
 	}
 }
 
-// Update replaces the instances of a service. Observations are kept while an instance keeps
-// its incarnation.
+// Update replaces the instances of a service. The observations of an instance are kept as long as
+// its incarnation does not change.
 func (b *Balancer) Update(service string, endpoints []*lapisv1.Endpoint) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -47,53 +49,54 @@
 		if endpoint.GetState() == lapisv1.Endpoint_STATE_GONE {
 			continue
 		}
-		targets = append(targets, b.renew(previous[endpoint.GetInstance()], endpoint, now))
+		targets = append(targets, b.updatedTarget(previous[endpoint.GetInstance()], endpoint, now))
 	}
 	b.services[service] = targets
 }
 
-// renew returns the target for an endpoint, with the observations of the known one (which
-// may be nil) if that is the same incarnation.
-func (b *Balancer) renew(known *Target, endpoint *lapisv1.Endpoint, now time.Time) *Target {
-	if known != nil && known.Endpoint == endpoint {
-		return known
+// updatedTarget returns the target for an endpoint. It reuses the observations of previous, which
+// may be nil, if both have the same incarnation.
+func (b *Balancer) updatedTarget(previous *Target, endpoint *lapisv1.Endpoint, now time.Time) *Target {
+	if previous != nil && previous.Endpoint == endpoint {
+		return previous
 	}
-	if known != nil && known.Endpoint.GetIncarnation() == endpoint.GetIncarnation() {
-		known.noteCold(endpoint, now)
-		return &Target{Endpoint: endpoint, observations: known.observations}
+	if previous != nil && previous.Endpoint.GetIncarnation() == endpoint.GetIncarnation() {
+		previous.setColdUntil(endpoint, now)
+		return &Target{Endpoint: endpoint, observations: previous.observations}
 	}
-	target := &Target{Endpoint: endpoint, observations: &observations{slowStartAt: slowStartOf(known, endpoint, b.created, now)}}
-	target.noteCold(endpoint, now)
+	target := &Target{Endpoint: endpoint, observations: &observations{slowStartAt: slowStartTime(previous, endpoint, b.created, now)}}
+	target.setColdUntil(endpoint, now)
 	return target
 }
 
-// Targets returns the instances of a service; the slice must not be changed.
+// Targets returns the instances of a service. The caller must not modify the slice.
 func (b *Balancer) Targets(service string) []*Target {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	return b.services[service]
 }
 
-// Pick chooses an instance of a service. Errors: CallNoEndpoint with the time to come back,
-// which wraps a *ConstraintError where a constraint left no instance.
+// Pick selects an instance of a service. It returns CallNoEndpoint with a retry time if there is
+// none; the error wraps a *ConstraintError if a constraint excluded the last instance.
 func (b *Balancer) Pick(service *snapshot.Service, choice Choice) (*Target, error) {
 	selection := selector{
 		daemon: b.daemon, place: b.place, service: service, choice: choice,
-		now: b.now(), random: processRandom{},
+		now: b.now(), random: globalRandom{},
 	}
 	return selection.pick(b.Targets(service.Bundle.GetPool().GetName()))
 }
 
-// MostlySound reports whether more than half of the instances of a service lately failed little
-// (soundShare), so that a failure is one of its instance and not of what all of them need.
+// MostlySound reports whether more than half of the instances of a service have a low recent
+// failure rate (maxHealthyFailureRate). A failed call is then attributed to its instance and not to
+// a dependency that all instances share.
 func (b *Balancer) MostlySound(service string) bool {
 	targets := b.Targets(service)
 	now := b.now()
-	sound := 0
+	healthy := 0
 	for _, target := range targets {
-		if target.failureShare(now) < soundShare {
-			sound++
+		if target.recentFailureRate(now) < maxHealthyFailureRate {
+			healthy++
 		}
 	}
-	return mostlySound(sound, len(targets))
+	return majorityHealthy(healthy, len(targets))
 }
--- a/internal/requestpath/balance/balancer_test.go
+++ b/internal/requestpath/balance/balancer_test.go
@@ -20,7 +20,7 @@
 	picks       = 2000
 )
 
-// clock is a time that a test moves.
+// clock is a manual clock.
 type clock struct{ now time.Time }
 
 func (c *clock) read() time.Time { return c.now }
@@ -32,8 +32,7 @@
 	service *snapshot.Service
 }
 
-// newPool returns a pool whose instances stand in the given zones; the balancer
-// stands in zone a.
+// newPool returns a pool whose instances are in the given zones. The balancer is in zone a.
 func newPool(zones ...string) *pool {
 	clock := &clock{now: time.Unix(1000, 0)}
 	made := &pool{
@@ -58,8 +57,8 @@
 	p.Update("desk", endpoints)
 }
 
-// share returns the part of the picks that an instance gets; answer is called
-// for each pick with the instance's number.
+// share returns the fraction of the picks that went to an instance. answer is called with the
+// picked instance after each pick.
 func (p *pool) share(t *testing.T, instance string, answer func(*balance.Target)) float64 {
 	t.Helper()
 	picked := 0
@@ -75,40 +74,40 @@
 	return float64(picked) / picks
 }
 
-// What an instance does decides how much it gets.
+// Checks that an instance that fails or answers slowly receives a smaller share of the calls.
 func TestInstancesThatDoWorseGetLess(t *testing.T) {
-	well := func(p *pool, chosen *balance.Target) {
+	succeed := func(p *pool, chosen *balance.Target) {
 		chosen.Succeeded()
 		chosen.Answered(route, serviceTime, p.clock.now)
 	}
 	for name, row := range map[string]struct {
 		zones []string
-		// odd is what desk-0 does instead of answering well.
-		odd         func(*pool, *balance.Target)
-		least, most float64
+		// behavior is the reaction of desk-0 to a call; the other instances succeed.
+		behavior           func(*pool, *balance.Target)
+		minShare, maxShare float64
 	}{
-		"all alike":                   {zones: []string{"a", "a", "a", "a"}, odd: well, least: 0.15, most: 0.35},
-		"fails at once, without load": {zones: []string{"a", "a", "a", "a"}, odd: func(p *pool, c *balance.Target) { c.Succeeded(); c.AnsweredFailure(p.clock.now) }, most: 0.1},
-		"cannot be reached":           {zones: []string{"a", "a", "a", "a"}, odd: func(p *pool, c *balance.Target) { c.Failed(p.clock.now) }, most: 0.05},
-		"is three times as slow":      {zones: []string{"a", "a", "a", "a"}, odd: func(p *pool, c *balance.Target) { c.Succeeded(); c.Answered(route, 3*serviceTime, p.clock.now) }, most: 0.15},
-		"fails, alone in its zone":    {zones: []string{"a", "b", "b", "b"}, odd: func(p *pool, c *balance.Target) { c.Succeeded(); c.AnsweredFailure(p.clock.now) }, most: 0.15},
-		"is alone in its zone":        {zones: []string{"a", "b", "b", "b"}, odd: well, least: 0.95, most: 1},
+		"all alike":                   {zones: []string{"a", "a", "a", "a"}, behavior: succeed, minShare: 0.15, maxShare: 0.35},
+		"fails at once, without load": {zones: []string{"a", "a", "a", "a"}, behavior: func(p *pool, c *balance.Target) { c.Succeeded(); c.AnsweredFailure(p.clock.now) }, maxShare: 0.1},
+		"cannot be reached":           {zones: []string{"a", "a", "a", "a"}, behavior: func(p *pool, c *balance.Target) { c.Failed(p.clock.now) }, maxShare: 0.05},
+		"is three times as slow":      {zones: []string{"a", "a", "a", "a"}, behavior: func(p *pool, c *balance.Target) { c.Succeeded(); c.Answered(route, 3*serviceTime, p.clock.now) }, maxShare: 0.15},
+		"fails, alone in its zone":    {zones: []string{"a", "b", "b", "b"}, behavior: func(p *pool, c *balance.Target) { c.Succeeded(); c.AnsweredFailure(p.clock.now) }, maxShare: 0.15},
+		"is alone in its zone":        {zones: []string{"a", "b", "b", "b"}, behavior: succeed, minShare: 0.95, maxShare: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool(row.zones...)
-			part := p.share(t, "desk-0", func(chosen *balance.Target) {
+			fraction := p.share(t, "desk-0", func(chosen *balance.Target) {
 				if chosen.Endpoint.GetInstance() == "desk-0" {
-					row.odd(p, chosen)
+					row.behavior(p, chosen)
 					return
 				}
-				well(p, chosen)
+				succeed(p, chosen)
 			})
-			assert.Assert(t, part >= row.least && part <= row.most, "it got %.3f", part)
+			assert.Assert(t, fraction >= row.minShare && fraction <= row.maxShare, "share is %.3f", fraction)
 		})
 	}
 }
 
-// An instance that failed is tried again, so that it comes back once it is well.
+// Checks that an instance that failed is tried again after a while, so that it can recover.
 func TestFailuresAreForgotten(t *testing.T) {
 	p := newPool("a", "a")
 	for _, failing := range p.Targets("desk")[:1] {
@@ -117,14 +116,15 @@
 		}
 	}
 	p.clock.now = p.clock.now.Add(30 * time.Second)
-	part := p.share(t, "desk-0", func(chosen *balance.Target) {
+	fraction := p.share(t, "desk-0", func(chosen *balance.Target) {
 		chosen.Succeeded()
 		chosen.Answered(route, serviceTime, p.clock.now)
 	})
-	assert.Assert(t, part > 0.3, "it got %.3f", part)
+	assert.Assert(t, fraction > 0.3, "share is %.3f", fraction)
 }
 
-// Suspicion never empties a pool, draining does.
+// Checks that suspect instances are used if there are no others, and that draining instances are
+// not.
 func TestStatesOfInstances(t *testing.T) {
 	zones := []string{"a", "a"}
 	for name, row := range map[string]struct {
@@ -149,15 +149,15 @@
 	}
 }
 
-// An instance whose calls are often late gives way to one of another zone whose calls
-// are not, although its mean is well within the target.
+// Checks that calls move to another zone if the instance of the own zone is often late, although
+// its mean service time is well within the target.
 func TestLongTimesCountBesideTheMean(t *testing.T) {
 	p := newPool("a", "b")
 	for range 20 {
 		p.Targets("desk")[1].Answered(route, target/10, p.clock.now)
 	}
 	long := false
-	elsewhere := 0
+	crossZonePicks := 0
 	for pick := range picks {
 		chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: target, Bytes: 2000})
 		assert.NilError(t, err)
@@ -166,7 +166,7 @@
 		if chosen.Endpoint.GetZone() == "b" {
 			chosen.Answered(route, target/10, p.clock.now)
 			if pick > picks/2 {
-				elsewhere++
+				crossZonePicks++
 			}
 			continue
 		}
@@ -177,12 +177,12 @@
 		}
 		chosen.Answered(route, took, p.clock.now)
 	}
-	part := float64(elsewhere) / (picks / 2)
-	assert.Assert(t, part > 0.7, "it got %.3f", part)
+	fraction := float64(crossZonePicks) / (picks / 2)
+	assert.Assert(t, fraction > 0.7, "share is %.3f", fraction)
 }
 
-// What is known of an earlier start of an instance says nothing of the present one, which has the
-// same id and another name.
+// Checks that the observations of an earlier start of an instance do not affect the current one,
+// which has the same id and a different name.
 func TestNewStartIsJudgedByItself(t *testing.T) {
 	p := newPool()
 	starts := func(born uint64) {
--- a/internal/requestpath/balance/constraint_test.go
+++ b/internal/requestpath/balance/constraint_test.go
@@ -13,8 +13,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// newRegions returns a pool with an instance in each of the places, which are written
-// zone/region; the balancer stands in zone a of region r1.
+// newRegions returns a pool with one instance in each of the places, which have the form
+// zone/region. The balancer is in zone a of region r1.
 func newRegions(places ...string) *pool {
 	made := newPool()
 	made.Balancer = balance.New("node", "a", "r1", made.clock.read)
@@ -33,23 +33,23 @@
 	return balance.NotEvacuated(func(zone string) bool { return zones == zone })
 }
 
-// No instance gets a call that a constraint does not allow: not the only one that is
-// well, nor one that is to be tried because no other is left, nor that of a key.
+// Checks that an instance that a constraint excludes never receives a call, even if it is the only
+// healthy one, the only untried one, or the one that ranks first for the key.
 func TestConstraintsAreHard(t *testing.T) {
 	for name, row := range map[string]struct {
 		places      []string
 		constraints []balance.Constraint
 		ejected     int
-		// chosen is the only instance that may be, empty for none; then named is the
-		// constraint that took the last.
-		chosen, named string
+		// chosen is the only instance that may be selected; if empty, constraint is the name of the
+		// one that excluded the last instance.
+		chosen, constraint string
 	}{
 		"an ejected one before an evacuated one": {places: []string{"a/r1", "b/r1"}, constraints: []balance.Constraint{evacuated("a")}, ejected: 1, chosen: "desk-1"},
-		"an evacuated one, ejected":              {places: []string{"a/r1", "a/r1"}, constraints: []balance.Constraint{evacuated("a")}, ejected: 1, named: "evacuated"},
+		"an evacuated one, ejected":              {places: []string{"a/r1", "a/r1"}, constraints: []balance.Constraint{evacuated("a")}, ejected: 1, constraint: "evacuated"},
 		"one region only":                        {places: []string{"a/r1", "c/r2"}, constraints: []balance.Constraint{balance.InRegions([]string{"r2"})}, chosen: "desk-1"},
-		"no instance there":                      {places: []string{"a/r1", "b/r1"}, constraints: []balance.Constraint{balance.InRegions([]string{"r2"})}, named: "region"},
-		"an unknown region":                      {places: []string{"a/", "c/r2"}, constraints: []balance.Constraint{balance.InRegions([]string{"r1", ""})}, named: "region"},
-		"the region evacuated":                   {places: []string{"a/r1", "c/r2"}, constraints: []balance.Constraint{evacuated("c"), balance.InRegions([]string{"r2"})}, named: "region"},
+		"no instance there":                      {places: []string{"a/r1", "b/r1"}, constraints: []balance.Constraint{balance.InRegions([]string{"r2"})}, constraint: "region"},
+		"an unknown region":                      {places: []string{"a/", "c/r2"}, constraints: []balance.Constraint{balance.InRegions([]string{"r1", ""})}, constraint: "region"},
+		"the region evacuated":                   {places: []string{"a/r1", "c/r2"}, constraints: []balance.Constraint{evacuated("c"), balance.InRegions([]string{"r2"})}, constraint: "region"},
 		"no regions":                             {places: []string{"b/r1"}, constraints: []balance.Constraint{balance.InRegions(nil)}, chosen: "desk-0"},
 	} {
 		for _, key := range []string{"", "key-1", "key-2"} {
@@ -69,7 +69,7 @@
 					}
 					var constrained *balance.ConstraintError
 					assert.Assert(t, errors.As(err, &constrained), "%v", err)
-					assert.Equal(t, constrained.Constraint, row.named)
+					assert.Equal(t, constrained.Constraint, row.constraint)
 					assert.Assert(t, result.Is(err, result.CallNoEndpoint))
 					assert.Assert(t, err.(*result.Error).RetryAfter > time.Second)
 				}
@@ -78,7 +78,7 @@
 	}
 }
 
-// Without instances at all, or with all of them tried, no constraint is to blame.
+// Checks that the error names no constraint if the pool is empty or all instances were tried.
 func TestEmptyPoolNamesNoConstraint(t *testing.T) {
 	p := newRegions("a/r1")
 	var constrained *balance.ConstraintError
@@ -86,8 +86,8 @@
 	assert.Assert(t, result.Is(err, result.CallNoEndpoint) && !errors.As(err, &constrained), "%v", err)
 }
 
-// The own zone goes before the own region and that before others; work goes further once
-// what is nearer has more than its fill.
+// Checks that the own zone is preferred to the own region and the own region to other regions, and
+// that calls go to a farther tier if the nearer ones are overloaded.
 func TestNearerInstancesGoFirst(t *testing.T) {
 	for name, row := range map[string]struct {
 		places []string
@@ -118,16 +118,16 @@
 	}
 }
 
-// The way to another region takes its time out of the target: what would be late from
-// there goes to a nearer instance that is slower.
+// Checks that the round trip to another region counts against the target: a call that would be late
+// from there goes to a nearer, slower instance.
 func TestRoundTripToAnotherRegionCounts(t *testing.T) {
 	p := newRegions("b/r1", "c/r2")
-	for _, seen := range p.Targets("desk") {
+	for _, instance := range p.Targets("desk") {
 		took := 60 * time.Millisecond
-		if seen.Endpoint.GetZone() == "b" {
+		if instance.Endpoint.GetZone() == "b" {
 			took = 70 * time.Millisecond
 		}
-		seen.Answered(route, took, p.clock.now)
+		instance.Answered(route, took, p.clock.now)
 	}
 	for range 50 {
 		chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: 150 * time.Millisecond})
@@ -136,8 +136,8 @@
 	}
 }
 
-// Bytes between regions cost more than those between zones: what would go to a faster
-// instance of another zone does not go to one of another region.
+// Checks that bytes between regions cost more than bytes between zones: a faster instance is
+// preferred in another zone, but not in another region.
 func TestBytesToAnotherRegionCostMore(t *testing.T) {
 	for fast, chosen := range map[string]string{"c/r1": "c", "c/r2": "b"} {
 		p := newRegions("b/r1", fast)
@@ -151,8 +151,8 @@
 	}
 }
 
-// Without a target latency, a nearer instance is taken as long as it is not much more
-// loaded: what is much grows with the distance.
+// Checks that without a target latency a nearer instance is preferred unless its load is much
+// higher, and that the tolerated difference grows with the distance.
 func TestLoadThatNearnessOutweighs(t *testing.T) {
 	for chosen, rows := range map[string][][]int{"a": {{3, 0, 0}, {12, 12, 0}}, "b": {{6, 0, 0}, {40, 12, 0}}, "c": {{40, 20, 0}}} {
 		for _, inFlight := range rows {
--- a/internal/requestpath/balance/cost.go
+++ b/internal/requestpath/balance/cost.go
@@ -7,67 +7,73 @@
 	"github.com/lapisvane/lapisvane/internal/model/locality"
 )
 
-// Weights of the score by cost, in parts of the target latency.
+// Weights of the cost score, as fractions of the target latency.
 const (
-	// failureCost is what a certain failure costs: it is worth nothing, an answer that is late or
-	// from another zone most of its worth. Larger than what a body of 5 KB to another zone costs,
-	// so that ordinary calls leave an instance that fails alone in its zone.
+	// failureCost is the cost of a call that is certain to fail. A failed call has no value, while
+	// an answer from another zone keeps most of its value. It is larger than the cost of
+	// sending a body of 5 KB to another zone, so that ordinary calls avoid an instance that fails
+	// and is alone in its zone.
 	failureCost = 2
-	// latenessCost is what an answer costs that is certain to be late: as much as a failure,
-	// since it is worth little.
+	// latenessCost is the cost of an answer that is certain to be late. It equals failureCost,
+	// because a late answer has little value.
 	latenessCost = 2
-	// choiceNoise is the most that chance adds to a cost, so that daemons do not all choose
-	// the same instance: not above crossingBase, or calls would leave the own zone by chance.
-	choiceNoise = 0.05
-	// unknownServicePart is the service time that is expected of a route, in parts of its
-	// target latency, while no candidate answered a call of it; below 1.
-	unknownServicePart = 0.25
+	// costJitter is the maximum random amount added to a cost, so that daemons do not all select
+	// the same instance. It must not exceed crossZoneBase, or calls would leave their own zone at
+	// random.
+	costJitter = 0.05
+	// defaultServiceFraction is the assumed service time of a route, as a fraction of its target
+	// latency, while no candidate has answered a call of that route. It must be below 1.
+	defaultServiceFraction = 0.25
 )
 
-// costState is what the score by cost knows of an instance.
+// costState is the input of the cost score for one instance.
 type costState struct {
-	// known is the service time of the route there, in seconds, and spread its spread
-	// (serviceTime).
-	known, spread mean
-	// deviation is how much longer work takes there now than the instance mostly states, in parts of
-	// that; freed is true where known is the time that the route mostly takes, freed of deviations.
-	deviation float64
-	freed     bool
-	// load is the calls of all daemons there, running and waiting, and slots what runs at once.
+	// serviceTime is the mean service time of the route at the instance, in seconds, and scv its
+	// squared coefficient of variation (type serviceTime).
+	serviceTime, scv ewma
+	// transientSlowdown is the relative increase of the current service time over the baseline that
+	// the instance reports: 0 for none, 1 for twice the time. normalized is true if serviceTime is
+	// a baseline time, without such transient slowdowns.
+	transientSlowdown float64
+	normalized        bool
+	// load is the number of calls of all daemons at the instance, running and waiting. slots is the
+	// number of calls that it runs concurrently.
 	load, slots float64
-	// failures is the share of failed attempts, 0 to 1.
-	failures float64
-	// cold is true while the instance reports that it is cold. It is then admitted coldRate calls
-	// a second, 0 where its pool does not say, and takes none for refusedFor seconds.
-	cold                 bool
-	coldRate, refusedFor float64
-	tier                 locality.Tier
+	// failureRate is the fraction of attempts that failed, 0 to 1.
+	failureRate float64
+	// cold is true while the instance reports that it is cold. A cold instance is admitted coldRate
+	// calls per second, 0 if its pool sets no rate, and rejects all calls for the next
+	// coldRejectionSeconds.
+	cold                           bool
+	coldRate, coldRejectionSeconds float64
+	tier                           locality.Tier
 }
 
-// callState is what the score by cost knows of the call, all times in seconds.
+// callState is the input of the cost score for the call. All times are in seconds.
 type callState struct {
-	// target is the target latency and left what is left of it, negative once it is over.
-	target, left float64
-	// typical is the service time of the route over all candidates, and spread the squared
-	// deviation from it in parts of it.
-	typical, spread float64
-	// bytes is about how many go both ways.
+	// target is the target latency. remaining is the part of it that is left, negative once the
+	// target is missed.
+	target, remaining float64
+	// routeServiceTime is the mean service time of the route over all candidates, and scv its
+	// squared coefficient of variation.
+	routeServiceTime, scv float64
+	// bytes is the approximate size of the request and the response together.
 	bytes float64
 	now   time.Time
 }
 
-// costOf returns the cost of a call at an instance, in parts of the target latency; less is
-// better. It is the sum of the expected time until the answer, the chance that the answer
-// is late, the share of failures, the price of the way (locality.go) and noise.
-func costOf(call *callState, seen *costState, noise float64) float64 {
-	total, service := seen.expected(call.typical, call.now)
-	total += roundTripOf(seen.tier)
-	late := lateness(service, call.spread, call.left-(total-service))
-	cost := total/call.target + late*latenessCost + seen.failures*failureCost + noise
-	return cost + crossingOf(seen.tier, call.bytes)
+// costOf returns the cost of a call at an instance, as a fraction of the target latency; lower is
+// better. It is the sum of the expected response time, the probability of a late answer, the
+// failure rate, the network cost (locality.go) and jitter.
+func costOf(call *callState, state *costState, jitter float64) float64 {
+	total, service := state.expected(call.routeServiceTime, call.now)
+	total += networkRTT(state.tier)
+	late := lateness(service, call.scv, call.remaining-(total-service))
+	cost := total/call.target + late*latenessCost + state.failureRate*failureCost + jitter
+	return cost + localityCost(state.tier, call.bytes)
 }
 
-// cheapest returns the candidate with the least cost.
+// cheapest returns the candidate with the lowest cost.
 func (s *selector) cheapest(candidates []*Target) *Target {
 	states := make([]costState, len(candidates))
 	coldRate := s.coldRate()
@@ -78,25 +84,26 @@
 	}
 	call := s.callState(states)
 	var best *Target
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for index := range states {
-		if cost := costOf(&call, &states[index], choiceNoise*s.random.Float64()); cost < least {
-			least = cost
+		if cost := costOf(&call, &states[index], costJitter*s.random.Float64()); cost < lowest {
+			lowest = cost
 			best = candidates[index]
 		}
 	}
 	return best
 }
 
-// callState returns what is known of the call, the typical times from all candidates.
+// callState returns the input of the cost score for the call. Typical times are taken over all
+// candidates.
 func (s *selector) callState(candidates []costState) callState {
 	call := callState{target: s.choice.TargetLatency.Seconds(), bytes: s.choice.Bytes, now: s.now}
-	call.left = call.target - s.choice.Spent.Seconds()
-	call.spread = typicalSpread(candidates, s.now)
-	typical, known := typicalService(candidates)
+	call.remaining = call.target - s.choice.Spent.Seconds()
+	call.scv = meanSCV(candidates, s.now)
+	routeServiceTime, known := meanServiceTime(candidates)
 	if !known {
-		typical = call.target * unknownServicePart
+		routeServiceTime = call.target * defaultServiceFraction
 	}
-	call.typical = typical
+	call.routeServiceTime = routeServiceTime
 	return call
 }
--- a/internal/requestpath/balance/doc.go
+++ b/internal/requestpath/balance/doc.go
@@ -1,19 +1,18 @@
-// Package balance chooses the instance for a call, in two stages like a scheduler's: a
-// filter (filter.go) drops the instances that may not or should not get the call, then a
-// score (cost.go or load.go) ranks those that are left. The rules are pure: the time and the source of
-// randomness are passed in.
+// Package balance selects the instance that receives a call. Selection has two stages, as in a
+// scheduler: a filter (filter.go) removes the instances that cannot or should not receive the call,
+// then a scoring function (cost.go or load.go) ranks the remaining ones. The rules are pure
+// functions: the time and the source of randomness are parameters.
 //
-// A daemon's own observations (calls in flight, service times, failures) weigh more than
-// what instances report, and both more than what lists say, because reports and lists lag
-// or mislead.
+// Observations of this daemon (calls in flight, service times, failures) have more weight than
+// values reported by instances, and both have more weight than endpoint lists, because reports and
+// lists can be stale or wrong.
 //
-// The package owns, for each instance of each service, the observations of this daemon, in
-// memory only: they are lost when the daemon restarts. It has no goroutines, connections or
-// files. It relies on its callers for the endpoints (Balancer.Update, from the distribution
-// plane), for the configuration in force (package snapshot) and for a note of each outcome
-// (the methods of Target).
+// The package holds this daemon's observations of each instance of each service. They are kept in
+// memory only and are lost when the daemon restarts. The package starts no goroutines and opens no
+// connections or files. Callers supply the endpoints (Balancer.Update, from the distribution
+// plane), the configuration in force (package snapshot) and the outcome of each call (the methods
+// of Target).
 //
-// What must hold: no instance that a constraint forbids is ever chosen; suspicion alone never
-// empties a pool; repetitions with one idempotency key rank the instances in the same order
-// at every daemon.
+// Invariants: an instance that a constraint excludes is never selected; a pool is never emptied by
+// health checks alone; every daemon ranks the instances for an idempotency key in the same order.
 package balance
--- a/internal/requestpath/balance/estimate.go
+++ b/internal/requestpath/balance/estimate.go
@@ -5,94 +5,99 @@
 	"time"
 )
 
-// How fast estimates follow what is seen and fade.
+// Smoothing weights and decay time constants of the estimates.
 const (
-	// serviceSmoothing is the weight, 0 to 1, of the newest answer in a mean service time.
-	serviceSmoothing = 0.2
-	// serviceMemory is the time constant in which an instance's own mean gives way to that of
-	// all instances, so that one that was slow is tried again.
-	serviceMemory = 4 * time.Second
-	// spreadSmoothing is the weight of the newest answer in the spread of service times, and
-	// spreadMemory the time constant in which that is forgotten. The spread needs more answers
-	// than the mean: slower than serviceSmoothing and serviceMemory.
-	spreadSmoothing = 0.05
-	spreadMemory    = 30 * time.Second
-	// workSmoothing and workMemory are the same for service times divided by what the instance
-	// stated: what is left hardly changes.
+	// serviceTimeSmoothing is the weight, 0 to 1, of the newest answer in a mean service time.
+	serviceTimeSmoothing = 0.2
+	// serviceTimeDecay is the time constant with which the mean of one instance decays to the mean
+	// of all instances, so that an instance that was slow is tried again.
+	serviceTimeDecay = 4 * time.Second
+	// scvSmoothing is the weight of the newest answer in the squared coefficient of variation (SCV)
+	// of service times, and scvDecay the time constant of its decay. An SCV estimate needs more
+	// samples than a mean, so it adapts more slowly than serviceTimeSmoothing and serviceTimeDecay.
+	scvSmoothing = 0.05
+	scvDecay     = 30 * time.Second
+	// workSmoothing and workDecay are the same parameters for service times divided by the slowdown
+	// that the instance reports. That quotient hardly changes over time.
 	workSmoothing = 0.05
-	workMemory    = 30 * time.Second
-	// usualSpread is the squared deviation of a service time, in parts of its mean, where
-	// nothing was observed.
-	usualSpread = 0.1
-	// minSpread keeps an instance that seems to take always the same time from counting as
-	// certain; it also keeps lateness from dividing by 0. Below usualSpread.
-	minSpread = 0.01
-	// failureSmoothing is the weight of the newest attempt in the share of failures, and
-	// failureMemory the time constant in which that share is forgotten.
+	workDecay     = 30 * time.Second
+	// defaultSCV is the squared coefficient of variation that is assumed without observations.
+	defaultSCV = 0.1
+	// minSCV is the lower bound of the squared coefficient of variation, so that an instance with
+	// constant service times is not treated as deterministic. It also prevents a division by zero
+	// in lateness. It must be below defaultSCV.
+	minSCV = 0.01
+	// failureSmoothing is the weight of the newest attempt in the failure rate, and failureDecay
+	// the time constant of its decay.
 	failureSmoothing = 0.15
-	failureMemory    = 3 * time.Second
-	// maxRoutes bounds the routes whose service times are remembered for one instance; above the
-	// routes of a service.
+	failureDecay     = 3 * time.Second
+	// maxRoutes bounds the number of routes whose service times are kept for one instance. It is
+	// above the number of routes of a service.
 	maxRoutes = 64
 )
 
-// mean is a smoothed value with the time of its newest observation; its zero value is
-// without any.
-type mean struct {
+// ewma is an exponentially weighted moving average with the time of its newest observation. The
+// zero value holds no observation.
+type ewma struct {
 	value float64
 	at    time.Time
 }
 
-// add counts an observation with weight. What the mean has lost by age goes to the observation.
-func (m *mean) add(value, weight float64, memory time.Duration, now time.Time) {
-	*m = mean{value: value + (1-weight)*(m.faded(value, memory, now)-value), at: now}
+// add includes an observation with the given weight. The weight that the average lost by aging goes
+// to the observation.
+func (m *ewma) add(value, weight float64, timeConstant time.Duration, now time.Time) {
+	*m = ewma{value: value + (1-weight)*(m.decayed(value, timeConstant, now)-value), at: now}
 }
 
-// addOver counts an observation with weight. What the mean has lost by age goes to base.
-func (m *mean) addOver(base, value, weight float64, memory time.Duration, now time.Time) {
-	before := m.faded(base, memory, now)
-	*m = mean{value: before + weight*(value-before), at: now}
+// addWithBase includes an observation with the given weight. The weight that the average lost by
+// aging goes to base.
+func (m *ewma) addWithBase(base, value, weight float64, timeConstant time.Duration, now time.Time) {
+	before := m.decayed(base, timeConstant, now)
+	*m = ewma{value: before + weight*(value-before), at: now}
 }
 
-// faded returns the value weighed by what is left of it at its age, and other for the rest.
-func (m mean) faded(other float64, memory time.Duration, now time.Time) float64 {
+// decayed returns the weighted sum of the average and fallback. The weight of the average decays
+// exponentially with its age.
+func (m ewma) decayed(fallback float64, timeConstant time.Duration, now time.Time) float64 {
 	if m.at.IsZero() {
-		return other
+		return fallback
 	}
-	kept := math.Exp(-float64(now.Sub(m.at)) / float64(memory))
-	return kept*m.value + (1-kept)*other
+	kept := math.Exp(-float64(now.Sub(m.at)) / float64(timeConstant))
+	return kept*m.value + (1-kept)*fallback
 }
 
-// times returns the mean multiplied by a factor.
-func (m mean) times(factor float64) mean { return mean{value: m.value * factor, at: m.at} }
+// scaled returns the average multiplied by a factor.
+func (m ewma) scaled(factor float64) ewma { return ewma{value: m.value * factor, at: m.at} }
 
-// serviceTime is what is known of the time that calls of one route take at an instance.
+// serviceTime holds the service time estimates of one route at one instance.
 type serviceTime struct {
-	// mean is in seconds, spread the squared deviation from it in parts of it.
-	mean, spread mean
-	// work and workSpread are the same of the service times divided by what the instance stated
-	// (package worktime).
-	work, workSpread mean
+	// mean is the mean service time in seconds, and scv the squared coefficient of variation.
+	mean, scv ewma
+	// work and workSCV are the same estimates for service times divided by the slowdown that the
+	// instance reports (package worktime).
+	work, workSCV ewma
 }
 
-// add counts the time of one call.
+// add records the service time of one call.
 func (s *serviceTime) add(seconds float64, now time.Time) {
-	s.spread.addDeviation(seconds, s.mean, now)
-	s.mean.add(seconds, serviceSmoothing, serviceMemory, now)
+	s.scv.addSquaredDeviation(seconds, s.mean, now)
+	s.mean.add(seconds, serviceTimeSmoothing, serviceTimeDecay, now)
 }
 
-// addWork counts the time of one call divided by what the instance stated. That is the same at all
-// instances but for what none states, so that it may follow more slowly.
+// addWork records the service time of one call divided by the reported slowdown. Except for
+// influences that no instance reports, the quotient is the same at all instances, so its average
+// may adapt more slowly.
 func (s *serviceTime) addWork(seconds float64, now time.Time) {
-	s.workSpread.addDeviation(seconds, s.work, now)
-	s.work.add(seconds, workSmoothing, workMemory, now)
+	s.workSCV.addSquaredDeviation(seconds, s.work, now)
+	s.work.add(seconds, workSmoothing, workDecay, now)
 }
 
-// addDeviation counts in a spread how far a time is from the mean so far.
-func (m *mean) addDeviation(seconds float64, from mean, now time.Time) {
+// addSquaredDeviation records the squared relative deviation of a service time from the mean so
+// far.
+func (m *ewma) addSquaredDeviation(seconds float64, from ewma, now time.Time) {
 	if from.at.IsZero() || from.value <= 0 {
 		return
 	}
 	deviation := seconds/from.value - 1
-	m.addOver(usualSpread, deviation*deviation, spreadSmoothing, spreadMemory, now)
+	m.addWithBase(defaultSCV, deviation*deviation, scvSmoothing, scvDecay, now)
 }
--- a/internal/requestpath/balance/filter.go
+++ b/internal/requestpath/balance/filter.go
@@ -6,34 +6,35 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// filter is the first stage of a choice: it returns the instances that may get the call, at
-// least one. It looks at these conditions in this order:
+// filter is the first stage of the selection. It returns the instances that may receive the call,
+// at least one. It checks these conditions in this order:
 //
-//  1. not tried before for this call (Choice.Exclude);
-//  2. each constraint of the call (constraint.go). Where one takes the last instance the call
-//     is refused, since a constraint is never weighed against anything;
-//  3. in service: neither drained or retired by operators nor draining by itself;
-//  4. healthy: neither suspect by its daemon's heartbeats nor ejected by this daemon's own
-//     observations (health.go). Where no instance is healthy the doubtful ones are used, so
-//     that suspicion, which may be wrong, never empties a pool.
+//  1. the instance was not tried before for this call (Choice.Exclude);
+//  2. each constraint of the call (constraint.go). If one excludes the last instance, the call
+//     is refused, because a constraint is never relaxed;
+//  3. the instance is in service: neither drained or retired by operators nor draining itself;
+//  4. the instance is healthy: neither suspected because of missing heartbeats nor ejected by
+//     outlier detection (health.go). If no instance is healthy, the unhealthy ones are used, so
+//     that a false suspicion never empties a pool.
 //
-// Constraints come before health, so that a doubtful instance that is allowed goes before a
-// healthy one that is not. Errors: CallNoEndpoint with the time to come back.
+// Constraints are checked before health, so an unhealthy instance that a constraint allows is
+// preferred to a healthy one that it excludes. It returns CallNoEndpoint with a retry time if no
+// instance remains.
 func (s *selector) filter(targets []*Target) ([]*Target, error) {
-	untried := without(targets, s.choice.Exclude)
-	allowed, err := meetAll(untried, s.choice.Constraints)
+	untried := excluding(targets, s.choice.Exclude)
+	allowed, err := satisfying(untried, s.choice.Constraints)
 	if err != nil {
-		return nil, refusedByConstraint(s.service, err)
+		return nil, constraintRefusal(s.service, err)
 	}
-	candidates := s.healthiest(allowed)
+	candidates := s.preferHealthy(allowed)
 	if len(candidates) == 0 {
-		return nil, refusedWithoutInstance(s.service)
+		return nil, noInstanceRefusal(s.service)
 	}
 	return candidates, nil
 }
 
-// without returns the targets that are not excluded.
-func without(targets, exclude []*Target) []*Target {
+// excluding returns the targets that are not in exclude.
+func excluding(targets, exclude []*Target) []*Target {
 	if len(exclude) == 0 {
 		return targets
 	}
@@ -46,36 +47,36 @@
 	return kept
 }
 
-// meetAll returns the targets that meet all constraints. Errors: *ConstraintError when
-// there were some and none is left.
-func meetAll(targets []*Target, constraints []Constraint) ([]*Target, error) {
-	left := targets
-	for _, condition := range constraints {
+// satisfying returns the targets that meet all constraints. It returns a *ConstraintError if a
+// constraint excludes the last of them.
+func satisfying(targets []*Target, constraints []Constraint) ([]*Target, error) {
+	remaining := targets
+	for _, constraint := range constraints {
 		var meeting []*Target
-		for _, target := range left {
-			if condition.Allows(target.Endpoint) {
+		for _, target := range remaining {
+			if constraint.Allows(target.Endpoint) {
 				meeting = append(meeting, target)
 			}
 		}
-		if len(left) > 0 && len(meeting) == 0 {
-			return nil, &ConstraintError{Constraint: condition.Name, Instances: len(targets)}
+		if len(remaining) > 0 && len(meeting) == 0 {
+			return nil, &ConstraintError{Constraint: constraint.Name, Instances: len(targets)}
 		}
-		left = meeting
+		remaining = meeting
 	}
-	return left, nil
+	return remaining, nil
 }
 
-// healthiest returns the healthy instances in service, and where there are none the
-// doubtful ones.
-func (s *selector) healthiest(targets []*Target) []*Target {
+// preferHealthy returns the healthy instances in service, or the unhealthy ones if there are no
+// healthy ones.
+func (s *selector) preferHealthy(targets []*Target) []*Target {
 	healthy := make([]*Target, 0, len(targets))
-	var doubtful []*Target
+	var unhealthy []*Target
 	for _, target := range targets {
 		if !s.inService(target) {
 			continue
 		}
-		if isDoubtful(target.Endpoint.GetState(), target.ejected(s.now)) {
-			doubtful = append(doubtful, target)
+		if isUnhealthy(target.Endpoint.GetState(), target.ejected(s.now)) {
+			unhealthy = append(unhealthy, target)
 			continue
 		}
 		healthy = append(healthy, target)
@@ -83,10 +84,11 @@
 	if len(healthy) > 0 {
 		return healthy
 	}
-	return doubtful
+	return unhealthy
 }
 
-// inService reports whether operators and the instance itself let it take new work.
+// inService reports whether an instance accepts new work: it is neither drained or retired by
+// operators nor draining itself.
 func (s *selector) inService(target *Target) bool {
 	return s.service.TakesNewWork(target.Endpoint.GetInstance()) && target.Endpoint.GetState() != lapisv1.Endpoint_STATE_DRAINING
 }
--- a/internal/requestpath/balance/health.go
+++ b/internal/requestpath/balance/health.go
@@ -6,42 +6,42 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Outlier detection: an instance that several attempts in a row could not reach, or that broke
-// off, is ejected for a time that doubles with each further failure. Any answer ends the row,
-// also a failure that the instance answers itself: that one only raises its cost (cost.go),
-// because an instance that fails 40 calls in 100 answers too often to be ejected.
+// Outlier detection: an instance with several consecutive failures to connect, or interrupted
+// answers, is ejected for a time that doubles with each further failure. Any answer resets the
+// count, including an error answered by the instance itself. Such an error only raises the cost
+// (cost.go), because an instance that fails 40 calls in 100 answers too often to be ejected.
 const (
-	// ejectAfter is the number of failures in a row that eject an instance. It is above 1, so that
-	// one broken connection ejects nobody.
-	ejectAfter = 3
-	// ejectBase and ejectMax bound the time of an ejection. The base must be longer than a failed
-	// dial is remembered (callmux, 200 ms), or the call that tries the instance again would only
-	// meet the remembered failure.
-	ejectBase = time.Second
-	ejectMax  = 30 * time.Second
-	// ejectDoublings bounds how often the time doubles, so that the shift does not overflow;
-	// ejectMax is reached before.
-	ejectDoublings = 10
-	// soundShare is the share of failures, 0 to 1, below which an instance counts as sound. It is
-	// above 0, since failures fade and never quite reach it, and far below the 0.4 of an instance
-	// that fails part of its calls (docs/design/0012).
-	soundShare = 0.1
+	// ejectThreshold is the number of consecutive failures that ejects an instance. It is above 1,
+	// so that a single broken connection does not eject an instance.
+	ejectThreshold = 3
+	// baseEjection and maxEjection bound the duration of an ejection. baseEjection must be longer
+	// than a failed dial is cached (package callmux, 200 ms), or the call that probes the instance
+	// would only get the cached failure.
+	baseEjection = time.Second
+	maxEjection  = 30 * time.Second
+	// maxEjectionDoublings bounds the number of doublings, so that the shift does not overflow. The
+	// duration reaches maxEjection before this bound.
+	maxEjectionDoublings = 10
+	// maxHealthyFailureRate is the failure rate, 0 to 1, below which an instance counts as healthy
+	// in MostlySound. It is above 0, because a decayed failure rate never quite reaches 0, and far
+	// below the 0.4 of an instance that fails part of its calls (docs/design/0012).
+	maxHealthyFailureRate = 0.1
 )
 
-// ejectionFor returns how long an instance is ejected after so many failures in a row, 0 for
-// not at all.
-func ejectionFor(failures int) time.Duration {
-	if failures < ejectAfter {
+// ejectionDuration returns how long an instance is ejected after the given number of consecutive
+// failures; 0 means that it is not ejected.
+func ejectionDuration(failures int) time.Duration {
+	if failures < ejectThreshold {
 		return 0
 	}
-	return min(ejectBase<<min(failures-ejectAfter, ejectDoublings), ejectMax)
+	return min(baseEjection<<min(failures-ejectThreshold, maxEjectionDoublings), maxEjection)
 }
 
-// mostlySound reports whether so many sound instances are more than half of all.
-func mostlySound(sound, all int) bool { return 2*sound > all }
+// majorityHealthy reports whether more than half of the instances are healthy.
+func majorityHealthy(healthy, total int) bool { return 2*healthy > total }
 
-// isDoubtful reports whether an instance should get calls only where no healthy one is
-// left: heartbeats (its own, or its daemon's) are missing, or this daemon ejected it.
-func isDoubtful(state lapisv1.Endpoint_State, ejected bool) bool {
+// isUnhealthy reports whether an instance should receive calls only if no healthy one is left: its
+// own heartbeats or those of its daemon are missing, or this daemon ejected it.
+func isUnhealthy(state lapisv1.Endpoint_State, ejected bool) bool {
 	return state == lapisv1.Endpoint_STATE_SUSPECT || ejected
 }
--- a/internal/requestpath/balance/health_test.go
+++ b/internal/requestpath/balance/health_test.go
@@ -9,31 +9,32 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Two failures in a row eject nobody; from the third on the time doubles up to its most.
+// Checks that two consecutive failures do not eject an instance, and that from the third on the
+// duration doubles up to the maximum.
 func TestEjectionDoubles(t *testing.T) {
 	wanted := []time.Duration{0, 0, 0, 1, 2, 4, 8, 16, 30, 30}
 	for failures, seconds := range wanted {
-		assert.Equal(t, ejectionFor(failures), seconds*time.Second, "%d failures", failures)
+		assert.Equal(t, ejectionDuration(failures), seconds*time.Second, "%d failures", failures)
 	}
-	assert.Equal(t, ejectionFor(1_000_000), ejectMax)
+	assert.Equal(t, ejectionDuration(1_000_000), maxEjection)
 }
 
-// A suspect instance is doubtful, and so is an ejected one; one that drains is not: it is
-// out of service instead.
+// Checks that suspect and ejected instances are unhealthy. A draining instance is not: it is out of
+// service instead.
 func TestWhoIsDoubtful(t *testing.T) {
-	for state, doubtful := range map[lapisv1.Endpoint_State]bool{
+	for state, unhealthy := range map[lapisv1.Endpoint_State]bool{
 		lapisv1.Endpoint_STATE_READY:    false,
 		lapisv1.Endpoint_STATE_DRAINING: false,
 		lapisv1.Endpoint_STATE_SUSPECT:  true,
 	} {
-		assert.Equal(t, isDoubtful(state, false), doubtful, "%s", state)
-		assert.Assert(t, isDoubtful(state, true), "%s", state)
+		assert.Equal(t, isUnhealthy(state, false), unhealthy, "%s", state)
+		assert.Assert(t, isUnhealthy(state, true), "%s", state)
 	}
 }
 
-// A failure counts as that of one instance while more than half of its service are sound.
+// Checks that the majority is strict: half of the instances is not enough.
 func TestMostlySoundIsMoreThanHalf(t *testing.T) {
-	assert.Assert(t, mostlySound(2, 3))
-	assert.Assert(t, !mostlySound(1, 2))
-	assert.Assert(t, !mostlySound(0, 0))
+	assert.Assert(t, majorityHealthy(2, 3))
+	assert.Assert(t, !majorityHealthy(1, 2))
+	assert.Assert(t, !majorityHealthy(0, 0))
 }
--- a/internal/requestpath/balance/load.go
+++ b/internal/requestpath/balance/load.go
@@ -7,46 +7,48 @@
 	"github.com/lapisvane/lapisvane/internal/model/locality"
 )
 
-// Weights of the score by load.
+// Weights of the load score.
 const (
-	// reportWeight is the weight of the reported load, in calls per slot, against the calls in
-	// flight from here: these are certain, and the report includes them again. It is below 1.
+	// reportWeight is the weight of the reported load, in calls per slot, relative to the calls in
+	// flight from this daemon. It is below 1, because the calls in flight are known exactly and the
+	// report includes them again.
 	reportWeight = 0.5
-	// zonePenalty is how many calls per slot more an instance of the own zone may have than one of
-	// another zone before the other goes first. It is below 1, so that an instance with all slots
-	// taken does not go before an idle one of another zone.
+	// zonePenalty is the load in calls per slot that is added to an instance of another zone. It is
+	// below 1, so that an idle instance of another zone is preferred to a fully loaded one of the
+	// own zone.
 	zonePenalty = 0.75
-	// regionPenalty is the same against another region: zonePenalty as the prices of the bytes are.
-	regionPenalty = zonePenalty * regionPriceRatio
+	// regionPenalty is the corresponding penalty for another region. It is larger than zonePenalty
+	// by the ratio of the traffic prices.
+	regionPenalty = zonePenalty * crossRegionPriceRatio
 )
 
-// loadState is what the score by load knows of an instance.
+// loadState is the input of the load score for one instance.
 type loadState struct {
-	// slots is what runs at once, inFlight the calls there from this daemon now.
+	// slots is the number of calls that the instance runs concurrently. inFlight is the number of
+	// calls that this daemon currently has there.
 	slots, inFlight float64
 	// cold is true while the instance reports that it is cold.
 	cold bool
-	// reported is the load in calls per slot that its daemon reported, 0 where that is older
-	// than reportLifetime.
-	reported float64
-	// age is the time since its slow start began.
-	age time.Duration
+	// reportedLoad is the load in calls per slot that the daemon of the instance reported; 0 if the
+	// report is older than reportLifetime.
+	reportedLoad float64
+	// slowStartAge is the time since the slow start began.
+	slowStartAge time.Duration
 }
 
-// loadScore returns the expected load per slot after one more call, weighed by what is known
-// of warmth; less is better.
-func loadScore(seen loadState) float64 {
-	load := (seen.inFlight + 1) / seen.slots
-	if seen.cold {
+// loadScore returns the expected load per slot after one more call, raised for a cold instance and
+// for one in slow start; lower is better.
+func loadScore(state loadState) float64 {
+	load := (state.inFlight + 1) / state.slots
+	if state.cold {
 		load *= coldFactor
 	}
-	load += reportWeight * seen.reported
-	return load / slowStartShare(seen.age)
+	load += reportWeight * state.reportedLoad
+	return load / slowStartShare(state.slowStartAge)
 }
 
-// penaltyOf returns how many calls per slot more a nearer instance may have than one of the
-// tier.
-func penaltyOf(tier locality.Tier) float64 {
+// localityPenalty returns the load in calls per slot that is added to instances of the given tier.
+func localityPenalty(tier locality.Tier) float64 {
 	switch tier {
 	case locality.OwnZone:
 		return 0
@@ -57,9 +59,9 @@
 	}
 }
 
-// leastLoaded returns the better of two random instances of each locality, and of these the
-// nearest one unless it is clearly more loaded (penaltyOf). Two at random, because daemons
-// that see the same loads would otherwise all choose the same instance.
+// leastLoaded picks one instance of each locality tier by power of two choices, and returns the one
+// with the lowest score including localityPenalty. Random sampling keeps daemons that see the same
+// loads from all selecting the same instance.
 func (s *selector) leastLoaded(candidates []*Target) *Target {
 	var tiers [locality.OtherRegion + 1][]*Target
 	for _, target := range candidates {
@@ -67,20 +69,20 @@
 		tiers[tier] = append(tiers[tier], target)
 	}
 	var best *Target
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for tier, targets := range tiers {
-		target, score := s.betterOfTwo(targets)
-		score += penaltyOf(locality.Tier(tier))
-		if score < least {
-			best, least = target, score
+		target, score := s.powerOfTwoChoices(targets)
+		score += localityPenalty(locality.Tier(tier))
+		if score < lowest {
+			best, lowest = target, score
 		}
 	}
 	return best
 }
 
-// betterOfTwo returns the better of two random targets with its score, nil and infinity
-// where there are none.
-func (s *selector) betterOfTwo(targets []*Target) (*Target, float64) {
+// powerOfTwoChoices returns the target with the lower score of two random ones, and that score.
+// Without targets it returns nil and infinity.
+func (s *selector) powerOfTwoChoices(targets []*Target) (*Target, float64) {
 	if len(targets) == 0 {
 		return nil, math.Inf(1)
 	}
--- a/internal/requestpath/balance/pick_bench_test.go
+++ b/internal/requestpath/balance/pick_bench_test.go
@@ -8,8 +8,7 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
 )
 
-// BenchmarkPick is what the choice of an instance costs a call, by the kind of route and
-// the size of the pool.
+// BenchmarkPick measures the selection of an instance for several kinds of routes and pool sizes.
 func BenchmarkPick(b *testing.B) {
 	for name, row := range map[string]struct {
 		instances int
@@ -27,9 +26,9 @@
 				zones[index] = []string{"a", "b", "c"}[index%3]
 			}
 			p := newPool(zones...)
-			for _, seen := range p.Targets("desk") {
-				seen.Answered(route, serviceTime, p.clock.now)
-				seen.Reported(0.5, p.clock.now)
+			for _, instance := range p.Targets("desk") {
+				instance.Answered(route, serviceTime, p.clock.now)
+				instance.Reported(0.5, p.clock.now)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/requestpath/balance/reference_test.go
+++ b/internal/requestpath/balance/reference_test.go
@@ -18,8 +18,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// referenceSelector is the choice of an instance without separate stages, which the selector is
-// compared with. It shares the estimates, the constraints and the constants with the selector.
+// referenceSelector is a single-stage implementation of the selection that the selector is compared
+// with. It shares the estimates, the constraints and the constants with the selector.
 type referenceSelector struct {
 	node   string
 	place  locality.Place
@@ -29,17 +29,17 @@
 
 func (b *referenceSelector) pick(targets []*Target, service *snapshot.Service, choice Choice) (*Target, error) {
 	name := service.Bundle.GetPool().GetName()
-	untried := without(targets, choice.Exclude)
+	untried := excluding(targets, choice.Exclude)
 	allowed, err := referenceFilter(untried, choice.Constraints)
 	if err != nil {
-		refusal := result.Errorf(result.CallNoEndpoint, "no instance of %s may get the call", name)
+		refusal := result.Errorf(result.CallNoEndpoint, "no instance of %s meets the constraints of the call", name)
 		refusal.Cause = err
 		refusal.RetryAfter = 5 * time.Second
 		return nil, refusal
 	}
 	candidates := b.candidates(service, allowed)
 	if len(candidates) == 0 {
-		refusal := result.Errorf(result.CallNoEndpoint, "no instance of %s may take the call", name)
+		refusal := result.Errorf(result.CallNoEndpoint, "no instance of %s is available", name)
 		refusal.RetryAfter = time.Second
 		return nil, refusal
 	}
@@ -57,32 +57,32 @@
 }
 
 func referenceFilter(targets []*Target, constraints []Constraint) ([]*Target, error) {
-	left := targets
-	for _, condition := range constraints {
+	remaining := targets
+	for _, constraint := range constraints {
 		var meeting []*Target
-		for _, target := range left {
-			if condition.Allows(target.Endpoint) {
+		for _, target := range remaining {
+			if constraint.Allows(target.Endpoint) {
 				meeting = append(meeting, target)
 			}
 		}
-		if len(left) > 0 && len(meeting) == 0 {
-			return nil, &ConstraintError{Constraint: condition.Name, Instances: len(targets)}
+		if len(remaining) > 0 && len(meeting) == 0 {
+			return nil, &ConstraintError{Constraint: constraint.Name, Instances: len(targets)}
 		}
-		left = meeting
+		remaining = meeting
 	}
-	return left, nil
+	return remaining, nil
 }
 
 func (b *referenceSelector) candidates(service *snapshot.Service, targets []*Target) []*Target {
 	healthy := make([]*Target, 0, len(targets))
-	var doubtful []*Target
+	var unhealthy []*Target
 	for _, target := range targets {
 		state := target.Endpoint.GetState()
 		if !service.TakesNewWork(target.Endpoint.GetInstance()) || state == lapisv1.Endpoint_STATE_DRAINING {
 			continue
 		}
 		if state == lapisv1.Endpoint_STATE_SUSPECT || b.now.Before(target.ejectedUntil) {
-			doubtful = append(doubtful, target)
+			unhealthy = append(unhealthy, target)
 			continue
 		}
 		healthy = append(healthy, target)
@@ -90,7 +90,7 @@
 	if len(healthy) > 0 {
 		return healthy
 	}
-	return doubtful
+	return unhealthy
 }
 
 func (b *referenceSelector) subset(candidates []*Target, coldRate float64) []*Target {
@@ -101,33 +101,33 @@
 	slices.SortFunc(ranked, func(x, y *Target) int {
 		return cmp.Compare(rendezvous.Score(b.node, x.Endpoint.GetInstance()), rendezvous.Score(b.node, y.Endpoint.GetInstance()))
 	})
-	near, far := b.byRegion(ranked)
-	farPart := min(otherRegionPart, len(far))
-	nearPart := min(subsetSize-min(farPart, subsetSize/4), len(near))
-	chosen := append(b.nearSubset(near, nearPart), far[:max(farPart, min(subsetSize-nearPart, len(far)))]...)
+	ownRegion, otherRegions := b.splitByRegion(ranked)
+	otherCount := min(otherRegionSize, len(otherRegions))
+	ownCount := min(subsetSize-min(otherCount, subsetSize/4), len(ownRegion))
+	chosen := append(b.ownRegionSubset(ownRegion, ownCount), otherRegions[:max(otherCount, min(subsetSize-ownCount, len(otherRegions)))]...)
 	if coldRate > 0 {
-		referenceWithWarm(chosen, without(ranked, chosen), b.now)
+		referenceReplaceCold(chosen, excluding(ranked, chosen), b.now)
 	}
 	return chosen
 }
 
-func (b *referenceSelector) byRegion(targets []*Target) (near, far []*Target) {
+func (b *referenceSelector) splitByRegion(targets []*Target) (ownRegion, otherRegions []*Target) {
 	for _, target := range targets {
 		if b.tierOf(target.Endpoint) == locality.OtherRegion {
-			far = append(far, target)
+			otherRegions = append(otherRegions, target)
 		} else {
-			near = append(near, target)
+			ownRegion = append(ownRegion, target)
 		}
 	}
-	return near, far
+	return ownRegion, otherRegions
 }
 
-func (b *referenceSelector) nearSubset(near []*Target, count int) []*Target {
-	localPart := count * 3 / 4
+func (b *referenceSelector) ownRegionSubset(ownRegion []*Target, count int) []*Target {
+	ownZoneCount := count * 3 / 4
 	chosen := make([]*Target, 0, subsetSize)
 	var rest []*Target
-	for _, target := range near {
-		if target.Endpoint.GetZone() == b.place.Zone && len(chosen) < localPart {
+	for _, target := range ownRegion {
+		if target.Endpoint.GetZone() == b.place.Zone && len(chosen) < ownZoneCount {
 			chosen = append(chosen, target)
 			continue
 		}
@@ -136,19 +136,19 @@
 	return append(chosen, rest[:count-len(chosen)]...)
 }
 
-func referenceWithWarm(chosen, rest []*Target, now time.Time) {
+func referenceReplaceCold(chosen, rest []*Target, now time.Time) {
 	var cold []int
-	for place, target := range chosen {
-		if now.Before(target.warmAt) {
-			cold = append(cold, place)
+	for index, target := range chosen {
+		if now.Before(target.coldUntil) {
+			cold = append(cold, index)
 		}
 	}
-	missing := leastWarm - (len(chosen) - len(cold))
+	missing := minWarm - (len(chosen) - len(cold))
 	for _, target := range rest {
 		if missing <= 0 || len(cold) == 0 {
 			return
 		}
-		if now.Before(target.warmAt) {
+		if now.Before(target.coldUntil) {
 			continue
 		}
 		last := len(cold) - 1
@@ -163,99 +163,99 @@
 }
 
 func (b *referenceSelector) cheapest(candidates []*Target, slots, coldRate float64, choice Choice) *Target {
-	conditions := make([]referenceCondition, len(candidates))
+	states := make([]referenceState, len(candidates))
 	for index, target := range candidates {
-		conditions[index] = referenceConditionOf(target, choice.Route, b.tierOf(target.Endpoint), slots, coldRate, b.now)
+		states[index] = referenceStateOf(target, choice.Route, b.tierOf(target.Endpoint), slots, coldRate, b.now)
 	}
 	target := choice.TargetLatency.Seconds()
-	left := target - choice.Spent.Seconds()
-	spread := referenceTypicalSpread(conditions, b.now)
-	typical, known := referenceTypicalService(conditions)
+	remaining := target - choice.Spent.Seconds()
+	scv := referenceMeanSCV(states, b.now)
+	routeServiceTime, known := referenceMeanServiceTime(states)
 	if !known {
-		typical = target / 4
+		routeServiceTime = target / 4
 	}
 	var best *Target
-	least := math.Inf(1)
-	for index, seen := range conditions {
-		total, service := seen.expected(typical, b.now)
-		total += roundTripOf(seen.tier)
-		late := lateness(service, spread, left-(total-service))
-		cost := total/target + late*latenessCost + seen.failures*failureCost + choiceNoise*b.random.Float64()
-		cost += crossingOf(seen.tier, choice.Bytes)
-		if cost < least {
-			least = cost
+	lowest := math.Inf(1)
+	for index, state := range states {
+		total, service := state.expected(routeServiceTime, b.now)
+		total += networkRTT(state.tier)
+		late := lateness(service, scv, remaining-(total-service))
+		cost := total/target + late*latenessCost + state.failures*failureCost + costJitter*b.random.Float64()
+		cost += localityCost(state.tier, choice.Bytes)
+		if cost < lowest {
+			lowest = cost
 			best = candidates[index]
 		}
 	}
 	return best
 }
 
-type referenceCondition struct {
-	known, spread          mean
-	load, slots, failures  float64
-	cold                   bool
-	tier                   locality.Tier
-	coldRate, refusedAfter float64
+type referenceState struct {
+	known, scv                     ewma
+	load, slots, failures          float64
+	cold                           bool
+	tier                           locality.Tier
+	coldRate, coldRejectionSeconds float64
 }
 
-func referenceConditionOf(t *Target, route string, tier locality.Tier, slots, coldRate float64, now time.Time) referenceCondition {
+func referenceStateOf(t *Target, route string, tier locality.Tier, slots, coldRate float64, now time.Time) referenceState {
 	if stated := t.Endpoint.GetSlots(); stated > 0 {
 		slots = float64(stated)
 	}
-	seen := referenceCondition{
-		slots: slots, tier: tier, cold: now.Before(t.warmAt),
-		failures: t.failure.faded(0, failureMemory, now), coldRate: coldRate,
-		refusedAfter: max(t.refusedUntil.Sub(now).Seconds(), 0),
+	state := referenceState{
+		slots: slots, tier: tier, cold: now.Before(t.coldUntil),
+		failures: t.failureRate.decayed(0, failureDecay, now), coldRate: coldRate,
+		coldRejectionSeconds: max(t.refusedUntil.Sub(now).Seconds(), 0),
 	}
-	if service, ok := t.services[route]; ok {
-		seen.known = service.mean
-		seen.spread = service.spread
+	if service, ok := t.serviceTimes[route]; ok {
+		state.known = service.mean
+		state.scv = service.scv
 	}
-	seen.load = float64(t.inFlight.Load())
+	state.load = float64(t.inFlight.Load())
 	if age := now.Sub(t.reportedAt); age < reportLifetime {
-		others := max(t.reported*slots-float64(t.reportedOwn), 0)
-		seen.load += others * (1 - float64(age)/float64(reportLifetime))
+		others := max(t.reportedLoad*slots-float64(t.reportedInFlight), 0)
+		state.load += others * (1 - float64(age)/float64(reportLifetime))
 	}
-	return seen
+	return state
 }
 
-func (c referenceCondition) expected(typical float64, now time.Time) (total, service float64) {
-	service = c.known.faded(typical, serviceMemory, now)
+func (c referenceState) expected(routeServiceTime float64, now time.Time) (total, service float64) {
+	service = c.known.decayed(routeServiceTime, serviceTimeDecay, now)
 	if c.cold {
 		service *= coldFactor
 	}
-	used := (c.load + 1) / c.slots
-	if used > almostFull {
-		service *= 1 + fullSlowdown*min((used-almostFull)/(1-almostFull), 1)
+	utilization := (c.load + 1) / c.slots
+	if utilization > slowdownUtilization {
+		service *= 1 + maxUtilizationSlowdown*min((utilization-slowdownUtilization)/(1-slowdownUtilization), 1)
 	}
 	if c.cold && c.coldRate > 0 {
 		capacity := min(c.slots, max(1, c.coldRate*service))
 		waiting := max(c.load+1-capacity, 0)
-		return service + max(waiting/c.coldRate, c.refusedAfter), service
+		return service + max(waiting/c.coldRate, c.coldRejectionSeconds), service
 	}
 	waiting := max(c.load+1-c.slots, 0)
 	return service * (1 + waiting/c.slots), service
 }
 
-func referenceTypicalSpread(conditions []referenceCondition, now time.Time) float64 {
+func referenceMeanSCV(states []referenceState, now time.Time) float64 {
 	sum, count := 0.0, 0
-	for _, seen := range conditions {
-		if !seen.spread.at.IsZero() {
-			sum += seen.spread.faded(usualSpread, spreadMemory, now)
+	for _, state := range states {
+		if !state.scv.at.IsZero() {
+			sum += state.scv.decayed(defaultSCV, scvDecay, now)
 			count++
 		}
 	}
 	if count == 0 {
-		return usualSpread
+		return defaultSCV
 	}
 	return sum / float64(count)
 }
 
-func referenceTypicalService(conditions []referenceCondition) (seconds float64, ok bool) {
+func referenceMeanServiceTime(states []referenceState) (seconds float64, ok bool) {
 	sum, count := 0.0, 0
-	for _, seen := range conditions {
-		if !seen.known.at.IsZero() {
-			sum += seen.known.value
+	for _, state := range states {
+		if !state.known.at.IsZero() {
+			sum += state.known.value
 			count++
 		}
 	}
@@ -272,18 +272,18 @@
 		tiers[tier] = append(tiers[tier], target)
 	}
 	var best *Target
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for tier, targets := range tiers {
-		target, score := b.betterOfTwo(targets, slots)
-		score += penaltyOf(locality.Tier(tier))
-		if score < least {
-			best, least = target, score
+		target, score := b.powerOfTwoChoices(targets, slots)
+		score += localityPenalty(locality.Tier(tier))
+		if score < lowest {
+			best, lowest = target, score
 		}
 	}
 	return best
 }
 
-func (b *referenceSelector) betterOfTwo(targets []*Target, slots float64) (*Target, float64) {
+func (b *referenceSelector) powerOfTwoChoices(targets []*Target, slots float64) (*Target, float64) {
 	if len(targets) == 0 {
 		return nil, math.Inf(1)
 	}
@@ -304,33 +304,34 @@
 		slots = float64(stated)
 	}
 	load := float64(t.inFlight.Load()+1) / slots
-	if now.Before(t.warmAt) {
+	if now.Before(t.coldUntil) {
 		load *= coldFactor
 	}
 	if now.Sub(t.reportedAt) < reportLifetime {
-		load += reportWeight * t.reported
+		load += reportWeight * t.reportedLoad
 	}
 	age := now.Sub(t.slowStartAt)
 	if age < slowStartWindow {
-		load /= slowStartFloor + (1-slowStartFloor)*float64(age)/float64(slowStartWindow)
+		load /= slowStartMinShare + (1-slowStartMinShare)*float64(age)/float64(slowStartWindow)
 	}
 	return load
 }
 
-// referenceInputs is the number of generated choices that both are asked for.
+// referenceInputs is the number of random inputs that both implementations are compared on.
 const referenceInputs = 20_000
 
-// On generated pools, observations and calls the selector chooses and refuses as the reference does.
+// Checks that the selector selects and refuses like the reference on random pools, observations and
+// calls.
 func TestChoicesAreThoseOfTheFormerForm(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(referenceInputs) {
-		drawn := &drawn{Rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0)}
-		targets, service := drawn.targets(), drawn.service()
-		choice := drawn.choice(targets)
-		place := locality.Place{Zone: "z0", Region: drawn.either("", "r0")}
-		reference := &referenceSelector{node: "node", place: place, now: drawn.now, random: rand.New(rand.NewPCG(seed, 2))}
+		generator := &generator{Rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0)}
+		targets, service := generator.targets(), generator.service()
+		choice := generator.choice(targets)
+		place := locality.Place{Zone: "z0", Region: generator.either("", "r0")}
+		reference := &referenceSelector{node: "node", place: place, now: generator.now, random: rand.New(rand.NewPCG(seed, 2))}
 		current := &selector{
-			daemon: "node", place: place, service: service, choice: choice, now: drawn.now, random: rand.New(rand.NewPCG(seed, 2)),
+			daemon: "node", place: place, service: service, choice: choice, now: generator.now, random: rand.New(rand.NewPCG(seed, 2)),
 		}
 		wanted, wantedErr := reference.pick(targets, service, choice)
 		chosen, err := current.pick(targets)
@@ -338,7 +339,7 @@
 		assert.DeepEqual(t, err, wantedErr)
 		outcomes[outcomeOf(choice, err)]++
 	}
-	// Each way through the rule was taken often.
+	// Each branch of the rule must be covered often.
 	for _, outcome := range []string{"by key", "by cost", "by load", "constrained", "no instance"} {
 		assert.Assert(t, outcomes[outcome] > referenceInputs/100, "%v", outcomes)
 	}
@@ -359,35 +360,35 @@
 	}
 }
 
-// drawn generates inputs of a choice.
-type drawn struct {
+// generator generates random inputs of a selection.
+type generator struct {
 	*rand.Rand
 	now time.Time
-	// cold is the share of instances that stated lately that they are cold.
+	// cold is the fraction of instances that recently reported that they are cold.
 	cold float64
 }
 
-// chance reports true that often.
-func (d *drawn) chance(share float64) bool { return d.Float64() < share }
+// chance returns true with the given probability.
+func (d *generator) chance(share float64) bool { return d.Float64() < share }
 
-func (d *drawn) either(one, other string) string {
+func (d *generator) either(one, other string) string {
 	if d.chance(0.5) {
 		return one
 	}
 	return other
 }
 
-// around returns a time up to span before or after now.
-func (d *drawn) around(span time.Duration) time.Time {
+// around returns a random time up to span before or after now.
+func (d *generator) around(span time.Duration) time.Time {
 	return d.now.Add(time.Duration((2*d.Float64() - 1) * float64(span)))
 }
 
-// ago returns a time up to span before now.
-func (d *drawn) ago(span time.Duration) time.Time {
+// ago returns a random time up to span before now.
+func (d *generator) ago(span time.Duration) time.Time {
 	return d.now.Add(-time.Duration(d.Float64() * float64(span)))
 }
 
-func (d *drawn) service() *snapshot.Service {
+func (d *generator) service() *snapshot.Service {
 	pool := &lapisv1.Pool{Name: "desk", Slots: uint32(d.IntN(8))}
 	if d.chance(0.5) {
 		pool.ColdCallsPerSecond = 10 * d.Float64()
@@ -399,7 +400,7 @@
 	return service
 }
 
-func (d *drawn) targets() []*Target {
+func (d *generator) targets() []*Target {
 	d.cold = []float64{0.3, 1}[d.IntN(2)]
 	targets := make([]*Target, d.IntN([]int{3, 10, 30}[d.IntN(3)]))
 	for index := range targets {
@@ -408,7 +409,7 @@
 	return targets
 }
 
-func (d *drawn) target(index int) *Target {
+func (d *generator) target(index int) *Target {
 	target := &Target{
 		Endpoint: &lapisv1.Endpoint{
 			Service: "desk", Instance: fmt.Sprint("desk-", index), Zone: fmt.Sprint("z", d.IntN(4)),
@@ -424,7 +425,7 @@
 	}
 	target.inFlight.Store(int64(d.IntN(12)))
 	if d.chance(d.cold) {
-		target.warmAt = d.now.Add(time.Duration((3.2*d.Float64() - 0.2) * float64(time.Second)))
+		target.coldUntil = d.now.Add(time.Duration((3.2*d.Float64() - 0.2) * float64(time.Second)))
 	}
 	if d.chance(0.2) {
 		target.refusedUntil = d.around(time.Second)
@@ -433,22 +434,22 @@
 		target.ejectedUntil = d.around(time.Second)
 	}
 	if d.chance(0.5) {
-		target.reported, target.reportedOwn, target.reportedAt = 2*d.Float64(), int64(d.IntN(6)), d.ago(2*reportLifetime)
+		target.reportedLoad, target.reportedInFlight, target.reportedAt = 2*d.Float64(), int64(d.IntN(6)), d.ago(2*reportLifetime)
 	}
 	if d.chance(0.3) {
-		target.failure = mean{value: d.Float64(), at: d.ago(2 * failureMemory)}
+		target.failureRate = ewma{value: d.Float64(), at: d.ago(2 * failureDecay)}
 	}
 	if d.chance(0.7) {
-		known := &serviceTime{mean: mean{value: 0.001 + d.Float64(), at: d.ago(2 * serviceMemory)}}
+		known := &serviceTime{mean: ewma{value: 0.001 + d.Float64(), at: d.ago(2 * serviceTimeDecay)}}
 		if d.chance(0.7) {
-			known.spread = mean{value: d.Float64(), at: d.ago(2 * spreadMemory)}
+			known.scv = ewma{value: d.Float64(), at: d.ago(2 * scvDecay)}
 		}
-		target.services = map[string]*serviceTime{"route": known}
+		target.serviceTimes = map[string]*serviceTime{"route": known}
 	}
 	return target
 }
 
-func (d *drawn) choice(targets []*Target) Choice {
+func (d *generator) choice(targets []*Target) Choice {
 	choice := Choice{Route: "route", Bytes: float64(d.IntN(40_000))}
 	if d.chance(0.2) {
 		choice.Key = fmt.Sprint("key-", d.IntN(100))
--- a/internal/requestpath/balance/relations_test.go
+++ b/internal/requestpath/balance/relations_test.go
@@ -8,23 +8,22 @@
 	"github.com/lapisvane/lapisvane/internal/model/locality"
 )
 
-// The constants of the rules hang together; each line fails when one of its two sides is
-// moved past the other.
+// Checks the required relations between constants.
 func TestConstantsHangTogether(t *testing.T) {
-	// Chance alone sends no call to another zone, nor to another region at usual targets.
-	assert.Assert(t, choiceNoise <= crossingBase)
-	between := crossingOf(locality.OtherRegion, 0) - crossingOf(locality.OwnRegion, 0)
-	assert.Assert(t, between+roundTripOf(locality.OtherRegion)/1.3 >= choiceNoise)
-	// An instance that fails alone in its zone costs more than the way to the next one.
-	assert.Assert(t, failureCost > crossingOf(locality.OwnRegion, 5000))
+	// Jitter alone sends no call to another zone, nor to another region at usual target latencies.
+	assert.Assert(t, costJitter <= crossZoneBase)
+	between := localityCost(locality.OtherRegion, 0) - localityCost(locality.OwnRegion, 0)
+	assert.Assert(t, between+networkRTT(locality.OtherRegion)/1.3 >= costJitter)
+	// A failing instance that is alone in its zone costs more than a healthy one of another zone.
+	assert.Assert(t, failureCost > localityCost(locality.OwnRegion, 5000))
 	assert.Assert(t, latenessCost == failureCost)
-	// A region is further than a zone in each respect.
+	// A region costs more than a zone in every respect.
 	assert.Assert(t, regionPenalty > zonePenalty && zonePenalty < 1)
-	assert.Assert(t, crossingOf(locality.OtherRegion, 30_000) > crossingOf(locality.OwnRegion, 30_000))
-	// Ejections grow from the base to the most, before the shift is bounded.
-	assert.Assert(t, ejectBase<<ejectDoublings > ejectMax)
-	// Whoever was refused for an order comes back later than who met an empty pool.
+	assert.Assert(t, localityCost(locality.OtherRegion, 30_000) > localityCost(locality.OwnRegion, 30_000))
+	// Ejections reach the maximum duration before the number of doublings is bounded.
+	assert.Assert(t, baseEjection<<maxEjectionDoublings > maxEjection)
+	// A call that a constraint refused retries later than one that found an empty pool.
 	assert.Assert(t, constrainedRetryAfter > noInstanceRetryAfter)
-	assert.Assert(t, otherRegionTaken < otherRegionPart && otherRegionPart < subsetSize && leastWarm < subsetSize)
-	assert.Assert(t, minSpread < usualSpread && spreadMemory > serviceMemory && spreadSmoothing < serviceSmoothing)
+	assert.Assert(t, otherRegionReserved < otherRegionSize && otherRegionSize < subsetSize && minWarm < subsetSize)
+	assert.Assert(t, minSCV < defaultSCV && scvDecay > serviceTimeDecay && scvSmoothing < serviceTimeSmoothing)
 }
--- a/internal/requestpath/balance/slowstart.go
+++ b/internal/requestpath/balance/slowstart.go
@@ -7,30 +7,30 @@
 )
 
 // Slow start has two forms. An instance may report how long it stays cold (with each heartbeat,
-// announced as cold_millis): it counts as slower by coldFactor until then, and as a queue of
-// limited rate where its pool sets one (expected.go). Of any other instance that is new this
-// daemon assumes slowStartWindow; that form counts in the score by load only, because the score by
-// cost knows service times instead.
+// announced as cold_millis). Until then it counts as slower by coldFactor, and as a rate-limited
+// queue if its pool sets a rate (expected.go). For any other new instance this daemon assumes
+// slowStartWindow. That form affects the load score only, because the cost score uses service times
+// instead.
 const (
-	// slowStartWindow is how long a new instance that reports no slots gets a growing part of the
-	// calls.
+	// slowStartWindow is the time during which the share of calls of a new instance that reports no
+	// slots grows to its full value.
 	slowStartWindow = 10 * time.Second
-	// slowStartFloor is the part of the calls, 0 to 1, that such an instance gets at first. It is
-	// above 0, or the load of a new instance would be infinite.
-	slowStartFloor = 0.1
-	// coldFactor is how many times as loaded, or as slow, an instance counts while it reports that
-	// it is cold. It is above 1, so that warm ones go first.
+	// slowStartMinShare is the share of calls, 0 to 1, at the start of the window. It is above 0,
+	// or the load score of a new instance would be infinite.
+	slowStartMinShare = 0.1
+	// coldFactor is the factor by which the load or the service time of an instance is multiplied
+	// while it reports that it is cold. It is above 1, so that warm instances are preferred.
 	coldFactor = 2
 )
 
-// slowStartOf returns when the slow start of a new incarnation began. It keeps the time of the
-// earlier incarnation (known, or nil). Instances that are there when this daemon starts count as
-// warm, since most were there before; so do those that report their slots, which also report how
-// long they are cold.
-func slowStartOf(known *Target, endpoint *lapisv1.Endpoint, created, now time.Time) time.Time {
+// slowStartTime returns the time at which the slow start of a new incarnation began. If there is a
+// previous incarnation, its time is kept. Instances that are present when this daemon starts count
+// as warm, because most of them were running before. Instances that report their slots also count
+// as warm, because they report how long they stay cold.
+func slowStartTime(previous *Target, endpoint *lapisv1.Endpoint, created, now time.Time) time.Time {
 	switch {
-	case known != nil:
-		return known.slowStartAt
+	case previous != nil:
+		return previous.slowStartAt
 	case now.Sub(created) < slowStartWindow, endpoint.GetSlots() > 0:
 		return now.Add(-slowStartWindow)
 	default:
@@ -38,11 +38,11 @@
 	}
 }
 
-// slowStartShare returns the part of the calls, slowStartFloor to 1, that an instance gets at
-// an age.
+// slowStartShare returns the share of calls, slowStartMinShare to 1, of an instance of the given
+// age.
 func slowStartShare(age time.Duration) float64 {
 	if age >= slowStartWindow {
 		return 1
 	}
-	return slowStartFloor + (1-slowStartFloor)*float64(age)/float64(slowStartWindow)
+	return slowStartMinShare + (1-slowStartMinShare)*float64(age)/float64(slowStartWindow)
 }
--- a/internal/requestpath/balance/slowstart_test.go
+++ b/internal/requestpath/balance/slowstart_test.go
@@ -9,14 +9,14 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Only an instance that appears later, without an earlier incarnation and without slots of its
-// own, is in a slow start that this daemon assumes.
+// Checks that slow start is assumed only for an instance that appears after the daemon's start, has
+// no previous incarnation and does not report its slots.
 func TestWhoIsInASlowStart(t *testing.T) {
 	created := time.Unix(1000, 0)
 	later := created.Add(slowStartWindow)
 	started := later.Add(-time.Second)
 	for name, row := range map[string]struct {
-		known    *Target
+		previous *Target
 		slots    uint32
 		now      time.Time
 		startsAt time.Time
@@ -25,20 +25,20 @@
 		"there when the daemon began": {now: later.Add(-1), startsAt: later.Add(-1 - slowStartWindow)},
 		"reports its slots":           {slots: 6, now: later, startsAt: later.Add(-slowStartWindow)},
 		"an earlier incarnation": {
-			known: &Target{observations: &observations{slowStartAt: started}}, slots: 6, now: later, startsAt: started,
+			previous: &Target{observations: &observations{slowStartAt: started}}, slots: 6, now: later, startsAt: started,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			startsAt := slowStartOf(row.known, &lapisv1.Endpoint{Slots: row.slots}, created, row.now)
+			startsAt := slowStartTime(row.previous, &lapisv1.Endpoint{Slots: row.slots}, created, row.now)
 			assert.Equal(t, startsAt, row.startsAt)
 		})
 	}
 }
 
-// A new instance gets a tenth of the calls at first, all after its slow start, and never less
-// as it grows older.
+// Checks that the share of a new instance starts at slowStartMinShare, never decreases and is 1
+// after the slow start.
 func TestSlowStartShareGrows(t *testing.T) {
-	assert.Equal(t, slowStartShare(0), slowStartFloor)
+	assert.Equal(t, slowStartShare(0), slowStartMinShare)
 	assert.Equal(t, slowStartShare(slowStartWindow), 1.0)
 	before := 0.0
 	for age := time.Duration(0); age <= 2*slowStartWindow; age += slowStartWindow / 50 {
--- a/internal/requestpath/balance/subset.go
+++ b/internal/requestpath/balance/subset.go
@@ -11,27 +11,27 @@
 
 // Sizes of a subset, in instances.
 const (
-	// subsetSize is the number of instances of one service that a daemon uses, so that its
-	// connections stay few. Not more than the links that a daemon keeps for each service (8 in
-	// package fleet), since instances without a link cannot be reached.
+	// subsetSize is the number of instances of one service that a daemon uses, so that it keeps few
+	// connections. It must not exceed the number of links that a daemon keeps for each service (8
+	// in package fleet), because instances without a link cannot be reached.
 	subsetSize = 8
-	// otherRegionPart is the number of instances of other regions in a subset, as far as
-	// there are any, for spill-over.
-	otherRegionPart = subsetSize / 2
-	// otherRegionTaken is how many of otherRegionPart take the place of one of the own region; the
-	// others come on top. It is below otherRegionPart.
-	otherRegionTaken = subsetSize / 4
-	// leastWarm is the number of warm instances in a subset, if there are so many: as many as are
-	// there for spill-over.
-	leastWarm = subsetSize / 4
+	// otherRegionSize is the number of instances of other regions in a subset, if there are that
+	// many. They receive calls that spill over from the own region.
+	otherRegionSize = subsetSize / 2
+	// otherRegionReserved is the number of instances of other regions that replace instances of the
+	// own region; the rest of otherRegionSize is added to the subset. It is below otherRegionSize.
+	otherRegionReserved = subsetSize / 4
+	// minWarm is the number of warm instances in a subset, if there are that many. It equals
+	// otherRegionReserved.
+	minWarm = subsetSize / 4
 )
 
-// subset returns at most subsetSize candidates, chosen by a hash of this daemon and the instance, so
-// that daemons spread evenly and a change of one instance changes little. Instances of the own
-// zone come first, up to three quarters, then those of the own region. Where there are other
-// regions, otherRegionPart are from there, and the subset may be larger by otherRegionPart -
-// otherRegionTaken. Where a pool limits the rate of cold instances, at least leastWarm are warm if
-// there are so many.
+// subset returns the candidates that this daemon uses, usually at most subsetSize. They are
+// selected by a hash of the daemon and the instance, so that daemons spread evenly and a change of
+// one instance changes little. Up to three quarters are of the own zone; the others are of the rest
+// of the own region. If there are other regions, otherRegionSize instances are from there, and the
+// subset may be larger by otherRegionSize - otherRegionReserved. If the pool limits the rate of
+// cold instances, at least minWarm of the selected instances are warm, if there are that many.
 func (s *selector) subset(candidates []*Target) []*Target {
 	if len(candidates) <= subsetSize {
 		return candidates
@@ -40,37 +40,37 @@
 	slices.SortFunc(ranked, func(x, y *Target) int {
 		return cmp.Compare(rendezvous.Score(s.daemon, x.Endpoint.GetInstance()), rendezvous.Score(s.daemon, y.Endpoint.GetInstance()))
 	})
-	near, far := s.byRegion(ranked)
-	farPart := min(otherRegionPart, len(far))
-	nearPart := min(subsetSize-min(farPart, otherRegionTaken), len(near))
-	farPart = max(farPart, min(subsetSize-nearPart, len(far)))
-	chosen := append(s.nearSubset(near, nearPart), far[:farPart]...)
+	ownRegion, otherRegions := s.splitByRegion(ranked)
+	otherCount := min(otherRegionSize, len(otherRegions))
+	ownCount := min(subsetSize-min(otherCount, otherRegionReserved), len(ownRegion))
+	otherCount = max(otherCount, min(subsetSize-ownCount, len(otherRegions)))
+	chosen := append(s.ownRegionSubset(ownRegion, ownCount), otherRegions[:otherCount]...)
 	if s.coldRate() > 0 {
-		replaceCold(chosen, without(ranked, chosen), s.now)
+		replaceCold(chosen, excluding(ranked, chosen), s.now)
 	}
 	return chosen
 }
 
-// byRegion parts the targets into those of the own region and those of others.
-func (s *selector) byRegion(targets []*Target) (near, far []*Target) {
+// splitByRegion splits the targets into those of the own region and those of other regions.
+func (s *selector) splitByRegion(targets []*Target) (ownRegion, otherRegions []*Target) {
 	for _, target := range targets {
 		if s.tierOf(target) == locality.OtherRegion {
-			far = append(far, target)
+			otherRegions = append(otherRegions, target)
 		} else {
-			near = append(near, target)
+			ownRegion = append(ownRegion, target)
 		}
 	}
-	return near, far
+	return ownRegion, otherRegions
 }
 
-// nearSubset returns so many targets of the own region: up to three quarters are the first
-// ones of the own zone, the others the first ones of what is left.
-func (s *selector) nearSubset(near []*Target, count int) []*Target {
-	localPart := count * 3 / 4
+// ownRegionSubset returns the given number of targets of the own region: up to three quarters are
+// the first ones of the own zone, the others the first ones of the remaining targets.
+func (s *selector) ownRegionSubset(ownRegion []*Target, count int) []*Target {
+	ownZoneCount := count * 3 / 4
 	chosen := make([]*Target, 0, subsetSize)
 	var rest []*Target
-	for _, target := range near {
-		if target.Endpoint.GetZone() == s.place.Zone && len(chosen) < localPart {
+	for _, target := range ownRegion {
+		if target.Endpoint.GetZone() == s.place.Zone && len(chosen) < ownZoneCount {
 			chosen = append(chosen, target)
 			continue
 		}
@@ -79,17 +79,17 @@
 	return append(chosen, rest[:count-len(chosen)]...)
 }
 
-// replaceCold puts warm instances of the rest in the place of the last cold ones, until
-// leastWarm of those chosen are warm or no warm one is left.
+// replaceCold replaces the last cold instances in chosen with warm instances of rest, until minWarm
+// instances are warm or no warm one is left.
 func replaceCold(chosen, rest []*Target, now time.Time) {
-	// Each is read once: a heartbeat may change the state meanwhile.
+	// The state of each target is read only once, because a heartbeat may change it concurrently.
 	var cold []int
-	for place, target := range chosen {
+	for index, target := range chosen {
 		if target.cold(now) {
-			cold = append(cold, place)
+			cold = append(cold, index)
 		}
 	}
-	missing := leastWarm - (len(chosen) - len(cold))
+	missing := minWarm - (len(chosen) - len(cold))
 	for _, target := range rest {
 		if missing <= 0 || len(cold) == 0 {
 			return
--- a/internal/requestpath/balance/subset_test.go
+++ b/internal/requestpath/balance/subset_test.go
@@ -16,7 +16,7 @@
 	"github.com/lapisvane/lapisvane/internal/model/snapshot"
 )
 
-// referenceSubset is the choice without regions.
+// referenceSubset is the subset algorithm without regions.
 func referenceSubset(node, zone string, candidates []*Target) []*Target {
 	if len(candidates) <= subsetSize {
 		return candidates
@@ -36,16 +36,16 @@
 	return append(chosen, rest[:subsetSize-len(chosen)]...)
 }
 
-// selectorAt returns a selector of a daemon at a place for a pool whose cold instances are
-// admitted coldRate calls a second.
+// selectorAt returns a selector of the named daemon in the given zone and region, for a pool whose
+// cold instances are admitted coldRate calls per second.
 func selectorAt(daemon, zone, region string, now time.Time, coldRate float64) *selector {
 	return &selector{
-		daemon: daemon, place: locality.Place{Zone: zone, Region: region}, now: now, random: processRandom{},
+		daemon: daemon, place: locality.Place{Zone: zone, Region: region}, now: now, random: globalRandom{},
 		service: &snapshot.Service{Bundle: &lapisv1.Bundle{Pool: &lapisv1.Pool{Name: "desk", Slots: 6, ColdCallsPerSecond: coldRate}}},
 	}
 }
 
-func placed(region string, count int) []*Target {
+func targetsIn(region string, count int) []*Target {
 	var targets []*Target
 	for index := range count {
 		targets = append(targets, &Target{Endpoint: &lapisv1.Endpoint{
@@ -55,12 +55,13 @@
 	return targets
 }
 
-// Where all instances are of one region, or none is known, the subset is that of the reference.
+// Checks that the subset equals that of the reference if all instances are in one region or their
+// regions are unknown.
 func TestSubsetOfOneRegionIsAsBefore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		region := rapid.SampledFrom([]string{"", "r1"}).Draw(t, "region")
 		node := rapid.StringMatching("node-[0-9]{3}").Draw(t, "node")
-		targets := placed(region, rapid.IntRange(0, 40).Draw(t, "instances"))
+		targets := targetsIn(region, rapid.IntRange(0, 40).Draw(t, "instances"))
 		made := selectorAt(node, region+"-0", "r1", time.Now(), 0)
 		assert.DeepEqual(t, instances(made.subset(targets)), instances(referenceSubset(node, region+"-0", targets)))
 	})
@@ -74,13 +75,13 @@
 	return names
 }
 
-// The own region has most of a subset, other regions a few places, and all that the own
-// one leaves free.
+// Checks that a subset holds mostly instances of the own region, a few of other regions, and more
+// of those if the own region has too few.
 func TestSubsetAcrossRegions(t *testing.T) {
 	for own, others := range map[int]int{0: 8, 3: 5, 6: 4, 30: 4} {
 		made := selectorAt("node", "r1-0", "r1", time.Now(), 0)
 		foreign := 0
-		chosen := made.subset(append(placed("r2", 30), placed("r1", own)...))
+		chosen := made.subset(append(targetsIn("r2", 30), targetsIn("r1", own)...))
 		assert.Equal(t, len(chosen), min(own, subsetSize*3/4)+others)
 		for _, target := range chosen {
 			if target.Endpoint.GetRegion() != "r1" {
--- a/internal/requestpath/balance/version.go
+++ b/internal/requestpath/balance/version.go
@@ -6,8 +6,8 @@
 	"github.com/lapisvane/lapisvane/internal/model/rollout"
 )
 
-// OfVersion allows the instances whose version an attempt may go to while a roll-out of their
-// service moves its calls.
+// OfVersion returns a constraint that allows the instances of the version that was chosen for an
+// attempt during a rollout of the service.
 func OfVersion(choice rollout.Choice) Constraint {
 	return Constraint{Name: choice.Name, Allows: choice.Allows}
 }
--- a/internal/requestpath/balance/work_test.go
+++ b/internal/requestpath/balance/work_test.go
@@ -11,7 +11,7 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
 )
 
-// An instance that states nothing is judged as if nothing could be stated.
+// Checks that an instance that reports no slowdown is treated as if the feature did not exist.
 func TestInstanceThatStatesNothingIsJudgedByItsAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		silent, plain := newPool("a"), newPool("a")
@@ -27,8 +27,9 @@
 	})
 }
 
-// What an instance states is held against its answers: one that states always the same is used by
-// how it answers, whatever that is, and one that states what is so is left while it is slow.
+// Checks that reported slowdowns are validated against service times: an instance whose reports do
+// not explain its service times is judged by these alone, and an instance that is slow receives
+// fewer calls whether it reports it or not.
 func TestStatementsAgainstAnswers(t *testing.T) {
 	answer := func(p *pool, chosen *balance.Target, percent uint32, took time.Duration) {
 		chosen.Reported(0, p.clock.now)
@@ -36,9 +37,9 @@
 		chosen.Answered(route, took, p.clock.now)
 	}
 	for name, row := range map[string]struct {
-		percent     func() uint32
-		took        time.Duration
-		least, most float64
+		percent            func() uint32
+		took               time.Duration
+		minShare, maxShare float64
 	}{
 		"always ten times, and as quick as the others": {func() uint32 { return 1000 }, serviceTime, 0.1, 0.4},
 		"always as usual, and three times as slow":     {func() uint32 { return 100 }, 3 * serviceTime, 0, 0.1},
@@ -55,15 +56,16 @@
 				}
 				answer(p, chosen, 100, serviceTime)
 			})
-			assert.Assert(t, share >= row.least && share <= row.most, "%.3f", share)
+			assert.Assert(t, share >= row.minShare && share <= row.maxShare, "%.3f", share)
 		})
 	}
 }
 
-// The failure: an instance that always states ten times the usual, and answers as quickly as the others,
-// got no calls for over a minute. The order of events: it was believed, it got no call for 0.2 s by
-// chance, and from then on looked slower with each moment. The cause: what is known of it is in units of
-// its own statements, and faded into what is known of the others, which is not.
+// Guards against an instance losing all calls for over a minute because it always reports ten times
+// the usual time while it answers as quickly as the others. Its reports were trusted, it received
+// no call for 0.2 s by chance, and from then on its estimate
+// rose: it is in units of the reports of that instance and decayed to the estimate of the other
+// instances, which is in different units.
 func TestInstanceThatAlwaysStatesTheSameIsNotLeft(t *testing.T) {
 	for _, percent := range []uint32{10, 50, 300, 1000} {
 		p := newPool("a", "a", "a", "a")
@@ -89,6 +91,6 @@
 			p.clock.now = p.clock.now.Add(5 * time.Millisecond)
 		}
 		share := p.share(t, "desk-0", answer)
-		assert.Assert(t, share >= 0.1 && share <= 0.4, "stating %d it got %.3f", percent, share)
+		assert.Assert(t, share >= 0.1 && share <= 0.4, "reporting %d percent: share is %.3f", percent, share)
 	}
 }
