--- a/internal/requestpath/balance/target.go
+++ b/internal/requestpath/balance/target.go
@@ -45,7 +45,7 @@
 	serviceTimes map[string]*serviceTime
 	failureRate  ewma
 	// work tracks the slowdown that the instance reports.
-	work worktime.Statements
+	work worktime.Tracker
 }
 
 // setColdUntil records how much longer the instance reports that it is cold.
@@ -120,8 +120,8 @@
 // recordServiceTime records a service time and uses it to validate the slowdown that the instance
 // reports. The caller must hold mutex.
 func (o *observations) recordServiceTime(estimate *serviceTime, seconds float64, now time.Time) {
-	if ratio, stated := o.work.RatioAt(now); stated {
-		o.work.Judge(seconds, estimate.work.value*ratio, estimate.mean.value)
+	if ratio, reported := o.work.ReportedRatio(now); reported {
+		o.work.RecordServiceTime(seconds, estimate.work.value*ratio, estimate.mean.value)
 		estimate.addWork(seconds/ratio, now)
 	}
 	estimate.add(seconds, now)
@@ -141,11 +141,11 @@
 func (t *Target) Work(now time.Time) (percent float64, age time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	at, ok := t.work.Newest()
+	at, ok := t.work.LatestTime()
 	if !ok {
 		return 0, 0
 	}
-	return worktime.AsUsual * t.work.RatioNow(now), now.Sub(at)
+	return worktime.UsualPercent * t.work.CurrentRatio(now), now.Sub(at)
 }
 
 // AnsweredFailure records that the instance answered a call with an error. Its time does not count
@@ -242,14 +242,14 @@
 	}
 	if service, ok := t.serviceTimes[route]; ok {
 		state.serviceTime, state.scv = service.mean, service.scv
-		if t.work.Believed() {
+		if t.work.Trusted() {
 			// Only normalized times can be compared between instances, because each instance may
 			// report its slowdown relative to a different usual time.
-			state.serviceTime = service.work.scaled(t.work.LastingRatio())
+			state.serviceTime = service.work.scaled(t.work.BaselineRatio())
 			state.scv, state.normalized = service.workSCV, true
 		}
 	}
-	state.transientSlowdown = t.work.Deviation(now) - 1
+	state.transientSlowdown = t.work.TransientRatio(now) - 1
 	if age := now.Sub(t.reportedAt); age < reportLifetime {
 		// The weight of the calls of other daemons decreases with the age of the report.
 		others := max(t.reportedLoad*slots-float64(t.reportedInFlight), 0)
--- a/internal/requestpath/worktime/doc.go
+++ b/internal/requestpath/worktime/doc.go
@@ -1,12 +1,13 @@
-// Package worktime follows what an instance states of how long work takes there at a moment.
+// Package worktime tracks the slowdown that an instance reports: the current service time of work
+// there as a percentage of what is usual in its service.
 //
-// Four things make an answer long: the work of its route, an instance that is slow for good, what
-// passes (other programs on the instance's machine), and the wait for a slot. An instance that states
-// how long work takes there, as a percentage of what is usual in its service, tells the second and
-// the third together. Package balance divides service times by it, so that what is left is the work
-// of the route, which the answers of all instances tell; and it expects the time of the next call from
-// that work and the newest statement, which fades by its age to what the instance mostly states.
+// Four factors determine the response time of a call: the work of its route, the permanent speed of
+// the instance, transient load (other programs on the machine of the instance), and the wait for a
+// slot. A report covers the second and the third factor together. Package balance divides service
+// times by the reported slowdown. The quotient is the work of the route, which is estimated from
+// the answers of all instances. The service time of the next call is predicted from that work and
+// the newest report, whose weight decays with its age to the baseline of the instance.
 //
-// What must hold: an instance that states nothing is judged by its answers alone; so is one whose
-// statements explain its service times worse than none would.
+// Invariant: an instance that reports nothing is judged by its service times alone, and so is an
+// instance whose reports predict its service times worse than no reports would.
 package worktime
--- a/internal/requestpath/worktime/statements.go
+++ b/internal/requestpath/worktime/statements.go
@@ -6,160 +6,161 @@
 )
 
 const (
-	// AsUsual is what an instance states, in percent, while work takes as long there as it usually
-	// does in its service.
-	AsUsual = 100
-	// leastPercent and mostPercent bound what is believed of a statement.
-	leastPercent = 10
-	mostPercent  = 10_000
-	// lastingStep is the factor by which a statement moves at most what counts as lasting: what
-	// passes hardly moves it, and what is always stated becomes it.
-	lastingStep = 1.05
-	// lastingMemory is the time constant in which an instance that is not heard of counts as any
-	// other again, so that it is tried.
-	lastingMemory = 30 * time.Second
-	// changeSmoothing is the weight of the newest statement in what is known of how fast they
-	// change.
-	changeSmoothing = 0.1
-	// trustSmoothing is the weight of the newest answer in what is known of how well statements
-	// explain service times. These vary more by themselves, so that it takes many of them.
+	// UsualPercent is the report of an instance whose service times are as usual in its service.
+	UsualPercent = 100
+	// minPercent and maxPercent are the bounds to which a report is clamped.
+	minPercent = 10
+	maxPercent = 10_000
+	// maxBaselineStep is the maximum factor by which one report changes the baseline. Transient
+	// slowdowns hardly change it, and a value that is always reported becomes the baseline.
+	maxBaselineStep = 1.05
+	// stalenessDecay is the time constant with which an instance without new reports returns to the
+	// usual slowdown, so that it is tried again.
+	stalenessDecay = 30 * time.Second
+	// predictionSmoothing is the weight of the newest report in the prediction errors.
+	predictionSmoothing = 0.1
+	// trustSmoothing is the weight of the newest answer in the errors that decide on trust, once
+	// there are many answers. Service times vary for other reasons too, so it takes many answers.
 	trustSmoothing = 0.02
-	// mistrustAbove is how many times as large the error with the statements must be as that
-	// without them for an instance not to be believed; above 1, since chance makes either larger.
-	mistrustAbove = 1.2
-	// errorAssumed is both errors before the first answers, as if it had been found with
-	// answersAssumed of them: service times of one route vary by about as much, and a few answers by
-	// chance must not decide.
-	errorAssumed   = 0.5
-	answersAssumed = 10
-	// answersNeeded is the number of answers from which statements count: by the first few an instance
-	// that states anything could look so slow that it gets no further call to be judged by.
-	answersNeeded = 16
+	// maxErrorRatio is the maximum ratio of the error with the reports to the error without them
+	// for an instance to be trusted. It is above 1, because either error may be larger by chance.
+	maxErrorRatio = 1.2
+	// priorError is the initial value of both errors, with the weight of priorAnswers answers.
+	// Service times of one route vary by about that much, and a few answers must not decide by
+	// chance.
+	priorError   = 0.5
+	priorAnswers = 10
+	// minAnswers is the number of answers after which reports are used. Otherwise the first few
+	// answers of an instance with arbitrary reports could make it look so slow that it receives no
+	// further call to be judged by.
+	minAnswers = 16
 )
 
-// statementMemories are the times in which a statement may lose what it says, of which the one
-// that foretells the next statement best is used. The rate of change is that of the machines'
-// other work, which nobody states.
-var statementMemories = [...]time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second}
-
-// Statements is what an instance states of how long work takes there, with what shows whether
-// that is so. The zero value is of an instance that states nothing. It is not safe for concurrent use.
-type Statements struct {
-	// lasting is what is mostly stated, and latest the newest statement, in percent, at its time;
-	// that is zero before the first.
-	lasting, latest float64
-	at              time.Time
-	// missed are the smoothed squared errors, in parts of lasting, with which each of
-	// statementMemories foretold the next statement.
-	missed [len(statementMemories)]float64
-	// believing and doubting are the smoothed squared errors of the logarithm of service times
-	// that were expected with the statements and without.
-	believing, doubting float64
-	// judged is the number of answers in these errors, up to where older ones are forgotten.
-	judged float64
+// decayCandidates are the possible time constants with which the newest report decays. The one that
+// predicts the next report best is used. The best value depends on how fast the other load of the
+// machines changes, which no instance reports.
+var decayCandidates = [...]time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second}
+
+// Tracker holds the slowdown that an instance reports and the errors that show whether the reports
+// are accurate. The zero value is an instance that reports nothing. It is not safe for concurrent
+// use.
+type Tracker struct {
+	// baseline is the slowdown that is usually reported, and latest the newest report, both in
+	// percent. at is the time of the newest report, zero before the first.
+	baseline, latest float64
+	at               time.Time
+	// predictionErrors are the smoothed squared errors, relative to baseline, with which each of
+	// decayCandidates predicted the next report.
+	predictionErrors [len(decayCandidates)]float64
+	// errorWith and errorWithout are the smoothed squared errors of the logarithm of the service
+	// times that were predicted with and without the reports.
+	errorWith, errorWithout float64
+	// answers is the number of answers in these errors, up to the number at which old answers are
+	// forgotten.
+	answers float64
 }
 
-// Add counts a statement made at the given time; 0 percent stands for none, and one older than the
-// newest is passed over.
-func (s *Statements) Add(percent uint32, at time.Time) {
+// Add records a report made at the given time. It ignores 0 percent, which means no report, and a
+// report that is not newer than the latest one.
+func (s *Tracker) Add(percent uint32, at time.Time) {
 	if percent == 0 || !at.After(s.at) {
 		return
 	}
-	stated := min(max(float64(percent), leastPercent), mostPercent)
+	reported := min(max(float64(percent), minPercent), maxPercent)
 	if s.at.IsZero() {
-		s.lasting = stated
-		s.believing, s.doubting, s.judged = errorAssumed, errorAssumed, answersAssumed
+		s.baseline = reported
+		s.errorWith, s.errorWithout, s.answers = priorError, priorError, priorAnswers
 	} else {
-		s.noteChange(stated, at)
+		s.recordPredictionErrors(reported, at)
 	}
-	s.lasting = min(max(stated, s.lasting/lastingStep), s.lasting*lastingStep)
-	s.latest, s.at = stated, at
+	s.baseline = min(max(reported, s.baseline/maxBaselineStep), s.baseline*maxBaselineStep)
+	s.latest, s.at = reported, at
 }
 
-// noteChange counts how well each memory would have foretold a statement.
-func (s *Statements) noteChange(stated float64, at time.Time) {
-	for index, memory := range statementMemories {
-		error := (stated - s.expected(memory, at)) / s.lasting
-		s.missed[index] += changeSmoothing * (error*error - s.missed[index])
+// recordPredictionErrors records how well each of decayCandidates predicted a report.
+func (s *Tracker) recordPredictionErrors(reported float64, at time.Time) {
+	for index, timeConstant := range decayCandidates {
+		relativeError := (reported - s.predicted(timeConstant, at)) / s.baseline
+		s.predictionErrors[index] += predictionSmoothing * (relativeError*relativeError - s.predictionErrors[index])
 	}
 }
 
-// expected returns what would be stated now, in percent, if statements faded in memory.
-func (s *Statements) expected(memory time.Duration, now time.Time) float64 {
-	return s.lasting + s.kept(memory, now)*(s.latest-s.lasting)
+// predicted returns the predicted report at now, in percent, if reports decay with timeConstant.
+func (s *Tracker) predicted(timeConstant time.Duration, now time.Time) float64 {
+	return s.baseline + s.remainingWeight(timeConstant, now)*(s.latest-s.baseline)
 }
 
-// kept returns the part of the newest statement, 0 to 1, that is left of it at its age.
-func (s *Statements) kept(memory time.Duration, now time.Time) float64 {
-	return math.Exp(-float64(max(now.Sub(s.at), 0)) / float64(memory))
+// remainingWeight returns the weight, 0 to 1, of the newest report at its age.
+func (s *Tracker) remainingWeight(timeConstant time.Duration, now time.Time) float64 {
+	return math.Exp(-float64(max(now.Sub(s.at), 0)) / float64(timeConstant))
 }
 
-// memory returns the time in which statements fade.
-func (s *Statements) memory() time.Duration {
+// timeConstant returns the one of decayCandidates with the smallest prediction error.
+func (s *Tracker) timeConstant() time.Duration {
 	best := 0
-	for index, missed := range s.missed {
-		if missed < s.missed[best] {
+	for index, squaredError := range s.predictionErrors {
+		if squaredError < s.predictionErrors[best] {
 			best = index
 		}
 	}
-	return statementMemories[best]
+	return decayCandidates[best]
 }
 
-// Believed reports whether there are statements that explained the service times of answersNeeded
-// answers no worse than none.
-func (s *Statements) Believed() bool {
-	return s.judged >= answersAssumed+answersNeeded && s.believing <= mistrustAbove*s.doubting
+// Trusted reports whether there were at least minAnswers answers and the reports predicted their
+// service times about as well as, or better than, no reports would.
+func (s *Tracker) Trusted() bool {
+	return s.answers >= priorAnswers+minAnswers && s.errorWith <= maxErrorRatio*s.errorWithout
 }
 
-// Newest returns the time of the newest statement; ok is false before the first.
-func (s *Statements) Newest() (at time.Time, ok bool) { return s.at, !s.at.IsZero() }
+// LatestTime returns the time of the newest report; ok is false before the first.
+func (s *Tracker) LatestTime() (at time.Time, ok bool) { return s.at, !s.at.IsZero() }
 
-// RatioAt returns how many times as long as usual work took by the statement made at the given time;
-// stated is false, and the ratio 1, where that is not the newest one.
-func (s *Statements) RatioAt(at time.Time) (ratio float64, stated bool) {
+// ReportedRatio returns the slowdown that was reported at the given time, as a factor of the usual
+// service time. If that is not the newest report, the ratio is 1 and reported is false.
+func (s *Tracker) ReportedRatio(at time.Time) (ratio float64, reported bool) {
 	if s.at.IsZero() || !s.at.Equal(at) {
 		return 1, false
 	}
-	return s.latest / AsUsual, true
+	return s.latest / UsualPercent, true
 }
 
-// RatioNow returns how many times as long as usual work takes now, as far as the statements still
-// tell; 1 where they are not believed.
-func (s *Statements) RatioNow(now time.Time) float64 {
-	if !s.Believed() {
+// CurrentRatio returns the predicted current slowdown as a factor of the usual service time; 1 if
+// the reports are not trusted.
+func (s *Tracker) CurrentRatio(now time.Time) float64 {
+	if !s.Trusted() {
 		return 1
 	}
-	return 1 + s.kept(lastingMemory, now)*(s.expected(s.memory(), now)/AsUsual-1)
+	return 1 + s.remainingWeight(stalenessDecay, now)*(s.predicted(s.timeConstant(), now)/UsualPercent-1)
 }
 
-// LastingRatio returns how many times as long as usual work mostly takes, as the instance states it; 1
-// where that is not believed.
-func (s *Statements) LastingRatio() float64 {
-	if !s.Believed() {
+// BaselineRatio returns the baseline slowdown as a factor of the usual service time; 1 if the
+// reports are not trusted.
+func (s *Tracker) BaselineRatio() float64 {
+	if !s.Trusted() {
 		return 1
 	}
-	return s.lasting / AsUsual
+	return s.baseline / UsualPercent
 }
 
-// Deviation returns how many times as long work takes now as the instance mostly states, as far as the
-// statements still tell; 1 where they are not believed. Unlike RatioNow it says nothing of an instance
-// that always states the same.
-func (s *Statements) Deviation(now time.Time) float64 {
-	if !s.Believed() {
+// TransientRatio returns the predicted current service time as a factor of the baseline; 1 if the
+// reports are not trusted. Unlike CurrentRatio it is 1 for an instance that always reports the
+// same.
+func (s *Tracker) TransientRatio(now time.Time) float64 {
+	if !s.Trusted() {
 		return 1
 	}
-	return s.expected(s.memory(), now) / s.lasting
+	return s.predicted(s.timeConstant(), now) / s.baseline
 }
 
-// Judge compares a service time with those that were expected, all in seconds: with the
-// statements and without.
-func (s *Statements) Judge(took, with, without float64) {
-	if s.at.IsZero() || took <= 0 || with <= 0 || without <= 0 {
+// RecordServiceTime compares an observed service time with the predictions with and without the
+// reports, all in seconds.
+func (s *Tracker) RecordServiceTime(observed, withReports, withoutReports float64) {
+	if s.at.IsZero() || observed <= 0 || withReports <= 0 || withoutReports <= 0 {
 		return
 	}
-	s.judged = min(s.judged+1, 1/trustSmoothing)
-	s.believing += (square(math.Log(took/with)) - s.believing) / s.judged
-	s.doubting += (square(math.Log(took/without)) - s.doubting) / s.judged
+	s.answers = min(s.answers+1, 1/trustSmoothing)
+	s.errorWith += (square(math.Log(observed/withReports)) - s.errorWith) / s.answers
+	s.errorWithout += (square(math.Log(observed/withoutReports)) - s.errorWithout) / s.answers
 }
 
 func square(value float64) float64 { return value * value }
--- a/internal/requestpath/worktime/uneven_test.go
+++ b/internal/requestpath/worktime/uneven_test.go
@@ -18,49 +18,49 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/worktime"
 )
 
-// The played load: calls whose work varies, at servers of different speed. Other programs on their
-// machines slow some servers at a time, others every changeEvery.
+// Parameters of the simulation: calls of varying work at servers of different speed. Other programs
+// on the machines slow down a random set of servers in each interval of changeEvery.
 const (
 	serverSlots  = 12
-	usualWork    = 140 * time.Millisecond
-	workSpread   = 0.7 // The deviation of the logarithm of the work.
+	meanWork     = 140 * time.Millisecond
+	workSigma    = 0.7 // Standard deviation of the logarithm of the work.
 	callTarget   = 500 * time.Millisecond
 	slowedShare  = 0.15
 	slowedFactor = 2.5
 	changeEvery  = 600 * time.Millisecond
-	changes      = 100 // Then the same changes come again.
-	detours      = 2
+	changes      = 100 // Number of intervals after which the slowdowns repeat.
+	maxRetries   = 2
 	route        = "lookup"
 )
 
-// start is when all plays begin.
+// start is the start time of all simulations.
 var start = time.Unix(1000, 0)
 
-// server is a played instance with the daemon beside it: it works on serverSlots calls at once, and
-// the others wait in the order of their arrival.
+// server is a simulated instance with its daemon. It runs serverSlots calls concurrently; the
+// others wait in FIFO order.
 type server struct {
 	number int
-	// longer is how many times as long as usual work takes there.
-	longer float64
-	// slowed tells for each changeEvery from the start whether work is slowed there.
+	// workFactor is the permanent slowdown of the server as a factor of the usual service time.
+	workFactor float64
+	// slowed holds for each interval of changeEvery whether the server is slowed down.
 	slowed  []bool
 	running int
 	waiting []*call
-	// busy is the slot time used, and mean the smoothed slot time of a call, in seconds.
-	busy, mean float64
+	// busySeconds is the slot time used, and meanSlotSeconds the smoothed slot time of a call.
+	busySeconds, meanSlotSeconds float64
 }
 
-// call is one call with the instance as the daemon knows it that sent it.
+// call is one call, with its target as known to the daemon that sent it.
 type call struct {
-	came, began time.Time
-	work        time.Duration
-	target      *balance.Target
+	arrivedAt, startedAt time.Time
+	work                 time.Duration
+	target               *balance.Target
 }
 
-// event is something that happens at a time.
+// event is an action at a simulated time.
 type event struct {
-	at time.Time
-	do func()
+	at     time.Time
+	action func()
 }
 
 type events []event
@@ -75,148 +75,148 @@
 	return last
 }
 
-// play is one load on uneven servers.
-type play struct {
+// simulation is one run of a load on uneven servers.
+type simulation struct {
 	now     time.Time
 	events  events
 	servers []*server
-	// states is true where servers state how long work takes there.
-	states bool
-	random *rand.Rand
-	// took are the times until the answers, and refused and returned the calls that no server took
-	// and those that a server did not take.
-	took              []time.Duration
+	// reportWork is true if servers report their slowdown.
+	reportWork bool
+	random     *rand.Rand
+	// latencies are the response times. refused counts the calls that no server accepted, and
+	// returned the attempts that a server rejected.
+	latencies         []time.Duration
 	refused, returned int
 }
 
-func newPlay(ratios []float64, states bool, seed uint64) *play {
-	p := &play{now: start, states: states, random: rand.New(rand.NewPCG(seed, 0))}
-	for number, longer := range ratios {
+func newSimulation(workFactors []float64, reportWork bool, seed uint64) *simulation {
+	sim := &simulation{now: start, reportWork: reportWork, random: rand.New(rand.NewPCG(seed, 0))}
+	for number, workFactor := range workFactors {
 		slowed := make([]bool, changes)
 		for span := range slowed {
-			slowed[span] = p.random.Float64() < slowedShare
+			slowed[span] = sim.random.Float64() < slowedShare
 		}
-		p.servers = append(p.servers, &server{number: number, longer: longer, slowed: slowed, mean: usualWork.Seconds() * longer})
+		sim.servers = append(sim.servers, &server{number: number, workFactor: workFactor, slowed: slowed, meanSlotSeconds: meanWork.Seconds() * workFactor})
 	}
-	return p
+	return sim
 }
 
-// slowdown returns how many times as long as usual work takes at a server at a time.
-func (p *play) slowdown(on *server, at time.Time) float64 {
+// slowdown returns the transient slowdown of a server at a time, as a factor of the service time.
+func (sim *simulation) slowdown(srv *server, at time.Time) float64 {
 	span := int(at.Sub(start) / changeEvery)
-	if on.slowed[span%len(on.slowed)] {
+	if srv.slowed[span%len(srv.slowed)] {
 		return slowedFactor
 	}
 	return 1
 }
 
-// doneAt returns when work that a server begins now is done.
-func (p *play) doneAt(on *server, work time.Duration) time.Time {
-	at, left := p.now, float64(work)*on.longer
+// doneAt returns the time at which a server completes work that it starts now.
+func (sim *simulation) doneAt(srv *server, work time.Duration) time.Time {
+	at, remaining := sim.now, float64(work)*srv.workFactor
 	for {
-		slowdown := p.slowdown(on, at)
+		slowdown := sim.slowdown(srv, at)
 		next := start.Add((at.Sub(start)/changeEvery + 1) * changeEvery)
-		if need := time.Duration(left * slowdown); need <= next.Sub(at) {
+		if need := time.Duration(remaining * slowdown); need <= next.Sub(at) {
 			return at.Add(need)
 		}
-		left -= float64(next.Sub(at)) / slowdown
+		remaining -= float64(next.Sub(at)) / slowdown
 		at = next
 	}
 }
 
-// accept has a server take a call, or not where it would wait too long.
-func (p *play) accept(on *server, sent *call, mayWait time.Duration) bool {
-	wait := time.Duration(on.mean * float64(len(on.waiting)) / serverSlots * float64(time.Second))
-	if wait > mayWait {
+// accept starts or queues a call at a server; it returns false if the wait would exceed maxWait.
+func (sim *simulation) accept(srv *server, sent *call, maxWait time.Duration) bool {
+	wait := time.Duration(srv.meanSlotSeconds * float64(len(srv.waiting)) / serverSlots * float64(time.Second))
+	if wait > maxWait {
 		return false
 	}
-	if on.running < serverSlots {
-		p.begin(on, sent)
+	if srv.running < serverSlots {
+		sim.startCall(srv, sent)
 	} else {
-		on.waiting = append(on.waiting, sent)
+		srv.waiting = append(srv.waiting, sent)
 	}
 	return true
 }
 
-func (p *play) begin(on *server, sent *call) {
-	on.running++
-	sent.began = p.now
-	done := p.doneAt(on, sent.work)
-	on.busy += done.Sub(p.now).Seconds()
-	heap.Push(&p.events, event{done, func() { p.end(on, sent) }})
+func (sim *simulation) startCall(srv *server, sent *call) {
+	srv.running++
+	sent.startedAt = sim.now
+	done := sim.doneAt(srv, sent.work)
+	srv.busySeconds += done.Sub(sim.now).Seconds()
+	heap.Push(&sim.events, event{done, func() { sim.finishCall(srv, sent) }})
 }
 
-func (p *play) end(on *server, sent *call) {
-	on.running--
-	on.mean += 0.1 * (p.now.Sub(sent.began).Seconds() - on.mean)
-	p.took = append(p.took, p.now.Sub(sent.came))
+func (sim *simulation) finishCall(srv *server, sent *call) {
+	srv.running--
+	srv.meanSlotSeconds += 0.1 * (sim.now.Sub(sent.startedAt).Seconds() - srv.meanSlotSeconds)
+	sim.latencies = append(sim.latencies, sim.now.Sub(sent.arrivedAt))
 	percent := uint32(0)
-	if p.states {
-		percent = uint32(worktime.AsUsual * on.longer * p.slowdown(on, p.now))
+	if sim.reportWork {
+		percent = uint32(worktime.UsualPercent * srv.workFactor * sim.slowdown(srv, sim.now))
 	}
 	if sent.target != nil {
 		sent.target.End()
-		sent.target.Reported(float32(on.running+len(on.waiting))/serverSlots, p.now)
-		sent.target.StatedWork(percent, p.now)
-		sent.target.Answered(route, p.now.Sub(sent.began), p.now)
+		sent.target.Reported(float32(srv.running+len(srv.waiting))/serverSlots, sim.now)
+		sent.target.StatedWork(percent, sim.now)
+		sent.target.Answered(route, sim.now.Sub(sent.startedAt), sim.now)
 	}
-	if len(on.waiting) > 0 {
-		next := on.waiting[0]
-		on.waiting = on.waiting[1:]
-		p.begin(on, next)
+	if len(srv.waiting) > 0 {
+		next := srv.waiting[0]
+		srv.waiting = srv.waiting[1:]
+		sim.startCall(srv, next)
 	}
 }
 
-// run plays calls at random times, perSecond in the mean, until all are answered; send passes each
-// to a server.
-func (p *play) run(perSecond float64, lasts time.Duration, send func(*call)) {
-	until := p.now.Add(lasts)
+// run simulates a Poisson process of perSecond calls and returns when all are answered. send passes
+// each call to a server.
+func (sim *simulation) run(perSecond float64, duration time.Duration, send func(*call)) {
+	until := sim.now.Add(duration)
 	var next func()
 	next = func() {
-		work := math.Exp(workSpread*p.random.NormFloat64() - workSpread*workSpread/2)
-		send(&call{came: p.now, work: time.Duration(work * float64(usualWork))})
-		if at := p.now.Add(time.Duration(p.random.ExpFloat64() / perSecond * float64(time.Second))); at.Before(until) {
-			heap.Push(&p.events, event{at, next})
+		work := math.Exp(workSigma*sim.random.NormFloat64() - workSigma*workSigma/2)
+		send(&call{arrivedAt: sim.now, work: time.Duration(work * float64(meanWork))})
+		if at := sim.now.Add(time.Duration(sim.random.ExpFloat64() / perSecond * float64(time.Second))); at.Before(until) {
+			heap.Push(&sim.events, event{at, next})
 		}
 	}
 	next()
-	for len(p.events) > 0 {
-		first := heap.Pop(&p.events).(event)
-		p.now = first.at
-		first.do()
+	for len(sim.events) > 0 {
+		first := heap.Pop(&sim.events).(event)
+		sim.now = first.at
+		first.action()
 	}
 }
 
-// capacity is the number of calls a second that the servers can do together.
-func (p *play) capacity() float64 {
+// capacity returns the number of calls per second that all servers can complete together.
+func (sim *simulation) capacity() float64 {
 	speeds := 0.0
-	for _, on := range p.servers {
-		speeds += 1 / on.longer
+	for _, srv := range sim.servers {
+		speeds += 1 / srv.workFactor
 	}
-	return speeds * serverSlots / usualWork.Seconds() / (1 - slowedShare + slowedShare*slowedFactor)
+	return speeds * serverSlots / meanWork.Seconds() / (1 - slowedShare + slowedShare*slowedFactor)
 }
 
-// byDaemons plays with daemons that see the answers to their own calls only.
-func (p *play) byDaemons(load float64, lasts time.Duration) {
+// runDaemons simulates daemons that observe the answers to their own calls only.
+func (sim *simulation) runDaemons(load float64, duration time.Duration) {
 	const daemons = 24
 	service := &snapshot.Service{Bundle: &lapisv1.Bundle{Pool: &lapisv1.Pool{Name: "desk", Slots: serverSlots}}}
 	var endpoints []*lapisv1.Endpoint
 	byName := map[string]*server{}
-	for _, on := range p.servers {
-		name := fmt.Sprint("desk-", on.number)
-		byName[name] = on
+	for _, srv := range sim.servers {
+		name := fmt.Sprint("desk-", srv.number)
+		byName[name] = srv
 		endpoints = append(endpoints, &lapisv1.Endpoint{Service: "desk", Instance: name, Zone: "a", Slots: serverSlots, Incarnation: 1, State: lapisv1.Endpoint_STATE_READY})
 	}
 	var balancers []*balance.Balancer
 	for number := range daemons {
-		balancer := balance.New(fmt.Sprint("daemon-", number), "a", "", func() time.Time { return p.now })
+		balancer := balance.New(fmt.Sprint("daemon-", number), "a", "", func() time.Time { return sim.now })
 		balancer.Update("desk", endpoints)
 		balancers = append(balancers, balancer)
 	}
-	p.run(load*p.capacity(), lasts, func(sent *call) {
-		balancer := balancers[p.random.IntN(daemons)]
+	sim.run(load*sim.capacity(), duration, func(sent *call) {
+		balancer := balancers[sim.random.IntN(daemons)]
 		var tried []*balance.Target
-		for len(tried) <= detours {
+		for len(tried) <= maxRetries {
 			chosen, err := balancer.Pick(service, balance.Choice{Route: route, TargetLatency: callTarget, Exclude: tried})
 			if err != nil {
 				break
@@ -224,81 +224,82 @@
 			bounds := refusal.BoundsOf(refusal.Timing{Target: callTarget, ServiceTime: chosen.ServiceTime(route)})
 			sent.target = chosen
 			chosen.Begin()
-			if p.accept(byName[chosen.Endpoint.GetInstance()], sent, bounds.MaxWait) {
+			if sim.accept(byName[chosen.Endpoint.GetInstance()], sent, bounds.MaxWait) {
 				return
 			}
 			chosen.End()
 			tried = append(tried, chosen)
-			p.returned++
+			sim.returned++
 		}
-		p.refused++
+		sim.refused++
 	})
 }
 
-// ideal plays with full knowledge: each call goes where it is done first.
-func (p *play) ideal(load float64, lasts time.Duration) {
-	p.run(load*p.capacity(), lasts, func(sent *call) {
-		best := slices.MinFunc(p.servers, func(a, b *server) int { return p.expectedAt(a, sent).Compare(p.expectedAt(b, sent)) })
-		if p.expectedAt(best, sent).Sub(p.now) > callTarget || !p.accept(best, sent, callTarget) {
-			p.refused++
+// runIdeal simulates routing with full knowledge: each call goes to the server that completes it
+// first.
+func (sim *simulation) runIdeal(load float64, duration time.Duration) {
+	sim.run(load*sim.capacity(), duration, func(sent *call) {
+		best := slices.MinFunc(sim.servers, func(a, b *server) int { return sim.expectedAt(a, sent).Compare(sim.expectedAt(b, sent)) })
+		if sim.expectedAt(best, sent).Sub(sim.now) > callTarget || !sim.accept(best, sent, callTarget) {
+			sim.refused++
 		}
 	})
 }
 
-func (p *play) expectedAt(on *server, sent *call) time.Time {
-	ahead := max(on.running+len(on.waiting)+1-serverSlots, 0)
-	wait := time.Duration(float64(ahead) * float64(usualWork) * on.longer / serverSlots * p.slowdown(on, p.now))
-	return p.doneAt(on, sent.work).Add(wait)
+func (sim *simulation) expectedAt(srv *server, sent *call) time.Time {
+	ahead := max(srv.running+len(srv.waiting)+1-serverSlots, 0)
+	wait := time.Duration(float64(ahead) * float64(meanWork) * srv.workFactor / serverSlots * sim.slowdown(srv, sim.now))
+	return sim.doneAt(srv, sent.work).Add(wait)
 }
 
-// figures are what callers get in a play.
+// figures are the results of a simulation.
 type figures struct {
-	median, high                time.Duration
-	punctual, least, most       float64
-	refused, returned, answered int
+	p50, p99                                    time.Duration
+	inTimeShare, minUtilization, maxUtilization float64
+	refused, returned, answered                 int
 }
 
-func (p *play) figures(lasts time.Duration) figures {
-	took := slices.Sorted(slices.Values(p.took))
-	inTime, _ := slices.BinarySearch(took, callTarget+1)
-	seen := figures{
-		median: took[len(took)/2], high: took[len(took)*99/100], punctual: float64(inTime) / float64(len(took)+p.refused),
-		least: math.Inf(1), refused: p.refused, returned: p.returned, answered: len(took),
+func (sim *simulation) figures(duration time.Duration) figures {
+	latencies := slices.Sorted(slices.Values(sim.latencies))
+	inTime, _ := slices.BinarySearch(latencies, callTarget+1)
+	result := figures{
+		p50: latencies[len(latencies)/2], p99: latencies[len(latencies)*99/100], inTimeShare: float64(inTime) / float64(len(latencies)+sim.refused),
+		minUtilization: math.Inf(1), refused: sim.refused, returned: sim.returned, answered: len(latencies),
 	}
-	for _, on := range p.servers {
-		busy := on.busy / lasts.Seconds() / serverSlots
-		seen.least, seen.most = min(seen.least, busy), max(seen.most, busy)
+	for _, srv := range sim.servers {
+		utilization := srv.busySeconds / duration.Seconds() / serverSlots
+		result.minUtilization, result.maxUtilization = min(result.minUtilization, utilization), max(result.maxUtilization, utilization)
 	}
-	return seen
+	return result
 }
 
 func (f figures) String() string {
-	return fmt.Sprintf("in time %.3f, p50 %v, p99 %v, slots used %.2f to %.2f, answered %d, refused %d, returned %d", f.punctual,
-		f.median.Round(time.Millisecond), f.high.Round(time.Millisecond), f.least, f.most, f.answered, f.refused, f.returned)
+	return fmt.Sprintf("in time %.3f, p50 %v, p99 %v, slots used %.2f to %.2f, answered %d, refused %d, returned %d", f.inTimeShare,
+		f.p50.Round(time.Millisecond), f.p99.Round(time.Millisecond), f.minUtilization, f.maxUtilization, f.answered, f.refused, f.returned)
 }
 
-// Servers of different speed whose machines are slowed at times serve callers better when they state
-// it: of the calls that would be late or refused, a part is in time.
+// Checks that reported slowdowns reduce the number of calls that are late or refused, with servers
+// of different speed whose machines are slowed down at times.
 func TestUnevenServersThatStateTheirWork(t *testing.T) {
-	const lasts = 10 * time.Second
-	missed := map[string]float64{}
-	for name, ratios := range map[string][]float64{
+	const duration = 10 * time.Second
+	missedShare := map[string]float64{}
+	for name, workFactors := range map[string][]float64{
 		"one of four at 0.55, three at 1.2": {0.55, 1.2, 1.2, 1.2, 0.55, 1.2, 1.2, 1.2, 0.55, 1.2, 1.2, 1.2},
 		"two of three at 0.7, one at 1.6":   {0.7, 0.7, 1.6, 0.7, 0.7, 1.6, 0.7, 0.7, 1.6, 0.7, 0.7, 1.6},
 	} {
 		for _, load := range []float64{0.6, 0.9, 1.1} {
-			for rule, with := range map[string]func(*play){
-				"not stated":     func(p *play) { p.byDaemons(load, lasts) },
-				"stated":         func(p *play) { p.states = true; p.byDaemons(load, lasts) },
-				"full knowledge": func(p *play) { p.ideal(load, lasts) },
+			for rule, simulate := range map[string]func(*simulation){
+				"not stated":     func(sim *simulation) { sim.runDaemons(load, duration) },
+				"stated":         func(sim *simulation) { sim.reportWork = true; sim.runDaemons(load, duration) },
+				"full knowledge": func(sim *simulation) { sim.runIdeal(load, duration) },
 			} {
-				p := newPlay(ratios, false, 3)
-				with(p)
-				seen := p.figures(lasts)
-				missed[rule] += 1 - seen.punctual
-				t.Logf("%s, load %.1f, %s: %v", name, load, rule, seen)
+				sim := newSimulation(workFactors, false, 3)
+				simulate(sim)
+				result := sim.figures(duration)
+				missedShare[rule] += 1 - result.inTimeShare
+				t.Logf("%s, load %.1f, %s: %v", name, load, rule, result)
 			}
 		}
 	}
-	assert.Assert(t, missed["stated"] < missed["not stated"], "%v", missed)
+	assert.Assert(t, missedShare["stated"] < missedShare["not stated"], "%v", missedShare)
 }
