--- a/internal/requestpath/retry/budget_model_test.go
+++ b/internal/requestpath/retry/budget_model_test.go
@@ -7,36 +7,35 @@
 	"gotest.tools/v3/assert"
 )
 
-// The model: daemons whose gateways share the budgets of two services. A call of
-// the front service runs on a random machine and mostly makes one of the back
-// service from there. Answers are lost, so that both services are retried. The
-// back service must not get more repeats than the platform allows, where calls
-// of a repeated run count as repeats too.
+// Parameters of the model: the gateways of several daemons share the budgets of two services. A
+// call of the front service runs on a random machine and usually calls the back service from there.
+// Answers are lost at random, so that both services are retried. The back service must not receive
+// more repeats than the platform allows, where calls from a repeated run count as repeats too.
 const (
 	modelDaemons   = 12
 	modelSeconds   = 60
 	modelWindow    = 10
 	frontPerSecond = 297
 	backPerSecond  = 85
-	nestedShare    = 0.7
-	lostShare      = 0.5
+	nestedCallRate = 0.7
+	lossRate       = 0.5
 )
 
 // budgetModel is one run of the model.
 type budgetModel struct {
-	random  *rand.Rand
-	budgets []*Budget
-	charged bool
-	// running and repeating are runs of the front service of the last second on
-	// each machine.
+	random        *rand.Rand
+	budgets       []*Budget
+	chargeRepeats bool
+	// running and repeating are the decayed numbers of runs of the front service on each machine:
+	// all runs, and the runs that are retries.
 	running, repeating []float64
-	// requests and repeats of the back service, by second.
+	// requests and repeats are the calls of the back service in each second.
 	requests, repeats [modelSeconds]int
 }
 
-func newBudgetModel(seed uint64, charged bool) *budgetModel {
+func newBudgetModel(seed uint64, chargeRepeats bool) *budgetModel {
 	model := &budgetModel{
-		random: rand.New(rand.NewPCG(seed, 1)), charged: charged,
+		random: rand.New(rand.NewPCG(seed, 1)), chargeRepeats: chargeRepeats,
 		running: make([]float64, modelDaemons), repeating: make([]float64, modelDaemons),
 	}
 	for range modelDaemons {
@@ -47,8 +46,8 @@
 	return model
 }
 
-// back makes a call of the back service at a gateway.
-func (m *budgetModel) back(second, gateway int, byRepeat bool) {
+// callBack makes a call of the back service at a gateway.
+func (m *budgetModel) callBack(second, gateway int, byRepeat bool) {
 	budget := m.budgets[gateway]
 	m.requests[second]++
 	budget.Earn("back")
@@ -56,42 +55,42 @@
 		m.repeats[second]++
 	}
 	share := m.repeating[gateway] / max(m.running[gateway], 1)
-	if m.charged && m.random.Float64() < share {
+	if m.chargeRepeats && m.random.Float64() < share {
 		budget.Charge("back")
 	}
-	if m.random.Float64() < lostShare && budget.Spend("back") {
+	if m.random.Float64() < lossRate && budget.Spend("back") {
 		m.repeats[second]++
 	}
 }
 
-// run runs a call of the front service on a random machine.
-func (m *budgetModel) run(second int, repeat bool) {
+// runFront runs a call of the front service on a random machine.
+func (m *budgetModel) runFront(second int, repeat bool) {
 	machine := m.random.IntN(modelDaemons)
-	const kept = 0.95
-	m.running[machine] = kept*m.running[machine] + 1
-	m.repeating[machine] *= kept
+	const decay = 0.95
+	m.running[machine] = decay*m.running[machine] + 1
+	m.repeating[machine] *= decay
 	if repeat {
 		m.repeating[machine]++
 	}
-	if m.random.Float64() < nestedShare {
-		m.back(second, machine, repeat)
+	if m.random.Float64() < nestedCallRate {
+		m.callBack(second, machine, repeat)
 	}
 }
 
-// excess plays the model and returns by how much the repeats of the worst window
-// exceed what is allowed; below 0 for within.
+// excess runs the model and returns by how much the repeats in the worst window exceed the allowed
+// number; negative if they do not.
 func (m *budgetModel) excess() float64 {
 	for second := range modelSeconds {
 		for range frontPerSecond {
 			gateway := m.random.IntN(modelDaemons)
 			m.budgets[gateway].Earn("front")
-			m.run(second, false)
-			if m.random.Float64() < lostShare && m.budgets[gateway].Spend("front") {
-				m.run(second, true)
+			m.runFront(second, false)
+			if m.random.Float64() < lossRate && m.budgets[gateway].Spend("front") {
+				m.runFront(second, true)
 			}
 		}
 		for range backPerSecond {
-			m.back(second, m.random.IntN(modelDaemons), false)
+			m.callBack(second, m.random.IntN(modelDaemons), false)
 		}
 	}
 	worst := -1e9
@@ -106,8 +105,9 @@
 	return worst
 }
 
-// A service that another one calls got 1,700 repeats in ten seconds of 1,606 allowed: each
-// service kept to its fraction, but what repeated runs of the other one called came on top.
+// Guards against nested retries exceeding the budget: the called service received 1,700 repeats in
+// ten seconds when 1,606 were allowed. Each service kept to its own fraction, but the calls made by
+// repeated runs of the calling service were not counted.
 func TestCallsOfRepeatedRunsAreChargedToTheBudget(t *testing.T) {
 	for seed := range uint64(20) {
 		excess := newBudgetModel(seed, true).excess()
@@ -115,7 +115,7 @@
 	}
 }
 
-// The model catches a budget that does not know of them.
+// Checks that the model detects a budget that ignores the calls of repeated runs.
 func TestModelCatchesUnchargedCalls(t *testing.T) {
 	caught := 0
 	for seed := range uint64(20) {
--- a/internal/requestpath/retry/budget_test.go
+++ b/internal/requestpath/retry/budget_test.go
@@ -25,8 +25,8 @@
 	assert.Assert(t, !budget.Spend("never called"))
 }
 
-// The budget of retries grows with calls and not with time, so that a suspension gives none:
-// however long it lasts, what follows is bounded by what was saved up before.
+// Checks that the budget grows with calls and not with time: after a suspension of any length, the
+// number of retries is still bounded by the tokens saved before it.
 func TestSuspensionGivesNoRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
@@ -43,7 +43,7 @@
 	})
 }
 
-// The debt that calls of repeated runs leave is bounded, and is paid off by calls.
+// Checks that the debt caused by calls of repeated runs is bounded, and that calls pay it off.
 func TestDebtOfRepeatedRunsIsBounded(t *testing.T) {
 	budget := NewBudget(Limits{Fraction: 0.5, Burst: 10})
 	for range 3 * maxDebt {
@@ -58,7 +58,7 @@
 	assert.Equal(t, calls, 2*(maxDebt+1))
 }
 
-// Daemons that share a capacity have together no more than the planned part of it.
+// Checks that daemons that share a capacity together have no more than the planned fraction of it.
 func TestSharedCapacityIsSplit(t *testing.T) {
 	limits := Limits{Fraction: 0.2, Burst: 64, Shared: true}
 	for _, daemons := range []int{0, 1, 2, 12, 500} {
@@ -68,6 +68,6 @@
 			budget.Earn("desk")
 		}
 		together := budget.Left("desk") * float64(max(daemons, 1))
-		assert.Assert(t, together <= plannedPart*limits.Burst+1e-9, "%d daemons have %f", daemons, together)
+		assert.Assert(t, together <= plannedFraction*limits.Burst+1e-9, "%d daemons have %f", daemons, together)
 	}
 }
--- a/internal/requestpath/retry/reference_test.go
+++ b/internal/requestpath/retry/reference_test.go
@@ -11,28 +11,28 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// The reference is the rule as a part of the attempts at a call: counters that change while it
-// decides, and a budget that it spends itself.
+// The reference implements the rule as part of the attempts at a call, with counters that change
+// while it decides and a budget that it spends itself.
 
-// Bounds of the reference.
+// Limits of the reference.
 const (
 	referenceNotReached  = 5
-	referenceNoRoom      = 2
+	referenceNoCapacity  = 2
 	referenceMaxAttempts = 3
 )
 
-// referenceCall is a call with its attempts.
+// referenceCall is a call with the counters of its attempts.
 type referenceCall struct {
 	repeatable  bool
 	attempt     uint32
 	maxAttempts int
 	budget      *Budget
 
-	notReached, noRoom, seen, deliveries int
+	notReached, noCapacity, seen, deliveries int
 }
 
-// referenceFailure is a failed attempt. ended is the number of crashes that the error
-// states, and known the number that the quarantine knows for the call's keys.
+// referenceFailure is a failed attempt. ended is the number of crashes that the error reports, and
+// known the number that the quarantine has recorded for the keys of the call.
 type referenceFailure struct {
 	code                                     result.Code
 	coded, over, replayable, delivery, begun bool
@@ -50,20 +50,20 @@
 		c.notReached++
 		return c.notReached <= referenceNotReached
 	case result.CallNotRunOverloaded, result.CallNotRunCold:
-		c.noRoom++
-		return c.noRoom <= referenceNoRoom
+		c.noCapacity++
+		return c.noCapacity <= referenceNoCapacity
 	case result.CallNotRunShed:
 		c.seen++
-		return c.seen < c.most() && c.mayAddLoad()
+		return c.seen < c.attemptLimit() && c.mayAddLoad()
 	case result.CallUnknownOutcome, result.CallTruncated, result.CallInstanceCrashed:
 		c.seen++
-		return c.repeatable && c.mayRepeat(failure) && c.seen < c.most() && c.mayAddLoad()
+		return c.repeatable && c.mayRepeat(failure) && c.seen < c.attemptLimit() && c.mayAddLoad()
 	default:
 		return false
 	}
 }
 
-func (c *referenceCall) most() int {
+func (c *referenceCall) attemptLimit() int {
 	if c.maxAttempts > 0 {
 		return c.maxAttempts
 	}
@@ -79,7 +79,7 @@
 	return !failure.keyed || quarantine.MayRepeat(failure.known)
 }
 
-// again is what followed a failure of an attempt, or of the delivery of its answer.
+// again reports whether a failed attempt, or a failed delivery of its answer, is retried.
 func (c *referenceCall) again(failure referenceFailure) bool {
 	if !failure.delivery {
 		return c.mayRetry(failure)
@@ -89,35 +89,36 @@
 	return !failure.begun && tries < referenceMaxAttempts-1 && c.mayRetry(failure)
 }
 
-// drawFailure draws a failure; what ends a call at once is rare, so that calls have many.
-func drawFailure(random *rand.Rand, codes []result.Code) referenceFailure {
-	seldom := func() bool { return random.IntN(20) == 0 }
+// randomFailure returns a random failure. Conditions that end a call at once are rare, so that
+// calls have many failures.
+func randomFailure(random *rand.Rand, codes []result.Code) referenceFailure {
+	rarely := func() bool { return random.IntN(20) == 0 }
 	delivery := random.IntN(4) == 0
 	return referenceFailure{
-		code: codes[random.IntN(len(codes))], coded: !seldom(), over: seldom(), replayable: !seldom(),
-		delivery: delivery, begun: delivery && seldom(),
+		code: codes[random.IntN(len(codes))], coded: !rarely(), over: rarely(), replayable: !rarely(),
+		delivery: delivery, begun: delivery && rarely(),
 		ended: random.IntN(3), known: random.IntN(3), keyed: random.IntN(2) == 0,
 	}
 }
 
-// failureOf states a failure as the gateway does.
-func failureOf(drawn referenceFailure) Failure {
+// failureOf converts a failure in the same way as the gateway.
+func failureOf(generated referenceFailure) Failure {
 	failure := Failure{
-		Reason: ReasonOf(drawn.code), CallOver: drawn.over, BodySpent: !drawn.replayable,
-		InDelivery: drawn.delivery, AnswerBegun: drawn.begun, Crashes: drawn.ended,
+		Reason: ReasonOf(generated.code), CallOver: generated.over, BodySpent: !generated.replayable,
+		InDelivery: generated.delivery, AnswerBegun: generated.begun, Crashes: generated.ended,
 	}
-	if !drawn.coded {
+	if !generated.coded {
 		failure.Reason = Final
 	}
-	if drawn.keyed {
-		failure.Crashes = max(failure.Crashes, drawn.known)
+	if generated.keyed {
+		failure.Crashes = max(failure.Crashes, generated.known)
 	}
 	return failure
 }
 
-// drawnCodes are all codes, and those that are tried again once more for each place that they
-// take in the table, so that they make up half of the draws.
-func drawnCodes() []result.Code {
+// weightedCodes returns all result codes, with the retryable ones repeated so that they make up
+// half of the list.
+func weightedCodes() []result.Code {
 	var codes, again []result.Code
 	for _, entry := range result.Table() {
 		codes = append(codes, entry.Code)
@@ -131,31 +132,32 @@
 	return codes
 }
 
-// Calls with generated failures are decided as by the reference, with budgets that are spent
-// alike.
+// Checks that calls with random failures get the same decisions as from the reference, and that
+// both budgets are spent equally.
 func TestDecisionsAreThoseOfTheReference(t *testing.T) {
 	const calls = 200_000
 	random := rand.New(rand.NewPCG(1, 2))
-	codes := drawnCodes()
+	codes := weightedCodes()
 	limits := Limits{Fraction: 0.4, Burst: 20}
-	ours, theirs := NewBudget(limits), NewBudget(limits)
+	actual, expected := NewBudget(limits), NewBudget(limits)
 	decisions, repeats := 0, 0
 	for range calls {
 		call := Call{Repeatable: random.IntN(3) > 0, MaxAttempts: random.IntN(6), ChainRetries: uint32(random.IntN(5) / 4)}
-		reference := &referenceCall{repeatable: call.Repeatable, attempt: call.ChainRetries, maxAttempts: call.MaxAttempts, budget: theirs}
+		reference := &referenceCall{repeatable: call.Repeatable, attempt: call.ChainRetries, maxAttempts: call.MaxAttempts, budget: expected}
 		counts := Counts{}
-		ours.Earn("s")
-		theirs.Earn("s")
+		actual.Earn("s")
+		expected.Earn("s")
 		for again := true; again; {
-			drawn := drawFailure(random, codes)
+			generated := randomFailure(random, codes)
 			var decision Decision
-			counts, decision = Decide(call, counts, failureOf(drawn))
-			again = decision == AgainElsewhere || (decision == AgainWithinBudget && ours.Spend("s"))
-			want := reference.again(drawn)
-			// Assertions that hold are left out: they take most of the time of so many inputs.
-			if again != want || ours.Left("s") != theirs.Left("s") {
-				assert.Equal(t, again, want, "%+v %+v %+v", call, counts, drawn)
-				assert.Equal(t, ours.Left("s"), theirs.Left("s"))
+			counts, decision = Decide(call, counts, failureOf(generated))
+			again = decision == AgainElsewhere || (decision == AgainWithinBudget && actual.Spend("s"))
+			want := reference.again(generated)
+			// Assertions run only on a mismatch, because they would take most of the time for this
+			// many inputs.
+			if again != want || actual.Left("s") != expected.Left("s") {
+				assert.Equal(t, again, want, "%+v %+v %+v", call, counts, generated)
+				assert.Equal(t, actual.Left("s"), expected.Left("s"))
 			}
 			if again {
 				assert.Assert(t, (counts.Seen > 0) == (reference.seen > 0))
@@ -168,29 +170,29 @@
 	assert.Assert(t, decisions > calls && repeats > calls/5, "%d decisions, %d for another attempt", decisions, repeats)
 }
 
-// Answers are replaced and calls end as by the reference, for all inputs.
+// Checks that answers are replaced and calls end as in the reference, for all inputs.
 func TestAnswersAndEndingsAreThoseOfTheReference(t *testing.T) {
 	const wholeAnswerBytes = 64 << 10
-	truths := []bool{false, true}
+	bools := []bool{false, true}
 	inputs := 0
 	for status := uint32(100); status < 600; status++ {
 		for _, length := range []int64{-1, 0, 1, wholeAnswerBytes, wholeAnswerBytes + 1} {
-			for _, repeatable := range truths {
-				for _, kept := range truths {
-					for _, sound := range truths {
+			for _, repeatable := range bools {
+				for _, kept := range bools {
+					for _, healthy := range bools {
 						small := length >= 0 && length <= wholeAnswerBytes
-						want := status >= callapi.FirstServerError && repeatable && !kept && small && sound
-						got := MayReplace(Call{Repeatable: repeatable}, Answer{Status: status, Length: length, Kept: kept}, func() bool { return sound })
-						assert.Equal(t, got, want, "%d %d %t %t %t", status, length, repeatable, kept, sound)
+						want := status >= callapi.FirstServerError && repeatable && !kept && small && healthy
+						got := MayReplace(Call{Repeatable: repeatable}, Answer{Status: status, Length: length, Kept: kept}, func() bool { return healthy })
+						assert.Equal(t, got, want, "%d %d %t %t %t", status, length, repeatable, kept, healthy)
 						inputs++
 					}
 				}
 			}
 		}
 	}
-	for _, kept := range truths {
-		for _, unknown := range truths {
-			for _, notRun := range truths {
+	for _, kept := range bools {
+		for _, unknown := range bools {
+			for _, notRun := range bools {
 				want := KeptAnswer
 				switch {
 				case !kept && unknown && notRun:
@@ -209,7 +211,7 @@
 // referenceBudget is the budget without locks.
 type referenceBudget struct {
 	limits  Limits
-	sharers int
+	daemons int
 	tokens  map[string]float64
 }
 
@@ -217,7 +219,7 @@
 	if !b.limits.Shared {
 		return b.limits.Burst
 	}
-	return 0.9 * b.limits.Burst / float64(b.sharers)
+	return 0.9 * b.limits.Burst / float64(b.daemons)
 }
 
 func (b *referenceBudget) fraction() float64 {
@@ -248,39 +250,39 @@
 	b.tokens[service] = max(b.tokens[service]-1, -50)
 }
 
-// Budgets grant and hold what the reference does, whatever is asked of them in any order.
+// Checks that a budget grants and holds the same as the reference under random operations.
 func TestBudgetIsThatOfTheReference(t *testing.T) {
 	const steps = 500_000
 	random := rand.New(rand.NewPCG(5, 6))
-	ours, theirs := NewBudget(DefaultLimits), &referenceBudget{limits: DefaultLimits, sharers: 1, tokens: map[string]float64{}}
+	actual, expected := NewBudget(DefaultLimits), &referenceBudget{limits: DefaultLimits, daemons: 1, tokens: map[string]float64{}}
 	services, granted := []string{"a", "b", "c"}, 0
 	for range steps {
 		service := services[random.IntN(len(services))]
 		switch draw := random.IntN(1000); {
 		case draw < 600:
-			ours.Earn(service)
-			theirs.earn(service)
+			actual.Earn(service)
+			expected.earn(service)
 		case draw < 900:
-			may, want := ours.Spend(service), theirs.spend(service)
-			if may != want {
-				assert.Equal(t, may, want)
+			allowed, want := actual.Spend(service), expected.spend(service)
+			if allowed != want {
+				assert.Equal(t, allowed, want)
 			}
-			if may {
+			if allowed {
 				granted++
 			}
 		case draw < 990:
-			ours.Charge(service)
-			theirs.charge(service)
+			actual.Charge(service)
+			expected.charge(service)
 		case draw < 995:
 			limits := Limits{Fraction: random.Float64() / 2, Burst: float64(random.IntN(100)), Shared: random.IntN(2) == 0}
-			ours.SetLimits(limits)
-			theirs.limits = limits
+			actual.SetLimits(limits)
+			expected.limits = limits
 		default:
 			daemons := random.IntN(20)
-			ours.ShareAmong(daemons)
-			theirs.sharers = max(daemons, 1)
+			actual.ShareAmong(daemons)
+			expected.daemons = max(daemons, 1)
 		}
-		if left, want := ours.Left(service), theirs.tokens[service]; left != want {
+		if left, want := actual.Left(service), expected.tokens[service]; left != want {
 			assert.Equal(t, left, want)
 		}
 	}
--- a/internal/requestpath/retry/rule.go
+++ b/internal/requestpath/retry/rule.go
@@ -5,49 +5,51 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Bounds of the attempts at one call. All are numbers of attempts.
+// Limits of the attempts at one call, as numbers of attempts.
 const (
-	// DefaultMaxAttempts is the number of instances that may see one call where its route states
-	// none. It is at least 2, or nothing is ever retried.
+	// DefaultMaxAttempts is the number of instances that may see one call if its route sets none.
+	// It is at least 2, or there would be no retries.
 	DefaultMaxAttempts = 3
-	// maxNotReached is the number of further attempts for NotReached. It is larger than maxNoRoom,
-	// since such an attempt costs a round trip and no work of an instance.
+	// maxNotReached is the maximum number of further attempts after NotReached. It is larger than
+	// maxNoCapacity, because such an attempt costs a round trip and no work of an instance.
 	maxNotReached = 5
-	// maxNoRoom is the number of further attempts for NoRoom. Small, since other instances are
-	// mostly full at the same time, and each attempt may wait in a queue.
-	maxNoRoom = 2
-	// maxFailedDeliveries is the number of a call's answers that may break off before the caller
-	// got any of them.
+	// maxNoCapacity is the maximum number of further attempts after NoCapacity. It is small,
+	// because other instances are usually full at the same time and each attempt may wait in a
+	// queue.
+	maxNoCapacity = 2
+	// maxFailedDeliveries is the maximum number of answers of a call that may be interrupted before
+	// the caller received any part of them.
 	maxFailedDeliveries = DefaultMaxAttempts
 )
 
-// Reason is why an attempt brought no answer. The package comment has the next step for each.
+// Reason classifies why an attempt brought no answer. The package comment lists the next step for
+// each reason.
 type Reason uint8
 
 // Reasons of failed attempts.
 const (
-	// Final is a failure that another attempt would not mend, or that does not show what
-	// happened, such as a deadline that passed.
+	// Final is a failure that another attempt would not fix, or whose outcome is unclear, such as a
+	// passed deadline.
 	Final Reason = iota
-	// NotReached is a refusal that no instance saw and that is not about load.
+	// NotReached is a refusal that is not caused by load. No instance saw the call.
 	NotReached
-	// NoRoom is a refusal for load, or for an instance in slow start, by the daemon beside the
-	// instance. No instance saw the call.
-	NoRoom
+	// NoCapacity is a refusal by the daemon of the instance, because of load or because the
+	// instance is in slow start. No instance saw the call.
+	NoCapacity
 	// Shed is a refusal by the instance itself before it ran the call.
 	Shed
-	// MayHaveRun is a call that was handed over and whose answer is lost or not whole.
+	// MayHaveRun is a call that was handed to an instance and whose answer is lost or incomplete.
 	MayHaveRun
 )
 
-// ReasonOf classifies a result code; codes that it does not name are Final.
+// ReasonOf returns the reason for a result code. Codes that are not listed are Final.
 func ReasonOf(code result.Code) Reason {
 	switch code {
 	case result.CallNotRunDraining, result.CallNotRunStopping, result.CallNotRunUnknownHere,
 		result.CallNotRunUnreachable, result.CallNotRunEvacuated, result.CallNotRunRegion:
 		return NotReached
 	case result.CallNotRunOverloaded, result.CallNotRunCold:
-		return NoRoom
+		return NoCapacity
 	case result.CallNotRunShed:
 		return Shed
 	case result.CallUnknownOutcome, result.CallTruncated, result.CallInstanceCrashed:
@@ -57,59 +59,66 @@
 	}
 }
 
-// Call is what the rule needs to know of a call, the same for all its attempts.
+// Call holds the properties of a call that the rule depends on. They are the same for all attempts.
 type Call struct {
-	// Repeatable is true when the class of its route says that running it twice does no harm.
+	// Repeatable is true if the class of the route allows running the call twice.
 	Repeatable bool
-	// ChainRetries is the number of retries by the levels above, as the caller states it.
+	// ChainRetries is the number of retries by callers further up the chain, as reported by the
+	// caller.
 	ChainRetries uint32
-	// MaxAttempts is how many instances may see the call; 0 stands for DefaultMaxAttempts.
+	// MaxAttempts is the number of instances that may see the call; 0 means DefaultMaxAttempts.
 	MaxAttempts int
 }
 
 // Failure is an attempt without an answer for the caller.
 type Failure struct {
 	Reason Reason
-	// CallOver is true after the call's deadline, a disconnect of its caller or a cut.
+	// CallOver is true after the deadline of the call, a disconnect of its caller, or when a
+	// draining gateway cancels the calls in flight.
 	CallOver bool
-	// BodySpent is true when a part of the request's body is read and not kept.
+	// BodySpent is true if a part of the request body was read and not kept, so that it cannot be
+	// sent again.
 	BodySpent bool
-	// InDelivery is true when the instance did answer and the answer broke off, and
-	// AnswerBegun when a part of it may have reached the caller.
+	// InDelivery is true if the instance answered but the answer was interrupted. AnswerBegun is
+	// true if a part of it may have reached the caller.
 	InDelivery, AnswerBegun bool
-	// Crashes is how many instances are known to have crashed under the call's keys.
+	// Crashes is the number of instances that are known to have crashed under the keys of the call.
 	Crashes int
 }
 
-// Counts are the failures of one call so far. The zero value stands before the first.
+// Counts holds the number of failures of one call so far. The zero value is the state before the
+// first failure.
 type Counts struct {
-	// NotReached and NoRoom count failures by reason.
-	NotReached, NoRoom int
+	// NotReached and NoCapacity count the failures by reason.
+	NotReached, NoCapacity int
 	// Seen counts the attempts that an instance saw: Shed and MayHaveRun.
 	Seen int
-	// FailedDeliveries counts the answers that broke off before the caller got any of them.
+	// FailedDeliveries counts the answers that were interrupted before the caller received any part
+	// of them.
 	FailedDeliveries int
 }
 
-// Decision is what follows a failed attempt.
+// Decision is the next step after a failed attempt.
 type Decision uint8
 
-// Decisions on a failed attempt.
+// Next steps after a failed attempt.
 const (
-	// GiveUp ends the call with what EndingOf says.
+	// GiveUp ends the call with the result that EndingOf returns.
 	GiveUp Decision = iota
-	// AgainElsewhere makes another attempt. It adds no load, as no instance saw the last one.
+	// AgainElsewhere makes another attempt at another instance. It adds no load, because no
+	// instance saw the last attempt.
 	AgainElsewhere
-	// AgainWithinBudget makes another attempt if Budget.Spend grants it, and else ends the
-	// call as GiveUp does.
+	// AgainWithinBudget makes another attempt if Budget.Spend grants it, and otherwise ends the
+	// call like GiveUp.
 	AgainWithinBudget
 )
 
-// Decide returns what follows a failed attempt at a call, and the counts with that failure.
+// Decide returns the next step after a failed attempt at a call, and the counts including that
+// failure.
 //
-// The conditions, in this order: whether any attempt is still possible (time, body, answer begun),
-// the bound of deliveries, then by reason whether a repeat is safe, then the bounds of load. The
-// budget comes last, so that it is spent only on attempts that are made.
+// It checks in this order: whether another attempt is still possible (time, body, answer begun),
+// the limit of failed deliveries, whether a repeat is safe for the reason, and the limits on load.
+// The budget comes last, so that it is spent only on attempts that are made.
 func Decide(call Call, counts Counts, failure Failure) (Counts, Decision) {
 	if failure.CallOver || failure.BodySpent || failure.AnswerBegun {
 		return counts, GiveUp
@@ -124,34 +133,35 @@
 	case NotReached:
 		counts.NotReached++
 		return counts, decisionIf(counts.NotReached <= maxNotReached, AgainElsewhere)
-	case NoRoom:
-		counts.NoRoom++
-		return counts, decisionIf(counts.NoRoom <= maxNoRoom, AgainElsewhere)
+	case NoCapacity:
+		counts.NoCapacity++
+		return counts, decisionIf(counts.NoCapacity <= maxNoCapacity, AgainElsewhere)
 	case Shed:
 		counts.Seen++
-		return counts, decisionIf(call.mayAddLoad(counts), AgainWithinBudget)
+		return counts, decisionIf(call.mayReachAnotherInstance(counts), AgainWithinBudget)
 	case MayHaveRun:
 		counts.Seen++
 		// A request that crashes instances must not be sent from one to the next.
 		safe := call.Repeatable && quarantine.MayRepeat(failure.Crashes)
-		return counts, decisionIf(safe && call.mayAddLoad(counts), AgainWithinBudget)
+		return counts, decisionIf(safe && call.mayReachAnotherInstance(counts), AgainWithinBudget)
 	default:
 		return counts, GiveUp
 	}
 }
 
-// mayAddLoad reports whether one more instance may see the call, before the budget is asked.
-func (c Call) mayAddLoad(counts Counts) bool {
-	most := c.MaxAttempts
-	if most <= 0 {
-		most = DefaultMaxAttempts
+// mayReachAnotherInstance reports whether one more instance may see the call, before the budget is
+// consulted.
+func (c Call) mayReachAnotherInstance(counts Counts) bool {
+	maxAttempts := c.MaxAttempts
+	if maxAttempts <= 0 {
+		maxAttempts = DefaultMaxAttempts
 	}
-	return c.ChainRetries == 0 && counts.Seen < most
+	return c.ChainRetries == 0 && counts.Seen < maxAttempts
 }
 
-// decisionIf returns decision where it may be taken, else GiveUp.
-func decisionIf(may bool, decision Decision) Decision {
-	if may {
+// decisionIf returns decision if it is allowed, otherwise GiveUp.
+func decisionIf(allowed bool, decision Decision) Decision {
+	if allowed {
 		return decision
 	}
 	return GiveUp
--- a/internal/requestpath/retry/rule_test.go
+++ b/internal/requestpath/retry/rule_test.go
@@ -9,8 +9,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Every result code has its reason, and the reason agrees with what the code proves: what
-// may be tried again without a word about repeating is proved not to have run.
+// Checks that every result code has a reason and that the reason matches what the code proves: a
+// code that is retried regardless of repeatability proves that the call did not run.
 func TestEveryResultHasItsReason(t *testing.T) {
 	named := map[result.Code]Reason{
 		result.CallNotRunDraining:    NotReached,
@@ -19,8 +19,8 @@
 		result.CallNotRunUnreachable: NotReached,
 		result.CallNotRunEvacuated:   NotReached,
 		result.CallNotRunRegion:      NotReached,
-		result.CallNotRunOverloaded:  NoRoom,
-		result.CallNotRunCold:        NoRoom,
+		result.CallNotRunOverloaded:  NoCapacity,
+		result.CallNotRunCold:        NoCapacity,
 		result.CallNotRunShed:        Shed,
 		result.CallUnknownOutcome:    MayHaveRun,
 		result.CallTruncated:         MayHaveRun,
@@ -29,7 +29,7 @@
 	for _, entry := range result.Table() {
 		reason := ReasonOf(entry.Code)
 		assert.Equal(t, reason, named[entry.Code], entry.Name)
-		if reason == NotReached || reason == NoRoom || reason == Shed {
+		if reason == NotReached || reason == NoCapacity || reason == Shed {
 			assert.Assert(t, entry.Code.NotRun(), entry.Name)
 		}
 		if reason == MayHaveRun {
@@ -38,7 +38,7 @@
 	}
 }
 
-// The table of the rule: which failure leads to which next step.
+// Checks the table of the rule: which failure leads to which next step.
 func TestNextStepByReason(t *testing.T) {
 	order, read := Call{MaxAttempts: 3}, Call{MaxAttempts: 3, Repeatable: true}
 	retried := Call{MaxAttempts: 3, Repeatable: true, ChainRetries: 1}
@@ -52,9 +52,9 @@
 		"not reached, the last that is allowed":    {order, Counts{NotReached: maxNotReached - 1}, Failure{Reason: NotReached}, AgainElsewhere},
 		"not reached too often":                    {order, Counts{NotReached: maxNotReached}, Failure{Reason: NotReached}, GiveUp},
 		"not reached, itself a retry":              {retried, Counts{}, Failure{Reason: NotReached}, AgainElsewhere},
-		"no room":                                  {order, Counts{}, Failure{Reason: NoRoom}, AgainElsewhere},
-		"no room too often":                        {order, Counts{NoRoom: maxNoRoom}, Failure{Reason: NoRoom}, GiveUp},
-		"no room, itself a retry":                  {retried, Counts{}, Failure{Reason: NoRoom}, AgainElsewhere},
+		"no room":                                  {order, Counts{}, Failure{Reason: NoCapacity}, AgainElsewhere},
+		"no room too often":                        {order, Counts{NoCapacity: maxNoCapacity}, Failure{Reason: NoCapacity}, GiveUp},
+		"no room, itself a retry":                  {retried, Counts{}, Failure{Reason: NoCapacity}, AgainElsewhere},
 		"shed":                                     {order, Counts{}, Failure{Reason: Shed}, AgainWithinBudget},
 		"shed by all that may see it":              {order, Counts{Seen: 2}, Failure{Reason: Shed}, GiveUp},
 		"shed, itself a retry":                     {retried, Counts{}, Failure{Reason: Shed}, GiveUp},
@@ -80,15 +80,15 @@
 	}
 }
 
-// However a call's attempts fail, one that may not be repeated is not tried again after an
-// instance may have run it, and the number of attempts is bounded.
+// Checks that a call that is not repeatable is never retried after an instance may have run it, and
+// that the number of attempts is bounded.
 func TestAttemptsAreSafeAndBounded(t *testing.T) {
 	rapid.Check(t, func(random *rapid.T) {
 		call := Call{
 			Repeatable: rapid.Bool().Draw(random, "repeatable"), MaxAttempts: rapid.IntRange(0, 5).Draw(random, "attempts"),
 			ChainRetries: uint32(rapid.IntRange(0, 1).Draw(random, "chain")),
 		}
-		most := maxNotReached + maxNoRoom + max(call.MaxAttempts, DefaultMaxAttempts)
+		maxAttempts := maxNotReached + maxNoCapacity + max(call.MaxAttempts, DefaultMaxAttempts)
 		counts, attempts := Counts{}, 1
 		for {
 			failure := Failure{
@@ -102,14 +102,15 @@
 			}
 			assert.Assert(t, call.Repeatable || failure.Reason != MayHaveRun)
 			attempts++
-			assert.Assert(t, attempts <= most, "%d attempts", attempts)
+			assert.Assert(t, attempts <= maxAttempts, "%d attempts", attempts)
 		}
 	})
 }
 
-// A refusal by a daemon is cheap and mostly local, one for load is likely to come again.
+// Checks that NotReached allows more attempts than NoCapacity: a refusal by a daemon is cheap and
+// usually local, while a refusal for load is likely to occur again.
 func TestMoreAttemptsAreAllowedWithoutLoad(t *testing.T) {
-	assert.Assert(t, maxNotReached > maxNoRoom)
+	assert.Assert(t, maxNotReached > maxNoCapacity)
 	assert.Assert(t, DefaultMaxAttempts >= 2)
 	assert.Assert(t, maxFailedDeliveries <= DefaultMaxAttempts)
 }
