--- a/internal/requestpath/refusal/doc.go
+++ b/internal/requestpath/refusal/doc.go
@@ -1,12 +1,11 @@
-// Package refusal holds the rules of refusing or waiting: how long a call may wait for a
-// slot, when too little time is left for it to start, and when a refused caller may come back
-// (the Retry-After of the answer).
+// Package refusal decides how long a call may wait for a slot, when too little time is left to
+// start it, and when the caller of a refused call may retry (the Retry-After of the answer).
 //
-// A call that cannot be answered in time is refused as early as that is known, while its
-// caller has time to come back. The rules are pure functions of times; the gateway passes in
-// clock and randomness and states the bounds to the daemon beside the instance, which
-// enforces them in its queue (package admission).
+// A call that cannot be answered in time is refused as soon as that is known, while its caller
+// still has time to retry. The rules are pure functions of times. The gateway supplies the clock
+// and the randomness, and sends the bounds to the daemon of the instance, which enforces them in
+// its queue (package admission).
 //
-// The package owns no state, and relies on times of one clock: what is stated by a caller or
-// measured at an instance is passed in as a duration.
+// The package has no state. All times must be measured with one clock, so times reported by a
+// caller or measured at an instance are passed in as durations.
 package refusal
--- a/internal/requestpath/refusal/retryafter.go
+++ b/internal/requestpath/refusal/retryafter.go
@@ -6,48 +6,51 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Whoever refuses a call names a time first, after which it expects to have room: package balance
-// where no instance may get the call, package admission for load and pace, package quarantine
-// until the next trial, the instance for what it sheds. RetryAfter replaces most of these by a time
-// within the route's target latency; a refusal without any gets DefaultRetryAfter.
+// The component that refuses a call first sets a retry time after which it expects to have
+// capacity: package balance if no instance may receive the call, package admission for load and
+// rate limits, package quarantine until the next trial, and the instance for calls that it sheds.
+// RetryAfter replaces most of these by a time within the target latency of the route. A refusal
+// without a retry time gets DefaultRetryAfter.
 
-// DefaultRetryAfter is the time where nothing better is known: the shortest for callers that read
-// whole seconds.
+// DefaultRetryAfter is the retry time if no better one is known. It is the shortest time for
+// callers that parse whole seconds.
 const DefaultRetryAfter = time.Second
 
-// A refused caller may come back after a random time between these parts of the target latency:
-// soon, because the target counts from the first try, and spread, so that the returns find slots free.
+// The retry delay of a refused call is random between these fractions of the target latency. It is
+// short, because the target counts from the first attempt, and random, so that the retries are
+// spread and find free slots.
 const (
-	returnFrom = 0.15
-	returnTo   = 0.6
+	minRetryFraction = 0.15
+	maxRetryFraction = 0.6
 )
 
-// Refusal is what decides when its caller may come back.
+// Refusal holds the properties of a refused call that determine its retry time.
 type Refusal struct {
 	Code result.Code
-	// RetryAfter is the time that whoever refused the call named; 0 for none.
+	// RetryAfter is the retry time set by the component that refused the call; 0 for none.
 	RetryAfter time.Duration
-	// Constrained is true when a constraint left no instance for the call.
+	// Constrained is true if a constraint excluded all instances for the call.
 	Constrained bool
 }
 
-// RetryAfter returns when the caller of a refused call may come back; 0 stands for
-// DefaultRetryAfter. target is the target latency of the route, 0 for none, and random is drawn
-// from [0, 1).
+// RetryAfter returns the time after which the caller of a refused call may retry; 0 means
+// DefaultRetryAfter. target is the target latency of the route, 0 for none, and random is a random
+// number in [0, 1).
 //
-// A time that was named is kept where an earlier return would be refused again (a constraint, the
-// quarantine or a rate limit), for a call that may have run, and for a route without a target. All others
-// return within the target, early enough for an answer that is worth something: after a random part
-// of it, or after one to two times what was named for a call that its instance shed, if that is sooner.
+// The time in refused is kept if an earlier retry would be refused again (a constraint, the
+// quarantine or a rate limit), for a call that may have run, and for a route without a target. All
+// other callers retry within the target, early enough for an answer to have value: after a random
+// fraction of the target, or, for a call that its instance shed, after one to two times the time in
+// refused if that is sooner.
 func RetryAfter(refused Refusal, target time.Duration, random float64) time.Duration {
-	keeps := refused.Constrained || refused.Code == result.CallNotRunQuarantined || refused.Code == result.CallRateLimited
-	if !refused.Code.NotRun() || target == 0 || keeps {
+	keepRetryAfter := refused.Constrained || refused.Code == result.CallNotRunQuarantined || refused.Code == result.CallRateLimited
+	if !refused.Code.NotRun() || target == 0 || keepRetryAfter {
 		return refused.RetryAfter
 	}
-	part := returnFrom + (returnTo-returnFrom)*random
-	after := time.Duration(part * float64(target.Milliseconds()) * float64(time.Millisecond))
+	fraction := minRetryFraction + (maxRetryFraction-minRetryFraction)*random
+	delay := time.Duration(fraction * float64(target.Milliseconds()) * float64(time.Millisecond))
 	if refused.Code == result.CallNotRunShed && refused.RetryAfter > 0 {
-		after = min(after, time.Duration((1+random)*float64(refused.RetryAfter)))
+		delay = min(delay, time.Duration((1+random)*float64(refused.RetryAfter)))
 	}
-	return after
+	return delay
 }
--- a/internal/requestpath/refusal/wait.go
+++ b/internal/requestpath/refusal/wait.go
@@ -2,81 +2,84 @@
 
 import "time"
 
-// Bounds of the time within which a call may wait and start.
+// Limits of the time in which a call may wait and start.
 const (
-	// waitOfHeadroom is the part of its headroom that a call may wait for a slot, over all
-	// attempts: a larger part refuses later what is refused in the end.
-	waitOfHeadroom = 0.5
-	// waitOfDeadline is the part of the time from its arrival to its deadline that a call may wait.
-	// It is below 0.5, so that the larger part is left to run.
-	waitOfDeadline = 0.45
-	// leastWait is what a call may wait however short its headroom.
-	leastWait = 50 * time.Millisecond
-	// leastWaitLater is what a call may wait at an instance after it used up its wait at earlier
-	// ones. It is below leastWait.
-	leastWaitLater = 5 * time.Millisecond
-	// startOfUsual is the part of a call's usual time at the instance that must be left for it to
-	// start. With less it would hold a slot until its deadline.
-	startOfUsual = 0.5
-	// startMargin is the least time that must be left, so that a late call is refused as not run
-	// before its deadline makes its outcome unknown. It is above the time that a refusal takes from
-	// one daemon to the other.
-	startMargin = 10 * time.Millisecond
+	// headroomWaitFraction is the fraction of its headroom that a call may wait for a slot, over
+	// all attempts. With a larger fraction, calls that are refused in the end are refused later.
+	headroomWaitFraction = 0.5
+	// deadlineWaitFraction is the fraction of the time from its arrival to its deadline that a call
+	// may wait. It is below 0.5, so that the larger part is left to run.
+	deadlineWaitFraction = 0.45
+	// minWait is the time that a call may wait even if its headroom is shorter.
+	minWait = 50 * time.Millisecond
+	// minLaterWait is the time that a call may wait at an instance after it used up its wait at
+	// earlier ones. It is below minWait.
+	minLaterWait = 5 * time.Millisecond
+	// minServiceTimeFraction is the fraction of the usual service time that must be left for a call
+	// to start. With less, the call would hold a slot until its deadline.
+	minServiceTimeFraction = 0.5
+	// minStartTime is the minimum time that must be left for a call to start, so that a late call
+	// is refused as not run before its deadline makes its outcome unknown. It is longer than a
+	// refusal takes from one daemon to the other.
+	minStartTime = 10 * time.Millisecond
 )
 
-// Timing is what decides how long a call may wait at an instance.
+// Timing holds the times that determine how long a call may wait at an instance.
 type Timing struct {
-	// Target is the time inside which an answer is worth most; 0 where the route states none.
+	// Target is the response time up to which an answer has its full value; 0 if the route sets
+	// none.
 	Target time.Duration
-	// ServiceTime is the mean time that calls of the route take at the instance, without the
-	// wait for a slot; 0 where no answer was seen.
+	// ServiceTime is the mean service time of the route at the instance, without the wait for a
+	// slot; 0 if there was no answer.
 	ServiceTime time.Duration
-	// Spent is the time since the call's arrival, SpentBefore that from its caller's first try
-	// to its arrival.
+	// Spent is the time since the arrival of the call. SpentBefore is the time from its caller's
+	// first attempt to its arrival.
 	Spent, SpentBefore time.Duration
-	// HasDeadline is true when the call has a deadline, Whole the time from its arrival to that.
+	// HasDeadline is true if the call has a deadline. Whole is the time from its arrival to the
+	// deadline.
 	HasDeadline bool
 	Whole       time.Duration
 }
 
-// Bounds is how long a call may wait at an instance.
+// Bounds holds the limits on the wait of a call at an instance.
 type Bounds struct {
-	// Headroom is the target latency less the service time.
+	// Headroom is the target latency minus the service time.
 	Headroom time.Duration
-	// DueIn is what is left of Headroom since the caller's first try: the time in which the call
-	// must start for its answer to be in time; negative once it is late.
+	// DueIn is the part of Headroom that is left, counted from the caller's first attempt: the time
+	// within which the call must start for its answer to be in time. It is negative once the call
+	// is late.
 	DueIn time.Duration
 	// MaxWait is the time after which the call is refused if it has no slot.
 	MaxWait time.Duration
 }
 
-// BoundsOf returns the bounds of a call with a target latency. MaxWait is at most waitOfHeadroom and
-// waitOfDeadline allow and at least leastWait, from the call's arrival; less what was spent it is
-// at least leastWaitLater.
+// BoundsOf returns the bounds of a call with a target latency. The total wait since the arrival of
+// the call is limited by headroomWaitFraction and deadlineWaitFraction, but is at least minWait.
+// MaxWait is that wait minus the time spent, and at least minLaterWait.
 func BoundsOf(timing Timing) Bounds {
 	headroom := timing.Target - timing.ServiceTime
 	return Bounds{
 		Headroom: headroom,
 		DueIn:    headroom - timing.Spent - timing.SpentBefore,
-		MaxWait:  max(timing.wait(headroom)-timing.Spent, leastWaitLater),
+		MaxWait:  max(timing.wait(headroom)-timing.Spent, minLaterWait),
 	}
 }
 
 // wait returns how long after its arrival a call may get a slot, over all attempts.
 func (t Timing) wait(headroom time.Duration) time.Duration {
-	most := time.Duration(waitOfHeadroom * float64(headroom))
+	limit := time.Duration(headroomWaitFraction * float64(headroom))
 	if t.HasDeadline {
-		most = min(most, time.Duration(waitOfDeadline*float64(t.Whole)))
+		limit = min(limit, time.Duration(deadlineWaitFraction*float64(t.Whole)))
 	}
-	return max(most, leastWait)
+	return max(limit, minWait)
 }
 
-// LeastTime returns the time that must be left until its deadline for a call to start at an
-// instance where such calls lately took usual.
-func LeastTime(usual time.Duration) time.Duration {
-	return max(startMargin, time.Duration(startOfUsual*float64(usual)))
+// LeastTime returns the minimum time that must be left until its deadline for a call to start at an
+// instance, where serviceTime is the recent service time of such calls there.
+func LeastTime(serviceTime time.Duration) time.Duration {
+	return max(minStartTime, time.Duration(minServiceTimeFraction*float64(serviceTime)))
 }
 
-// Hopeless reports whether too little time is left; the call is then refused before any instance
-// has it.
-func Hopeless(left, usual time.Duration) bool { return left < LeastTime(usual) }
+// Hopeless reports whether too little time is left to start a call. The call is then refused before
+// it is sent to an instance.
+func Hopeless(remaining, serviceTime time.Duration) bool { return remaining < LeastTime(serviceTime) }
