--- a/internal/requestpath/decision/doc.go
+++ b/internal/requestpath/decision/doc.go
@@ -1,14 +1,15 @@
-// Package decision writes the lines of decisions that touch a request, so that an operator can
-// find from a request's id why it was refused, repeated or failed.
+// Package decision writes log lines about the decisions on a request, so that an operator can find
+// out from a request's id why it was refused, retried or failed.
 //
-// Its volume is bounded: above a number of lines a second requests are sampled by the hash of
-// their id, so that every process that one passes keeps either all of its lines or none. The
-// samples are nested: a process that keeps fewer keeps a part of what the others do.
+// The log volume is bounded. Above a number of lines per second, requests are sampled by the hash
+// of their id, so that every process that a request passes writes either all of its lines or none.
+// The samples are nested: the requests of a sparser sample are a subset of those of a denser one.
 //
-// It owns the state of the sampling, and starts no goroutine. It relies on the logger to
-// write a line whole.
+// The package holds the state of the sampling and starts no goroutine. The logger must write each
+// line as a whole.
 //
-// What must hold: while they are few, all failures are written; what is left out is counted in
-// a line. Measured at the default of 200 lines a second, three runs each way on a day of high
-// load at each of two sites: 4.6 and 0.8 percent more processor time of all daemons (medians).
+// Invariants: while there are few failures, all of them are written; lines that are dropped are
+// counted in a log line. At the default of 200 lines per second, the log raises the processor time
+// of all daemons by 4.6 and 0.8 percent (medians of three runs each with and without it, on a day
+// of high load at two sites).
 package decision
--- a/internal/requestpath/decision/log.go
+++ b/internal/requestpath/decision/log.go
@@ -10,56 +10,55 @@
 )
 
 const (
-	// successLevel is the level of successes above that of failures: one of 2^successLevel (256) is
-	// written where all failures are. It is below maxLevel.
+	// successLevel is the additional sampling level of successes: one of 2^successLevel (256) is
+	// written while all failures are. It is below maxLevel.
 	successLevel = 8
 	// maxLevel bounds the sampling: at least one failure of 2^maxLevel is written. maxLevel +
 	// successLevel must stay below the 64 bits of a hash.
 	maxLevel = 20
-	// window is the time after which the volume is compared with its bound. Short, to follow a
-	// flood of failures within seconds.
+	// window is the interval at which the volume is compared with its limit. It is short, so that
+	// the sampling follows a flood of failures within seconds.
 	window = time.Second
-	// sparePart is the part of the bound below which the sampling gets denser again: 1 of 3. Less
-	// than half, since a level more doubles the lines.
-	sparePart = 3
+	// relaxDivisor determines when the sampling gets denser again: if the volume is below the limit
+	// divided by relaxDivisor. It is above 2, because a denser level doubles the volume.
+	relaxDivisor = 3
 )
 
-// Log writes lines of decisions; a nil one writes nothing. It is safe for
-// concurrent use.
+// Log writes log lines about decisions. A nil Log writes nothing. It is safe for concurrent use.
 type Log struct {
 	logger logr.Logger
 	now    func() time.Time
-	// perSecond is the volume from which requests are sampled more sparsely; 0
-	// for no lines.
+	// perSecond is the number of lines per second above which the sampling gets sparser; 0 disables
+	// the log.
 	perSecond int
 
 	// mutex protects everything below.
 	mutex sync.Mutex
-	// level is the number of low bits of a request's hash that must be zero for its failures
+	// level is the number of low bits of the hash of a request that must be zero for its failures
 	// to be written.
 	level       uint
 	windowStart time.Time
-	// written and leftOut count the lines of the window that were written, and those that were
-	// not although they tell of a failure.
-	written, leftOut int
+	// written counts the lines that were written in the current window, and dropped the lines about
+	// failures that were not.
+	written, dropped int
 }
 
-// New returns a log in front of logger that writes about perSecond lines a second under load,
-// none at all if that is 0. now is the clock of the sampling.
+// New returns a log that writes to logger, about perSecond lines per second under load, or nothing
+// if that is 0. now is the clock of the sampling.
 func New(logger logr.Logger, perSecond int, now func() time.Time) *Log {
 	return &Log{logger: logger, perSecond: perSecond, now: now, windowStart: now()}
 }
 
-// Failure writes a line about a request that was refused, repeated or failed. pairs are keys
-// and values, alternating, as for logr.
+// Failure writes a line about a request that was refused, retried or failed. pairs are alternating
+// keys and values, as in logr.
 func (l *Log) Failure(event, request string, pairs ...any) {
 	if l.admits(request, 0) {
 		l.write(event, request, pairs)
 	}
 }
 
-// Success writes a line about a request that went well, for a sample of them;
-// pairs is called only for those.
+// Success writes a line about a successful request if it is in the sample; only then is pairs
+// called.
 func (l *Log) Success(event, request string, pairs func() []any) {
 	if l.admits(request, successLevel) {
 		l.write(event, request, pairs())
@@ -70,14 +69,14 @@
 	l.logger.Info(event, append([]any{"request", request}, pairs...)...)
 }
 
-// Rank returns the sparsest sampling that a request's lines are in: one of rank n is among
-// those of one request of 2^n.
+// Rank returns the sparsest sampling level at which the lines of a request are written. A level of
+// n selects one of 2^n requests.
 func Rank(request string) uint {
 	return uint(bits.TrailingZeros64(xxhash.Sum64String(request)))
 }
 
-// admits reports whether a line of a request is written. levels is added to the level of failures:
-// 0 for a failure, successLevel for a success.
+// admits reports whether a line about a request is written. levels is added to the level of
+// failures: 0 for a failure, successLevel for a success.
 func (l *Log) admits(request string, levels uint) bool {
 	if l == nil || l.perSecond == 0 {
 		return false
@@ -85,10 +84,10 @@
 	rank := Rank(request)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.review()
+	l.adjustLevel()
 	if rank < l.level+levels {
 		if levels == 0 {
-			l.leftOut++
+			l.dropped++
 		}
 		return false
 	}
@@ -96,24 +95,24 @@
 	return true
 }
 
-// review makes the sampling sparser by one level after a window with too many lines, and
-// denser after one with few; the caller holds mutex.
-func (l *Log) review() {
+// adjustLevel makes the sampling sparser by one level after a window with too many lines, and
+// denser after one with few. The caller must hold mutex.
+func (l *Log) adjustLevel() {
 	now := l.now()
 	elapsed := now.Sub(l.windowStart)
 	if elapsed < window {
 		return
 	}
-	if l.leftOut > 0 {
-		l.logger.Info("decisions.sampled", "one_of", 1<<l.level, "not_written", l.leftOut, "written", l.written)
+	if l.dropped > 0 {
+		l.logger.Info("decisions.sampled", "one_of", 1<<l.level, "not_written", l.dropped, "written", l.written)
 	}
 	limit := int(float64(l.perSecond) * elapsed.Seconds())
 	switch {
 	case l.written > limit && l.level < maxLevel:
 		l.level++
-	case l.written < limit/sparePart && l.level > 0:
+	case l.written < limit/relaxDivisor && l.level > 0:
 		l.level--
 	}
 	l.windowStart = now
-	l.written, l.leftOut = 0, 0
+	l.written, l.dropped = 0, 0
 }
--- a/internal/requestpath/decision/log_test.go
+++ b/internal/requestpath/decision/log_test.go
@@ -13,10 +13,10 @@
 	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
-// perSecond bounds the lines of the logs here.
+// perSecond is the volume limit of the logs in these tests.
 const perSecond = 200
 
-// recorder is a log with its lines and its time.
+// recorder is a log with a buffer for its lines and a manual clock.
 type recorder struct {
 	*decision.Log
 	lines bytes.Buffer
@@ -24,12 +24,12 @@
 }
 
 func newRecorder() *recorder {
-	recorded := &recorder{now: time.Unix(1000, 0)}
-	recorded.Log = decision.New(logging.NewPlain(&recorded.lines), perSecond, func() time.Time { return recorded.now })
-	return recorded
+	log := &recorder{now: time.Unix(1000, 0)}
+	log.Log = decision.New(logging.NewPlain(&log.lines), perSecond, func() time.Time { return log.now })
+	return log
 }
 
-// second writes so many lines of an event within one second.
+// second calls write count times, spread over one second.
 func (r *recorder) second(count int, write func(index int)) {
 	for index := range count {
 		write(index)
@@ -41,50 +41,50 @@
 	return strings.Contains(r.lines.String(), fmt.Sprintf("event=%s request=%s", event, request))
 }
 
-func nothing() []any { return nil }
+func noPairs() []any { return nil }
 
 func TestAllFailuresAreWrittenWhileTheyAreFew(t *testing.T) {
-	recorded := newRecorder()
+	log := newRecorder()
 	for range 10 {
-		recorded.second(100, func(index int) { recorded.Failure("call.failed", fmt.Sprint("r", index)) })
+		log.second(100, func(index int) { log.Failure("call.failed", fmt.Sprint("r", index)) })
 	}
-	assert.Equal(t, strings.Count(recorded.lines.String(), "call.failed"), 1000)
+	assert.Equal(t, strings.Count(log.lines.String(), "call.failed"), 1000)
 }
 
 func TestSuccessesAreSampled(t *testing.T) {
-	recorded := newRecorder()
-	recorded.second(100_000, func(index int) { recorded.Success("call.done", fmt.Sprint("r", index), nothing) })
-	written := strings.Count(recorded.lines.String(), "call.done")
+	log := newRecorder()
+	log.second(100_000, func(index int) { log.Success("call.done", fmt.Sprint("r", index), noPairs) })
+	written := strings.Count(log.lines.String(), "call.done")
 	assert.Assert(t, written > 100 && written < 1000, "%d lines", written)
 }
 
-// A flood of failures is bounded, and counted.
+// Checks that a flood of failures is sampled, and that the dropped lines are counted.
 func TestVolumeIsBounded(t *testing.T) {
-	recorded := newRecorder()
+	log := newRecorder()
 	const seconds, calls = 30, 20_000
 	for second := range seconds {
-		recorded.second(calls, func(index int) { recorded.Failure("call.failed", fmt.Sprint("r", second, "-", index)) })
+		log.second(calls, func(index int) { log.Failure("call.failed", fmt.Sprint("r", second, "-", index)) })
 	}
-	recorded.lines.Reset()
-	recorded.second(calls, func(index int) { recorded.Failure("call.failed", fmt.Sprint("last-", index)) })
-	written := strings.Count(recorded.lines.String(), "call.failed")
+	log.lines.Reset()
+	log.second(calls, func(index int) { log.Failure("call.failed", fmt.Sprint("last-", index)) })
+	written := strings.Count(log.lines.String(), "call.failed")
 	assert.Assert(t, written > 10 && written < 1000, "%d lines", written)
-	assert.Assert(t, strings.Contains(recorded.lines.String(), "decisions.sampled one_of="))
+	assert.Assert(t, strings.Contains(log.lines.String(), "decisions.sampled one_of="))
 }
 
-// What one process writes of a request under little pressure, another under more
-// either writes too or not at all: the samples are nested.
+// Checks that the samples of processes under different load are nested: a request in the sparser
+// sample is also in the denser one.
 func TestSamplesAreNested(t *testing.T) {
-	calm, pressed := newRecorder(), newRecorder()
+	idle, loaded := newRecorder(), newRecorder()
 	for second := range 20 {
-		pressed.second(5000, func(index int) { pressed.Failure("flood", fmt.Sprint("f", second, "-", index)) })
+		loaded.second(5000, func(index int) { loaded.Failure("flood", fmt.Sprint("f", second, "-", index)) })
 	}
 	common := 0
 	for index := range 2000 {
 		request := fmt.Sprint("r", index)
-		calm.Success("call.done", request, nothing)
-		pressed.Failure("origin.refused", request)
-		if calm.has("call.done", request) && pressed.has("origin.refused", request) {
+		idle.Success("call.done", request, noPairs)
+		loaded.Failure("origin.refused", request)
+		if idle.has("call.done", request) && loaded.has("origin.refused", request) {
 			common++
 		}
 	}
@@ -92,11 +92,11 @@
 }
 
 func TestLogThatIsOffWritesNothing(t *testing.T) {
-	var none *decision.Log
-	none.Failure("call.failed", "r")
+	var nilLog *decision.Log
+	nilLog.Failure("call.failed", "r")
 	var written bytes.Buffer
 	off := decision.New(logging.NewPlain(&written), 0, time.Now)
 	off.Failure("call.failed", "r")
-	off.Success("call.done", "r", nothing)
+	off.Success("call.done", "r", noPairs)
 	assert.Equal(t, written.Len(), 0)
 }
