--- a/internal/requestpath/identity/identity.go
+++ b/internal/requestpath/identity/identity.go
@@ -1,14 +1,14 @@
-// Package identity decides whether a request may be served by the API key that it presents, and what
-// happens to a key that the configuration in force does not hold: it may be wrong, or this daemon may
-// be behind.
+// Package identity decides whether a request may be served under the API key that it presents, and
+// how to handle a key that the configuration in force does not contain. Such a key may be wrong, or
+// this daemon may not have the newest configuration yet.
 //
-// The decision is pure. It relies on package account for whose a key is, and on its caller for how
-// current the configuration in force is. It asks nobody, so that wrong keys, however many, cost no
-// messages.
+// The decision is a pure function. Package account supplies the account of a key, and the caller
+// states how current the configuration in force is. No other daemon is queried, so that wrong keys
+// cost no messages, however many there are.
 //
-// What must hold: a key is refused as unknown only where the configuration in force is known to be
-// new enough for that; and where revocations are strict, a daemon that cannot confirm its
-// configuration serves no key.
+// Invariants: a key is refused as unknown only if the configuration in force is known to be new
+// enough; if revocations have a time limit, a daemon that cannot confirm its configuration within
+// it serves no key.
 package identity
 
 import (
@@ -17,72 +17,74 @@
 	"github.com/lapisvane/lapisvane/internal/model/account"
 )
 
-// Currency is how current the configuration in force at this daemon is. The zero value stands for
-// one that is always the newest.
+// Currency states how current the configuration in force at this daemon is. The zero value means
+// that it is the newest.
 type Currency struct {
-	// Unconfirmed is the time since it was last confirmed to be the newest.
+	// Unconfirmed is the time since the configuration was last confirmed to be the newest.
 	Unconfirmed time.Duration
-	// Behind is true when another daemon has a newer one in force.
+	// Behind is true if another daemon has a newer configuration in force.
 	Behind bool
 }
 
-// Bounds are what a site demands of the currency of a daemon's keys.
+// Bounds are the requirements of a site on how current the keys of a daemon are.
 type Bounds struct {
-	// Apply is the time within which an accepted configuration must be in force everywhere.
+	// Apply is the time within which an accepted configuration must be in force at all daemons.
 	Apply time.Duration
-	// Revocation is the time without confirmation after which no key is served, 0 for no limit.
+	// Revocation is the time without confirmation after which no key is served; 0 for no limit.
 	Revocation time.Duration
 }
 
-// TooOld reports whether keys may have been revoked for longer than the site bears.
+// TooOld reports whether a revocation may have gone unnoticed for longer than the site allows.
 func (b Bounds) TooOld(currency Currency) bool {
 	return b.Revocation > 0 && currency.Unconfirmed >= b.Revocation
 }
 
-// newest reports whether a key that the configuration in force lacks was in no configuration that
-// had to be in force by now.
-func (b Bounds) newest(currency Currency) bool {
+// upToDate reports whether the configuration in force is new enough to refuse an unknown key: no
+// configuration that must be in force by now can contain the key.
+func (b Bounds) upToDate(currency Currency) bool {
 	return !currency.Behind && currency.Unconfirmed <= b.Apply
 }
 
-// Facts are what is known of a request when its key was looked up.
+// Facts holds the input of the decision on a request, as known when its key was looked up.
 type Facts struct {
-	// Caller is the account that the key belongs to, nil for none.
+	// Caller is the account of the key, nil for none.
 	Caller *account.Account
-	// Public is true for a route that needs no key.
+	// Public is true for a route that requires no key.
 	Public   bool
 	Currency Currency
-	// Waited is true when the request has waited for a newer configuration already.
+	// Waited is true if the request has already waited for a newer configuration.
 	Waited bool
 }
 
-// Decision is what happens to a request.
+// Decision is the result of Decide.
 type Decision uint8
 
-// Decisions.
+// Decisions on a request.
 const (
-	// ServeCaller serves the request as one of its caller's account, ServeAnyone as one of nobody's.
+	// ServeCaller serves the request under the account of its caller. ServeAnyone serves it without
+	// an account.
 	ServeCaller Decision = iota
 	ServeAnyone
 	// RefuseUnknown refuses a key that belongs to no account.
 	RefuseUnknown
-	// RefuseUnconfirmed refuses a key that this daemon cannot decide on; the caller may come back.
+	// RefuseUnconfirmed refuses a key that this daemon cannot decide on. The caller may retry.
 	RefuseUnconfirmed
-	// AwaitNewer waits a short time for the newer configuration, and decides anew.
+	// AwaitNewer waits a short time for the newer configuration before the decision is repeated.
 	AwaitNewer
 )
 
-// Decide decides on a request. Conditions, in this order:
+// Decide decides how a request is handled. It checks in this order:
 //
-//   - A public route is served whatever the key says. The account is stated only where the key is
-//     known and not too old.
-//   - Keys that are too old are not served.
-//   - A known key is served. A newer configuration may have revoked it; how long that may go unseen
-//     is what Bounds.Revocation and the apply bound of the distribution limit.
-//   - An unknown key waits once where another daemon is known to have a newer configuration: it is
-//     on its way. Without that there is nothing to wait for.
-//   - An unknown key is refused for good where the configuration in force is new enough, else until
-//     it is confirmed.
+//   - A known key is served, unless the configuration is too old. A newer configuration may have
+//     revoked the key; Bounds.Revocation and the apply bound of the distribution limit for how long
+//     that can go unnoticed.
+//   - A public route is served regardless of the key, without an account if the key is not known or
+//     the configuration is too old.
+//   - If the configuration is too old, no key is served.
+//   - An unknown key waits once if another daemon is known to have a newer configuration, because
+//     that configuration will arrive soon. Otherwise there is nothing to wait for.
+//   - An unknown key is refused for good if the configuration in force is new enough, otherwise
+//     until it is confirmed.
 func Decide(facts Facts, bounds Bounds) Decision {
 	tooOld := bounds.TooOld(facts.Currency)
 	known := facts.Caller != nil && !tooOld
@@ -95,19 +97,19 @@
 		return RefuseUnconfirmed
 	case facts.Currency.Behind && !facts.Waited:
 		return AwaitNewer
-	case !bounds.newest(facts.Currency):
+	case !bounds.upToDate(facts.Currency):
 		return RefuseUnconfirmed
 	default:
 		return RefuseUnknown
 	}
 }
 
-// Part of a route's target latency that a request with an unknown key waits for a newer
-// configuration. A caller that is refused then can still come back in time.
-const waitPart = 0.2
+// waitFraction is the fraction of the target latency of a route that a request with an unknown key
+// waits for a newer configuration. It leaves a refused caller enough time to retry.
+const waitFraction = 0.2
 
-// maxWait bounds that wait, also for a route without a target: configurations that are on their way
-// between daemons arrive sooner.
+// maxWait is the maximum of that wait, and the wait for a route without a target. Configurations
+// that are being distributed between daemons arrive sooner.
 const maxWait = 200 * time.Millisecond
 
 // WaitFor returns how long a request with an unknown key waits for a newer configuration. target is
@@ -116,5 +118,5 @@
 	if target == 0 {
 		return maxWait
 	}
-	return min(time.Duration(waitPart*float64(target)), maxWait)
+	return min(time.Duration(waitFraction*float64(target)), maxWait)
 }
--- a/internal/requestpath/identity/identity_test.go
+++ b/internal/requestpath/identity/identity_test.go
@@ -19,20 +19,20 @@
 
 func TestDecisions(t *testing.T) {
 	fresh := identity.Currency{Unconfirmed: apply}
-	lost := identity.Currency{Unconfirmed: apply + 1}
+	unconfirmed := identity.Currency{Unconfirmed: apply + 1}
 	behind := identity.Currency{Behind: true}
 	tooOld := identity.Currency{Unconfirmed: revocation}
 	for name, row := range map[string]struct {
-		facts       identity.Facts
-		lax, strict identity.Decision
+		facts                   identity.Facts
+		withoutLimit, withLimit identity.Decision
 	}{
 		"known":                            {identity.Facts{Caller: caller, Currency: fresh}, identity.ServeCaller, identity.ServeCaller},
-		"known, not confirmed":             {identity.Facts{Caller: caller, Currency: lost}, identity.ServeCaller, identity.ServeCaller},
+		"known, not confirmed":             {identity.Facts{Caller: caller, Currency: unconfirmed}, identity.ServeCaller, identity.ServeCaller},
 		"known, behind":                    {identity.Facts{Caller: caller, Currency: behind}, identity.ServeCaller, identity.ServeCaller},
 		"known, too old":                   {identity.Facts{Caller: caller, Currency: tooOld}, identity.ServeCaller, identity.RefuseUnconfirmed},
 		"unknown":                          {identity.Facts{Currency: fresh}, identity.RefuseUnknown, identity.RefuseUnknown},
-		"unknown, not confirmed":           {identity.Facts{Currency: lost}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
-		"unknown, not confirmed, waited":   {identity.Facts{Currency: lost, Waited: true}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
+		"unknown, not confirmed":           {identity.Facts{Currency: unconfirmed}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
+		"unknown, not confirmed, waited":   {identity.Facts{Currency: unconfirmed, Waited: true}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
 		"unknown, behind":                  {identity.Facts{Currency: behind}, identity.AwaitNewer, identity.AwaitNewer},
 		"unknown, still behind":            {identity.Facts{Currency: behind, Waited: true}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
 		"unknown, no longer behind":        {identity.Facts{Currency: fresh, Waited: true}, identity.RefuseUnknown, identity.RefuseUnknown},
@@ -44,18 +44,19 @@
 		"public, no confirmation for long": {identity.Facts{Public: true, Currency: tooOld}, identity.ServeAnyone, identity.ServeAnyone},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, identity.Decide(row.facts, identity.Bounds{Apply: apply}), row.lax)
-			assert.Equal(t, identity.Decide(row.facts, identity.Bounds{Apply: apply, Revocation: revocation}), row.strict)
+			assert.Equal(t, identity.Decide(row.facts, identity.Bounds{Apply: apply}), row.withoutLimit)
+			assert.Equal(t, identity.Decide(row.facts, identity.Bounds{Apply: apply, Revocation: revocation}), row.withLimit)
 		})
 	}
 }
 
-// Where nobody says how current a configuration is, it counts as the newest.
+// Checks that a configuration without currency information counts as the newest.
 func TestZeroCurrencyIsTheNewest(t *testing.T) {
 	assert.Equal(t, identity.Decide(identity.Facts{}, identity.Bounds{}), identity.RefuseUnknown)
 }
 
-// The wait leaves most of the target latency to another try, and is short without one.
+// Checks that the wait leaves most of the target latency for a retry, and is short without a
+// target.
 func TestWaitIsAPartOfTheTarget(t *testing.T) {
 	for target, wait := range map[time.Duration]time.Duration{
 		0: 200 * time.Millisecond, 250 * time.Millisecond: 50 * time.Millisecond, time.Second: 200 * time.Millisecond, time.Minute: 200 * time.Millisecond,
