--- a/internal/model/quarantine/doc.go
+++ b/internal/model/quarantine/doc.go
@@ -1,19 +1,20 @@
-// Package quarantine decides which requests no instance gets any more because instances crashed
-// while they ran them (poison requests).
+// Package quarantine keeps requests that crash instances (poison requests) away from further
+// instances.
 //
-// A request may crash every instance that begins to run it, and come again under another id at
-// any daemon. Only the daemon beside an instance sees it crash, and not which of the calls in
-// flight did it. So each of them becomes a suspect: a key of what it asks for (package
-// fingerprint) under which an instance crashed. An answer to such a request refutes the crashes,
-// since what an instance has answered does not crash each instance. From notRepeatedAt crashes on
-// a daemon does not retry a suspect, from quarantineAt on it is quarantined: no instance gets it,
-// but for one trial, which may refute it.
+// A poison request crashes every instance that starts to process it, and may arrive again under
+// another id at any daemon. Only the daemon next to an instance observes the crash, and it cannot
+// tell which of the requests in flight caused it. The registry therefore records the crash under
+// the keys (package fingerprint) of every request in flight; a key with recorded crashes is a
+// suspect. A response to a request with the key refutes these crashes, because an instance never
+// gets to answer a poison request. From noRetryThreshold crashes on, a daemon does not retry the
+// request on another instance. From quarantineThreshold crashes on, the request is quarantined:
+// daemons refuse it, except for one trial, whose response would refute the crashes.
 //
-// The package owns the registry of a daemon, in memory. It has no goroutines and does no I/O:
-// the time is passed in, what changed is returned for the caller to spread to other daemons, and
-// what must outlast all daemons is kept by the caller in a Store.
+// The package holds the registry of one daemon in memory. It starts no goroutines and does no I/O:
+// the caller passes in the time, sends changed records to other daemons, and keeps in a Store the
+// records that must survive a restart of all daemons.
 //
-// What must hold: records merge by union, so that daemons may exchange them in any order and
-// more than once; a request is quarantined only for callers that had one in flight in a crash;
-// memory is bounded, and a caller that fills it makes the registry forget its own entries.
+// Invariants: records merge by set union, so daemons can exchange them in any order and more than
+// once; a request is quarantined only for callers that had such a request in flight in a crash;
+// memory is bounded, and a caller that fills it evicts its own entries only.
 package quarantine
--- a/internal/model/quarantine/message.go
+++ b/internal/model/quarantine/message.go
@@ -7,7 +7,7 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// Message returns records as daemons exchange them.
+// Message encodes records for the exchange between daemons.
 func Message(records []Record) *lapisv1.Suspects {
 	message := &lapisv1.Suspects{}
 	for _, record := range records {
@@ -23,8 +23,8 @@
 	return message
 }
 
-// Records returns the records of a message. Those whose key has the wrong length are left out,
-// and so is what goes beyond the bounds of a record.
+// Records decodes the records of a message. It skips records whose key has the wrong length, and
+// truncates lists to the bounds of a record.
 func Records(message *lapisv1.Suspects) []Record {
 	var records []Record
 	for _, suspect := range message.GetSuspects() {
@@ -33,7 +33,7 @@
 		}
 		record := Record{
 			Key: fingerprint.Key(suspect.GetKey()), Head: fingerprint.Head(suspect.GetHead()), Trials: suspect.GetTrials(), Stored: suspect.GetStored(),
-			Age: time.Duration(min(suspect.GetAgeMillis(), uint64(2*memory/time.Millisecond))) * time.Millisecond,
+			Age: time.Duration(min(suspect.GetAgeMillis(), uint64(2*suspectTTL/time.Millisecond))) * time.Millisecond,
 		}
 		refuted := suspect.GetRefuted()
 		record.Refuted = refuted[:min(len(refuted), maxRefuted)]
--- a/internal/model/quarantine/record.go
+++ b/internal/model/quarantine/record.go
@@ -15,33 +15,33 @@
 	Caller string
 }
 
-// Record is what is known of one suspect. It is not safe for concurrent use.
+// Record holds the crashes recorded under one key. It is not safe for concurrent use.
 type Record struct {
 	Key     fingerprint.Key
 	Head    fingerprint.Head
 	Crashes []Crash
-	// Refuted are the crashes after which an instance answered such a request.
+	// Refuted holds the ids of crashes after which an instance answered such a request.
 	Refuted []uint64
-	// Trials counts the requests that ran as trials.
+	// Trials is the number of requests that ran as trials.
 	Trials uint32
 	// Age is the time since the newest crash.
 	Age time.Duration
-	// Stored is true once the platform's store has the crashes.
+	// Stored is true once the Store holds the crashes.
 	Stored bool
-	// Local is true where this daemon is the one beside the instance that crashed last. It is
-	// not sent to others.
+	// Local is true if this daemon observed the newest crash itself. It is not sent to other
+	// daemons.
 	Local bool
 }
 
-// Bounds of one record. maxCrashes is above quarantineAt, so that callers of several services are
-// each found among the crashes; maxRefuted is above maxCrashes, so that an answer refutes all of a
-// full record.
+// Limits of one record. maxCrashes is above quarantineThreshold, so that the crashes of several
+// calling services fit into a record. maxRefuted is above maxCrashes, so that one response can
+// refute every crash of a full record.
 const (
 	maxCrashes = 12
 	maxRefuted = 24
 )
 
-// Count returns the number of instances that crashed, without the refuted crashes.
+// Count returns the number of distinct crashes that are not refuted.
 func (r *Record) Count() int {
 	distinct := 0
 	for index, crash := range r.Crashes {
@@ -52,13 +52,13 @@
 	return distinct
 }
 
-// involves reports whether a request of the caller was in flight in one of the crashes.
+// involves reports whether the caller had a request in flight in one of the crashes.
 func (r *Record) involves(caller string) bool {
 	return slices.ContainsFunc(r.Crashes, func(crash Crash) bool { return crash.Caller == caller })
 }
 
-// add adds a crash; it reports whether the record changed. In a full record one of a caller
-// that is not involved yet replaces the oldest.
+// add adds a crash and reports whether the record changed. In a full record, a crash of a caller
+// without a recorded crash replaces the oldest one.
 func (r *Record) add(crash Crash) bool {
 	if slices.Contains(r.Refuted, crash.ID) || slices.Contains(r.Crashes, crash) {
 		return false
@@ -73,7 +73,7 @@
 	return true
 }
 
-// refute removes a crash for good; it reports whether the record changed.
+// refute removes a crash permanently and reports whether the record changed.
 func (r *Record) refute(id uint64) bool {
 	if slices.Contains(r.Refuted, id) {
 		return false
@@ -86,8 +86,8 @@
 	return true
 }
 
-// Merge adds the crashes, refuted crashes and trials of another record of the key; it reports
-// whether the record changed.
+// Merge adds the crashes, refuted crashes and trials of another record with the same key, and
+// reports whether the record changed.
 func (r *Record) Merge(other Record) (changed bool) {
 	for _, id := range other.Refuted {
 		changed = r.refute(id) || changed
@@ -101,7 +101,7 @@
 	return changed
 }
 
-// clone returns a copy that shares nothing.
+// clone returns a deep copy.
 func (r *Record) clone() Record {
 	copied := *r
 	copied.Crashes = slices.Clone(r.Crashes)
--- a/internal/model/quarantine/registry.go
+++ b/internal/model/quarantine/registry.go
@@ -10,66 +10,65 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// maxKnown bounds the records that a new connection starts with. It is far below maxEntries; at
-// about 300 bytes a record it is 150 KB.
-const maxKnown = 512
+// maxInitialRecords limits the records sent over a new connection. At about 300 bytes a record,
+// that is 150 KB; it is far below maxEntries to bound the size of that message.
+const maxInitialRecords = 512
 
-// InFlight is a request that an instance was running when it crashed.
+// InFlight describes a request that an instance was processing when it crashed.
 type InFlight struct {
 	Head fingerprint.Head
-	// Keys are those of the request, at each level that is known.
+	// Keys holds the keys of the request, one for each level that is known.
 	Keys []fingerprint.Key
 	// Caller is the calling service.
 	Caller string
 }
 
-// Registry is what a daemon knows of suspects. It is safe for concurrent use.
+// Registry holds the suspects known to a daemon. It is safe for concurrent use.
 type Registry struct {
 	now func() time.Time
-	// suspected is the number of suspects, to be read without mutex.
-	suspected atomic.Int64
+	// suspectCount is the number of suspects; it can be read without the mutex.
+	suspectCount atomic.Int64
 
-	// mutex protects everything below.
+	// mutex guards the fields below.
 	mutex   sync.Mutex
 	entries map[fingerprint.Key]*entry
-	// heads counts the suspects with each head.
-	heads map[fingerprint.Head]int
-	// sweptAt is when the entries were last swept.
+	// suspectsByHead counts the suspects with each head.
+	suspectsByHead map[fingerprint.Head]int
+	// sweptAt is the time of the last sweep of the entries.
 	sweptAt time.Time
 }
 
-// entry is a record with the time of its newest crash in place of its age; Registry.mutex
-// protects it.
+// entry is a record that holds the time of its newest crash instead of its age. It is guarded by
+// Registry.mutex.
 type entry struct {
 	Record
-	lastAt time.Time
-	// counted is true while the entry is in Registry.heads.
-	counted bool
-	// inStore is true once the store had the key, and removalDue while this daemon has to
-	// remove it there.
+	lastCrashAt time.Time
+	// inHeads is true while the entry is included in Registry.suspectsByHead.
+	inHeads bool
+	// inStore is true once the Store was known to hold the key, and removalDue while this daemon
+	// has to remove the key from the Store.
 	inStore, removalDue bool
 }
 
 // NewRegistry returns an empty registry; now is its clock.
 func NewRegistry(now func() time.Time) *Registry {
-	return &Registry{now: now, entries: map[fingerprint.Key]*entry{}, heads: map[fingerprint.Head]int{}}
+	return &Registry{now: now, entries: map[fingerprint.Key]*entry{}, suspectsByHead: map[fingerprint.Head]int{}}
 }
 
-// Suspected reports whether any request with the head of the line is a suspect; where none is,
-// Count and Evaluate need not be called. While there is no suspect at all, which is usual,
-// nothing is hashed: a call without a body then costs 89 ns and 1 allocation in place of 953 ns and
-// 10 (BenchmarkNothingSuspected).
+// Suspected reports whether any suspect has the head of the line; if not, callers can skip Count
+// and Evaluate. Without any suspect, the usual case, it computes no hash: a call without a body
+// then costs 89 ns and 1 allocation instead of 953 ns and 10 (BenchmarkNothingSuspected).
 func (r *Registry) Suspected(line fingerprint.Line) bool {
-	if r.suspected.Load() == 0 {
+	if r.suspectCount.Load() == 0 {
 		return false
 	}
 	head := fingerprint.HeadOf(line)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.heads[head] > 0
+	return r.suspectsByHead[head] > 0
 }
 
-// Count returns the number of instances that crashed under a request with the keys.
+// Count returns the highest number of crashes recorded under one of the keys.
 func (r *Registry) Count(keys []fingerprint.Key) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -77,72 +76,72 @@
 }
 
 func (r *Registry) count(keys []fingerprint.Key) int {
-	most := 0
+	maxCount := 0
 	for _, key := range keys {
 		if known, ok := r.entries[key]; ok {
-			most = max(most, known.Count())
+			maxCount = max(maxCount, known.Count())
 		}
 	}
-	return most
+	return maxCount
 }
 
-// Evaluate decides on a request of a caller. It is quarantined when enough instances crashed
-// under one of its keys, at least one of them with a request of the same caller in flight: so no
-// caller can get the requests of others quarantined by sending them itself.
+// Evaluate returns the verdict on a request of a caller. The request is quarantined if one of its
+// keys has enough crashes and the caller had a request in flight in at least one of them. The
+// second condition keeps a caller from quarantining the requests of others by sending them itself.
 func (r *Registry) Evaluate(keys []fingerprint.Key, caller string) Verdict {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
 	for _, key := range keys {
 		known, ok := r.entries[key]
-		if !ok || now.Sub(known.lastAt) > memory || stateOf(known.Count()) != stateQuarantined || !known.involves(caller) {
+		if !ok || now.Sub(known.lastCrashAt) > suspectTTL || stateOf(known.Count()) != stateQuarantined || !known.involves(caller) {
 			continue
 		}
 		verdict := Verdict{Quarantined: true, Key: key, Crashes: known.Count(), Trials: known.Trials}
-		verdict.RetryAfter, verdict.TrialDue = nextRun(now.Sub(known.lastAt), known.Trials)
+		verdict.RetryAfter, verdict.TrialDue = nextRun(now.Sub(known.lastCrashAt), known.Trials)
 		return verdict
 	}
 	return Verdict{}
 }
 
-// Crashed records that an instance crashed with requests in flight; id is unique to the crash.
-// It returns the records that changed.
+// Crashed records the crash of an instance with its requests in flight; id must be unique to the
+// crash. It returns the records that changed.
 func (r *Registry) Crashed(id uint64, inFlight []InFlight) (changed []Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
 	r.sweep(now)
-	most := 0
+	maxCount := 0
 	for _, request := range inFlight {
-		most = max(most, r.count(request.Keys))
+		maxCount = max(maxCount, r.count(request.Keys))
 	}
 	for _, request := range inFlight {
-		if !isSuspected(r.count(request.Keys), most) {
+		if !isSuspected(r.count(request.Keys), maxCount) {
 			continue
 		}
 		for _, key := range request.Keys {
-			changed = r.suspect(changed, key, request.Head, Crash{ID: id, Caller: request.Caller}, now)
+			changed = r.addCrash(changed, key, request.Head, Crash{ID: id, Caller: request.Caller}, now)
 		}
 	}
 	return changed
 }
 
-// suspect adds a crash to the record of a key and the record to changed; the caller holds
-// mutex.
-func (r *Registry) suspect(changed []Record, key fingerprint.Key, head fingerprint.Head, crash Crash, now time.Time) []Record {
-	known := r.entryOf(key, head)
+// addCrash adds a crash to the record of a key, and the record to changed if it was modified. The
+// caller must hold mutex.
+func (r *Registry) addCrash(changed []Record, key fingerprint.Key, head fingerprint.Head, crash Crash, now time.Time) []Record {
+	known := r.getOrCreateEntry(key, head)
 	if !known.add(crash) {
 		return changed
 	}
-	known.lastAt = now
+	known.lastCrashAt = now
 	known.Stored, known.Local = false, true
-	r.recount(known)
+	r.updateIndex(known)
 	changed = slices.DeleteFunc(changed, func(record Record) bool { return record.Key == key })
 	return append(changed, known.record(now))
 }
 
-// Answered records that an instance answered a request with the keys, which refutes the
-// crashes under them. It returns the records that changed.
+// Answered refutes all crashes under the keys of a request that an instance has answered. It
+// returns the records that changed.
 func (r *Registry) Answered(keys []fingerprint.Key) (changed []Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -157,14 +156,14 @@
 		}
 		known.Stored = false
 		known.removalDue = known.inStore
-		r.recount(known)
+		r.updateIndex(known)
 		changed = append(changed, known.record(now))
 	}
 	return changed
 }
 
-// NoteTrial records that one request with the key ran as a trial, or may have; trials is their
-// number with it. It returns the record if it changed.
+// NoteTrial records that a request with the key ran, or may have run, as a trial; trials is the
+// number of trials including this one. It returns the record if it changed.
 func (r *Registry) NoteTrial(key fingerprint.Key, trials uint32) (changed []Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -176,19 +175,19 @@
 	return []Record{known.record(r.now())}
 }
 
-// Merge adds what another daemon or the store knows and returns the records that changed.
+// Merge merges records of another daemon or of the Store, and returns the records that changed.
 func (r *Registry) Merge(records []Record) (changed []Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
 	r.sweep(now)
 	for _, record := range records {
-		if record.Age > memory {
+		if record.Age > suspectTTL {
 			continue
 		}
-		known := r.entryOf(record.Key, record.Head)
-		updated := known.mergeFrom(record, now)
-		r.recount(known)
+		known := r.getOrCreateEntry(record.Key, record.Head)
+		updated := known.mergeRecord(record, now)
+		r.updateIndex(known)
 		if updated {
 			changed = append(changed, known.record(now))
 		}
@@ -196,22 +195,21 @@
 	return changed
 }
 
-// mergeFrom merges a record of another daemon or the store; it reports whether the entry must
-// be passed on.
-func (e *entry) mergeFrom(record Record, now time.Time) (updated bool) {
+// mergeRecord merges a record of another daemon or of the Store, and reports whether the entry must
+// be sent to other daemons.
+func (e *entry) mergeRecord(record Record, now time.Time) (updated bool) {
 	updated = e.Merge(record)
-	if at := now.Add(-record.Age); at.After(e.lastAt) {
-		e.lastAt = at
+	if at := now.Add(-record.Age); at.After(e.lastCrashAt) {
+		e.lastCrashAt = at
 	}
 	if updated {
 		e.Local = false
 	}
-	return e.noteStoredBy(record, updated) || updated
+	return e.updateStored(record, updated) || updated
 }
 
-// ForgetStored records that the store may have lost what was written to it lately, and may hold
-// what was removed: each record counts as not stored, and each that is refuted is to be removed
-// again.
+// ForgetStored marks every record as not stored, and every refuted record as due for removal. It is
+// for a Store that may have lost recent writes and may have restored removed records.
 func (r *Registry) ForgetStored() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -221,8 +219,8 @@
 	}
 }
 
-// Known returns the records for a daemon that has just been connected to: at most maxKnown,
-// those with most crashes first.
+// Known returns the records to send over a new connection to a daemon: at most
+// maxInitialRecords, ordered by descending number of crashes.
 func (r *Registry) Known() []Record {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -234,10 +232,10 @@
 	slices.SortFunc(records, func(one, other Record) int {
 		return cmp.Or(cmp.Compare(other.Count(), one.Count()), cmp.Compare(one.Age, other.Age), slices.Compare(one.Key[:], other.Key[:]))
 	})
-	return records[:min(len(records), maxKnown)]
+	return records[:min(len(records), maxInitialRecords)]
 }
 
-// Sizes returns the number of suspects, and of those that are quarantined.
+// Sizes returns the number of suspects and how many of them are quarantined.
 func (r *Registry) Sizes() (suspects, quarantined int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -253,9 +251,9 @@
 	return suspects, quarantined
 }
 
-// record returns a copy of an entry's record as it stands now.
+// record returns a copy of the entry's record with its age at now.
 func (e *entry) record(now time.Time) Record {
 	record := e.clone()
-	record.Age = max(now.Sub(e.lastAt), 0)
+	record.Age = max(now.Sub(e.lastCrashAt), 0)
 	return record
 }
--- a/internal/model/quarantine/registry_test.go
+++ b/internal/model/quarantine/registry_test.go
@@ -11,14 +11,14 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// clocked is a registry with a clock of its own.
-type clocked struct {
+// fakeClockRegistry is a registry with a settable clock.
+type fakeClockRegistry struct {
 	*Registry
 	now time.Time
 }
 
-func newClocked() *clocked {
-	registry := &clocked{now: time.Unix(1000, 0)}
+func newFakeClockRegistry() *fakeClockRegistry {
+	registry := &fakeClockRegistry{now: time.Unix(1000, 0)}
 	registry.Registry = NewRegistry(func() time.Time { return registry.now })
 	return registry
 }
@@ -33,7 +33,7 @@
 }
 
 func TestQuarantinedFromTheThirdCrash(t *testing.T) {
-	registry, guilty := newClocked(), inFlightOf("/deadly", "desk")
+	registry, guilty := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
 	for crash := range uint64(3) {
 		assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").Quarantined)
 		assert.Equal(t, MayRepeat(registry.Count(guilty.Keys)), crash < 2)
@@ -43,15 +43,15 @@
 	}
 	verdict := registry.Evaluate(guilty.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && !verdict.TrialDue)
-	assert.Equal(t, verdict.RetryAfter, trialAfter)
+	assert.Equal(t, verdict.RetryAfter, trialDelay)
 	assert.Assert(t, registry.Suspected(lineOf("/deadly")))
 	assert.Assert(t, !registry.Suspected(lineOf("/other")))
 }
 
-// Requests that only ran beside a guilty one are refuted by their next answer, and not
-// suspected any more once the guilty one stands out.
+// A request that was merely in flight together with a poison request is cleared by its next
+// response, and is not suspected of further crashes once the poison request has the most crashes.
 func TestOnesThatRanBesideAreRefuted(t *testing.T) {
-	registry, guilty, beside, late := newClocked(), inFlightOf("/deadly", "desk"), inFlightOf("/fine", "desk"), inFlightOf("/late", "desk")
+	registry, guilty, beside, late := newFakeClockRegistry(), inFlightOf("/deadly", "desk"), inFlightOf("/fine", "desk"), inFlightOf("/late", "desk")
 	registry.Crashed(1, []InFlight{guilty, beside})
 	assert.Equal(t, len(registry.Answered(beside.Keys)), 1)
 	assert.Equal(t, registry.Count(beside.Keys), 0)
@@ -65,15 +65,15 @@
 	assert.Equal(t, registry.Count(beside.Keys), 1)
 }
 
-// No caller can get another one's requests quarantined, nor make the registry forget.
+// A caller must neither quarantine the requests of another caller nor evict its entries.
 func TestCallersDoNotReachEachOther(t *testing.T) {
-	registry, theirs := newClocked(), inFlightOf("/same", "attacker")
+	registry, theirs := newFakeClockRegistry(), inFlightOf("/same", "attacker")
 	for crash := range uint64(5) {
 		registry.Crashed(crash, []InFlight{theirs})
 	}
 	assert.Assert(t, registry.Evaluate(theirs.Keys, "attacker").Quarantined)
 	assert.Assert(t, !registry.Evaluate(theirs.Keys, "victim").Quarantined)
-	// A crash under the victim's own is enough then.
+	// One crash under the victim's own request is enough to quarantine it for the victim.
 	registry.Crashed(10, []InFlight{inFlightOf("/same", "victim")})
 	assert.Assert(t, registry.Evaluate(theirs.Keys, "victim").Quarantined)
 
@@ -89,16 +89,16 @@
 	assert.Assert(t, suspects <= maxEntries)
 }
 
-// A query that changes with every try does not hide a poison request, and requests for the path
-// with other queries are not quarantined while they are answered.
+// A query that changes with every retry must not hide a poison request, and a request for the same
+// path with another query must not be quarantined while it is answered.
 func TestQueries(t *testing.T) {
-	registry := newClocked()
+	registry := newFakeClockRegistry()
 	for crash := range uint64(3) {
 		registry.Crashed(crash, []InFlight{inFlightOf(fmt.Sprintf("/deadly?page=%d", crash), "desk")})
 	}
 	assert.Assert(t, registry.Evaluate(inFlightOf("/deadly?page=9", "desk").Keys, "desk").Quarantined)
 
-	other := newClocked()
+	other := newFakeClockRegistry()
 	for crash := range uint64(3) {
 		other.Registry.Crashed(crash, []InFlight{inFlightOf("/search?q=deadly", "desk")})
 		other.Answered(inFlightOf("/search?q=fine", "desk").Keys)
@@ -107,14 +107,14 @@
 	assert.Assert(t, !other.Evaluate(inFlightOf("/search?q=fine", "desk").Keys, "desk").Quarantined)
 }
 
-// One may run as a trial after a while; another crash holds it back until it is forgotten, and
-// an answer refutes it.
+// A quarantined request may run as a trial after trialDelay. If the trial crashes, the request
+// stays quarantined until the suspect expires; a response refutes the crashes.
 func TestOneTrialRuns(t *testing.T) {
-	registry, guilty := newClocked(), inFlightOf("/deadly", "desk")
+	registry, guilty := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
 	for crash := range uint64(3) {
 		registry.Crashed(crash, []InFlight{guilty})
 	}
-	registry.now = registry.now.Add(trialAfter)
+	registry.now = registry.now.Add(trialDelay)
 	verdict := registry.Evaluate(guilty.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && verdict.TrialDue)
 	assert.Equal(t, len(registry.NoteTrial(verdict.Key, verdict.Trials+1)), 1)
@@ -122,17 +122,17 @@
 	registry.Crashed(9, []InFlight{guilty})
 	verdict = registry.Evaluate(guilty.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && !verdict.TrialDue)
-	assert.Equal(t, verdict.RetryAfter, memory)
+	assert.Equal(t, verdict.RetryAfter, suspectTTL)
 	registry.Answered(guilty.Keys)
 	assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").Quarantined)
 }
 
 func TestCrashesAreForgotten(t *testing.T) {
-	registry, guilty := newClocked(), inFlightOf("/deadly", "desk")
+	registry, guilty := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
 	for crash := range uint64(3) {
 		registry.Crashed(crash, []InFlight{guilty})
 	}
-	registry.now = registry.now.Add(memory + time.Second)
+	registry.now = registry.now.Add(suspectTTL + time.Second)
 	assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").Quarantined)
 	registry.Crashed(9, nil)
 	suspects, _ := registry.Sizes()
@@ -140,7 +140,8 @@
 	assert.Assert(t, !registry.Suspected(lineOf("/deadly")))
 }
 
-// Records that daemons exchange merge to the same in whatever order they come, and more than once.
+// Records must merge to the same result in any order and if repeated, because daemons exchange them
+// without ordering or deduplication.
 func TestMergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := inFlightOf("/deadly", "").Keys[0]
@@ -153,7 +154,7 @@
 			return made
 		})
 		records := rapid.SliceOfN(record, 1, 5).Draw(t, "records")
-		one, other := newClocked(), newClocked()
+		one, other := newFakeClockRegistry(), newFakeClockRegistry()
 		one.Merge(records)
 		for _, index := range rapid.Permutation(indices(len(records))).Draw(t, "order") {
 			other.Merge([]Record{records[index]})
@@ -172,9 +173,9 @@
 	return all
 }
 
-// What changed without the store's knowing is stored, and what was refuted is removed there.
+// A record must be stored again after it changed, and removed from the store once it is refuted.
 func TestWhatTheStoreLacks(t *testing.T) {
-	registry, guilty := newClocked(), inFlightOf("/deadly", "desk")
+	registry, guilty := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
 	registry.Crashed(1, []InFlight{guilty})
 	assert.Equal(t, len(registry.Unstored()), 0)
 	registry.Crashed(2, []InFlight{guilty})
@@ -190,8 +191,8 @@
 	assert.DeepEqual(t, registry.TakeRemovals(), guilty.Keys)
 	assert.Equal(t, len(registry.TakeRemovals()), 0)
 
-	// Another daemon that learns that it is stored does not store it.
-	other := newClocked()
+	// A daemon that learns from another one that a record is stored must not store it again.
+	other := newFakeClockRegistry()
 	other.Merge([]Record{lacking[0]})
 	assert.Equal(t, len(other.Unstored()), 1)
 	stored := lacking[0]
@@ -201,10 +202,10 @@
 	assert.Equal(t, len(other.Merge([]Record{stored})), 0)
 }
 
-// However many instances crashed under the requests of one caller, those of another are
-// quarantined from its first crash on.
+// A record that is full of crashes under one caller's requests must still take the first crash of
+// another caller, so that the request is quarantined for both.
 func TestFullRecordKnowsEachCaller(t *testing.T) {
-	registry := newClocked()
+	registry := newFakeClockRegistry()
 	for crash := range uint64(2 * maxCrashes) {
 		registry.Crashed(crash, []InFlight{inFlightOf("/deadly", "one")})
 	}
--- a/internal/model/quarantine/retention.go
+++ b/internal/model/quarantine/retention.go
@@ -7,18 +7,19 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// What is remembered, and for how long.
+// Retention of entries.
 const (
-	// refutedMemory is how long refuted crashes are remembered, so that a record of them that was
-	// still under way does not count again. It is also the interval of sweeps. It is longer than
-	// records take from daemon to daemon, and below memory.
-	refutedMemory = time.Minute
-	// maxEntries bounds the entries, at about 300 bytes each (estimated) 1.2 MB.
+	// refutedTTL is the retention of entries without crashes that count, and the interval
+	// between sweeps. It is longer than records take to spread between daemons, so that a record
+	// still on its way does not count a refuted crash again, and shorter than suspectTTL.
+	refutedTTL = time.Minute
+	// maxEntries limits the entries: 1.2 MB at an estimated 300 bytes each.
 	maxEntries = 4096
 )
 
-// entryOf returns the entry of a key, a new one where there is none; the caller holds mutex.
-func (r *Registry) entryOf(key fingerprint.Key, head fingerprint.Head) *entry {
+// getOrCreateEntry returns the entry of a key and creates it if there is none. The caller must hold
+// mutex.
+func (r *Registry) getOrCreateEntry(key fingerprint.Key, head fingerprint.Head) *entry {
 	known, ok := r.entries[key]
 	if ok {
 		return known
@@ -31,52 +32,52 @@
 	return known
 }
 
-// recount updates heads and suspected after the crashes of an entry changed; the caller holds
-// mutex.
-func (r *Registry) recount(known *entry) {
+// updateIndex updates suspectsByHead and suspectCount after the crashes of an entry changed. The
+// caller must hold mutex.
+func (r *Registry) updateIndex(known *entry) {
 	suspected := len(known.Crashes) > 0
-	if suspected == known.counted {
+	if suspected == known.inHeads {
 		return
 	}
-	known.counted = suspected
+	known.inHeads = suspected
 	if suspected {
-		r.heads[known.Head]++
-		r.suspected.Add(1)
+		r.suspectsByHead[known.Head]++
+		r.suspectCount.Add(1)
 		return
 	}
-	r.suspected.Add(-1)
-	if r.heads[known.Head]--; r.heads[known.Head] <= 0 {
-		delete(r.heads, known.Head)
+	r.suspectCount.Add(-1)
+	if r.suspectsByHead[known.Head]--; r.suspectsByHead[known.Head] <= 0 {
+		delete(r.suspectsByHead, known.Head)
 	}
 }
 
-// remove forgets an entry; the caller holds mutex.
+// remove deletes an entry. The caller must hold mutex.
 func (r *Registry) remove(known *entry) {
 	known.Crashes = nil
-	r.recount(known)
+	r.updateIndex(known)
 	delete(r.entries, known.Key)
 }
 
-// sweep forgets entries older than memory or refutedMemory; the caller holds mutex.
+// sweep deletes entries older than suspectTTL or refutedTTL. The caller must hold mutex.
 func (r *Registry) sweep(now time.Time) {
-	if now.Sub(r.sweptAt) < refutedMemory {
+	if now.Sub(r.sweptAt) < refutedTTL {
 		return
 	}
 	r.sweptAt = now
 	for _, known := range r.entries {
-		keep := memory
+		keep := suspectTTL
 		if len(known.Crashes) == 0 {
-			keep = refutedMemory
+			keep = refutedTTL
 		}
-		if now.Sub(known.lastAt) > keep {
+		if now.Sub(known.lastCrashAt) > keep {
 			r.remove(known)
 		}
 	}
 }
 
-// evict forgets one entry of the caller that has the most, so that no caller can make the
-// registry forget the entries of others: the one with the fewest crashes, of those the oldest.
-// mutex is held.
+// evict deletes one entry of the caller that owns the most entries, so that no caller can evict the
+// entries of others. Of these it deletes the one with the fewest crashes, and among equals the
+// oldest. The caller must hold mutex.
 func (r *Registry) evict() {
 	sizes := map[string]int{}
 	for _, known := range r.entries {
@@ -87,7 +88,7 @@
 		if worst == nil || cmp.Or(
 			cmp.Compare(sizes[known.owner()], sizes[worst.owner()]),
 			cmp.Compare(worst.Count(), known.Count()),
-			worst.lastAt.Compare(known.lastAt),
+			worst.lastCrashAt.Compare(known.lastCrashAt),
 		) > 0 {
 			worst = known
 		}
@@ -97,7 +98,7 @@
 	}
 }
 
-// owner is the caller that an entry counts for: that of its oldest crash.
+// owner returns the caller that an entry is attributed to: that of its oldest crash.
 func (e *entry) owner() string {
 	if len(e.Crashes) == 0 {
 		return ""
--- a/internal/model/quarantine/rule.go
+++ b/internal/model/quarantine/rule.go
@@ -7,52 +7,52 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Inputs of the rule: the number of crashes under a request that were not refuted, the time since
-// the newest one, and the trials so far.
+// Parameters of the quarantine rule. Its inputs are the number of crashes that are not refuted, the
+// time since the newest one, and the number of trials.
 const (
-	// quarantineAt is the number of crashes from which a request is quarantined. Set by the
-	// requirement, which bounds further crashes from the third on (docs/design/0022); fewer would
-	// quarantine more of those that only ran beside a guilty one.
-	quarantineAt = 3
-	// notRepeatedAt is the number of crashes from which a daemon does not retry a request at
-	// another instance. It is below quarantineAt, and above 1, since one repeat saves those that
-	// only ran beside a guilty one, five of six with six slots.
-	notRepeatedAt = 2
-	// memory is how long after its last crash a suspect is remembered. It is far above trialAfter.
-	memory = time.Hour
-	// trialAfter is the time after the last crash from which one quarantined request may run as a
-	// trial. It is longer than a report of a crash takes to all daemons.
-	trialAfter = time.Minute
-	// maxTrials bounds the trials of a suspect, since each may cost an instance. Set by the
-	// requirement of at most three further crashes: with one visit of each of two further
-	// calling services, which are not quarantined before their first crash, one is left.
+	// quarantineThreshold is the number of crashes from which a request is quarantined. The
+	// requirement limits the crashes from the third on (docs/design/0022); a lower value
+	// quarantines more requests that were merely in flight together with a poison request.
+	quarantineThreshold = 3
+	// noRetryThreshold is the number of crashes from which a daemon does not retry a request on
+	// another instance. It is below quarantineThreshold. It is above 1, because one retry lets
+	// requests succeed that were merely in flight together with a poison request: five of six at
+	// six slots.
+	noRetryThreshold = 2
+	// suspectTTL is the retention of a suspect after its last crash. It is far above trialDelay.
+	suspectTTL = time.Hour
+	// trialDelay is the time after the last crash from which one quarantined request may run as a
+	// trial. It is longer than the report of a crash takes to reach all daemons.
+	trialDelay = time.Minute
+	// maxTrials limits the trials of a suspect, because each may crash an instance. The requirement
+	// allows three further crashes. Two further calling services may cause one each, because they
+	// are not quarantined before their own first crash; that leaves one.
 	maxTrials = 1
 )
 
-// state is what is decided on a suspect. It follows from the number of its crashes alone, and
-// a record of another daemon or an answer may bring it from any state to any other; so it is
-// computed and not kept as a machine with transitions.
+// state is the treatment of a suspect. It is computed from the number of crashes and not kept as a
+// state machine, because a merged record or a response can change it from any state to any other.
 type state int
 
-// States, in the order of the crashes that they take.
+// States, in ascending order of crashes.
 const (
-	// stateRefuted is without a crash that counts.
+	// stateRefuted has no crash that counts.
 	stateRefuted state = iota
-	// stateSuspect may be retried at another instance.
+	// stateSuspect may be retried on another instance.
 	stateSuspect
-	// stateNotRepeated is not retried; the next request under its key is served.
-	stateNotRepeated
-	// stateQuarantined reaches no instance, but for a trial.
+	// stateNoRetry is not retried; later requests with the key are still served.
+	stateNoRetry
+	// stateQuarantined is refused, except for a trial.
 	stateQuarantined
 )
 
-// stateOf returns the state after so many crashes.
+// stateOf returns the state for a number of crashes.
 func stateOf(crashes int) state {
 	switch {
-	case crashes >= quarantineAt:
+	case crashes >= quarantineThreshold:
 		return stateQuarantined
-	case crashes >= notRepeatedAt:
-		return stateNotRepeated
+	case crashes >= noRetryThreshold:
+		return stateNoRetry
 	case crashes > 0:
 		return stateSuspect
 	default:
@@ -60,49 +60,49 @@
 	}
 }
 
-// MayRepeat reports whether a daemon may retry a request at another instance after that many
+// MayRepeat reports whether a daemon may retry a request on another instance, given the number of
 // crashes under its keys.
-func MayRepeat(crashes int) bool { return stateOf(crashes) < stateNotRepeated }
+func MayRepeat(crashes int) bool { return stateOf(crashes) < stateNoRetry }
 
-// Verdict is what is decided on a request.
+// Verdict is the decision on one request.
 type Verdict struct {
-	// Quarantined is true when it must not reach an instance.
+	// Quarantined is true if the request must not be sent to an instance.
 	Quarantined bool
-	// Key is the key that is quarantined, Crashes the number of instances that crashed under it.
+	// Key is the quarantined key, and Crashes the number of crashes under it.
 	Key     fingerprint.Key
 	Crashes int
-	// RetryAfter is the time until such a request may run again.
+	// RetryAfter is the time until a request with the key may run again.
 	RetryAfter time.Duration
-	// TrialDue is true when one may run as a trial, if the store grants it. Trials is the
-	// number of earlier ones.
+	// TrialDue is true if the request may run as a trial, provided that the Store grants it. Trials
+	// is the number of earlier trials.
 	TrialDue bool
 	Trials   uint32
 }
 
-// Refusal returns the error for a request that is quarantined, with the time until a trial of it
-// may run; nil for any other. Errors: CallNotRunQuarantined.
+// Refusal returns the error for a quarantined request, with the time until a trial may run, and nil
+// for any other request. Errors: CallNotRunQuarantined.
 func (v Verdict) Refusal() error {
 	if !v.Quarantined {
 		return nil
 	}
-	refusal := result.Errorf(result.CallNotRunQuarantined, "%d instances ended under what %s names", v.Crashes, v.Key)
+	refusal := result.Errorf(result.CallNotRunQuarantined, "%d instances crashed while running requests with key %s", v.Crashes, v.Key)
 	refusal.RetryAfter = v.RetryAfter
 	refusal.Crashes = v.Crashes
 	return refusal
 }
 
-// nextRun returns the time until a quarantined request may run again: as a trial while there are
-// trials left, else once the suspect is forgotten. age is the time since its newest crash;
-// trialDue is true where a trial may be claimed now.
+// nextRun returns the time until a quarantined request may run again: as a trial while trials are
+// left, otherwise once the suspect expires. age is the time since its newest crash; trialDue is
+// true if a trial may be claimed now.
 func nextRun(age time.Duration, trials uint32) (wait time.Duration, trialDue bool) {
 	if trials < maxTrials {
-		return max(trialAfter-age, 0), age >= trialAfter
+		return max(trialDelay-age, 0), age >= trialDelay
 	}
-	return max(memory-age, 0), false
+	return max(suspectTTL-age, 0), false
 }
 
-// isSuspected reports whether a request that was in flight in a crash becomes a suspect for
-// it: crashes is the number of earlier ones under its keys, and most the greatest such number
-// of all that were in flight. Where some are known to have crashed several instances, only those
-// with the most are suspected: the others ran beside them.
-func isSuspected(crashes, most int) bool { return MayRepeat(most) || crashes >= most }
+// isSuspected reports whether a request in flight in a crash is recorded as a suspect of it.
+// crashes is the number of earlier crashes under its keys, and maxCount the highest such number of
+// all requests in flight. If some of them were in flight in several crashes, only those with the
+// highest number are suspected; the others were merely in flight together with them.
+func isSuspected(crashes, maxCount int) bool { return MayRepeat(maxCount) || crashes >= maxCount }
--- a/internal/model/quarantine/rule_test.go
+++ b/internal/model/quarantine/rule_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestStateFollowsTheCrashes(t *testing.T) {
-	wanted := []state{stateRefuted, stateSuspect, stateNotRepeated, stateQuarantined, stateQuarantined}
+	wanted := []state{stateRefuted, stateSuspect, stateNoRetry, stateQuarantined, stateQuarantined}
 	for crashes, state := range wanted {
 		assert.Equal(t, stateOf(crashes), state)
 		assert.Equal(t, MayRepeat(crashes), crashes < 2)
 	}
 }
 
-// A quarantined request may run as a trial a minute after the last crash, and without a trial
-// left once its suspect is forgotten.
+// A quarantined request may run as a trial one minute after the last crash, and once no trial is
+// left when its suspect expires.
 func TestNextRun(t *testing.T) {
 	for name, row := range map[string]struct {
 		age    time.Duration
@@ -42,40 +42,41 @@
 	}
 }
 
-// Of requests that were in flight together, only those with the most earlier crashes are
-// suspected once there are two of those.
+// Of the requests in flight in a crash, only those with the highest number of earlier crashes are
+// suspected, once that number is 2.
 func TestSuspectedOfACrash(t *testing.T) {
 	for name, row := range map[string]struct {
-		crashes, most int
-		suspected     bool
+		crashes, maxCount int
+		suspected         bool
 	}{
-		"nobody has crashed before":        {0, 0, true},
-		"another has crashed once":         {0, 1, true},
-		"another has crashed twice":        {1, 2, false},
-		"this one has crashed twice":       {2, 2, true},
-		"another has crashed more often":   {2, 3, false},
-		"this one has crashed most of all": {5, 5, true},
+		"no earlier crash":              {0, 0, true},
+		"another has 1 crash":           {0, 1, true},
+		"another has 2 crashes":         {1, 2, false},
+		"this one has 2 crashes":        {2, 2, true},
+		"another has more crashes":      {2, 3, false},
+		"this one has the most crashes": {5, 5, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, isSuspected(row.crashes, row.most), row.suspected)
+			assert.Equal(t, isSuspected(row.crashes, row.maxCount), row.suspected)
 		})
 	}
 }
 
-// The constants of the rule hang together; each line fails when one of its two sides is moved
-// past the other.
+// The constants of the rule depend on each other; each assertion fails if one of them is moved past
+// the other.
 func TestConstantsHangTogether(t *testing.T) {
-	// One repeat comes before the quarantine, and a request is not quarantined unrepeated.
-	assert.Assert(t, 1 < notRepeatedAt && notRepeatedAt < quarantineAt)
-	// A trial comes before the suspect is forgotten, and refuted crashes are forgotten first.
-	assert.Assert(t, trialAfter < memory && refutedMemory < memory)
-	// A record holds the crashes that decide, and an answer refutes all of them.
-	assert.Assert(t, quarantineAt < maxCrashes && maxCrashes < maxRefuted)
-	assert.Assert(t, maxKnown < maxEntries)
+	// A request is retried once before retries stop, and retries stop before the quarantine.
+	assert.Assert(t, 1 < noRetryThreshold && noRetryThreshold < quarantineThreshold)
+	// A trial comes before the suspect expires, and refuted crashes expire before crashes that
+	// count.
+	assert.Assert(t, trialDelay < suspectTTL && refutedTTL < suspectTTL)
+	// A record holds more crashes than a quarantine takes, and one response can refute all of them.
+	assert.Assert(t, quarantineThreshold < maxCrashes && maxCrashes < maxRefuted)
+	assert.Assert(t, maxInitialRecords < maxEntries)
 }
 
-// The refusal of a quarantined request tells when a trial of it may run, and how many instances
-// crashed; any other verdict refuses nothing.
+// The refusal of a quarantined request must carry the time until a trial and the number of crashes;
+// any other verdict refuses nothing.
 func TestQuarantinedNamesTheTimeOfATrial(t *testing.T) {
 	assert.NilError(t, Verdict{}.Refusal())
 	err := Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}.Refusal()
--- a/internal/model/quarantine/store.go
+++ b/internal/model/quarantine/store.go
@@ -6,26 +6,28 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// Suspects that are not repeated any more must outlast all daemons, and refuted ones must not
-// come back out of the store.
+// The Store keeps suspects that are no longer retried across a restart of all daemons. Refuted
+// records must be removed from it, so that Load does not restore them.
 
-// Store keeps records where they outlast all daemons. An error means that it is not known
-// whether anything was done; doing it again does no harm. It is safe for concurrent use.
+// Store persists records across restarts of all daemons. An error leaves unknown whether the
+// operation took effect; repeating it is safe. It is safe for concurrent use.
 type Store interface {
-	// Load returns all records. They may be some seconds old.
+	// Load returns all records. They may be stale by a few seconds.
 	Load(ctx context.Context) ([]Record, error)
 	// Save merges a record into the stored one.
 	Save(ctx context.Context, record Record) error
-	// Remove deletes the record of a key; one that is not there is no error.
+	// Remove deletes the record of a key. A missing record is not an error.
 	Remove(ctx context.Context, key fingerprint.Key) error
-	// Try counts one more trial of a record. It succeeds for one daemon only, and for
-	// none where the record has more trials already or is not there.
+	// Try claims one more trial of a record that has at most that many trials, and counts it. It
+	// is granted to one daemon only; it is not granted if the record has more trials or does not
+	// exist.
 	Try(ctx context.Context, key fingerprint.Key, trials uint32) (granted bool, err error)
 }
 
-// noteStoredBy records whether the store has a merged record; updated is true where that changed
-// the entry. It reports whether the entry's crashes are known as stored only now.
-func (e *entry) noteStoredBy(record Record, updated bool) (newlyStored bool) {
+// updateStored updates whether the Store holds the entry's crashes after a merge; updated is true
+// if the merge changed the entry. It reports whether the crashes became known as stored by this
+// record.
+func (e *entry) updateStored(record Record, updated bool) (newlyStored bool) {
 	stored := record.Stored && len(record.Crashes) >= len(e.Crashes)
 	newlyStored = stored && !e.Stored
 	changed := updated || newlyStored
@@ -34,8 +36,7 @@
 	return newlyStored
 }
 
-// Unstored returns the records of suspects that are not repeated any more and that the store
-// lacks.
+// Unstored returns the records of suspects that are no longer retried and that are not stored.
 func (r *Registry) Unstored() []Record {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -49,7 +50,7 @@
 	return records
 }
 
-// NoteStored records that the store has a record, unless it changed meanwhile.
+// NoteStored marks a record as stored, unless it changed in the meantime.
 func (r *Registry) NoteStored(record Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,8 +64,8 @@
 	}
 }
 
-// TakeRemovals returns the keys that this daemon refuted and the store still has, each of
-// them once: one whose removal fails is not returned again.
+// TakeRemovals returns the keys that this daemon refuted and that the Store still holds. Each key
+// is returned once, also if its removal fails.
 func (r *Registry) TakeRemovals() (keys []fingerprint.Key) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
