--- a/internal/model/rollout/again_test.go
+++ b/internal/model/rollout/again_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// The failure: a good version whose order was given again after a roll-back was not completed by its
-// deadline. The order of events: one daemon read the order as it was given and wrote that it is running;
-// another one first saw the object after that write, took it for an order given later still, and so
-// meant another order than the others, whose words each of them dropped. The cause: what tells an order
-// from the one before it followed from which states of the object a daemon had seen.
+// Guards against a good version that is not completed by its deadline after its order was given
+// again following a roll-back. One daemon read the order as it was given and wrote the status
+// running. Another daemon first saw the object after that write, took it for an order given later
+// still, and so used a different identity than the other daemons, which dropped its words. The
+// identity must not depend on which states of the object a daemon has seen.
 func TestOrderGivenAgainIsTheSameToAllWhoReadIt(t *testing.T) {
 	first := Order{Service: "desk", Identity: Identity{Created: 3, Target: "v2", Duration: 30 * time.Second}, Revision: 3}
 	state := func(revision uint64, status Status) Order {
@@ -32,8 +32,8 @@
 	}{
 		"each state":                                {[]Order{first, running, ended, given, runningAgain}, 14, EndRunning},
 		"as it was given":                           {[]Order{first, running, ended, given}, 14, EndNone},
-		"not as it was given":                       {[]Order{first, running, ended, runningAgain}, 14, EndRunning},
-		"not its end":                               {[]Order{first, running, runningAgain}, 14, EndRunning},
+		"without the state as given":                {[]Order{first, running, ended, runningAgain}, 14, EndRunning},
+		"without the first end":                     {[]Order{first, running, runningAgain}, 14, EndRunning},
 		"started since":                             {[]Order{runningAgain}, 14, EndRunning},
 		"started before it is running":              {[]Order{given, runningAgain}, 14, EndRunning},
 		"ended again":                               {[]Order{ended, given, endedAgain}, 14, EndRolledBack},
@@ -55,16 +55,16 @@
 	}
 }
 
-// The same failure as above, brought about each time: a daemon that starts while an order given again is
-// running has seen none of the states before.
+// Guards against the same failure on a daemon that starts while an order given again is running and
+// has not seen any of the earlier states.
 func TestOrderGivenAgainIsCompletedWithADaemonStartedSince(t *testing.T) {
 	inSite(t, instances("v1", 4), func(t *testing.T, site *testSite) {
 		site.change(func() { site.unread = "a" })
-		site.give(to("v2", 30*time.Second))
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, site.end(), EndRolledBack)
-		site.change(func() { site.endpoints = both })
-		site.give(to("v2", 30*time.Second))
+		site.change(func() { site.endpoints = bothVersions })
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(5 * time.Second)
 		site.change(func() {
 			site.unread = ""
--- a/internal/model/rollout/choice.go
+++ b/internal/model/rollout/choice.go
@@ -6,14 +6,14 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Choice says which instances of a service an attempt may go to, by their versions.
+// Choice restricts the instances of a service that an attempt may be sent to, by their version.
 type Choice struct {
-	// Name tells an operator why other instances are left out.
+	// Name is the reason shown to operators for the instances that are left out.
 	Name   string
 	Allows func(*lapisv1.Endpoint) bool
 }
 
-// NotVersions allows the instances of all versions but the given ones.
+// NotVersions allows the instances of all versions except the given ones.
 func NotVersions(versions ...string) Choice {
 	return Choice{Name: "version_excluded", Allows: func(endpoint *lapisv1.Endpoint) bool {
 		return !slices.Contains(versions, endpoint.GetVersion())
--- a/internal/model/rollout/controller.go
+++ b/internal/model/rollout/controller.go
@@ -8,108 +8,109 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Bounds of the controller.
+// Limits and periods of the controller.
 const (
-	// storeFresh is how recent the store's newest answer must be for a shift to begin: a
-	// version that turns bad in the shift can be taken back only through the store.
-	storeFresh = 2 * time.Second
-	// quietAfter is how long after the deadline words go on: longer than a daemon that is cut
-	// off may take to be in touch again.
-	quietAfter = 10 * time.Second
-	// warmUp is how long a new instance is known before it is probed: the daemon beside it may
-	// have started with it, and takes this long to know the instances that it calls in turn.
-	warmUp = 750 * time.Millisecond
-	// allKnownFrom is the share from which each daemon sends to the new instances that it knows
-	// itself: a decider may know about half of them.
-	allKnownFrom = 0.5
-	// confirmTime is how long all calls go to the new version at least before the end is
+	// maxStoreAge is the maximum age of the store's newest answer at which a shift may begin. A
+	// version that turns bad during the shift can be rolled back only through the store.
+	maxStoreAge = 2 * time.Second
+	// wordGracePeriod is how long after the deadline words are still sent. It is longer than a
+	// daemon that was cut off may take to reconnect.
+	wordGracePeriod = 10 * time.Second
+	// probeDelay is the time between the discovery of a new instance and its first probe. The
+	// daemon next to the instance may have started with it, and needs this long to discover the
+	// instances that the new one calls in turn.
+	probeDelay = 750 * time.Millisecond
+	// allInstancesShare is the share from which a daemon sends to all new instances that it knows
+	// itself, because a decider may know only about half of them.
+	allInstancesShare = 0.5
+	// confirmTime is the minimum time for which all calls go to the new version before the end is
 	// written.
 	confirmTime = 500 * time.Millisecond
 )
 
-// leaningLimit is the sum from which an undecided test keeps the shift from beginning:
-// ten to one against the version.
-var leaningLimit = math.Log(10)
+// rollBackLogRatio is the total log likelihood ratio from which an undecided test prevents the
+// shift: odds of ten to one against the version.
+var rollBackLogRatio = math.Log(10)
 
-// Phases.
+// Phases of a roll-out, in ascending order of precedence.
 const (
 	PhaseProbing Phase = iota
 	PhaseShifting
 	PhaseRollingBack
 )
 
-// Controller decides for one order on one daemon. It is not safe for concurrent use.
+// Controller decides on the roll-out of one order on one daemon. It is not safe for concurrent use.
 type Controller struct {
 	node        string
 	incarnation uint64
 	sequence    uint64
 
-	decider Decider
-	machine *stateless.StateMachine
-	judge   *Judge
-	ledger  *Ledger
-	words   map[string]Word
-	verdict Verdict
-
-	began   time.Time
-	shifted time.Time
-	moved   time.Time
-	// probeShare is what the new version gets until the shift.
+	decider   Decider
+	machine   *stateless.StateMachine
+	analyzer  *Analyzer
+	reportSet *ReportSet
+	words     map[string]Word
+	verdict   Verdict
+
+	orderedAt      time.Time
+	shiftStartedAt time.Time
+	movedAt        time.Time
+	// probeShare is the new version's share of the calls before the shift.
 	probeShare float64
-	// pledged is true once a word said that nothing goes to the old version.
-	pledged bool
-	// probed are the instances that are probed now.
+	// divertAnnounced is true once a word announced that no calls go to the old version.
+	divertAnnounced bool
+	// probed holds the instances that are currently probed.
 	probed []Probe
-	// lastShare is the newest share in the shift.
+	// lastShare is the most recent share during the shift.
 	lastShare float64
-	// seen gives when each new instance was first seen warm.
-	seen       map[string]time.Time
-	impossible bool
-	steps      []Step
+	// warmSince holds the time at which each new instance was first seen warm.
+	warmSince map[string]time.Time
+	tooShort  bool
+	steps     []Step
 }
 
-// NewController returns a controller for an order that this daemon heard of at began.
-func NewController(node string, incarnation uint64, order Order, began time.Time) *Controller {
+// NewController returns a controller for an order that this daemon received at orderedAt.
+func NewController(node string, incarnation uint64, order Order, orderedAt time.Time) *Controller {
 	return &Controller{
 		node: node, incarnation: incarnation, decider: NewDecider(order), machine: newMachine(),
-		judge: NewJudge(), ledger: NewLedger(order.Identity), words: map[string]Word{}, seen: map[string]time.Time{},
-		began: began, probeShare: ProbeShare, impossible: order.Duration < LeastDuration,
+		analyzer: NewAnalyzer(), reportSet: NewReportSet(order.Identity), words: map[string]Word{}, warmSince: map[string]time.Time{},
+		orderedAt: orderedAt, probeShare: ProbeShare, tooShort: order.Duration < MinDuration,
 	}
 }
 
-// Order returns the order as it is known.
+// Order returns the newest known state of the order.
 func (c *Controller) Order() Order { return c.decider.Order() }
 
-// State returns where the roll-out stands here.
+// State returns the state of the roll-out on this daemon.
 func (c *Controller) State() State { return c.machine.MustState().(State) }
 
-// Ended reports whether the roll-out has an end in the store.
+// Ended reports whether the store holds a final end of the roll-out.
 func (c *Controller) Ended() bool {
 	return c.State() == StateCompleted || c.State() == StateRolledBack
 }
 
-// Quiet reports whether nothing needs to be told any more: the order has ended, and those
-// that could not be told at once have had the time to hear.
-func (c *Controller) Quiet(now time.Time) bool {
-	return c.Ended() && now.After(c.plan().Deadline.Add(quietAfter))
+// DoneSending reports whether words need no longer be sent: the order has ended, and daemons that
+// were out of touch have had wordGracePeriod to receive the last word.
+func (c *Controller) DoneSending(now time.Time) bool {
+	return c.Ended() && now.After(c.plan().Deadline.Add(wordGracePeriod))
 }
 
-// Verdict returns what the evidence known here says.
+// Verdict returns the verdict on the evidence known to this daemon.
 func (c *Controller) Verdict() Verdict { return c.verdict }
 
-// Observe takes in a state of the order's object, nil for one taken away. After any
-// other reading than ReadingSame and ReadingOld the controller is of no more use.
+// Observe records a state of the order's object, nil for a deleted one. After any reading other
+// than ReadingSame and ReadingOld the controller must not be used any further.
 func (c *Controller) Observe(seen *Order) Reading { return c.decider.Observe(seen) }
 
-// Answered takes in what became of a write.
+// Answered records the answer to a write.
 func (c *Controller) Answered(now time.Time, answer Answer) Reading {
 	return c.decider.Answered(now, answer)
 }
 
-// Report takes in what a daemon has seen, this one included.
-func (c *Controller) Report(report Report) { c.ledger.Take(report) }
+// Report records the evidence of a daemon, including this one.
+func (c *Controller) Report(report Report) { c.reportSet.Record(report) }
 
-// Hear takes in a word of another daemon.
+// Hear records a word of another daemon.
 func (c *Controller) Hear(now time.Time, word Word) {
 	known, heard := c.words[word.Node]
 	older := heard && (word.Incarnation < known.Incarnation ||
@@ -118,31 +119,31 @@
 		return
 	}
 	c.words[word.Node] = word
-	c.began = earlier(c.began, now.Add(-word.Age))
+	c.orderedAt = earlier(c.orderedAt, now.Add(-word.Age))
 	if word.Shifting > 0 {
-		c.shifted = earlier(c.shifted, now.Add(-word.Shifting))
+		c.shiftStartedAt = earlier(c.shiftStartedAt, now.Add(-word.Shifting))
 	}
 }
 
-// Lost forgets what a daemon said, whose link is lost or which started again.
+// Lost discards the word of a daemon that restarted or whose link was lost.
 func (c *Controller) Lost(node string) { delete(c.words, node) }
 
-// Tick decides what follows from a view.
+// Tick returns the decision for a view.
 func (c *Controller) Tick(view View) Decision {
 	c.steps = nil
-	view.Warm = c.warmedUp(view)
+	view.Warm = c.probeable(view)
 	members := ranked(c.Order().Identity, view.Members)
 	rank := slices.Index(members, c.node)
 	if rank >= Deciders {
 		rank = -1
 	}
-	c.followStore(view)
-	c.followWords(view)
+	c.adoptStoredEnd(view)
+	c.adoptPeerPhase(view)
 	if rank >= 0 {
-		c.verdict = c.judge.Review(c.ledger.Sum())
+		c.verdict = c.analyzer.Review(c.reportSet.Sum())
 		c.decide(view)
 	}
-	c.move(view)
+	c.takeLocalSteps(view)
 	c.chooseProbed(view, members)
 	decision := Decision{
 		Steps: c.steps, Allocation: c.allocation(view), Word: c.word(view),
@@ -155,10 +156,10 @@
 	return decision
 }
 
-// plan returns the times of the order.
-func (c *Controller) plan() Plan { return PlanFor(c.began, c.Order().Duration) }
+// plan returns the schedule of the order.
+func (c *Controller) plan() Plan { return PlanFor(c.orderedAt, c.Order().Duration) }
 
-// step fires a trigger, and keeps the step with its figures if it was permitted.
+// step fires a trigger and, if the state machine permits it, records the step with its figures.
 func (c *Controller) step(view View, event trigger, reason Reason) {
 	from := c.State()
 	if !fire(c.machine, event) {
@@ -167,16 +168,16 @@
 	order := c.Order()
 	c.steps = append(c.steps, Step{
 		Service: order.Service, Order: order.Identity, Revision: order.Revision, From: from, To: c.State(),
-		Reason: reason, Verdict: c.verdict, Left: c.plan().Deadline.Sub(view.Now),
-		Heard: c.ledger.Heard(view.Members), Members: len(view.Members), Warm: len(view.Warm), Old: view.Old,
+		Reason: reason, Verdict: c.verdict, TimeLeft: c.plan().Deadline.Sub(view.Now),
+		Heard: c.reportSet.Reporters(view.Members), Members: len(view.Members), Warm: len(view.Warm), Old: view.Old,
 	})
 	if c.State() == StateShifting {
-		c.shifted = earlier(c.shifted, view.Now)
+		c.shiftStartedAt = earlier(c.shiftStartedAt, view.Now)
 	}
 }
 
-// InitialAllocation returns what the new version gets of an order's calls before the first
-// decision: everything where the store says that it is completed.
+// InitialAllocation returns the allocation of an order before the first decision: all calls go to
+// the new version if the store holds the order as completed, and none otherwise.
 func InitialAllocation(order Order, barred []string) Allocation {
 	allocation := Allocation{Order: order.Identity, Barred: barred}
 	if order.End() == EndCompleted {
@@ -185,8 +186,8 @@
 	return allocation
 }
 
-// followStore takes over the end that the store has.
-func (c *Controller) followStore(view View) {
+// adoptStoredEnd adopts the end that the store holds.
+func (c *Controller) adoptStoredEnd(view View) {
 	switch c.Order().End() {
 	case EndCompleted:
 		c.step(view, triggerCompleted, ReasonStored)
@@ -195,8 +196,8 @@
 	}
 }
 
-// followWords joins the daemon that is farthest.
-func (c *Controller) followWords(view View) {
+// adoptPeerPhase adopts the most advanced phase announced by the other daemons.
+func (c *Controller) adoptPeerPhase(view View) {
 	farthest := PhaseProbing
 	for _, word := range c.words {
 		farthest = max(farthest, word.Phase)
@@ -209,52 +210,52 @@
 	}
 }
 
-// decide begins the steps that rest on evidence.
+// decide takes the steps that depend on evidence.
 func (c *Controller) decide(view View) {
 	switch {
-	case c.impossible:
+	case c.tooShort:
 		c.step(view, triggerRollBack, ReasonImpossible)
 	case c.verdict.Opinion == OpinionBad:
 		c.step(view, triggerRollBack, ReasonBad)
 	case c.State() == StateWatching || c.State() == StateProbing:
 		c.decideShift(view)
-	case len(view.New) == 0 && view.Old > 0 && view.Settled && view.majority():
+	case len(view.New) == 0 && view.Old > 0 && view.InstancesKnown && view.hasMajority():
 		c.step(view, triggerRollBack, ReasonNoInstances)
 	}
 }
 
-// decideShift begins the shift when the time left demands it, or calls it off.
+// decideShift begins the shift or the roll-back once the schedule requires it.
 func (c *Controller) decideShift(view View) {
 	plan := c.plan()
-	quorum := 2*c.ledger.Heard(view.Members) > max(view.Known, len(view.Members))
-	fresh := view.Now.Sub(view.StoreAnswered) <= storeFresh
+	quorum := 2*c.reportSet.Reporters(view.Members) > max(view.Known, len(view.Members))
+	fresh := view.Now.Sub(view.StoreAnswered) <= maxStoreAge
 	switch {
 	case !quorum || !fresh:
-	case view.sole() && !c.ledger.SawOld():
+	case view.sole() && !c.reportSet.HasOldAnswers():
 		c.step(view, triggerShift, ReasonInForce)
 	case view.Now.Before(plan.ShiftAt):
 	case len(view.New) == 0:
 		c.step(view, triggerRollBack, ReasonNoInstances)
-	case len(view.Warm) == 0 && view.Now.Before(plan.ShiftLatest):
-	case c.verdict.speaksAgainst() && view.Now.Before(plan.ShiftLatest):
+	case len(view.Warm) == 0 && view.Now.Before(plan.LatestShiftAt):
+	case c.verdict.unfavorable() && view.Now.Before(plan.LatestShiftAt):
 	case c.verdict.Opinion == OpinionGood:
 		c.step(view, triggerShift, ReasonGood)
-	case c.verdict.Leaning >= leaningLimit:
+	case c.verdict.TotalLogRatio >= rollBackLogRatio:
 		c.step(view, triggerRollBack, ReasonLeansBad)
 	default:
 		c.step(view, triggerShift, ReasonUnjudged)
 	}
 }
 
-// needsStore reports whether the shift is near and the store's newest answer too old, or
-// a moved daemon waits for the store's word on a roll-back.
+// needsStore reports whether a newer answer of the store is required: the newest one is too old, and
+// the shift is near or the daemon waits for the stored end, such as a roll-back after its move.
 func (c *Controller) needsStore(view View) bool {
-	if view.Now.Sub(view.StoreAnswered) <= storeFresh/2 {
+	if view.Now.Sub(view.StoreAnswered) <= maxStoreAge/2 {
 		return false
 	}
 	switch c.State() {
 	case StateWatching, StateProbing:
-		return view.sole() || !view.Now.Before(c.plan().ShiftAt.Add(-storeFresh/2))
+		return view.sole() || !view.Now.Before(c.plan().ShiftAt.Add(-maxStoreAge/2))
 	case StateShifting, StateMoved, StateRollingBack:
 		return true
 	default:
@@ -262,33 +263,33 @@
 	}
 }
 
-// move takes the steps that every daemon takes by itself.
-func (c *Controller) move(view View) {
+// takeLocalSteps takes the steps that every daemon takes on its own.
+func (c *Controller) takeLocalSteps(view View) {
 	if c.State() == StateWatching && len(view.Warm) > 0 {
 		c.step(view, triggerProbe, ReasonInstances)
 	}
-	if c.State() == StateShifting && c.pledged {
+	if c.State() == StateShifting && c.divertAnnounced {
 		c.step(view, triggerMoved, ReasonMoved)
-		c.moved = view.Now
+		c.movedAt = view.Now
 	}
 }
 
-// shareInShift returns the share in the shift. A daemon that heard of it late is no later than the
-// others at its end.
+// shareInShift returns the new version's share during the shift. A daemon that learns of the shift
+// late reaches the full share at the same time as the others.
 func (c *Controller) shareInShift(view View) float64 {
-	if !view.Now.Before(c.plan().SettledAt) {
+	if !view.Now.Before(c.plan().CompletionAt) {
 		return 1
 	}
-	share := c.plan().ShareInShift(c.probeShare, view.Now.Sub(c.shifted))
-	if c.held() {
+	share := c.plan().ShareInShift(c.probeShare, view.Now.Sub(c.shiftStartedAt))
+	if c.shareHeld() {
 		share = min(share, c.lastShare)
 	}
 	c.lastShare = max(share, c.probeShare)
 	return c.lastShare
 }
 
-// held reports whether a decider has everyone keep its share.
-func (c *Controller) held() bool {
+// shareHeld reports whether a decider has announced that every daemon must keep its share.
+func (c *Controller) shareHeld() bool {
 	for _, word := range c.words {
 		if word.Holding {
 			return true
@@ -297,11 +298,13 @@
 	return c.holding()
 }
 
-// holding reports whether this daemon, as a decider, has everyone keep its share.
+// holding reports whether this daemon, as a decider, announces that every daemon must keep its
+// share.
 func (c *Controller) holding() bool { return c.State() == StateShifting && c.verdict.suspicious() }
 
-// allocation returns what the new version gets here. A daemon that has said that it sends
-// nothing to the old version keeps to it until the store says how the order ended.
+// allocation returns the new version's share of this daemon's calls. A daemon that has announced
+// that it sends no calls to the old version keeps to this until the store holds the end of the
+// order.
 func (c *Controller) allocation(view View) Allocation {
 	allocation := Allocation{Order: c.Order().Identity, Barred: view.Barred, Sole: view.sole()}
 	switch c.State() {
@@ -312,19 +315,19 @@
 	case StateMoved, StateCompleted:
 		allocation.Share = 1
 	case StateRollingBack:
-		if c.pledged {
+		if c.divertAnnounced {
 			allocation.Share = 1
 		}
 	}
-	c.pledged = c.pledged || allocation.Share >= 1
+	c.divertAnnounced = c.divertAnnounced || allocation.Share >= 1
 	if allocation.Share < 1 {
-		allocation.Probed = c.allowed(view, allocation.Share)
+		allocation.Probed = c.allowedInstances(view, allocation.Share)
 	}
 	return allocation
 }
 
-// word returns what this daemon tells the others. What it says of the old version holds
-// once the allocation of the same decision is in force, which comes first.
+// word returns the word that this daemon announces. Its statement on the old version is true only
+// once the allocation of the same decision is in force, so that must be applied first.
 func (c *Controller) word(view View) Word {
 	c.sequence++
 	phase := PhaseProbing
@@ -335,18 +338,18 @@
 		phase = PhaseRollingBack
 	}
 	shifting := time.Duration(0)
-	if !c.shifted.IsZero() {
-		shifting = max(view.Now.Sub(c.shifted), time.Millisecond)
+	if !c.shiftStartedAt.IsZero() {
+		shifting = max(view.Now.Sub(c.shiftStartedAt), time.Millisecond)
 	}
-	diverted := c.pledged && c.State() != StateRolledBack
+	diverted := c.divertAnnounced && c.State() != StateRolledBack
 	return Word{
 		Service: c.Order().Service, Node: c.node, Incarnation: c.incarnation, Sequence: c.sequence,
-		Order: c.Order().Identity, Age: view.Now.Sub(c.began), Phase: phase, Shifting: shifting,
+		Order: c.Order().Identity, Age: view.Now.Sub(c.orderedAt), Phase: phase, Shifting: shifting,
 		Probed: c.Probed(), Holding: c.holding(), Diverted: diverted, Drained: diverted && c.State() == StateMoved && view.OldInFlight == 0,
 	}
 }
 
-// end returns the end that the store should have.
+// end returns the end that the store should hold.
 func (c *Controller) end(view View) End {
 	switch {
 	case c.State() == StateRollingBack || c.State() == StateRolledBack:
@@ -360,14 +363,14 @@
 	}
 }
 
-// mayComplete reports whether every daemon in touch has moved, so that the old instances
-// may stop.
+// mayComplete reports whether every daemon in touch has moved its calls, so that the old instances
+// may be stopped.
 func (c *Controller) mayComplete(view View) bool {
 	plan := c.plan()
-	if c.State() != StateMoved || !view.majority() || view.Now.Sub(c.moved) < confirmTime || view.Now.Before(plan.SettledAt) {
+	if c.State() != StateMoved || !view.hasMajority() || view.Now.Sub(c.movedAt) < confirmTime || view.Now.Before(plan.CompletionAt) {
 		return false
 	}
-	waits := view.Now.Before(plan.LastMoment)
+	waits := view.Now.Before(plan.DrainDeadline)
 	if waits && (view.OldInFlight > 0 || c.verdict.suspicious()) {
 		return false
 	}
--- a/internal/model/rollout/controller_test.go
+++ b/internal/model/rollout/controller_test.go
@@ -7,43 +7,43 @@
 	"gotest.tools/v3/assert"
 )
 
-// moving is a controller of daemon a, whose only other member is b, at a time of its
-// order.
-type moving struct {
+// movedController is a controller of daemon a that has moved all calls. Daemon b is the only other
+// member.
+type movedController struct {
 	controller *Controller
-	began      time.Time
+	orderedAt  time.Time
 	view       View
 	sequence   uint64
 }
 
-// newMoving returns one that has moved all calls.
-func newMoving(t *testing.T) *moving {
+// newMovedController returns a controller in StateMoved, shortly before the end may be written.
+func newMovedController(t *testing.T) *movedController {
 	t.Helper()
-	m := &moving{began: time.Unix(1000, 0), view: View{
-		Members: []string{"a", "b"}, Known: 2, New: []string{"i"}, Warm: []string{"i"}, Old: 1, Settled: true,
+	m := &movedController{orderedAt: time.Unix(1000, 0), view: View{
+		Members: []string{"a", "b"}, Known: 2, New: []string{"i"}, Warm: []string{"i"}, Old: 1, InstancesKnown: true,
 	}}
 	m.controller = NewController("a", 1, Order{
 		Service: "desk", Identity: testOrder, Revision: 4, Status: Status{End: EndRunning, Target: "v2"},
-	}, m.began)
+	}, m.orderedAt)
 	for _, node := range m.view.Members {
 		m.controller.Report(Report{Order: testOrder, Node: node, Sequence: 1})
 	}
-	plan := PlanFor(m.began, testOrder.Duration)
-	for at := plan.ShiftAt; at.Before(plan.SettledAt); at = at.Add(TickEvery) {
+	plan := PlanFor(m.orderedAt, testOrder.Duration)
+	for at := plan.ShiftAt; at.Before(plan.CompletionAt); at = at.Add(TickEvery) {
 		m.at(at)
 	}
 	assert.Equal(t, m.controller.State(), StateMoved)
 	return m
 }
 
-// at ticks at a time and returns the decision.
-func (m *moving) at(now time.Time) Decision {
+// at runs a tick at the given time and returns the decision.
+func (m *movedController) at(now time.Time) Decision {
 	m.view.Now, m.view.StoreAnswered = now, now
 	return m.controller.Tick(m.view)
 }
 
-// says lets b say a word.
-func (m *moving) says(diverted, drained bool) {
+// hearWord delivers a word of daemon b.
+func (m *movedController) hearWord(diverted, drained bool) {
 	m.sequence++
 	m.controller.Hear(m.view.Now, Word{
 		Service: "desk", Node: "b", Incarnation: 1, Sequence: m.sequence, Order: testOrder,
@@ -51,50 +51,50 @@
 	})
 }
 
-// writes reports whether the end is written at a time.
-func (m *moving) writes(now time.Time) bool {
+// writes reports whether the controller writes EndCompleted at the given time.
+func (m *movedController) writes(now time.Time) bool {
 	decision := m.at(now)
 	return decision.Write != nil && decision.Write.Status.End == EndCompleted
 }
 
 func TestEndWaitsForEveryMember(t *testing.T) {
 	plan := PlanFor(time.Unix(1000, 0), testOrder.Duration)
-	settled, last := plan.SettledAt.Add(TickEvery), plan.LastMoment.Add(time.Second/2)
+	settled, last := plan.CompletionAt.Add(TickEvery), plan.DrainDeadline.Add(time.Second/2)
 	for name, test := range map[string]struct {
-		says              func(m *moving)
+		hearWord          func(m *movedController)
 		atSettled, atLast bool
 	}{
-		"moved":                 {func(m *moving) { m.says(true, true) }, true, true},
-		"says nothing":          {func(*moving) {}, false, false},
-		"still sends":           {func(m *moving) { m.says(false, false) }, false, false},
-		"has calls in flight":   {func(m *moving) { m.says(true, false) }, false, true},
-		"own calls in flight":   {func(m *moving) { m.says(true, true); m.view.OldInFlight = 1 }, false, true},
-		"is lost and in touch":  {func(m *moving) { m.says(true, true); m.controller.Lost("b") }, false, false},
-		"is not in touch":       {func(m *moving) { m.view.Members, m.view.Known = []string{"a"}, 1 }, true, true},
-		"half are not in touch": {func(m *moving) { m.view.Members = []string{"a"} }, false, false},
-		"speaks of another": {func(m *moving) {
+		"moved":                 {func(m *movedController) { m.hearWord(true, true) }, true, true},
+		"no word":               {func(*movedController) {}, false, false},
+		"still sends calls":     {func(m *movedController) { m.hearWord(false, false) }, false, false},
+		"has calls in flight":   {func(m *movedController) { m.hearWord(true, false) }, false, true},
+		"own calls in flight":   {func(m *movedController) { m.hearWord(true, true); m.view.OldInFlight = 1 }, false, true},
+		"is lost and in touch":  {func(m *movedController) { m.hearWord(true, true); m.controller.Lost("b") }, false, false},
+		"is not in touch":       {func(m *movedController) { m.view.Members, m.view.Known = []string{"a"}, 1 }, true, true},
+		"half are not in touch": {func(m *movedController) { m.view.Members = []string{"a"} }, false, false},
+		"word about another order": {func(m *movedController) {
 			m.controller.Hear(m.view.Now, Word{Node: "b", Order: Identity{Target: "v3"}, Diverted: true, Drained: true})
 		}, false, false},
-		"takes it back in order": {func(m *moving) { m.says(true, true); m.says(false, false) }, false, false},
+		"revoked by a later word": {func(m *movedController) { m.hearWord(true, true); m.hearWord(false, false) }, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			early, late := newMoving(t), newMoving(t)
-			test.says(early)
-			test.says(late)
-			// The rank among the two delays a write by at most one take-over.
-			written := early.writes(settled) || early.writes(settled.Add(TakeOverAfter))
+			early, late := newMovedController(t), newMovedController(t)
+			test.hearWord(early)
+			test.hearWord(late)
+			// A controller of rank 1 writes later by TakeoverDelay.
+			written := early.writes(settled) || early.writes(settled.Add(TakeoverDelay))
 			assert.Equal(t, written, test.atSettled)
-			written = late.writes(last) || late.writes(last.Add(TakeOverAfter))
+			written = late.writes(last) || late.writes(last.Add(TakeoverDelay))
 			assert.Equal(t, written, test.atLast)
 		})
 	}
 }
 
 func TestShiftIsCalledOffWhenTheNewInstancesAreLost(t *testing.T) {
-	m := newMoving(t)
-	m.says(true, true)
+	m := newMovedController(t)
+	m.hearWord(true, true)
 	m.view.New, m.view.Warm = nil, nil
-	decision := m.at(PlanFor(m.began, testOrder.Duration).SettledAt)
+	decision := m.at(PlanFor(m.orderedAt, testOrder.Duration).CompletionAt)
 	assert.Equal(t, decision.Steps[0].Reason, ReasonNoInstances)
 	assert.Equal(t, decision.Steps[0].To, StateRollingBack)
 	assert.Equal(t, decision.Allocation.Share, 1.0)
@@ -103,12 +103,12 @@
 }
 
 func TestPlanFitsEveryDuration(t *testing.T) {
-	began := time.Unix(1000, 0)
-	for _, duration := range []time.Duration{LeastDuration, 10 * time.Second, 30 * time.Second, time.Hour} {
-		plan := PlanFor(began, duration)
+	orderedAt := time.Unix(1000, 0)
+	for _, duration := range []time.Duration{MinDuration, 10 * time.Second, 30 * time.Second, time.Hour} {
+		plan := PlanFor(orderedAt, duration)
 		for _, pair := range [][2]time.Time{
-			{began.Add(duration / 2), plan.ShiftAt}, {plan.ShiftAt, plan.ShiftLatest}, {plan.ShiftAt.Add(plan.Ramp), plan.SettledAt}, {plan.ShiftLatest.Add(plan.Ramp / 2), plan.SettledAt},
-			{plan.SettledAt, plan.LastMoment}, {plan.LastMoment, plan.Deadline},
+			{orderedAt.Add(duration / 2), plan.ShiftAt}, {plan.ShiftAt, plan.LatestShiftAt}, {plan.ShiftAt.Add(plan.Ramp), plan.CompletionAt}, {plan.LatestShiftAt.Add(plan.Ramp / 2), plan.CompletionAt},
+			{plan.CompletionAt, plan.DrainDeadline}, {plan.DrainDeadline, plan.Deadline},
 		} {
 			assert.Check(t, pair[0].Before(pair[1]), "%v: %v", duration, plan)
 		}
@@ -118,21 +118,21 @@
 }
 
 func TestStepsCarryTheirFigures(t *testing.T) {
-	m := newMoving(t)
+	m := newMovedController(t)
 	fields := m.controller.steps
 	assert.Equal(t, len(fields), 0, "no step in the last tick")
 	step := Step{Service: "desk", Order: testOrder, Verdict: Verdict{Sum: 3, Answers: 7}}
 	assert.Equal(t, len(step.Fields())%2, 0)
 }
 
-// While what a decider knows may become a conviction, every daemon keeps the share that it has in
-// the shift; at the time when all calls must be moved it moves them.
+// While the verdict of a decider is suspicious, every daemon must keep its share during the shift;
+// at CompletionAt it must move all calls nevertheless.
 func TestSuspicionHoldsTheShare(t *testing.T) {
-	began := time.Unix(1000, 0)
+	orderedAt := time.Unix(1000, 0)
 	order := Order{Service: "desk", Identity: testOrder, Revision: 4}
-	controller := NewController("z", 1, order, began)
-	view := View{Members: []string{"z", "a", "b", "c"}, Known: 4, New: []string{"i"}, Warm: []string{"i"}, Old: 1, Settled: true}
-	plan := PlanFor(began, testOrder.Duration)
+	controller := NewController("z", 1, order, orderedAt)
+	view := View{Members: []string{"z", "a", "b", "c"}, Known: 4, New: []string{"i"}, Warm: []string{"i"}, Old: 1, InstancesKnown: true}
+	plan := PlanFor(orderedAt, testOrder.Duration)
 	shareAt := func(now time.Time) float64 {
 		view.Now, view.StoreAnswered = now, now
 		return controller.Tick(view).Allocation.Share
@@ -152,5 +152,5 @@
 	hear(half, 3, false)
 	assert.Assert(t, shareAt(half.Add(plan.Ramp/4)) > before)
 	hear(half, 4, true)
-	assert.Equal(t, shareAt(plan.SettledAt), 1.0)
+	assert.Equal(t, shareAt(plan.CompletionAt), 1.0)
 }
--- a/internal/model/rollout/day_play_test.go
+++ b/internal/model/rollout/day_play_test.go
@@ -10,20 +10,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// fromStart returns a fault of the given kind that strikes at once.
+// fromStart returns a fault that is present from the start.
 func fromStart(failing, slow float64) func(*rand.Rand) fault {
 	return func(*rand.Rand) fault { return fault{failing: failing, slow: slow} }
 }
 
-// late returns a fault that starts at any time until the shift begins.
+// late returns a fault that starts at a random time before the shift.
 func late(failing, slow float64) func(*rand.Rand) fault {
 	return func(random *rand.Rand) fault {
-		until := PlanFor(time.Time{}, dayDuration).ShiftAt.Sub(time.Time{})
+		until := PlanFor(time.Time{}, simDuration).ShiftAt.Sub(time.Time{})
 		return fault{failing: failing, slow: slow, after: time.Duration(random.Float64() * float64(until))}
 	}
 }
 
-var badDays = []scenario{
+var badScenarios = []scenario{
 	{name: "fails from the start", bad: fromStart(0.3, 0)},
 	{name: "slow from the start", bad: fromStart(0, 0.5)},
 	{name: "fails late", bad: late(0.3, 0)},
@@ -36,7 +36,7 @@
 	{name: "fails in a grey zone", bad: fromStart(0.3, 0), greyZone: 0.2},
 }
 
-var goodDays = []scenario{
+var goodScenarios = []scenario{
 	{name: "good"},
 	{name: "good but cold", coldFor: 8 * time.Second},
 	{name: "good with a grey zone", greyZone: 0.3},
@@ -45,20 +45,20 @@
 	{name: "good, restarts", restarts: true},
 }
 
-// playAll plays a scenario with every seed.
-func playAll(s scenario) []dayResult {
-	results := make([]dayResult, 0, daySeeds)
-	for seed := range uint64(daySeeds) {
-		results = append(results, playDay(s, seed))
+// runAllSeeds runs a scenario with every seed.
+func runAllSeeds(s scenario) []simResult {
+	results := make([]simResult, 0, simSeeds)
+	for seed := range uint64(simSeeds) {
+		results = append(results, runSimulation(s, seed))
 	}
 	return results
 }
 
-// stored counts the days that ended so by the deadline.
-func stored(results []dayResult, end End) int {
+// stored counts the runs that reached the given end by the deadline.
+func stored(results []simResult, end End) int {
 	count := 0
 	for _, result := range results {
-		if result.end == end && result.endAfter <= dayDuration {
+		if result.end == end && result.endAfter <= simDuration {
 			count++
 		}
 	}
@@ -66,16 +66,16 @@
 }
 
 func TestBadVersionsAreRolledBackWithinTheBound(t *testing.T) {
-	for _, day := range badDays {
-		t.Run(day.name, func(t *testing.T) {
+	for _, testCase := range badScenarios {
+		t.Run(testCase.name, func(t *testing.T) {
 			t.Parallel()
-			results := playAll(day)
+			results := runAllSeeds(testCase)
 			var times []time.Duration
 			worst, worstAfter := 0.0, time.Duration(0)
 			for seed, result := range results {
-				assert.Check(t, result.end == EndRolledBack && result.endAfter <= dayDuration, "seed %d: %s after %v %v", seed, result.end, result.endAfter, describe(result))
+				assert.Check(t, result.end == EndRolledBack && result.endAfter <= simDuration, "seed %d: %s after %v %v", seed, result.end, result.endAfter, describe(result))
 				assert.Check(t, result.exposure <= result.bound, "seed %d: %.0f calls of %.0f", seed, result.exposure, result.bound)
-				assert.Check(t, !result.reverted, "seed %d: an end was written over", seed)
+				assert.Check(t, !result.reverted, "seed %d: a final end was overwritten", seed)
 				assert.Check(t, result.oldAfterCompleted == 0)
 				if result.fiftieth > 0 {
 					worstAfter = max(worstAfter, result.lastNew-result.fiftieth)
@@ -86,19 +86,19 @@
 			assert.Check(t, worstAfter <= 5*time.Second, "sent %v after the fiftieth bad answer", worstAfter)
 			slices.Sort(times)
 			t.Logf("FIGURES %s: rolled back %d of %d, worst exposure %.2f of the bound, rolled back after the first bad answer p50 %v worst %v, last call %v after the 50th bad answer at worst",
-				day.name, stored(results, EndRolledBack), daySeeds, worst, times[daySeeds/2], times[daySeeds-1], worstAfter)
+				testCase.name, stored(results, EndRolledBack), simSeeds, worst, times[simSeeds/2], times[simSeeds-1], worstAfter)
 		})
 	}
 }
 
 func TestGoodVersionsAreCompleted(t *testing.T) {
-	for _, day := range goodDays {
-		t.Run(day.name, func(t *testing.T) {
+	for _, testCase := range goodScenarios {
+		t.Run(testCase.name, func(t *testing.T) {
 			t.Parallel()
-			results := playAll(day)
+			results := runAllSeeds(testCase)
 			cut, old := 0, 0
 			for seed, result := range results {
-				if result.end != EndCompleted || result.endAfter > dayDuration {
+				if result.end != EndCompleted || result.endAfter > simDuration {
 					t.Logf("seed %d: %s after %v %v", seed, result.end, result.endAfter, describe(result))
 				}
 				assert.Check(t, !result.reverted)
@@ -106,21 +106,21 @@
 				old += result.oldAfterCompleted
 			}
 			completed := stored(results, EndCompleted)
-			assert.Check(t, completed*100 >= daySeeds*99, "%d of %d", completed, daySeeds)
+			assert.Check(t, completed*100 >= simSeeds*99, "%d of %d", completed, simSeeds)
 			assert.Check(t, cut == 0, "%d calls cut off", cut)
-			if !day.restarts {
+			if !testCase.restarts {
 				assert.Check(t, old == 0, "%d calls sent to stopped instances", old)
 			}
-			t.Logf("FIGURES %s: completed %d of %d, cut off %d, sent to the old version afterwards %d", day.name, completed, daySeeds, cut, old)
+			t.Logf("FIGURES %s: completed %d of %d, cut off %d, sent to the old version afterwards %d", testCase.name, completed, simSeeds, cut, old)
 		})
 	}
 }
 
-func describe(result dayResult) string {
+func describe(result simResult) string {
 	text := ""
 	for _, step := range result.steps {
 		if step.Reason != ReasonHeard && step.Reason != ReasonStored && step.Reason != ReasonInstances {
-			text += fmt.Sprintf("[%s %s %s %s sum %.1f lean %.1f n %d bad %d left %v] ", step.To, step.Reason, step.Verdict.Symptom, step.Verdict.Route, step.Verdict.Sum, step.Verdict.Leaning, step.Verdict.Answers, step.Verdict.Bad, step.Left)
+			text += fmt.Sprintf("[%s %s %s %s sum %.1f lean %.1f n %d bad %d left %v] ", step.To, step.Reason, step.Verdict.Symptom, step.Verdict.Route, step.Verdict.Sum, step.Verdict.TotalLogRatio, step.Verdict.Answers, step.Verdict.Bad, step.TimeLeft)
 		}
 	}
 	return text
--- a/internal/model/rollout/day_test.go
+++ b/internal/model/rollout/day_test.go
@@ -10,80 +10,82 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// The model: daemons that send calls of three routes to the instances of one service,
-// tell each other words and reports with a delay, and write to a store that loses
-// answers. Time is virtual and goes on in steps.
+// The simulation: daemons send calls on three routes to the instances of one service, exchange
+// words and reports with a delay, and write to a store that loses answers. Time is virtual and
+// advances in steps.
 const (
-	dayStep     = 50 * time.Millisecond
-	dayTick     = 2
-	dayDaemons  = 6
-	dayZones    = 3
-	dayDuration = 30 * time.Second
-	// daySpeed is the ratio of the slowest instance's time to the fastest one's.
-	daySpeed = 1.6
-	// dayAfter is how long a day goes on after the deadline.
-	dayAfter = 3 * time.Second
+	simStep     = 50 * time.Millisecond
+	simTick     = 2
+	simDaemons  = 6
+	simZones    = 3
+	simDuration = 30 * time.Second
+	// simSpeed is the ratio of the slowest instance's service time to the fastest one's.
+	simSpeed = 1.6
+	// simAfter is the simulated time after the deadline.
+	simAfter = 3 * time.Second
 )
 
-// fault is what is wrong with the new version; the zero value is a good one.
+// fault is the fault of the new version; the zero value is a good version.
 type fault struct {
-	// failing and slow are the shares of answers that fail and that take slowTimes as long.
+	// failing is the share of answers that fail, and slow the share that takes slowTimes as long.
 	failing, slow float64
-	// after is when it starts.
+	// after is the time from which the fault is present.
 	after time.Duration
-	// route is the only one that it strikes; empty for all.
+	// route is the only affected route, or empty for all routes.
 	route string
-	// load is the number of calls in flight at an instance from which it strikes.
+	// load is the minimum number of calls in flight at an instance at which the fault shows.
 	load int
 }
 
 const slowTimes = 4
 
-// scenario is one kind of day.
+// scenario configures a simulation.
 type scenario struct {
 	name      string
 	bad       func(random *rand.Rand) fault
 	instances int
-	// coldFor is how long the new instances are cold and slow after they start.
+	// coldFor is the time for which the new instances are cold and slow after their start.
 	coldFor time.Duration
-	// greyZone makes the instances of one zone fail this share, of whichever version.
+	// greyZone is the share of calls that fail at the instances of one zone, of both versions.
 	greyZone float64
-	// greyInstance makes one new instance fail this share although the version is good.
+	// greyInstance is the share of calls that fail at one new instance, although the version is
+	// good.
 	greyInstance float64
-	// noInstances keeps the new instances from starting; storeFaults loses answers.
+	// noInstances prevents the new instances from starting. storeFaults makes the store lose
+	// answers.
 	noInstances bool
 	storeFaults bool
 	restarts    bool
-	// slowToHear is how much later the daemon of the last rank hears every word.
-	slowToHear time.Duration
-	variant    variant
+	// wordDelay is the additional delay of every word to the daemon of the last rank.
+	wordDelay time.Duration
+	variant   variant
 }
 
-// variant is what a broken daemon does.
+// variant configures a faulty implementation of a daemon.
 type variant struct {
-	// deafToTime judges on failures alone; takesBack goes back to the old version on its
-	// own judgement after it moved; early says from the start that it has moved;
-	// slack is a number of calls that each daemon allows itself.
-	deafToTime, takesBack, early bool
-	slack                        int
+	// ignoresTimes tests for failures only. revertsAlone moves calls back to the old version
+	// without the stored end. announcesEarly announces from the start that all calls have moved.
+	// slack is the number of calls that each daemon sends beyond its share.
+	ignoresTimes, revertsAlone, announcesEarly bool
+	slack                                      int
 }
 
-// dayRoute is one kind of call.
-type dayRoute struct {
+// simRoute is one kind of call.
+type simRoute struct {
 	name      string
 	perSecond float64
 	median    time.Duration
 }
 
-// The mix of the users' sheets at a smaller scale: two usual routes and a rare one.
-var dayRoutes = []dayRoute{
+// Two frequent routes and a rare one, in the proportions of the users' traffic at a smaller scale.
+var simRoutes = []simRoute{
 	{"dock-status", 140, 200 * time.Millisecond},
 	{"unlock-charge", 140, 250 * time.Millisecond},
 	{"depot-upload", 20, 230 * time.Millisecond},
 }
 
-// dayInstance is one instance of the model.
-type dayInstance struct {
+// simInstance is a simulated instance.
+type simInstance struct {
 	endpoint *lapisv1.Endpoint
 	isNew    bool
 	speed    float64
@@ -91,19 +93,19 @@
 	failing  float64
 }
 
-// ending is the end of a call.
+// ending is the scheduled end of a call.
 type ending struct {
-	daemon   *dayDaemon
+	daemon   *simDaemon
 	traffic  *Traffic
 	attempt  Attempt
-	instance *dayInstance
+	instance *simInstance
 	failed   bool
 	cold     bool
 	taken    time.Duration
 }
 
-// dayDaemon is one daemon of the model.
-type dayDaemon struct {
+// simDaemon is a simulated daemon.
+type simDaemon struct {
 	name        string
 	zone        string
 	incarnation uint64
@@ -112,34 +114,34 @@
 	sequence    uint64
 	ownSlack    int
 	deciders    []string
-	told        Word
-	toldAt      time.Time
+	lastWord    Word
+	lastWordAt  time.Time
 	reportedAt  time.Time
 }
 
-// day is one run of the model.
-type day struct {
+// simulation is one run of a scenario.
+type simulation struct {
 	scenario scenario
 	random   *rand.Rand
 	fault    fault
 	start    time.Time
 	step     int
-	daemons  []*dayDaemon
-	old, new []*dayInstance
+	daemons  []*simDaemon
+	old, new []*simInstance
 	endings  map[int][]ending
 	messages map[int][]func()
 	store    Order
-	result   dayResult
+	result   simResult
 }
 
-// dayResult is what a day came to.
-type dayResult struct {
+// simResult holds the figures of one run.
+type simResult struct {
 	end              End
 	endAfter         time.Duration
 	newSent, allSent int
 	exposure, bound  float64
-	// worstOver is by how much the calls of the new version exceeded the bound at worst
-	// before the shift.
+	// worstOver is the maximum by which the calls of the new version exceeded the bound before the
+	// shift.
 	worstOver                 float64
 	bad                       int
 	firstBad, fiftieth        time.Duration
@@ -149,8 +151,8 @@
 	steps                     []Step
 }
 
-func playDay(s scenario, seed uint64) dayResult {
-	d := &day{
+func runSimulation(s scenario, seed uint64) simResult {
+	d := &simulation{
 		scenario: s, random: rand.New(rand.NewPCG(seed, 21)), start: time.Unix(1_000_000, 0),
 		endings: map[int][]ending{}, messages: map[int][]func(){},
 	}
@@ -158,32 +160,32 @@
 		d.fault = s.bad(d.random)
 	}
 	d.build()
-	last := int((dayDuration + dayAfter) / dayStep)
+	last := int((simDuration + simAfter) / simStep)
 	for d.step = 0; d.step < last; d.step++ {
 		d.play()
 	}
 	return d.result
 }
 
-func (d *day) now() time.Time         { return d.start.Add(time.Duration(d.step) * dayStep) }
-func (d *day) elapsed() time.Duration { return time.Duration(d.step) * dayStep }
-func (d *day) later(steps int, f func()) {
+func (d *simulation) now() time.Time         { return d.start.Add(time.Duration(d.step) * simStep) }
+func (d *simulation) elapsed() time.Duration { return time.Duration(d.step) * simStep }
+func (d *simulation) later(steps int, f func()) {
 	d.messages[d.step+max(steps, 1)] = append(d.messages[d.step+max(steps, 1)], f)
 }
 
-func (d *day) build() {
-	d.store = Order{Service: "desk", Identity: Identity{Created: 7, Target: "v2", Duration: dayDuration}, Revision: 7}
+func (d *simulation) build() {
+	d.store = Order{Service: "desk", Identity: Identity{Created: 7, Target: "v2", Duration: simDuration}, Revision: 7}
 	count := max(d.scenario.instances, 10)
 	for index := range 2 * count {
 		isNew, version := index >= count, "v1"
 		if isNew {
 			version = "v2"
 		}
-		instance := &dayInstance{
-			endpoint: &lapisv1.Endpoint{Instance: fmt.Sprint("i-", index), Zone: fmt.Sprint("z-", index%dayZones), Version: version},
-			isNew:    isNew, speed: 1 + (daySpeed-1)*d.random.Float64(),
+		instance := &simInstance{
+			endpoint: &lapisv1.Endpoint{Instance: fmt.Sprint("i-", index), Zone: fmt.Sprint("z-", index%simZones), Version: version},
+			isNew:    isNew, speed: 1 + (simSpeed-1)*d.random.Float64(),
 		}
-		if index%dayZones == 0 {
+		if index%simZones == 0 {
 			instance.failing = d.scenario.greyZone
 		}
 		if isNew {
@@ -193,7 +195,7 @@
 		}
 	}
 	if d.scenario.greyInstance > 0 {
-		// The one that is probed first.
+		// The fault is in the instance that is probed first.
 		names := d.names(d.new)
 		probed := Probed(d.store.Identity, names, len(names), ProbeShare, 0)
 		for _, instance := range d.new {
@@ -202,18 +204,18 @@
 			}
 		}
 	}
-	for index := range dayDaemons {
-		daemon := &dayDaemon{name: fmt.Sprint("d-", index), zone: fmt.Sprint("z-", index%dayZones)}
+	for index := range simDaemons {
+		daemon := &simDaemon{name: fmt.Sprint("d-", index), zone: fmt.Sprint("z-", index%simZones)}
 		d.startDaemon(daemon)
 		d.daemons = append(d.daemons, daemon)
 	}
 }
 
-func (d *day) startDaemon(daemon *dayDaemon) {
+func (d *simulation) startDaemon(daemon *simDaemon) {
 	daemon.incarnation++
 	daemon.sequence = 0
 	daemon.deciders = nil
-	daemon.told = Word{}
+	daemon.lastWord = Word{}
 	daemon.ownSlack = d.scenario.variant.slack
 	daemon.controller = NewController(daemon.name, daemon.incarnation, d.store, d.now())
 	daemon.traffic = NewTraffic(d.store.Identity)
@@ -221,7 +223,7 @@
 }
 
 // names returns the names of instances.
-func (d *day) names(instances []*dayInstance) []string {
+func (d *simulation) names(instances []*simInstance) []string {
 	names := make([]string, 0, len(instances))
 	for _, instance := range instances {
 		names = append(names, instance.endpoint.GetInstance())
@@ -229,8 +231,8 @@
 	return names
 }
 
-// newUp returns the new instances that have started, in the first seconds of the order.
-func (d *day) newUp() []*dayInstance {
+// startedNew returns the new instances that have started; they start during the first seconds.
+func (d *simulation) startedNew() []*simInstance {
 	if d.scenario.noInstances {
 		return nil
 	}
@@ -238,9 +240,9 @@
 	return d.new[:min(up, len(d.new))]
 }
 
-func (d *day) coldNow() bool { return d.elapsed() < d.scenario.coldFor }
+func (d *simulation) coldNow() bool { return d.elapsed() < d.scenario.coldFor }
 
-func (d *day) play() {
+func (d *simulation) play() {
 	for _, do := range d.messages[d.step] {
 		do()
 	}
@@ -258,28 +260,28 @@
 	}
 	for index, daemon := range d.daemons {
 		d.send(daemon)
-		if (d.step+index)%dayTick == 0 {
+		if (d.step+index)%simTick == 0 {
 			d.tick(daemon)
 		}
 	}
 	d.account()
 }
 
-// account keeps the sums of the time until the deadline.
-func (d *day) account() {
-	if d.elapsed() > dayDuration {
+// account updates the sums until the deadline.
+func (d *simulation) account() {
+	if d.elapsed() > simDuration {
 		return
 	}
 	d.result.exposure = float64(d.result.newSent)
 	d.result.bound = ExposureShare*float64(d.result.allSent) + 50
-	if d.now().Before(PlanFor(d.start, dayDuration).ShiftAt) {
+	if d.now().Before(PlanFor(d.start, simDuration).ShiftAt) {
 		d.result.worstOver = max(d.result.worstOver, d.result.exposure-d.result.bound)
 	}
 }
 
-func (d *day) end(ended ending) {
+func (d *simulation) end(ended ending) {
 	ended.instance.running--
-	// A call of a daemon that started again since was lost with its process.
+	// Calls of a daemon that has restarted since were lost with its process.
 	present := ended.traffic == ended.daemon.traffic
 	if d.store.End() == EndCompleted && !ended.instance.isNew && present {
 		d.result.cutOff++
@@ -287,8 +289,8 @@
 	ended.traffic.Answered(ended.attempt, ended.failed, ended.cold, ended.taken, d.now())
 }
 
-// poisson draws the number of arrivals.
-func (d *day) poisson(mean float64) int {
+// poisson draws a number of arrivals from a Poisson distribution.
+func (d *simulation) poisson(mean float64) int {
 	count, product, limit := 0, d.random.Float64(), math.Exp(-mean)
 	for product > limit {
 		count++
@@ -297,18 +299,18 @@
 	return count
 }
 
-func (d *day) send(daemon *dayDaemon) {
-	for _, route := range dayRoutes {
-		for range d.poisson(route.perSecond / dayDaemons * dayStep.Seconds()) {
+func (d *simulation) send(daemon *simDaemon) {
+	for _, route := range simRoutes {
+		for range d.poisson(route.perSecond / simDaemons * simStep.Seconds()) {
 			d.call(daemon, route)
 		}
 	}
 }
 
-// call sends one call as a request path does.
-func (d *day) call(daemon *dayDaemon, route dayRoute) {
+// call sends one call in the way of the request path.
+func (d *simulation) call(daemon *simDaemon, route simRoute) {
 	required, probe := daemon.traffic.Choose(route.name)
-	if daemon.ownSlack > 0 && !probe && len(d.newUp()) > 0 {
+	if daemon.ownSlack > 0 && !probe && len(d.startedNew()) > 0 {
 		daemon.ownSlack--
 		d.result.newSent++
 		d.result.allSent++
@@ -328,15 +330,15 @@
 	d.begin(daemon, route, instance, attempt)
 }
 
-// pick chooses the less busy one of two instances that a constraint allows.
-func (d *day) pick(required Choice) *dayInstance {
-	var allowed []*dayInstance
+// pick returns the less busy of two random instances that the constraint allows.
+func (d *simulation) pick(required Choice) *simInstance {
+	var allowed []*simInstance
 	for _, instance := range d.old {
 		if required.Allows(instance.endpoint) {
 			allowed = append(allowed, instance)
 		}
 	}
-	for _, instance := range d.newUp() {
+	for _, instance := range d.startedNew() {
 		if required.Allows(instance.endpoint) {
 			allowed = append(allowed, instance)
 		}
@@ -351,7 +353,7 @@
 	return first
 }
 
-func (d *day) begin(daemon *dayDaemon, route dayRoute, instance *dayInstance, attempt Attempt) {
+func (d *simulation) begin(daemon *simDaemon, route simRoute, instance *simInstance, attempt Attempt) {
 	d.result.allSent++
 	if instance.isNew {
 		d.result.newSent++
@@ -369,7 +371,7 @@
 	if cold {
 		taken *= slowTimes
 	}
-	if instance.isNew && d.struck(route, instance) {
+	if instance.isNew && d.faultApplies(route, instance) {
 		bad := false
 		if d.random.Float64() < d.fault.failing {
 			failed, bad = true, true
@@ -388,26 +390,26 @@
 			}
 		}
 	}
-	at := d.step + max(int(taken/dayStep), 1)
+	at := d.step + max(int(taken/simStep), 1)
 	d.endings[at] = append(d.endings[at], ending{daemon, daemon.traffic, attempt, instance, failed, cold, taken})
 }
 
-// struck reports whether the version's fault strikes a call.
-func (d *day) struck(route dayRoute, instance *dayInstance) bool {
+// faultApplies reports whether the version's fault affects a call.
+func (d *simulation) faultApplies(route simRoute, instance *simInstance) bool {
 	f := d.fault
 	return d.elapsed() >= f.after && (f.route == "" || f.route == route.name) && instance.running >= f.load
 }
 
-func (d *day) tick(daemon *dayDaemon) {
+func (d *simulation) tick(daemon *simDaemon) {
 	if slices.Contains(daemon.deciders, daemon.name) {
 		daemon.controller.Report(d.report(daemon))
 	}
 	decision := daemon.controller.Tick(d.view(daemon))
 	daemon.deciders = decision.Deciders
-	if d.scenario.variant.takesBack && daemon.controller.State() == StateRollingBack {
+	if d.scenario.variant.revertsAlone && daemon.controller.State() == StateRollingBack {
 		decision.Allocation.Share = 0
 	}
-	if d.scenario.variant.early {
+	if d.scenario.variant.announcesEarly {
 		decision.Word.Diverted, decision.Word.Drained = true, true
 	}
 	daemon.traffic.Apply(decision.Allocation)
@@ -418,11 +420,11 @@
 	}
 }
 
-// report returns what a daemon has seen.
-func (d *day) report(daemon *dayDaemon) Report {
+// report returns a report with all evidence of a daemon.
+func (d *simulation) report(daemon *simDaemon) Report {
 	daemon.sequence++
 	evidence := daemon.traffic.Evidence(d.now())
-	if d.scenario.variant.deafToTime {
+	if d.scenario.variant.ignoresTimes {
 		for key, counts := range evidence {
 			counts.Times = [timeClasses]uint32{}
 			evidence[key] = counts
@@ -434,10 +436,10 @@
 	}
 }
 
-func (d *day) view(daemon *dayDaemon) View {
+func (d *simulation) view(daemon *simDaemon) View {
 	view := View{
-		Now: d.now(), Known: len(d.daemons), Old: len(d.old), OldInFlight: daemon.traffic.OldInFlight(), StoreAnswered: d.now(), Settled: true,
-		New: d.names(d.newUp()),
+		Now: d.now(), Known: len(d.daemons), Old: len(d.old), OldInFlight: daemon.traffic.OldInFlight(), StoreAnswered: d.now(), InstancesKnown: true,
+		New: d.names(d.startedNew()),
 	}
 	if !d.coldNow() {
 		view.Warm = view.New
@@ -448,18 +450,18 @@
 	return view
 }
 
-// spread tells a word to all and a report to the deciders when the runner would, late by
-// up to four steps.
-func (d *day) spread(daemon *dayDaemon, decision Decision) {
-	if daemon.controller.Quiet(d.now()) {
+// spread sends the word to all daemons and the report to the deciders when the runner would, with a
+// delay of up to four steps.
+func (d *simulation) spread(daemon *simDaemon, decision Decision) {
+	if daemon.controller.DoneSending(d.now()) {
 		return
 	}
 	word := decision.Word
-	tells := word.Changed(daemon.told) || d.now().Sub(daemon.toldAt) >= WordEvery
+	tells := word.Changed(daemon.lastWord) || d.now().Sub(daemon.lastWordAt) >= WordInterval
 	if tells {
-		daemon.told, daemon.toldAt = word, d.now()
+		daemon.lastWord, daemon.lastWordAt = word, d.now()
 	}
-	reports := !daemon.controller.Ended() && d.now().Sub(daemon.reportedAt) >= ReportEvery
+	reports := !daemon.controller.Ended() && d.now().Sub(daemon.reportedAt) >= ReportInterval
 	var report Report
 	if reports {
 		daemon.reportedAt = d.now()
@@ -471,7 +473,7 @@
 		}
 		delay := 1 + d.random.IntN(4)
 		if other == d.lastRanked() {
-			delay += int(d.scenario.slowToHear / dayStep)
+			delay += int(d.scenario.wordDelay / simStep)
 		}
 		if tells {
 			d.later(delay, func() { other.controller.Hear(d.now(), word) })
@@ -482,8 +484,8 @@
 	}
 }
 
-// lastRanked returns the daemon of the last rank, which decides nothing.
-func (d *day) lastRanked() *dayDaemon {
+// lastRanked returns the daemon of the last rank, which is no decider.
+func (d *simulation) lastRanked() *simDaemon {
 	names := make([]string, 0, len(d.daemons))
 	for _, daemon := range d.daemons {
 		names = append(names, daemon.name)
@@ -492,8 +494,8 @@
 	return d.daemons[slices.Index(names, last)]
 }
 
-// write does a conditional write; the store may lose its answer, and do it late.
-func (d *day) write(daemon *dayDaemon, write Write) {
+// write does a conditional write. With storeFaults, the store may lose its answer or do it late.
+func (d *simulation) write(daemon *simDaemon, write Write) {
 	controller := daemon.controller
 	answer := func(outcome Outcome) {
 		var seen *Order
@@ -520,8 +522,8 @@
 	}
 }
 
-// apply does a write in the store and shows it to every daemon a little later.
-func (d *day) apply(write Write) Outcome {
+// apply does a write in the store and delivers the new state to every daemon after a few steps.
+func (d *simulation) apply(write Write) Outcome {
 	if write.Revision != d.store.Revision {
 		return OutcomeConflict
 	}
--- a/internal/model/rollout/decider.go
+++ b/internal/model/rollout/decider.go
@@ -4,75 +4,76 @@
 	"time"
 )
 
-// Times of the writes.
+// Number of deciders and times of the writes.
 const (
-	// Deciders is how many daemons hold all evidence and may begin a step: one for the
-	// work and two for when it is lost.
+	// Deciders is the number of daemons that collect all evidence and may begin a step: one does
+	// the work, and two can replace it.
 	Deciders = 3
-	// TakeOverAfter is how much later than the one before it a decider writes, and
-	// AskAgainAfter how long it waits for the answer to a write: a slow store answers
-	// within some hundred milliseconds.
-	TakeOverAfter = 400 * time.Millisecond
-	AskAgainAfter = 500 * time.Millisecond
+	// TakeoverDelay is the delay of a decider's write per rank, so that the decider before it can
+	// write first. StoreRetryDelay is the time to wait for the answer to a write: a slow store
+	// answers within a few hundred milliseconds.
+	TakeoverDelay   = 400 * time.Millisecond
+	StoreRetryDelay = 500 * time.Millisecond
 )
 
 // Write is one conditional write of an order's status.
 type Write struct {
 	Service string
-	// Revision is the object's that the write names; any other refuses it.
+	// Revision is the expected revision of the object; the store refuses the write at any other.
 	Revision uint64
 	Order    Identity
 	Status   Status
 }
 
-// Outcome is what became of a write.
+// Outcome is the result of a write.
 type Outcome string
 
 // Outcomes of a write.
 const (
 	OutcomeDone Outcome = "done"
-	// OutcomeConflict says that the object has another revision.
+	// OutcomeConflict means that the object has another revision.
 	OutcomeConflict Outcome = "conflict"
-	// OutcomeGone says that the object is there no more.
+	// OutcomeGone means that the object was deleted.
 	OutcomeGone Outcome = "gone"
-	// OutcomeRefused says that nothing was done, OutcomeUnknown that it may have been
-	// done, or may yet be.
+	// OutcomeRefused means that the write was not done, and OutcomeUnknown that it may have been
+	// done or may still be done.
 	OutcomeRefused Outcome = "refused"
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Answer is the outcome of a write; Seen is the object where the store showed it, as it
-// does with every write that is done. One said to be done but not shown is taken as
-// unknown: its revision is.
+// Answer is the outcome of a write. Seen is the object as returned by the store, which returns it
+// for every write that is done. A write reported as done without Seen counts as unknown, because
+// its revision is unknown.
 type Answer struct {
 	Write   Write
 	Outcome Outcome
 	Seen    *Order
 }
 
-// Decider writes the status of one service's order. It is a value without pointers to
-// anything that changes, so that a copy is independent, and not safe for concurrent use.
+// Decider writes the status of one service's order. It holds no pointers to mutable data, so that a
+// copy is independent. It is not safe for concurrent use.
 type Decider struct {
-	// order is the newest state of the object known; gone is true when it was taken away.
+	// order is the newest known state of the object; gone is true once it was deleted or replaced.
 	order Order
 	gone  bool
-	// wanted is the end that is to be written, since when.
-	wanted End
-	since  time.Time
-	// busy is true while a write is under way; notBefore is when the next may be sent.
-	busy      bool
+	// wantedEnd is the end to be written, and wantedSince the time at which it was first wanted.
+	wantedEnd   End
+	wantedSince time.Time
+	// writing is true while a write is in progress; notBefore is the earliest time of the next
+	// write.
+	writing   bool
 	notBefore time.Time
 }
 
 // NewDecider returns a decider that follows an order.
 func NewDecider(order Order) Decider { return Decider{order: order} }
 
-// Order returns the newest state known of the object.
+// Order returns the newest known state of the object.
 func (d *Decider) Order() Order { return d.order }
 
-// Observe takes in a state of the object; nil is one that was taken away. It reports how
-// the state reads beside the one known; after ReadingSame the decider goes on, after any
-// other one but ReadingOld it is of no more use.
+// Observe records a state of the object, nil for a deleted one, and returns how it relates to the
+// known state. After any reading other than ReadingSame and ReadingOld the decider must not be used
+// any further.
 func (d *Decider) Observe(seen *Order) Reading {
 	if seen == nil {
 		d.gone = true
@@ -89,36 +90,36 @@
 	return reading
 }
 
-// Want says what end is to be written, and returns the write that is due now. A rank
-// other than 0 gives the daemons before it time to write. What is final in the store
-// is never written over.
+// Want sets the end to be written and returns the write that is due now. A rank above 0 delays the
+// write, so that the daemons of lower rank can write first. A final end in the store is never
+// overwritten.
 func (d *Decider) Want(now time.Time, end End, rank int) (Write, bool) {
-	if end != d.wanted {
-		d.wanted, d.since = end, now
+	if end != d.wantedEnd {
+		d.wantedEnd, d.wantedSince = end, now
 	}
 	if d.gone || end == EndNone || d.order.End().Final() || d.order.End() == end {
 		return Write{}, false
 	}
-	due := d.since.Add(time.Duration(rank) * TakeOverAfter)
-	if d.busy || rank < 0 || now.Before(due) || now.Before(d.notBefore) {
+	due := d.wantedSince.Add(time.Duration(rank) * TakeoverDelay)
+	if d.writing || rank < 0 || now.Before(due) || now.Before(d.notBefore) {
 		return Write{}, false
 	}
-	d.busy = true
+	d.writing = true
 	return Write{
 		Service: d.order.Service, Revision: d.order.Revision, Order: d.order.Identity,
 		Status: Status{End: end, Target: d.order.Target, Again: d.order.Again},
 	}, true
 }
 
-// Answered takes in what became of a write. One without an answer is sent again under the
-// same revision: if it was done after all, the conflict shows it.
+// Answered records the answer to a write. A write without an answer is sent again with the same
+// revision: if the first one was done after all, the second one is answered with a conflict.
 func (d *Decider) Answered(now time.Time, answer Answer) Reading {
-	d.busy = false
+	d.writing = false
 	if answer.Outcome == OutcomeGone {
 		return d.Observe(nil)
 	}
 	if answer.Outcome != OutcomeDone || answer.Seen == nil {
-		d.notBefore = now.Add(AskAgainAfter)
+		d.notBefore = now.Add(StoreRetryDelay)
 	}
 	if answer.Seen == nil {
 		return ReadingSame
--- a/internal/model/rollout/decider_model_test.go
+++ b/internal/model/rollout/decider_model_test.go
@@ -9,18 +9,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// The model: two deciders of the same rank, one of which found that all have moved while
-// the other found the version bad, write to a store that loses answers, does writes late
-// or not at all, and shows its state when it likes. Every interleaving up to a number of
-// actions is played.
+// The model: two deciders of the same rank, one of which wants EndCompleted because all daemons
+// have moved, while the other wants EndRolledBack because the version is bad. They write to a store
+// that loses answers, does writes late or never, and shows its state at any time. The test explores
+// every interleaving of their actions.
 
-// modelWrites bounds the writes on their way at a time, those given up among them.
+// modelWrites limits the writes in progress, including those given up.
 const modelWrites = 4
 
-// modelStates stops a model whose states have no end; the test fails then.
+// modelStates limits the explored states; the test fails if the model reaches it.
 const modelStates = 300_000
 
-// modelWrite is a write on its way; alone is true once its decider has given it up.
+// modelWrite is a write in progress; alone is true once its decider has given it up.
 type modelWrite struct {
 	write Write
 	by    int
@@ -35,13 +35,13 @@
 	deciders [2]Decider
 	wants    [2]End
 	writes   []modelWrite
-	// back is true for the moved daemon beside a decider that went back to the old version.
+	// back is true once the moved daemon next to a decider sends to the old version again.
 	back [2]bool
 }
 
-// modelRules are what the model may break.
+// modelRules selects the faults of the implementation under test.
 type modelRules struct {
-	// unfenced writes name no revision; eager daemons go back on their own judgement.
+	// unfenced: writes ignore the revision. eager: daemons revert without the stored end.
 	unfenced, eager bool
 }
 
@@ -54,18 +54,18 @@
 	}
 }
 
-// clone returns an independent copy.
+// clone returns an independent copy with an advanced clock.
 func (w modelWorld) clone() modelWorld {
 	w.writes = slices.Clone(w.writes)
-	w.now = w.now.Add(AskAgainAfter)
+	w.now = w.now.Add(StoreRetryDelay)
 	return w
 }
 
-// key names the state without its clock.
+// key identifies the state without its clock.
 func (w modelWorld) key() string {
 	text := fmt.Sprint(w.store, w.final, w.wants, w.back)
 	for _, decider := range w.deciders {
-		text += fmt.Sprint(decider.order, decider.gone, decider.busy)
+		text += fmt.Sprint(decider.order, decider.gone, decider.writing)
 	}
 	for _, write := range w.writes {
 		text += fmt.Sprint(write)
@@ -73,8 +73,8 @@
 	return text
 }
 
-// apply does a write in the store and returns the outcome; broken is true when an end was
-// written over.
+// apply does a write in the store and returns the outcome; broken is true if it replaced a final
+// end by another one.
 func (w *modelWorld) apply(write Write, rules modelRules) (outcome Outcome, broken bool) {
 	if write.Revision != w.store.Revision && !rules.unfenced {
 		return OutcomeConflict, false
@@ -88,7 +88,7 @@
 	return OutcomeDone, broken
 }
 
-// follow lets the daemons beside the deciders do what the rule says.
+// follow updates the daemons next to the deciders.
 func (w *modelWorld) follow(rules modelRules) {
 	for index := range w.deciders {
 		stored := w.deciders[index].order.End() == EndRolledBack
@@ -96,11 +96,11 @@
 	}
 }
 
-// broken reports what the state breaks, empty for nothing.
+// broken returns the violated invariant of the state, or an empty string.
 func (w *modelWorld) broken() string {
 	for index, decider := range w.deciders {
 		if decider.order.End().Final() && decider.order.End() != w.final {
-			return "a decider believes in an end that is not the store's"
+			return "a decider holds a final end that differs from the store's"
 		}
 		if w.back[index] && w.final == EndCompleted {
 			return "a daemon sends to instances that were stopped"
@@ -109,7 +109,7 @@
 	return ""
 }
 
-// answer tells a decider what became of its write.
+// answer delivers the outcome of a write to its decider.
 func (w *modelWorld) answer(write modelWrite, outcome Outcome) {
 	answer := Answer{Write: write.write, Outcome: outcome}
 	if outcome != OutcomeUnknown {
@@ -150,8 +150,8 @@
 	return states, ""
 }
 
-// end ends a write: it is done and answered, done and not answered, given up though it
-// may yet be done, or never done.
+// end ends a write by one of four actions: done and answered, done without an answer ("lost"),
+// given up but possibly done later ("late"), or never done.
 func (w *modelWorld) end(index int, write modelWrite, action string, rules modelRules) (fault string) {
 	if action == "late" {
 		if !write.alone {
@@ -165,7 +165,7 @@
 	if action != "never" {
 		applied, overwritten := w.apply(write.write, rules)
 		if overwritten {
-			return "an end was written over"
+			return "a final end was overwritten"
 		}
 		if action == "done" {
 			outcome = applied
@@ -177,7 +177,7 @@
 	return ""
 }
 
-// explore plays every interleaving and returns the first fault and the number of states.
+// explore visits all states and returns the first violation and the number of states.
 func explore(rules modelRules) (fault string, states int) {
 	seen := map[string]bool{}
 	layer := []modelWorld{newModelWorld()}
@@ -196,7 +196,7 @@
 				if key := next.key(); !seen[key] {
 					seen[key] = true
 					if !next.settles() {
-						return "the order does not come to an end", len(seen)
+						return "the order does not reach a final end", len(seen)
 					}
 					following = append(following, next)
 				}
@@ -207,7 +207,7 @@
 	return "", len(seen)
 }
 
-// settles reports whether the order comes to one end for all once the store is well.
+// settles reports whether all deciders agree on one end once the store works again.
 func (w modelWorld) settles() bool {
 	const rounds = 6
 	for range rounds {
--- a/internal/model/rollout/era_test.go
+++ b/internal/model/rollout/era_test.go
@@ -9,7 +9,7 @@
 	"github.com/lapisvane/lapisvane/internal/model/position"
 )
 
-// placeIn returns a place in the history of a store's era.
+// placeIn returns a position in the history of a store's era.
 func placeIn(t *testing.T, era, revision uint64) uint64 {
 	t.Helper()
 	at, err := position.In(era, revision)
@@ -17,7 +17,7 @@
 	return uint64(at)
 }
 
-// endedIn returns a controller that has seen an order's end in the first era of the store.
+// endedIn returns a controller that has observed an order's end in the first era of the store.
 func endedIn(t *testing.T, end End) (controller *Controller, order Order, view View) {
 	t.Helper()
 	now := time.Unix(1000, 0)
@@ -25,15 +25,15 @@
 		Service: "desk", Identity: Identity{Created: 5, Target: "v2", Duration: time.Minute},
 		Revision: placeIn(t, 1, 9), Status: Status{End: end, Target: "v2"},
 	}
-	view = View{Now: now, Members: []string{"a"}, Known: 1, Settled: true, New: []string{"i"}, Warm: []string{"i"}}
+	view = View{Now: now, Members: []string{"a"}, Known: 1, InstancesKnown: true, New: []string{"i"}, Warm: []string{"i"}}
 	controller = NewController("a", 1, order, now)
 	controller.Tick(view)
 	assert.Assert(t, controller.Ended())
 	return controller, order, view
 }
 
-// A store that comes back from a copy may have lost the end of an order: it is written again, and
-// nothing moves back.
+// A store restored from a copy may have lost the end of an order. The daemons must write it again
+// and move no calls back.
 func TestEndLostByAReturnIsWrittenAgain(t *testing.T) {
 	for _, end := range []End{EndCompleted, EndRolledBack} {
 		controller, order, view := endedIn(t, end)
@@ -49,7 +49,7 @@
 	}
 }
 
-// What an earlier era of the store held is old, whatever its revision.
+// A state from an earlier era of the store must be read as old at any revision.
 func TestOrdersOfAnEarlierEraAreOld(t *testing.T) {
 	controller, order, _ := endedIn(t, EndCompleted)
 	returned := order
@@ -60,7 +60,8 @@
 	assert.Equal(t, controller.Observe(&late), ReadingOld)
 }
 
-// An order changed after its end, in the same era, is given again; another era says nothing of that.
+// An order that changed after its end in the same era was given again; in another era, a later
+// revision does not show that.
 func TestReturnGivesNoOrderAgain(t *testing.T) {
 	_, order, _ := endedIn(t, EndCompleted)
 	for era, reading := range map[uint64]Reading{1: ReadingNew, 2: ReadingSame} {
--- a/internal/model/rollout/evidence.go
+++ b/internal/model/rollout/evidence.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Bounds of the distribution of service times: classes grow by a factor of the square
-// root of two, from 8 ms to 8 s.
+// Classes of service times. The upper bounds of the classes grow by a factor of the square root of
+// two, from 8 ms to 8 s.
 const (
-	timeClasses   = 21
-	shortestClass = 8 * time.Millisecond
-	classesPerTwo = 2
+	timeClasses        = 21
+	minClassTime       = 8 * time.Millisecond
+	classesPerDoubling = 2
 )
 
-// longest is a time in the highest class.
-const longest = time.Hour
+// highestClassTime is a service time that falls into the highest class.
+const highestClassTime = time.Hour
 
-// Key names one counter of evidence.
+// Key identifies one counter of evidence.
 type Key struct {
-	// New is true for the version ordered, false for all others.
+	// New is true for the ordered version and false for all others.
 	New   bool
 	Route string
 	Zone  string
-	// Instance is empty for the old version, whose instances are counted together.
+	// Instance is empty for the old version, whose instances share one counter.
 	Instance string
 }
 
-// Counts are the answers that one counter holds. All fields only grow.
+// Counts holds the answers of one counter. All fields are monotonic.
 type Counts struct {
-	// Answers counts all answers, Failures those that were failures of the instance.
+	// Answers is the number of all answers, Failures that of the failures of the instance.
 	Answers, Failures uint32
-	// Times counts the answers that were no failures by classes of service time.
+	// Times is the number of answers without a failure, by class of service time.
 	Times [timeClasses]uint32
 }
 
 // timeClass returns the class of a service time.
 func timeClass(taken time.Duration) int {
-	if taken <= shortestClass {
+	if taken <= minClassTime {
 		return 0
 	}
-	class := math.Ceil(classesPerTwo * math.Log2(float64(taken)/float64(shortestClass)))
+	class := math.Ceil(classesPerDoubling * math.Log2(float64(taken)/float64(minClassTime)))
 	return min(int(class), timeClasses-1)
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// Since returns what came after earlier counts of the same counter.
+// Since returns the difference from earlier counts of the same counter.
 func (c Counts) Since(earlier Counts) Counts {
 	c.Answers -= earlier.Answers
 	c.Failures -= earlier.Failures
@@ -72,7 +72,7 @@
 	return c
 }
 
-// Evidence is what was seen of a roll-out by one daemon or by several.
+// Evidence holds the counters of a roll-out, of one daemon or summed over several.
 type Evidence map[Key]Counts
 
 // Note adds one answer.
@@ -98,38 +98,38 @@
 	return copied
 }
 
-// Report is all that one incarnation of a daemon has seen of an order so far.
+// Report holds all evidence that one incarnation of a daemon has collected on an order.
 type Report struct {
 	Order       Identity
 	Node        string
 	Incarnation uint64
-	// Sequence rises with each report of the incarnation.
+	// Sequence increases with each report of the incarnation.
 	Sequence uint64
 	Evidence Evidence
 }
 
-// source names one incarnation of a daemon.
+// source identifies one incarnation of a daemon.
 type source struct {
 	node        string
 	incarnation uint64
 }
 
-// Ledger keeps the newest report of each incarnation of each daemon, so that what was
-// seen is summed once however often and in whatever order reports come.
-type Ledger struct {
+// ReportSet holds the newest report of each incarnation of each daemon and their sum. Only the
+// newest report counts, so that repeated and reordered reports do not change the sum.
+type ReportSet struct {
 	order   Identity
 	reports map[source]Report
 	sum     Evidence
 }
 
-// NewLedger returns an empty ledger for an order.
-func NewLedger(order Identity) *Ledger {
-	return &Ledger{order: order, reports: map[source]Report{}, sum: Evidence{}}
+// NewReportSet returns an empty set for an order.
+func NewReportSet(order Identity) *ReportSet {
+	return &ReportSet{order: order, reports: map[source]Report{}, sum: Evidence{}}
 }
 
-// Take takes in a report, which must not be changed afterwards. taken is false for one
-// of another order and for one that is not newer.
-func (l *Ledger) Take(report Report) (taken bool) {
+// Record adds a report, which must not be modified afterwards. taken is false if the report is
+// about another order or not newer than the known one.
+func (l *ReportSet) Record(report Report) (taken bool) {
 	from := source{report.Node, report.Incarnation}
 	known, present := l.reports[from]
 	if report.Order != l.order || (present && report.Sequence <= known.Sequence) {
@@ -144,12 +144,12 @@
 	return true
 }
 
-// Sum returns what all daemons have seen. It must not be changed, and holds until the
-// next report is taken in.
-func (l *Ledger) Sum() Evidence { return l.sum }
+// Sum returns the evidence of all daemons. The caller must not modify it, and it is valid only
+// until the next call of Record.
+func (l *ReportSet) Sum() Evidence { return l.sum }
 
-// Heard returns how many of the daemons in touch have reported.
-func (l *Ledger) Heard(members []string) int {
+// Reporters returns how many of the daemons in touch have reported.
+func (l *ReportSet) Reporters(members []string) int {
 	reported := make(map[string]bool, len(l.reports))
 	for from := range l.reports {
 		reported[from.node] = true
@@ -163,8 +163,8 @@
 	return heard
 }
 
-// SawOld reports whether any daemon had an answer of another version than the one ordered.
-func (l *Ledger) SawOld() bool {
+// HasOldAnswers reports whether any daemon has an answer of a version other than the ordered one.
+func (l *ReportSet) HasOldAnswers() bool {
 	for key := range l.sum {
 		if !key.New {
 			return true
--- a/internal/model/rollout/judge.go
+++ b/internal/model/rollout/judge.go
@@ -4,59 +4,61 @@
 	"math"
 )
 
-// Error rates and effects of the test. The test is a cumulative sum of
-// log likelihood ratios that does not fall below zero.
+// Error rates and parameters of the test. The test is a cumulative sum (CUSUM) of log likelihood
+// ratios with a lower bound of zero.
 const (
-	// FalseConviction bounds the chance that a version as good as the old one is
-	// convicted in one roll-out, and MissedConviction the chance that one that is worse
-	// by the effects below is called good.
-	FalseConviction  = 0.002
-	MissedConviction = 0.01
-	// shortestTest is the number of answers up to which the sum at which a version is convicted
-	// stays the same; beyond, it grows with the logarithm of their number, as the chance does
-	// that a good version reaches it.
-	shortestTest = 200
-	// slowClasses is from how many classes above the median of the old version an answer
-	// is slow: 2 to 2.8 times. verySlowClasses is the same for very slow ones, which are so
-	// rare in a good version that few of them tell: 4 to 5.6 times.
-	slowClasses     = 3
-	verySlowClasses = 5
-	// certain keeps the shares of the test away from 0 and 1.
-	certain = 0.97
-	// priorAnswers is what the old version's share of the whole route, or before any
-	// answer priorShare, counts for beside its share in a zone.
+	// FalsePositiveRate limits the probability that a version as good as the old one is rejected
+	// during one roll-out. FalseNegativeRate limits the probability that a version that is worse by
+	// the effects below is accepted.
+	FalsePositiveRate = 0.002
+	FalseNegativeRate = 0.01
+	// minTestAnswers is the number of answers up to which the rejection threshold is constant.
+	// Beyond it, the threshold grows with the logarithm of the number of answers, as does the
+	// probability that a good version reaches a given sum.
+	minTestAnswers = 200
+	// slowClassOffset is the number of classes above the old version's median from which an answer
+	// is slow: 2 to 2.8 times the median. verySlowClassOffset is the same for very slow answers, 4
+	// to 5.6 times the median. These are so rare in a good version that a few of them are
+	// significant.
+	slowClassOffset     = 3
+	verySlowClassOffset = 5
+	// maxShare limits the shares used in the test; a share of 1 makes the ratio infinite.
+	maxShare = 0.97
+	// priorAnswers is the weight, in answers, of the prior in the old version's share of a zone. The
+	// prior is the share of the whole route, whose own prior is priorShare.
 	priorAnswers = 20
 	priorShare   = 0.01
-	// baselineAnswers is how many of the old version's newest answers a comparison
-	// rests on, for a route and zone; it makes it one of the same time.
-	baselineAnswers = 200
+	// baselineWindow is the number of the old version's newest answers on which a baseline rests,
+	// so that both versions are compared over the same period.
+	baselineWindow = 200
 )
 
-// allRoutes is the name under which all routes are tested together.
+// allRoutes is the route name of the tests over all routes.
 const allRoutes = "*"
 
-// effects are by how much the share of failures of a bad version is above the old one's, and that
-// of slow answers. The first of each is what must not be missed, the second makes a plain fault be
-// found after fewer answers.
+// effects holds the differences between a bad version's share of a symptom and the old version's
+// that the tests are set up to detect. The first one of each symptom is the smallest that must not
+// be missed; the second one detects a severe fault after fewer answers.
 var effects = map[Symptom][]float64{SymptomFailures: {0.1, 0.4}, SymptomSlow: {0.2, 0.5}, SymptomVerySlow: {0.1, 0.4}}
 
-// weights are how much an answer counts. Slow answers come in runs, since what an instance calls
-// in turn is slow for all its calls at a time: each of them says less than one of its own.
+// weights holds the weight of an answer for each symptom. Slow answers are correlated, because a
+// slow dependency of an instance affects all its calls at the time, so each of them carries less
+// weight.
 var weights = map[Symptom]float64{SymptomFailures: 1, SymptomSlow: 0.5, SymptomVerySlow: 0.7}
 
-// acquitAt is the sum at which a version is called good.
-var acquitAt = math.Log(MissedConviction)
+// acceptanceThreshold is the total log likelihood ratio at or below which a version is good.
+var acceptanceThreshold = math.Log(FalseNegativeRate)
 
-// suspectPart is the part of the way to a conviction from which steps are put off that can
-// wait.
-const suspectPart = 0.25
+// suspicionFraction is the fraction of the rejection threshold from which steps that can wait are
+// postponed.
+const suspicionFraction = 0.25
 
-// convictAt returns the sum at which a version is convicted after a number of answers.
-func convictAt(answers uint64) float64 {
-	return math.Log(float64(max(answers, shortestTest)) / FalseConviction)
+// rejectionThreshold returns the sum at which a version is rejected after a number of answers.
+func rejectionThreshold(answers uint64) float64 {
+	return math.Log(float64(max(answers, minTestAnswers)) / FalsePositiveRate)
 }
 
-// Symptom is what a version does worse than the old one.
+// Symptom is a respect in which a version is worse than the old one.
 type Symptom string
 
 // Symptoms.
@@ -67,7 +69,7 @@
 	SymptomVerySlow Symptom = "very_slow"
 )
 
-// Opinion is what the evidence says of a version.
+// Opinion is the conclusion that the evidence supports.
 type Opinion string
 
 // Opinions.
@@ -77,41 +79,44 @@
 	OpinionBad       Opinion = "bad"
 )
 
-// Verdict is an opinion with the figures that it rests on.
+// Verdict is an opinion with the figures that it is based on.
 type Verdict struct {
 	Opinion Opinion
-	// Symptom and Route are those that speak most against the version.
+	// Symptom and Route are those with the strongest evidence against the version.
 	Symptom Symptom
 	Route   string
-	// Sum is the sum against it at which it is convicted (convictAt), without the
-	// instance that speaks most against it.
+	// Sum is the CUSUM that is compared with rejectionThreshold. It leaves out the instance with
+	// the strongest evidence against the version, so that one faulty instance cannot cause a
+	// rejection.
 	Sum float64
-	// Leaning is the sum over all answers since the start, again without the instance that
-	// speaks most against the version; below zero for one that does rather as well as the
-	// old one.
-	Leaning float64
-	// Answers counts the new version's answers, Bad those that failed or were slow.
+	// TotalLogRatio is the log likelihood ratio of all answers since the start, also without the
+	// instance with the strongest evidence against the version. It is below zero if the version
+	// does about as well as the old one.
+	TotalLogRatio float64
+	// Answers is the number of the new version's answers, and Bad the number of those that failed
+	// or were slow.
 	Answers, Bad uint64
 }
 
-// suspicious reports whether the test is part of the way to a conviction.
-func (v Verdict) suspicious() bool { return v.Sum >= suspectPart*convictAt(v.Answers) }
+// suspicious reports whether the sum has reached suspicionFraction of the rejection threshold.
+func (v Verdict) suspicious() bool { return v.Sum >= suspicionFraction*rejectionThreshold(v.Answers) }
 
-// speaksAgainst reports whether the answers so far are rather those of a version that is worse.
-func (v Verdict) speaksAgainst() bool { return v.suspicious() || v.Leaning > 0 }
+// unfavorable reports whether the answers are more likely those of a worse version.
+func (v Verdict) unfavorable() bool { return v.suspicious() || v.TotalLogRatio > 0 }
 
-// stream is one test: of one symptom on one route.
-type stream struct {
-	// sum is the cumulative sum over all instances, without that over all but one.
-	sum     float64
-	without map[string]float64
+// cusum is the test for one symptom, effect and route.
+type cusum struct {
+	// sum is the cumulative sum over all instances; sumsWithout holds, for each instance, the
+	// cumulative sum without that instance.
+	sum         float64
+	sumsWithout map[string]float64
 }
 
-// add adds the ratios that each instance's newest answers gave.
-func (s *stream) add(ratios map[string]float64) {
+// add adds the log likelihood ratios of new answers, by instance.
+func (s *cusum) add(ratios map[string]float64) {
 	for instance := range ratios {
-		if _, known := s.without[instance]; !known {
-			s.without[instance] = s.sum
+		if _, known := s.sumsWithout[instance]; !known {
+			s.sumsWithout[instance] = s.sum
 		}
 	}
 	total := 0.0
@@ -119,51 +124,51 @@
 		total += ratio
 	}
 	s.sum = max(0, s.sum+total)
-	for instance, sum := range s.without {
-		s.without[instance] = max(0, sum+total-ratios[instance])
+	for instance, sum := range s.sumsWithout {
+		s.sumsWithout[instance] = max(0, sum+total-ratios[instance])
 	}
 }
 
-// against returns the sum that still stands without the instance that speaks most
-// against the version; where there is only one instance, that is all there is.
-func (s *stream) against() float64 {
-	if len(s.without) < 2 {
+// robustSum returns the sum without the instance with the strongest evidence against the version,
+// or the sum over all instances if there is only one.
+func (s *cusum) robustSum() float64 {
+	if len(s.sumsWithout) < 2 {
 		return s.sum
 	}
 	least := math.Inf(1)
-	for _, sum := range s.without {
+	for _, sum := range s.sumsWithout {
 		least = min(least, sum)
 	}
 	return least
 }
 
-// streamKey names a test.
-type streamKey struct {
+// cusumKey identifies a test.
+type cusumKey struct {
 	symptom Symptom
 	route   string
 	effect  float64
 }
 
-// place names a baseline; an empty zone stands for the whole route.
-type place struct{ route, zone string }
+// baselineKey identifies a baseline; an empty zone selects the whole route.
+type baselineKey struct{ route, zone string }
 
-// baseline is what the old version did lately at one place.
+// baseline holds the recent answers of the old version on one route, in one zone or in all.
 type baseline struct {
 	answers, failures float64
 	times             [timeClasses]float64
 }
 
-// add adds newer answers and forgets older ones.
+// add adds new answers and scales older ones down to baselineWindow.
 func (b *baseline) add(counts Counts) {
 	b.answers += float64(counts.Answers)
 	b.failures += float64(counts.Failures)
 	for class, count := range counts.Times {
 		b.times[class] += float64(count)
 	}
-	if b.answers <= baselineAnswers {
+	if b.answers <= baselineWindow {
 		return
 	}
-	kept := baselineAnswers / b.answers
+	kept := baselineWindow / b.answers
 	b.answers *= kept
 	b.failures *= kept
 	for class := range b.times {
@@ -171,7 +176,7 @@
 	}
 }
 
-// median returns the class in which the median of the service times lies, -1 before any.
+// median returns the class that contains the median service time, or -1 without answers.
 func (b *baseline) median() int {
 	total := b.answers - b.failures
 	if total <= 0 {
@@ -187,8 +192,8 @@
 	return timeClasses - 1
 }
 
-// slowFrom returns the number of answers in a class or above.
-func (b *baseline) slowFrom(class int) float64 {
+// countFromClass returns the number of answers in or above a class.
+func (b *baseline) countFromClass(class int) float64 {
 	slow := 0.0
 	for _, count := range b.times[min(class, timeClasses):] {
 		slow += count
@@ -196,187 +201,188 @@
 	return slow
 }
 
-// Judge tests a version against the old one. It is not safe for concurrent use.
-type Judge struct {
+// Analyzer tests the new version against the old one. It is not safe for concurrent use.
+type Analyzer struct {
 	last      Evidence
-	baselines map[place]*baseline
-	streams   map[streamKey]*stream
-	leaning   map[Symptom]map[string]float64
+	baselines map[baselineKey]*baseline
+	cusums    map[cusumKey]*cusum
+	logRatios map[Symptom]map[string]float64
 	answers   uint64
 	bad       uint64
-	convicted *Verdict
+	rejected  *Verdict
 }
 
-// NewJudge returns a judge who has seen nothing.
-func NewJudge() *Judge {
-	return &Judge{
-		last: Evidence{}, baselines: map[place]*baseline{},
-		streams: map[streamKey]*stream{},
-		leaning: map[Symptom]map[string]float64{SymptomFailures: {}, SymptomSlow: {}, SymptomVerySlow: {}},
+// NewAnalyzer returns an analyzer without evidence.
+func NewAnalyzer() *Analyzer {
+	return &Analyzer{
+		last: Evidence{}, baselines: map[baselineKey]*baseline{},
+		cusums:    map[cusumKey]*cusum{},
+		logRatios: map[Symptom]map[string]float64{SymptomFailures: {}, SymptomSlow: {}, SymptomVerySlow: {}},
 	}
 }
 
-// Review takes in all evidence so far, of which every counter is at least what it was
-// before, and says what it amounts to. A conviction stands.
-func (j *Judge) Review(evidence Evidence) Verdict {
-	fresh := j.fresh(evidence)
-	j.learn(fresh)
-	j.test(fresh)
-	if j.convicted != nil {
-		return *j.convicted
+// Review evaluates all evidence collected so far and returns the verdict. Every counter must be at
+// least as high as in the previous call. A rejection is final.
+func (a *Analyzer) Review(evidence Evidence) Verdict {
+	delta := a.delta(evidence)
+	a.updateBaselines(delta)
+	a.runTests(delta)
+	if a.rejected != nil {
+		return *a.rejected
 	}
-	verdict := j.verdict()
+	verdict := a.verdict()
 	if verdict.Opinion == OpinionBad {
-		j.convicted = &verdict
+		a.rejected = &verdict
 	}
 	return verdict
 }
 
-// fresh returns what came since the last review.
-func (j *Judge) fresh(evidence Evidence) Evidence {
-	fresh := Evidence{}
+// delta returns the answers since the previous review.
+func (a *Analyzer) delta(evidence Evidence) Evidence {
+	delta := Evidence{}
 	for key, counts := range evidence {
-		since := counts.Since(j.last[key])
+		since := counts.Since(a.last[key])
 		if since.Answers > 0 {
-			fresh[key] = since
-			j.last[key] = counts
+			delta[key] = since
+			a.last[key] = counts
 		}
 	}
-	return fresh
+	return delta
 }
 
-// learn takes the old version's answers into the baselines.
-func (j *Judge) learn(fresh Evidence) {
-	for key, counts := range fresh {
+// updateBaselines adds the old version's answers to the baselines.
+func (a *Analyzer) updateBaselines(delta Evidence) {
+	for key, counts := range delta {
 		if key.New {
 			continue
 		}
-		j.baseline(place{key.Route, key.Zone}).add(counts)
-		j.baseline(place{key.Route, ""}).add(counts)
+		a.baseline(baselineKey{key.Route, key.Zone}).add(counts)
+		a.baseline(baselineKey{key.Route, ""}).add(counts)
 	}
 }
 
-func (j *Judge) baseline(at place) *baseline {
-	known, ok := j.baselines[at]
+func (a *Analyzer) baseline(at baselineKey) *baseline {
+	known, ok := a.baselines[at]
 	if !ok {
 		known = &baseline{}
-		j.baselines[at] = known
+		a.baselines[at] = known
 	}
 	return known
 }
 
-// test adds the new version's answers to the tests.
-func (j *Judge) test(fresh Evidence) {
-	ratios := map[streamKey]map[string]float64{}
-	note := func(key streamKey, instance string, ratio float64) {
+// runTests adds the new version's answers to the tests.
+func (a *Analyzer) runTests(delta Evidence) {
+	ratios := map[cusumKey]map[string]float64{}
+	note := func(key cusumKey, instance string, ratio float64) {
 		if ratios[key] == nil {
 			ratios[key] = map[string]float64{}
 		}
 		ratios[key][instance] += ratio
 	}
-	for key, counts := range fresh {
+	for key, counts := range delta {
 		if !key.New {
 			continue
 		}
-		for symptom, found := range j.compare(key, counts) {
+		for symptom, found := range a.compare(key, counts) {
 			for index, effect := range effects[symptom] {
 				ratio := weights[symptom] * found.ratio(effect)
-				note(streamKey{symptom, key.Route, effect}, key.Instance, ratio)
-				note(streamKey{symptom, allRoutes, effect}, key.Instance, ratio)
+				note(cusumKey{symptom, key.Route, effect}, key.Instance, ratio)
+				note(cusumKey{symptom, allRoutes, effect}, key.Instance, ratio)
 				if index == 0 {
-					j.leaning[symptom][key.Instance] += ratio
+					a.logRatios[symptom][key.Instance] += ratio
 				}
 			}
 		}
 	}
 	for key, byInstance := range ratios {
-		j.stream(key).add(byInstance)
+		a.cusum(key).add(byInstance)
 	}
 }
 
-func (j *Judge) stream(key streamKey) *stream {
-	known, ok := j.streams[key]
+func (a *Analyzer) cusum(key cusumKey) *cusum {
+	known, ok := a.cusums[key]
 	if !ok {
-		known = &stream{without: map[string]float64{}}
-		j.streams[key] = known
+		known = &cusum{sumsWithout: map[string]float64{}}
+		a.cusums[key] = known
 	}
 	return known
 }
 
-// finding is how many answers of some showed a symptom, and the share of them that would with the
-// old version.
+// finding is the number of answers that show a symptom in a sample, and the share that is expected
+// from the old version.
 type finding struct {
-	expected  float64
-	found, of uint32
+	expected      float64
+	found, sample uint32
 }
 
-// compare returns what a counter's newest answers show beside the old version. Slow answers are
-// told once enough answers of that version are known: the first ones to come are the quickest.
-func (j *Judge) compare(key Key, counts Counts) map[Symptom]finding {
-	zone, route := j.baseline(place{key.Route, key.Zone}), j.baseline(place{key.Route, ""})
-	j.answers += uint64(counts.Answers)
-	j.bad += uint64(counts.Failures)
-	expected := share(zone.failures, zone.answers, share(route.failures, route.answers, priorShare))
+// compare returns the findings of a counter's new answers relative to the old version. Slow answers
+// are evaluated only once minBaselineAnswers answers of the old version are known, because the
+// first answers to arrive are the fastest ones.
+func (a *Analyzer) compare(key Key, counts Counts) map[Symptom]finding {
+	zone, route := a.baseline(baselineKey{key.Route, key.Zone}), a.baseline(baselineKey{key.Route, ""})
+	a.answers += uint64(counts.Answers)
+	a.bad += uint64(counts.Failures)
+	expected := expectedShare(zone.failures, zone.answers, expectedShare(route.failures, route.answers, priorShare))
 	findings := map[Symptom]finding{SymptomFailures: {expected, counts.Failures, counts.Answers}}
 	median := route.median()
-	if median < 0 || route.answers < leastUsual {
+	if median < 0 || route.answers < minBaselineAnswers {
 		return findings
 	}
-	findings[SymptomSlow] = slower(zone, route, counts, median+slowClasses)
-	findings[SymptomVerySlow] = slower(zone, route, counts, median+verySlowClasses)
-	j.bad += uint64(findings[SymptomSlow].found)
+	findings[SymptomSlow] = slowFinding(zone, route, counts, median+slowClassOffset)
+	findings[SymptomVerySlow] = slowFinding(zone, route, counts, median+verySlowClassOffset)
+	a.bad += uint64(findings[SymptomSlow].found)
 	return findings
 }
 
-// slower returns how many answers took a time of a class or above.
-func slower(zone, route *baseline, counts Counts, from int) finding {
+// slowFinding returns the finding on the answers in or above a class.
+func slowFinding(zone, route *baseline, counts Counts, from int) finding {
 	found := uint32(0)
 	for _, count := range counts.Times[min(from, timeClasses):] {
 		found += count
 	}
-	usual := share(route.slowFrom(from), route.answers-route.failures, priorShare)
-	expected := share(zone.slowFrom(from), zone.answers-zone.failures, usual)
+	routeExpected := expectedShare(route.countFromClass(from), route.answers-route.failures, priorShare)
+	expected := expectedShare(zone.countFromClass(from), zone.answers-zone.failures, routeExpected)
 	return finding{expected, found, counts.Answers - counts.Failures}
 }
 
-// share returns the share that is expected: what was found, drawn to a prior share, and
-// one standard deviation more, since it is itself an estimate.
-func share(found, of, prior float64) float64 {
-	mean := (found + priorAnswers*prior) / (of + priorAnswers)
-	return mean + math.Sqrt(mean*(1-mean)/(of+priorAnswers))
+// expectedShare returns the expected share of a symptom: the observed share, shrunk towards a prior
+// share, plus one standard deviation, because the share is itself an estimate.
+func expectedShare(found, sample, prior float64) float64 {
+	mean := (found + priorAnswers*prior) / (sample + priorAnswers)
+	return mean + math.Sqrt(mean*(1-mean)/(sample+priorAnswers))
 }
 
-// ratio returns the log likelihood ratio of a share that is above the expected one by an
-// effect to the expected one.
+// ratio returns the log likelihood ratio between a share that exceeds the expected one by an
+// effect, and the expected share.
 func (f finding) ratio(effect float64) float64 {
-	expected := min(f.expected, certain-effect/2)
-	worse := min(max(expected+effect, min(2*expected, certain)), certain)
-	hits, misses := float64(f.found), float64(f.of-f.found)
+	expected := min(f.expected, maxShare-effect/2)
+	worse := min(max(expected+effect, min(2*expected, maxShare)), maxShare)
+	hits, misses := float64(f.found), float64(f.sample-f.found)
 	return hits*math.Log(worse/expected) + misses*math.Log((1-worse)/(1-expected))
 }
 
-// verdict sums up the tests.
-func (j *Judge) verdict() Verdict {
-	verdict := Verdict{Opinion: OpinionUndecided, Answers: j.answers, Bad: j.bad}
-	for key, test := range j.streams {
-		against := test.against()
-		if against > verdict.Sum || (against == verdict.Sum && against > 0 && key.route < verdict.Route) {
-			verdict.Sum, verdict.Symptom, verdict.Route = against, key.symptom, key.route
+// verdict combines the results of all tests.
+func (a *Analyzer) verdict() Verdict {
+	verdict := Verdict{Opinion: OpinionUndecided, Answers: a.answers, Bad: a.bad}
+	for key, test := range a.cusums {
+		robustSum := test.robustSum()
+		if robustSum > verdict.Sum || (robustSum == verdict.Sum && robustSum > 0 && key.route < verdict.Route) {
+			verdict.Sum, verdict.Symptom, verdict.Route = robustSum, key.symptom, key.route
 		}
 	}
-	verdict.Leaning = max(leaningOf(j.leaning[SymptomFailures]), leaningOf(j.leaning[SymptomSlow]), leaningOf(j.leaning[SymptomVerySlow]))
+	verdict.TotalLogRatio = max(totalLogRatio(a.logRatios[SymptomFailures]), totalLogRatio(a.logRatios[SymptomSlow]), totalLogRatio(a.logRatios[SymptomVerySlow]))
 	switch {
-	case verdict.Sum >= convictAt(verdict.Answers):
+	case verdict.Sum >= rejectionThreshold(verdict.Answers):
 		verdict.Opinion = OpinionBad
-	case verdict.Leaning <= acquitAt && !verdict.suspicious():
+	case verdict.TotalLogRatio <= acceptanceThreshold && !verdict.suspicious():
 		verdict.Opinion = OpinionGood
 	}
 	return verdict
 }
 
-// leaningOf sums up over instances without the one that speaks most against the version;
-// where there is only one, that is all there is.
-func leaningOf(byInstance map[string]float64) float64 {
+// totalLogRatio returns the sum over all instances without the one with the strongest evidence
+// against the version, or the sum itself if there is only one instance.
+func totalLogRatio(byInstance map[string]float64) float64 {
 	sum, most := 0.0, math.Inf(-1)
 	for _, ratio := range byInstance {
 		sum += ratio
--- a/internal/model/rollout/machine.go
+++ b/internal/model/rollout/machine.go
@@ -7,22 +7,22 @@
 	"github.com/qmuntal/stateless"
 )
 
-// State is where a roll-out stands on one daemon.
+// State is the state of a roll-out on one daemon.
 type State string
 
 // States of a roll-out.
 const (
-	// StateWatching has seen the order; the new version gets no calls.
+	// StateWatching: the order is known; the new version gets no calls.
 	StateWatching State = "watching"
-	// StateProbing sends a small share to the new version and judges it.
+	// StateProbing: the new version gets a small share of the calls and is tested.
 	StateProbing State = "probing"
-	// StateShifting sends more and more, until the old version gets nothing.
+	// StateShifting: the new version's share grows until the old version gets no calls.
 	StateShifting State = "shifting"
-	// StateMoved sends nothing to the old version any more and has said so.
+	// StateMoved: the old version gets no calls, and the other daemons have been told so.
 	StateMoved State = "moved"
-	// StateCompleted and StateRolledBack are in the store.
+	// StateCompleted and StateRolledBack: the store holds this end.
 	StateCompleted State = "completed"
-	// StateRollingBack found the version bad; the store does not say so yet.
+	// StateRollingBack: the new version is to be rolled back; the store does not hold this end yet.
 	StateRollingBack State = "rolling_back"
 	StateRolledBack  State = "rolled_back"
 )
@@ -38,10 +38,10 @@
 	triggerRolledBack trigger = "stored_rolled_back"
 )
 
-// Reason is why a step was taken.
+// Reason is the reason for a step.
 type Reason string
 
-// Reasons of steps.
+// Reasons for steps.
 const (
 	ReasonInstances   Reason = "instances_ready"
 	ReasonGood        Reason = "judged_good"
@@ -56,7 +56,7 @@
 	ReasonImpossible  Reason = "impossible_duration"
 )
 
-// Step is one step of a roll-out with the figures that decided it.
+// Step is a state transition of a roll-out with the figures that it is based on.
 type Step struct {
 	Service  string
 	Order    Identity
@@ -64,26 +64,27 @@
 	From, To State
 	Reason   Reason
 	Verdict  Verdict
-	// Left is the time until the deadline; Heard and Members are the daemons whose
-	// evidence is known and all in touch.
-	Left           time.Duration
+	// TimeLeft is the time until the deadline. Heard is the number of daemons in touch whose
+	// evidence is known, Members the number of all daemons in touch.
+	TimeLeft       time.Duration
 	Heard, Members int
-	// Warm and Old are the instances of the new version that are warm and those of others.
+	// Warm is the number of warm instances of the new version, Old that of instances of other
+	// versions.
 	Warm, Old int
 }
 
-// Fields returns the step as pairs for a line of the log.
+// Fields returns the step as key-value pairs for a log line.
 func (s Step) Fields() []any {
 	return []any{
 		"service", s.Service, "target", s.Order.Target, "revision", s.Revision, "from", s.From, "to", s.To,
 		"reason", s.Reason, "opinion", s.Verdict.Opinion, "symptom", s.Verdict.Symptom, "route", s.Verdict.Route,
-		"sum", s.Verdict.Sum, "leaning", s.Verdict.Leaning, "answers", s.Verdict.Answers, "bad", s.Verdict.Bad,
-		"left_ms", s.Left.Milliseconds(), "heard", s.Heard, "members", s.Members, "warm", s.Warm, "old", s.Old,
+		"sum", s.Verdict.Sum, "leaning", s.Verdict.TotalLogRatio, "answers", s.Verdict.Answers, "bad", s.Verdict.Bad,
+		"left_ms", s.TimeLeft.Milliseconds(), "heard", s.Heard, "members", s.Members, "warm", s.Warm, "old", s.Old,
 	}
 }
 
-// newMachine returns the state machine of a roll-out. What the store says may come in
-// any state, and ends it; nothing leads out of an end.
+// newMachine returns the state machine of a roll-out. An end from the store is permitted in every
+// state, and no transition leads out of an end.
 func newMachine() *stateless.StateMachine {
 	machine := stateless.NewStateMachine(StateWatching)
 	machine.Configure(StateWatching).
@@ -109,7 +110,7 @@
 	return machine
 }
 
-// fire fires a trigger where it is permitted and reports whether it was.
+// fire fires a trigger if it is permitted, and reports whether it was.
 func fire(machine *stateless.StateMachine, event trigger) bool {
 	permitted, err := machine.CanFire(event)
 	if err != nil || !permitted {
--- a/internal/model/rollout/message.go
+++ b/internal/model/rollout/message.go
@@ -8,7 +8,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// OrderMessage states an order under the name of its object.
+// OrderMessage encodes an order with the name of its object.
 func OrderMessage(name string, order Order) *lapisv1.Rollout {
 	return &lapisv1.Rollout{
 		Name: name, Service: order.Service, TargetVersion: order.Target, DurationNanos: int64(order.Duration),
@@ -17,7 +17,7 @@
 	}
 }
 
-// OrderOf returns the order that a message states.
+// OrderOf decodes an order.
 func OrderOf(message *lapisv1.Rollout) Order {
 	return Order{
 		Service: message.GetService(),
@@ -29,14 +29,14 @@
 	}
 }
 
-// identityMessage states which order is meant.
+// identityMessage encodes the identity of an order.
 func identityMessage(order Identity) *lapisv1.RolloutIdentity {
 	return &lapisv1.RolloutIdentity{
 		Created: order.Created, TargetVersion: order.Target, DurationNanos: int64(order.Duration), Again: order.Again,
 	}
 }
 
-// identityOf returns the order that a message means.
+// identityOf decodes the identity of an order.
 func identityOf(message *lapisv1.RolloutIdentity) Identity {
 	return Identity{
 		Created: message.GetCreated(), Target: message.GetTargetVersion(),
@@ -44,7 +44,7 @@
 	}
 }
 
-// WordMessage states a word.
+// WordMessage encodes a word.
 func WordMessage(word Word) *lapisv1.RolloutWord {
 	return &lapisv1.RolloutWord{
 		Service: word.Service, Node: word.Node, Incarnation: word.Incarnation, Sequence: word.Sequence,
@@ -53,7 +53,7 @@
 	}
 }
 
-// WordOf returns the word that a message states.
+// WordOf decodes a word.
 func WordOf(message *lapisv1.RolloutWord) Word {
 	return Word{
 		Service: message.GetService(), Node: message.GetNode(), Incarnation: message.GetIncarnation(), Sequence: message.GetSequence(),
@@ -78,14 +78,14 @@
 	return probes
 }
 
-// names gives names an index each.
-type names struct {
+// nameTable assigns an index to each name.
+type nameTable struct {
 	list  []string
 	index map[string]uint32
 }
 
-// of returns the index of a name.
-func (n *names) of(name string) uint32 {
+// indexOf returns the index of a name, and adds the name if it is new.
+func (n *nameTable) indexOf(name string) uint32 {
 	index, known := n.index[name]
 	if !known {
 		index = uint32(len(n.list))
@@ -95,15 +95,15 @@
 	return index
 }
 
-// ReportMessage states a report on a service's order. Names are written once and times
-// without the classes around them that hold nothing: reports are the most that daemons
-// tell each other in a roll-out.
+// ReportMessage encodes a report on a service's order. Reports make up most of the traffic between
+// daemons during a roll-out; to save bytes, each name is sent once, and empty classes of service
+// times are left out at both ends.
 func ReportMessage(service string, report Report) *lapisv1.RolloutReport {
 	message := &lapisv1.RolloutReport{
 		Service: service, Node: report.Node, Incarnation: report.Incarnation, Sequence: report.Sequence,
 		Order: identityMessage(report.Order),
 	}
-	named := &names{index: map[string]uint32{}}
+	named := &nameTable{index: map[string]uint32{}}
 	for key, counts := range report.Evidence {
 		message.Counters = append(message.Counters, counterMessage(named, key, counts))
 	}
@@ -111,8 +111,8 @@
 	return message
 }
 
-// counterMessage states one counter.
-func counterMessage(named *names, key Key, counts Counts) *lapisv1.RolloutCounter {
+// counterMessage encodes one counter.
+func counterMessage(named *nameTable, key Key, counts Counts) *lapisv1.RolloutCounter {
 	first, end := 0, timeClasses
 	for first < end && counts.Times[first] == 0 {
 		first++
@@ -121,13 +121,13 @@
 		end--
 	}
 	return &lapisv1.RolloutCounter{
-		New: key.New, Route: named.of(key.Route), Zone: named.of(key.Zone), Instance: named.of(key.Instance),
+		New: key.New, Route: named.indexOf(key.Route), Zone: named.indexOf(key.Zone), Instance: named.indexOf(key.Instance),
 		Answers: counts.Answers, Failures: counts.Failures,
 		FirstClass: uint32(first), Times: slices.Clone(counts.Times[first:end]),
 	}
 }
 
-// ReportOf returns the report that a message states. Errors: ProtocolUnexpected.
+// ReportOf decodes a report. Errors: ProtocolUnexpected.
 func ReportOf(message *lapisv1.RolloutReport) (Report, error) {
 	report := Report{
 		Order: identityOf(message.GetOrder()), Node: message.GetNode(), Incarnation: message.GetIncarnation(),
@@ -136,15 +136,14 @@
 	for _, counter := range message.GetCounters() {
 		key, counts, ok := counterOf(message.GetNames(), counter)
 		if !ok {
-			return Report{}, result.Errorf(result.ProtocolUnexpected, "a counter of a roll-out's report from %s cannot be read", message.GetNode())
+			return Report{}, result.Errorf(result.ProtocolUnexpected, "roll-out report from %s contains an invalid counter", message.GetNode())
 		}
 		report.Evidence[key] = counts
 	}
 	return report, nil
 }
 
-// counterOf returns the counter that a message states; ok is false for one that names
-// what is not there.
+// counterOf decodes one counter; ok is false if it refers to a name or class that does not exist.
 func counterOf(names []string, message *lapisv1.RolloutCounter) (key Key, counts Counts, ok bool) {
 	first, times := int(message.GetFirstClass()), message.GetTimes()
 	if first > timeClasses || len(times) > timeClasses-first {
--- a/internal/model/rollout/message_test.go
+++ b/internal/model/rollout/message_test.go
@@ -11,7 +11,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// What daemons tell each other comes back as it was.
+// Encoding and decoding must preserve every field.
 func TestMessagesHoldEverything(t *testing.T) {
 	identity := Identity{Created: 3, Target: "v2", Duration: 30 * time.Second, Again: 9}
 	order := Order{Service: "desk", Identity: identity, Revision: 12, Status: Status{End: EndRolledBack, Target: "v1"}}
@@ -27,7 +27,7 @@
 	assert.DeepEqual(t, WordOf(WordMessage(word)), word)
 
 	report := Report{Order: identity, Node: "a", Incarnation: 4, Sequence: 6, Evidence: Evidence{}}
-	for _, taken := range []time.Duration{0, time.Second, longest} {
+	for _, taken := range []time.Duration{0, time.Second, highestClassTime} {
 		report.Evidence.Note(Key{New: true, Route: "r", Zone: "z", Instance: "i"}, false, taken)
 	}
 	report.Evidence.Note(Key{Route: "r", Zone: "y"}, true, time.Second)
@@ -41,7 +41,7 @@
 	assert.DeepEqual(t, decoded, report)
 }
 
-// A report that names what is not there is refused.
+// A report that refers to a missing name or class must be rejected.
 func TestBrokenReportsAreRefused(t *testing.T) {
 	for name, counter := range map[string]*lapisv1.RolloutCounter{
 		"a name":           {Route: 1},
--- a/internal/model/rollout/newcomers_test.go
+++ b/internal/model/rollout/newcomers_test.go
@@ -9,8 +9,8 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// An instance of a version that is new to its service is told to others once orders were confirmed
-// since; every other instance at once.
+// An instance with a version that is new to its service must be announced only once the orders have
+// been confirmed since; every other instance is announced immediately.
 func TestNewcomersAreHeldUntilOrdersAreConfirmed(t *testing.T) {
 	const longest = 2 * time.Second
 	start := time.Unix(1000, 0)
@@ -21,15 +21,15 @@
 		after     time.Duration
 		admitted  bool
 	}{
-		"first of the service":           {nil, "", 0, 0, true},
-		"of the version in force":        {[]string{"v2"}, "", 0, 0, true},
-		"of a version known beside":      {[]string{"v1", "v2"}, "", 0, 0, true},
-		"no order confirmed since":       {[]string{"v1"}, "", 0, time.Second, false},
-		"confirmed, not spread yet":      {[]string{"v1"}, "", time.Millisecond, spreadTime / 2, false},
-		"confirmed and spread":           {[]string{"v1"}, "", time.Millisecond, spreadTime, true},
-		"ordered":                        {[]string{"v1"}, "v2", 0, 0, true},
-		"another version ordered":        {[]string{"v1"}, "v3", 0, time.Second, false},
-		"no answer of the store so long": {[]string{"v1"}, "", 0, longest, true},
+		"first of the service":         {nil, "", 0, 0, true},
+		"of the version in force":      {[]string{"v2"}, "", 0, 0, true},
+		"of one of the known versions": {[]string{"v1", "v2"}, "", 0, 0, true},
+		"no order confirmed since":     {[]string{"v1"}, "", 0, time.Second, false},
+		"confirmed, not spread yet":    {[]string{"v1"}, "", time.Millisecond, orderSpreadTime / 2, false},
+		"confirmed and spread":         {[]string{"v1"}, "", time.Millisecond, orderSpreadTime, true},
+		"ordered":                      {[]string{"v1"}, "v2", 0, 0, true},
+		"another version ordered":      {[]string{"v1"}, "v3", 0, time.Second, false},
+		"held for the maximum time":    {[]string{"v1"}, "", 0, longest, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			newcomers := Newcomers{Longest: longest}
--- a/internal/model/rollout/order.go
+++ b/internal/model/rollout/order.go
@@ -6,55 +6,56 @@
 	"github.com/lapisvane/lapisvane/internal/model/position"
 )
 
-// End is how a roll-out ended, as the store has it.
+// End is the result of a roll-out as held by the store.
 type End string
 
 // Ends of a roll-out.
 const (
-	// EndNone is that of an order whose status says nothing yet.
+	// EndNone is the end of an order without a status.
 	EndNone       End = ""
 	EndRunning    End = "running"
 	EndCompleted  End = "completed"
 	EndRolledBack End = "rolled_back"
 )
 
-// Final reports whether nothing may be written over the end.
+// Final reports whether the end must not be overwritten.
 func (e End) Final() bool { return e == EndCompleted || e == EndRolledBack }
 
-// Status is what the system says of an order.
+// Status is the status that the daemons write to an order's object.
 type Status struct {
 	End End
-	// Target and Again are those of the order that the status is about; that of an earlier
-	// order says nothing of a later one. Again is how daemons agree on which order is meant,
-	// whichever states of the object each of them has seen.
+	// Target and Again identify the order that the status is about, because the status of an
+	// earlier order must not be applied to a later one. Again lets daemons agree on the current
+	// order even if they have seen different states of the object.
 	Target string
 	Again  uint64
 }
 
-// Identity tells one order from another one for the same service. The revision does
-// not: it changes with every write of the status.
+// Identity distinguishes the orders for one service. The revision cannot, because it changes with
+// every write of the status.
 type Identity struct {
-	// Created is the revision at which the object came to be.
+	// Created is the revision at which the object was created.
 	Created uint64
 	Target  string
-	// Duration is the time that the operator gives.
+	// Duration is the time that the operator allows for the roll-out.
 	Duration time.Duration
-	// Again is the revision at which the same order was given again after its end, 0 for the
-	// first time: that of the state that the first status of the order was written over.
+	// Again is 0 for the first run of an order. If the same order was given again after its end, it
+	// is the revision of that state, which is the state that the first status of the new run
+	// overwrote.
 	Again uint64
 }
 
-// Order is an operator's order as the store has it.
+// Order is an operator's order as held by the store.
 type Order struct {
 	Service string
 	Identity
-	// Revision is the place of the object's newest change in the store's history
-	// (position.Position); writes of the status name it.
+	// Revision is the position of the object's newest change in the store's history
+	// (position.Position). Writes of the status are conditional on it.
 	Revision uint64
 	Status   Status
 }
 
-// End returns the end that the store has for this order.
+// End returns the end that the store holds for this order.
 func (o Order) End() End {
 	if o.Status.Target != o.Target || o.Status.Again < o.Again {
 		return EndNone
@@ -62,31 +63,31 @@
 	return o.Status.End
 }
 
-// Reading is what a daemon makes of an order.
+// Reading classifies an observed state of an order's object.
 type Reading string
 
 // Readings of an order.
 const (
 	ReadingNew Reading = "new"
-	// ReadingSame is the order that is being followed, perhaps with another status.
+	// ReadingSame is the order that is already followed, possibly with another status.
 	ReadingSame Reading = "same"
-	// ReadingOld is a state of the object before the one known.
+	// ReadingOld is an earlier state of the object than the known one.
 	ReadingOld Reading = "old"
-	// ReadingSuperseded is another order in the middle of one.
+	// ReadingSuperseded is another order while the known one has no final end.
 	ReadingSuperseded Reading = "superseded"
-	// ReadingWithdrawn is an order taken away.
+	// ReadingWithdrawn is a deleted object.
 	ReadingWithdrawn Reading = "withdrawn"
-	// ReadingImpossible is an order whose duration leaves no time to judge.
+	// ReadingImpossible is an order with a duration below MinDuration.
 	ReadingImpossible Reading = "impossible"
-	// ReadingMalformed is an order that names no service or no version.
+	// ReadingMalformed is an order without a service or a version.
 	ReadingMalformed Reading = "malformed"
 )
 
-// LeastDuration is the shortest time in which a version can be judged and the calls
-// be moved: ramp, confirmation and write with a few seconds of probing.
-const LeastDuration = 5 * time.Second
+// MinDuration is the shortest duration in which a version can be tested and the calls can be moved:
+// ramp, confirmation and write, and a few seconds of probing.
+const MinDuration = 5 * time.Second
 
-// Read classifies the state of an object beside the one known before, nil for none.
+// Read classifies the state of an object relative to the known one, which is nil if there is none.
 func Read(known *Order, seen Order) Reading {
 	switch {
 	case known != nil && seen.Revision < known.Revision:
@@ -95,7 +96,7 @@
 		return ReadingMalformed
 	case known != nil && sameOrder(*known, seen):
 		return ReadingSame
-	case seen.Duration < LeastDuration:
+	case seen.Duration < MinDuration:
 		return ReadingImpossible
 	case known != nil && !known.End().Final():
 		return ReadingSuperseded
@@ -104,10 +105,11 @@
 	}
 }
 
-// sameOrder reports whether a later state of the object belongs to the order known: its status says so
-// where it is about a later order. Otherwise, as nobody here writes after an end, a change after one that
-// left the end as it was is the same order given again. In another era of the store a revision says
-// nothing of that: the end may be gone because it was written after the copy.
+// sameOrder reports whether a later state of the object belongs to the known order. It does not if
+// its status is about a later order. It also does not if the known order has a final end and the
+// object changed afterwards: daemons do not write after an end, so the operator has given the same
+// order again. A revision of another era of the store does not show this, because the end may be
+// missing there if it was written after the copy that the store was restored from.
 func sameOrder(known, seen Order) bool {
 	if !sameSpec(known, seen) || seen.statedAgain() > known.Again {
 		return false
@@ -116,12 +118,13 @@
 	return !known.End().Final() || !sameEra || seen.Revision == known.Revision
 }
 
-// sameSpec reports whether two states of an object ask for the same.
+// sameSpec reports whether two states of an object hold the same request of the operator.
 func sameSpec(known, seen Order) bool {
 	return known.Created == seen.Created && known.Target == seen.Target && known.Duration == seen.Duration
 }
 
-// statedAgain returns the Again of the order that the status is about, 0 for one about another version.
+// statedAgain returns the Again of the order that the status is about, or 0 if that is another
+// version.
 func (o Order) statedAgain() uint64 {
 	if o.Status.Target != o.Target {
 		return 0
@@ -129,8 +132,8 @@
 	return o.Status.Again
 }
 
-// Adopt returns the order as it is to be followed: with the identity of the known one
-// if it is the same, and marked as given again if it is that.
+// Adopt returns the order to follow: with the identity of the known order if it is the same, and
+// with a new Again if the same order was given again.
 func Adopt(known *Order, seen Order) Order {
 	seen.Again = seen.statedAgain()
 	switch {
@@ -138,7 +141,7 @@
 	case sameOrder(*known, seen):
 		seen.Identity = known.Identity
 	case sameSpec(*known, seen) && seen.Again <= known.Again:
-		// No status of the new order is written yet.
+		// The first status of the new run is not written yet.
 		seen.Again = seen.Revision
 	}
 	return seen
--- a/internal/model/rollout/parts_test.go
+++ b/internal/model/rollout/parts_test.go
@@ -14,8 +14,8 @@
 
 var testOrder = Identity{Created: 3, Target: "v2", Duration: 30 * time.Second}
 
-// What daemons have seen is summed once, in whatever order and however often their
-// reports come.
+// Evidence must be summed once per incarnation, in any order of the reports and if they are
+// repeated.
 func TestLedgerSumsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var reports []Report
@@ -32,29 +32,29 @@
 			}
 		}
 		order := rapid.Permutation(append(slices.Clone(reports), reports...)).Draw(rt, "order")
-		ledger := NewLedger(testOrder)
+		reportSet := NewReportSet(testOrder)
 		for _, report := range order {
-			ledger.Take(report)
+			reportSet.Record(report)
 		}
-		assert.DeepEqual(rt, ledger.Sum(), wanted)
-		assert.Equal(rt, ledger.Heard([]string{"a", "b", "c", "d"}), 3)
-		assert.Equal(rt, ledger.Heard([]string{"a"}), 1)
-		assert.Assert(rt, !ledger.Take(Report{Order: Identity{Target: "v3"}, Node: "d", Sequence: 1}))
+		assert.DeepEqual(rt, reportSet.Sum(), wanted)
+		assert.Equal(rt, reportSet.Reporters([]string{"a", "b", "c", "d"}), 3)
+		assert.Equal(rt, reportSet.Reporters([]string{"a"}), 1)
+		assert.Assert(rt, !reportSet.Record(Report{Order: Identity{Target: "v3"}, Node: "d", Sequence: 1}))
 	})
 }
 
-// bound is one daemon's limiter as the sum over daemons needs it.
-type bound interface {
+// limiter is the part of Exposure that the bound over all daemons depends on.
+type limiter interface {
 	Allow(route string) bool
 	Return(route string)
 	Note(route string)
 }
 
-// overdraw plays daemons that send and start again, and returns by how much the calls of
-// the new version exceed the share of all at worst.
-func overdraw(rt *rapid.T, share float64, start func() bound) float64 {
+// overdraw simulates daemons that send calls and restart. It returns the maximum by which the calls
+// of the new version exceed the share of all calls.
+func overdraw(rt *rapid.T, share float64, start func() limiter) float64 {
 	const daemons = 5
-	limiters := make([]bound, daemons)
+	limiters := make([]limiter, daemons)
 	for index := range limiters {
 		limiters[index] = start()
 	}
@@ -82,7 +82,7 @@
 func TestExposureKeepsToTheShareOverAllDaemonsAndRestarts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		share := rapid.Float64Range(0.01, 0.9).Draw(rt, "share")
-		worst := overdraw(rt, share, func() bound {
+		worst := overdraw(rt, share, func() limiter {
 			exposure := NewExposure()
 			exposure.SetShare(share)
 			return exposure
@@ -91,14 +91,14 @@
 	})
 }
 
-// slackful is a daemon that counts the slack for itself.
-type slackful struct {
+// limiterWithSlack is a limiter that grants a number of extra calls on each daemon.
+type limiterWithSlack struct {
 	*Exposure
 	slack int
 }
 
-// Allow gives calls of the slack first.
-func (s *slackful) Allow(route string) bool {
+// Allow grants the extra calls first.
+func (s *limiterWithSlack) Allow(route string) bool {
 	if s.slack == 0 {
 		return s.Exposure.Allow(route)
 	}
@@ -106,23 +106,23 @@
 	return true
 }
 
-// Return gives nothing back.
-func (s *slackful) Return(string) {}
+// Return does not give tokens back.
+func (s *limiterWithSlack) Return(string) {}
 
 func TestSumCatchesDaemonsThatCountTheSlackForThemselves(t *testing.T) {
 	caught := false
 	rapid.Check(t, func(rt *rapid.T) {
-		worst := overdraw(rt, ProbeShare, func() bound {
+		worst := overdraw(rt, ProbeShare, func() limiter {
 			exposure := NewExposure()
 			exposure.SetShare(ProbeShare)
-			return &slackful{exposure, 50}
+			return &limiterWithSlack{exposure, 50}
 		})
 		caught = caught || worst > 50
 	})
 	assert.Assert(t, caught)
 }
 
-// Routes that are called seldom are learnt of too.
+// Rarely called routes must get probes too.
 func TestExposureLearnsOfRareRoutes(t *testing.T) {
 	exposure := NewExposure()
 	exposure.SetShare(ProbeShare)
@@ -140,11 +140,11 @@
 		exposure.Note(route)
 	}
 	assert.Assert(t, taken["rare"] > 200, "%v", taken)
-	assert.Assert(t, float64(taken["rare"]) <= routeShare*0.06*calls, "%v", taken)
+	assert.Assert(t, float64(taken["rare"]) <= maxRouteShare*0.06*calls, "%v", taken)
 	assert.Assert(t, taken["usual"]+taken["rare"] > 0.9*ProbeShare*calls, "%v", taken)
 }
 
-// No trigger leads out of an end, nor back from a later state to an earlier one.
+// No transition leads out of an end or back to an earlier state.
 func TestStatesOnlyGoForward(t *testing.T) {
 	order := map[State]int{
 		StateWatching: 0, StateProbing: 1, StateShifting: 2, StateMoved: 3, StateRollingBack: 4, StateCompleted: 5, StateRolledBack: 5,
@@ -192,7 +192,7 @@
 	assert.Equal(t, len(Probed(testOrder, names, 40, 0.5, 0)), 20)
 	assert.Equal(t, len(Probed(testOrder, names[:10], 40, ProbeShare, 0)), 4, "those that are not known count")
 	assert.Equal(t, len(Probed(testOrder, names[:2], 2, ProbeShare, 0)), 1)
-	assert.Equal(t, len(SpreadProbed(testOrder, names[:10], 10, ProbeShare, 0)), spreadProbed)
+	assert.Equal(t, len(SpreadProbed(testOrder, names[:10], 10, ProbeShare, 0)), minSpreadProbes)
 	assert.Equal(t, len(SpreadProbed(testOrder, names, 40, ProbeShare, 0)), 5)
 	assert.Equal(t, len(Probed(testOrder, nil, 0, ProbeShare, 0)), 0)
 	seen := map[string]bool{}
@@ -206,13 +206,13 @@
 
 func TestServiceTimesFallIntoTheirClass(t *testing.T) {
 	assert.Equal(t, timeClass(0), 0)
-	assert.Equal(t, timeClass(shortestClass), 0)
-	assert.Equal(t, timeClass(2*shortestClass), classesPerTwo)
-	assert.Equal(t, timeClass(longest), timeClasses-1)
+	assert.Equal(t, timeClass(minClassTime), 0)
+	assert.Equal(t, timeClass(2*minClassTime), classesPerDoubling)
+	assert.Equal(t, timeClass(highestClassTime), timeClasses-1)
 }
 
-// After a change of the allocation nothing goes where it does not allow it, whatever was
-// chosen before.
+// After a change of the allocation, Begin must refuse attempts that it no longer allows, even if
+// they were chosen before.
 func TestTrafficRefusesWhatIsNoLongerAllowed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	old := &lapisv1.Endpoint{Instance: "a", Version: "v1"}
@@ -235,15 +235,15 @@
 	assert.Equal(t, traffic.Sent(), Sent{New: 1, All: 2})
 }
 
-// A call that is not answered counts as slow once it is late, and then only once; what
-// a cold instance does is no evidence.
+// A call without an answer must count as slow once it is overdue, and must not be counted again
+// with its answer. Calls of a cold instance are not counted as evidence.
 func TestTrafficCountsWhatIsNotAnswered(t *testing.T) {
 	now := time.Unix(1000, 0)
 	old := &lapisv1.Endpoint{Instance: "a", Version: "v1"}
 	fresh := &lapisv1.Endpoint{Instance: "b", Version: "v2"}
 	traffic := NewTraffic(testOrder)
 	traffic.Apply(Allocation{Order: testOrder, Share: 0.5})
-	for range leastUsual {
+	for range minBaselineAnswers {
 		attempt, _ := traffic.Begin("r", old, now)
 		traffic.Answered(attempt, false, false, 100*time.Millisecond, now.Add(100*time.Millisecond))
 	}
--- a/internal/model/rollout/plan.go
+++ b/internal/model/rollout/plan.go
@@ -10,76 +10,79 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of the plan.
+// Parameters of the schedule.
 const (
-	// ExposureShare is the share of a service's calls that a bad version may get
-	// at most, also where the settings allow more.
+	// ExposureShare is the maximum share of a service's calls that a bad version may get, even if
+	// the settings allow more.
 	ExposureShare = 0.1
-	// ProbeShare is the share that is used until the shift. The bound counts the calls until the
-	// deadline, so that what is not used while the version gets nothing, before its first
-	// instance and after a roll-back, pays for one that turns out bad in the shift.
-	ProbeShare = probePart * ExposureShare
-	// probePart is the part of the allowed share that is used.
-	probePart = 0.9
-	// shiftLead is how long before the deadline the shift begins at the latest, and
-	// leadShare the largest part of the order's duration that it may be: ramp, the
-	// longest usual call (2.5 s), confirmation and two writes of a slow store.
-	shiftLead = 7 * time.Second
-	leadShare = 0.45
-	// rampTime is how long the share takes from ProbeShare to everything, and rampPart
-	// the largest part of the lead that it may be.
-	rampTime = 3500 * time.Millisecond
-	rampPart = 2
-	// patiencePart is the part of the lead by which the shift may be put off while the test
-	// is on its way to a conviction.
-	patiencePart = 5
-	// settlePart is the part of the lead before the deadline until which all calls go to
-	// the new version and can still be taken back: what is slow is answered late.
-	settlePart = 3
-	// lastMomentPart is the part of the lead before the deadline in which calls in
-	// flight at old instances are no longer waited for: 1.5 s, three tries of a write.
-	lastMomentPart = 4.5
-	// spreadProbed is the least number of instances that are probed in every other turn and in the
-	// shift, and spreadLoad the part of its load after the move that each gets then: slow ones would
-	// fill up and refuse what would be evidence, were they fewer.
-	spreadProbed = 3
-	spreadLoad   = 2.0 / 3
-	// probeTurn is how long the same instances are probed. Others follow, so that one that fails
-	// alone is told from a version that does.
-	probeTurn = 1500 * time.Millisecond
+	// ProbeShare is the new version's share before the shift. The bound applies to all calls until
+	// the deadline, so calls that are not used while the version gets none, before its first
+	// instance and after a roll-back, leave room for a version that turns bad during the shift.
+	ProbeShare = probeFraction * ExposureShare
+	// probeFraction is the fraction of the allowed share that is used.
+	probeFraction = 0.9
+	// maxShiftLead is the maximum time between the start of the shift and the deadline, and
+	// maxLeadFraction limits it to a fraction of the order's duration. The lead covers the ramp,
+	// the longest usual call (2.5 s), the confirmation and two writes to a slow store.
+	maxShiftLead    = 7 * time.Second
+	maxLeadFraction = 0.45
+	// maxRamp is the maximum time in which the share grows from ProbeShare to 1; the ramp is also
+	// limited to the lead divided by rampDivisor.
+	maxRamp     = 3500 * time.Millisecond
+	rampDivisor = 2
+	// postponeDivisor sets the time by which the shift may be postponed while the verdict is
+	// unfavorable: the lead divided by it.
+	postponeDivisor = 5
+	// completionDivisor sets the time between CompletionAt and the deadline: the lead divided by
+	// it. Before CompletionAt, all calls go to the new version for a while and can still be moved
+	// back, because slow answers are observed late.
+	completionDivisor = 3
+	// drainDivisor sets the time between DrainDeadline and the deadline, in which calls in flight
+	// at old instances are no longer waited for: the lead divided by it. That is 1.5 s, three
+	// attempts of a write.
+	drainDivisor = 4.5
+	// minSpreadProbes is the minimum number of instances that are probed in every other turn and
+	// during the shift, and spreadLoadFraction the load of each of them relative to its load after
+	// the move. With fewer instances, slow ones would fill up and refuse the calls that would show
+	// it.
+	minSpreadProbes    = 3
+	spreadLoadFraction = 2.0 / 3
+	// probeTurnTime is how long the same instances are probed before others follow. The rotation
+	// distinguishes a single faulty instance from a faulty version.
+	probeTurnTime = 1500 * time.Millisecond
 )
 
-// Plan is the times of a roll-out that follow from its order.
+// Plan holds the schedule of a roll-out.
 type Plan struct {
-	// ShiftAt is when the shift begins if nothing speaks against the version, and Ramp
-	// how long the calls take to move.
+	// ShiftAt is when the shift begins if no evidence speaks against the version, and Ramp how long
+	// the calls take to move.
 	ShiftAt time.Time
 	Ramp    time.Duration
-	// ShiftLatest is when it begins although the test is on its way to a conviction.
-	ShiftLatest time.Time
-	// SettledAt is when the end may be written, unless the test is on its way to a
-	// conviction.
-	SettledAt time.Time
-	// LastMoment is when calls in flight are no longer waited for.
-	LastMoment time.Time
-	Deadline   time.Time
+	// LatestShiftAt is when the shift begins even if the test is unfavorable but undecided.
+	LatestShiftAt time.Time
+	// CompletionAt is the earliest time at which the end may be written, unless the verdict is
+	// suspicious.
+	CompletionAt time.Time
+	// DrainDeadline is the time from which calls in flight are no longer waited for.
+	DrainDeadline time.Time
+	Deadline      time.Time
 }
 
-// PlanFor returns the times for an order that was given at began.
-func PlanFor(began time.Time, duration time.Duration) Plan {
-	lead := min(shiftLead, time.Duration(leadShare*float64(duration)))
-	deadline := began.Add(duration)
+// PlanFor returns the schedule of an order that was given at orderedAt.
+func PlanFor(orderedAt time.Time, duration time.Duration) Plan {
+	lead := min(maxShiftLead, time.Duration(maxLeadFraction*float64(duration)))
+	deadline := orderedAt.Add(duration)
 	return Plan{
-		ShiftAt: deadline.Add(-lead), Ramp: min(rampTime, lead/rampPart),
-		ShiftLatest: deadline.Add(-lead + lead/patiencePart),
-		SettledAt:   deadline.Add(-time.Duration(float64(lead) / settlePart)),
-		LastMoment:  deadline.Add(-time.Duration(float64(lead) / lastMomentPart)), Deadline: deadline,
+		ShiftAt: deadline.Add(-lead), Ramp: min(maxRamp, lead/rampDivisor),
+		LatestShiftAt: deadline.Add(-lead + lead/postponeDivisor),
+		CompletionAt:  deadline.Add(-time.Duration(float64(lead) / completionDivisor)),
+		DrainDeadline: deadline.Add(-time.Duration(float64(lead) / drainDivisor)), Deadline: deadline,
 	}
 }
 
-// ShareInShift returns the share of the calls that the new version gets some time after
-// the shift began, from the share that it had before. It grows by the same factor in equal
-// times: a version that fails under load shows it before most calls are moved.
+// ShareInShift returns the new version's share at a time since the start of the shift, given its
+// share before. The share grows exponentially, so that a version that fails under load shows it
+// before most calls have moved.
 func (p Plan) ShareInShift(before float64, since time.Duration) float64 {
 	if since >= p.Ramp {
 		return 1
@@ -87,8 +90,8 @@
 	return math.Pow(before, 1-max(since.Seconds(), 0)/p.Ramp.Seconds())
 }
 
-// Rank returns the number by which daemons and instances are put in order for an order: the
-// lowest goes first.
+// Rank returns the number by which daemons and instances are sorted for an order; the lowest comes
+// first.
 func (order Identity) Rank(name string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(strconv.FormatUint(order.Created, 36))
@@ -97,7 +100,7 @@
 	return digest.Sum64()
 }
 
-// ranked returns names in the order that every daemon gives them for an order.
+// ranked returns the names sorted by their rank, which is the same on every daemon.
 func ranked(order Identity, names []string) []string {
 	ranks := make(map[string]uint64, len(names))
 	for _, name := range names {
@@ -108,26 +111,27 @@
 	return sorted
 }
 
-// Probed returns the instances of the new version that get calls at a share: so few that each
-// has about the load that it has after the move. All is the number of instances that there are
-// of the version, of which not all may be known. Every daemon that knows the same instances names
-// the same ones; they change with the turn.
+// Probed returns the instances of the new version that get calls at a share: so few that each has
+// about the load that it will have after the move. all is the number of all instances of the
+// version, including unknown ones. Daemons that know the same instances return the same ones, which
+// change with the turn.
 func Probed(order Identity, instances []string, all int, share float64, turn int) []string {
-	return inTurn(order, instances, max(1, loaded(instances, all, share)), turn)
+	return rotate(order, instances, max(1, countForShare(instances, all, share)), turn)
 }
 
-// SpreadProbed is Probed with more instances, so that each has less load.
+// SpreadProbed is like Probed, but returns more instances, so that each has less load.
 func SpreadProbed(order Identity, instances []string, all int, share float64, turn int) []string {
-	return inTurn(order, instances, max(spreadProbed, loaded(instances, all, share/spreadLoad)), turn)
+	return rotate(order, instances, max(minSpreadProbes, countForShare(instances, all, share/spreadLoadFraction)), turn)
 }
 
-// loaded returns the number of instances that a share of the calls loads as all calls load all.
-func loaded(instances []string, all int, share float64) int {
+// countForShare returns the number of instances that get as much load from a share of the calls as
+// all instances get from all calls.
+func countForShare(instances []string, all int, share float64) int {
 	return int(math.Round(share * float64(max(all, len(instances)))))
 }
 
-// inTurn returns so many of the instances, beginning with another one in each turn.
-func inTurn(order Identity, instances []string, wanted, turn int) []string {
+// rotate returns the wanted number of instances, beginning at a different one in each turn.
+func rotate(order Identity, instances []string, wanted, turn int) []string {
 	if len(instances) == 0 {
 		return nil
 	}
--- a/internal/model/rollout/probes.go
+++ b/internal/model/rollout/probes.go
@@ -1,24 +1,24 @@
 package rollout
 
-// warmedUp returns the warm instances of the new version that are known for long enough to be
-// probed, all of them once the shift is due.
-func (c *Controller) warmedUp(view View) []string {
+// probeable returns the warm instances of the new version that have been known for probeDelay, or
+// all of them once the shift is due.
+func (c *Controller) probeable(view View) []string {
 	var known []string
 	for _, instance := range view.Warm {
-		since, ok := c.seen[instance]
+		since, ok := c.warmSince[instance]
 		if !ok {
 			since = view.Now
-			c.seen[instance] = since
+			c.warmSince[instance] = since
 		}
-		if view.Now.Sub(since) >= warmUp || !view.Now.Before(c.plan().ShiftAt) {
+		if view.Now.Sub(since) >= probeDelay || !view.Now.Before(c.plan().ShiftAt) {
 			known = append(known, instance)
 		}
 	}
 	return known
 }
 
-// chooseProbed takes over the instances that the first decider names, of which each daemon may
-// know others; the first decider, and a daemon that has not heard of it, choose themselves.
+// chooseProbed adopts the instances announced by the first decider, because daemons may know
+// different instances. The first decider, and a daemon without its word, choose them on their own.
 func (c *Controller) chooseProbed(view View, members []string) {
 	for _, decider := range members[:min(Deciders, len(members))] {
 		if decider == c.node {
@@ -29,7 +29,7 @@
 			return
 		}
 	}
-	turn := int(view.Now.Sub(c.began) / probeTurn)
+	turn := int(view.Now.Sub(c.orderedAt) / probeTurnTime)
 	choose, share := Probed, c.probeShare
 	if c.State() == StateShifting {
 		share = c.shareInShift(view)
@@ -38,15 +38,15 @@
 		choose = SpreadProbed
 	}
 	c.probed = nil
-	for _, instance := range choose(c.Order().Identity, view.Warm, view.ofVersion(), share, turn) {
+	for _, instance := range choose(c.Order().Identity, view.Warm, view.estimatedInstances(), share, turn) {
 		c.probed = append(c.probed, Probe{Instance: instance, Node: view.Nodes[instance]})
 	}
 }
 
-// allowed returns the instances of the new version that get calls at a share: those that are
-// probed, and towards the end of the shift all that are known here.
-func (c *Controller) allowed(view View, share float64) []string {
-	if c.State() == StateShifting && share >= allKnownFrom {
+// allowedInstances returns the instances of the new version that get calls at a share: the probed
+// ones, and towards the end of the shift all that this daemon knows.
+func (c *Controller) allowedInstances(view View, share float64) []string {
+	if c.State() == StateShifting && share >= allInstancesShare {
 		return view.Warm
 	}
 	instances := make([]string, 0, len(c.probed))
@@ -56,7 +56,7 @@
 	return instances
 }
 
-// Probed returns the instances that are probed now, none where not all that get calls are named.
+// Probed returns the instances that are currently probed, or nil in a state without probes.
 func (c *Controller) Probed() []Probe {
 	if c.State() != StateProbing && c.State() != StateShifting {
 		return nil
--- a/internal/model/rollout/runner.go
+++ b/internal/model/rollout/runner.go
@@ -13,82 +13,82 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Times of the runner.
+// Intervals of the runner.
 const (
-	// TickEvery is how often decisions are made: a twentieth of the two seconds that a
-	// roll-back may take beside what the test needs.
+	// TickEvery is the interval between decisions: a twentieth of the two seconds that a roll-back
+	// may take in addition to the time of the test.
 	TickEvery = 100 * time.Millisecond
-	// ReportEvery is how often evidence is told to the deciders, and WordEvery how often a
-	// word that has not changed is told to all; one that has is told at once.
-	ReportEvery = 200 * time.Millisecond
-	WordEvery   = time.Second
-	// settleTime is how long after its start a daemon may not have heard of all instances:
-	// longer than the interval of their heartbeats.
-	settleTime = 2 * time.Second
+	// ReportInterval is the interval of the reports to the deciders. WordInterval is the interval
+	// of unchanged words to all daemons; a changed word is sent immediately.
+	ReportInterval = 200 * time.Millisecond
+	WordInterval   = time.Second
+	// discoveryTime is the time after the start in which a daemon may not know all instances yet.
+	// It is longer than the interval of their heartbeats.
+	discoveryTime = 2 * time.Second
 )
 
-// Store writes the status of orders. Orders are read elsewhere and come by Ordered.
+// Store writes the status of orders. Orders are read elsewhere and passed to Runner.Ordered.
 type Store interface {
-	// WriteStatus makes one conditional write; it returns when that is answered or given
-	// up.
+	// WriteStatus does one conditional write, and returns once it is answered or given up.
 	WriteStatus(ctx context.Context, write Write) Answer
-	// Ask returns the state of a service's order, nil when there is none. An error leaves
-	// it unknown.
+	// Ask returns the state of a service's order, or nil if there is none. After an error the state
+	// is unknown.
 	Ask(ctx context.Context, service string) (*Order, error)
-	// AnsweredAt returns when the store last answered this daemon anything, the zero time
-	// for never.
+	// AnsweredAt returns when the store last answered any request of this daemon, or the zero time
+	// if it never did.
 	AnsweredAt() time.Time
 }
 
-// Links carries words and reports between daemons. What they carry may come late, twice
-// or not at all. Neither method blocks.
+// Links sends words and reports to other daemons. Messages may be delayed, duplicated or lost. No
+// method blocks.
 type Links interface {
-	// Members returns the daemons in touch, this one among them.
+	// Members returns the daemons in touch, including this one.
 	Members() []string
-	// Known returns the number of all daemons that are known to run, in touch or not.
+	// Known returns the number of all daemons known to run, in touch or not.
 	Known() int
-	// Serving returns the number of daemons known that run an instance of a service.
+	// Serving returns the number of known daemons that run an instance of a service.
 	Serving(service string) int
-	// Spread tells a word to some members, to all of them where nodes is nil.
+	// Spread sends a word to the given members, or to all members if nodes is nil.
 	Spread(word Word, nodes []string)
-	// Tell tells a report on a service's order to one member.
+	// Tell sends a report on a service's order to one member.
 	Tell(node, service string, report Report)
 }
 
-// Instances knows the instances of services.
+// Instances returns the known instances of services.
 type Instances interface {
-	// Of returns the endpoints of a service that may get calls, and those of them that
-	// are cold now.
+	// Of returns the endpoints of a service that may get calls, and a function that reports whether
+	// one of them is currently cold.
 	Of(service string) (endpoints []*lapisv1.Endpoint, cold func(*lapisv1.Endpoint) bool)
 }
 
-// RunnerConfig is what a Runner needs. Every field but ExposureShare must be set.
+// RunnerConfig configures a Runner. Every field except ExposureShare must be set.
 type RunnerConfig struct {
 	Node        string
 	Incarnation uint64
 	Store       Store
 	Links       Links
 	Instances   Instances
-	// ExposureShare is the share of a service's calls that a bad version may get; 0
-	// stands for the usual one, which a larger one does not raise.
+	// ExposureShare is the maximum share of a service's calls that a bad version may get. 0 selects
+	// the package's ExposureShare, which a larger value does not exceed.
 	ExposureShare float64
 	Logger        logr.Logger
-	// Now is the monotonic clock.
+	// Now returns the current time of a monotonic clock.
 	Now func() time.Time
 }
 
-// following is one order that a daemon follows.
-type following struct {
+// followedOrder is the state of one order that a daemon follows.
+type followedOrder struct {
 	controller *Controller
 	traffic    *Traffic
-	// sequence counts the reports, reportedAt is when the last was sent; told is the last
-	// word spread, and toldAt when.
+	// sequence is the number of reports, and reportedAt the time at which the newest one was sent;
+	// lastWord is the newest word sent, and lastWordAt the time at which it was sent.
 	sequence   uint64
 	reportedAt time.Time
-	told       Word
-	toldAt     time.Time
+	lastWord   Word
+	lastWordAt time.Time
 	deciders   []string
-	// asking is true while the store is asked, and askedAt when it was last.
+	// asking is true while a query to the store is in progress, and askedAt is when the newest one
+	// began.
 	asking  bool
 	askedAt time.Time
 }
@@ -97,27 +97,28 @@
 type Runner struct {
 	config  RunnerConfig
 	started time.Time
-	// traffic is what the request path reads: a map by service, replaced as a whole.
+	// traffic holds the Traffic of each service for the request path; the map is replaced as a
+	// whole.
 	traffic atomic.Pointer[map[string]*Traffic]
 
-	// mutex protects everything below.
+	// mutex guards the fields below.
 	mutex     sync.Mutex
-	following map[string]*following
-	// barred are the versions by service whose orders came to nothing.
+	following map[string]*followedOrder
+	// barred holds, by service, the versions whose orders ended without completion.
 	barred map[string][]string
 }
 
-// NewRunner returns a runner that follows nothing yet.
+// NewRunner returns a runner that follows no order.
 func NewRunner(config RunnerConfig) *Runner {
 	runner := &Runner{
 		config: config, started: config.Now(),
-		following: map[string]*following{}, barred: map[string][]string{},
+		following: map[string]*followedOrder{}, barred: map[string][]string{},
 	}
 	runner.traffic.Store(&map[string]*Traffic{})
 	return runner
 }
 
-// Run decides until ctx ends.
+// Run decides in intervals of TickEvery until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	ticker := time.NewTicker(TickEvery)
 	defer ticker.Stop()
@@ -131,12 +132,12 @@
 	}
 }
 
-// Traffic returns what the request path asks about a service, nil where there is no
-// roll-out and every version may get calls.
+// Traffic returns the traffic of a service, or nil if the service has no roll-out and every version
+// may get calls.
 func (r *Runner) Traffic(service string) *Traffic { return (*r.traffic.Load())[service] }
 
-// Running returns the orders followed that have not ended, for which daemons must hear each
-// other, in order of service.
+// Running returns the followed orders that have not ended, sorted by service. Daemons must be in
+// touch with each other while there are any.
 func (r *Runner) Running() []Identity {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -149,7 +150,7 @@
 	return running
 }
 
-// ProbedNodes returns the daemons beside the instances that are probed, in order.
+// ProbedNodes returns the sorted names of the daemons next to the instances that are probed.
 func (r *Runner) ProbedNodes() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -163,7 +164,7 @@
 	return slices.Compact(nodes)
 }
 
-// Names reports whether an order that is followed names a version of a service.
+// Names reports whether a followed order has the version of the service as its target.
 func (r *Runner) Names(service, version string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -171,43 +172,42 @@
 	return followed != nil && followed.controller.Order().Target == version
 }
 
-// Idle reports whether there is nothing to decide: no order is followed, and no version
-// is kept from calls.
+// Idle reports whether there is nothing to decide: no order is followed, and no version is barred.
 func (r *Runner) Idle() bool { return len(*r.traffic.Load()) == 0 }
 
-// Ordered takes in the state of the object of a service's order, nil for one taken away.
+// Ordered records a state of the object of a service's order, nil for a deleted one.
 func (r *Runner) Ordered(service string, order *Order) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ordered(service, order)
 }
 
-// ordered takes in a state of an object; the caller holds mutex.
+// ordered records a state of an object. The caller must hold mutex.
 func (r *Runner) ordered(service string, order *Order) {
 	followed := r.following[service]
 	if followed == nil {
-		r.first(service, order)
+		r.followFirst(service, order)
 		return
 	}
 	known := followed.controller.Order()
-	r.changed(service, known, followed.controller.Observe(order), order)
+	r.handleReading(service, known, followed.controller.Observe(order), order)
 }
 
-// changed goes over to another order where the object's state reads as one; the caller
-// holds mutex.
-func (r *Runner) changed(service string, known Order, reading Reading, order *Order) {
+// handleReading switches to another order if the object's state was read as one. The caller must
+// hold mutex.
+func (r *Runner) handleReading(service string, known Order, reading Reading, order *Order) {
 	if reading == ReadingSame || reading == ReadingOld {
 		return
 	}
 	r.log(service, reading, order)
-	r.leave(service, known)
+	r.unfollow(service, known)
 	if order != nil && reading != ReadingMalformed {
 		r.follow(service, Adopt(&known, *order))
 	}
 }
 
-// first takes in an order of a service that has none; the caller holds mutex.
-func (r *Runner) first(service string, order *Order) {
+// followFirst records the order of a service that has none. The caller must hold mutex.
+func (r *Runner) followFirst(service string, order *Order) {
 	if order == nil {
 		return
 	}
@@ -218,33 +218,33 @@
 	}
 }
 
-// follow begins to follow an order; the caller holds mutex.
+// follow starts to follow an order. The caller must hold mutex.
 func (r *Runner) follow(service string, order Order) {
-	r.barred[service] = without(r.barred[service], order.Target)
+	r.barred[service] = removeVersion(r.barred[service], order.Target)
 	traffic := NewTraffic(order.Identity)
 	traffic.Apply(InitialAllocation(order, slices.Clone(r.barred[service])))
 	controller := NewController(r.config.Node, r.config.Incarnation, order, r.config.Now())
 	if share := r.config.ExposureShare; share > 0 {
-		controller.probeShare = min(controller.probeShare, probePart*share)
+		controller.probeShare = min(controller.probeShare, probeFraction*share)
 	}
-	r.following[service] = &following{controller: controller, traffic: traffic}
+	r.following[service] = &followedOrder{controller: controller, traffic: traffic}
 	r.publish()
 }
 
-// leave ends the following of an order, whose version is barred unless it is in force;
-// the caller holds mutex.
-func (r *Runner) leave(service string, order Order) {
+// unfollow stops following an order and bars its version, unless the order was completed. The
+// caller must hold mutex.
+func (r *Runner) unfollow(service string, order Order) {
 	if order.End() == EndCompleted {
 		delete(r.barred, service)
 	} else {
-		r.barred[service] = append(without(r.barred[service], order.Target), order.Target)
+		r.barred[service] = append(removeVersion(r.barred[service], order.Target), order.Target)
 	}
 	delete(r.following, service)
 	r.publish()
 }
 
-// publish shows the request path what is followed, and what is barred where nothing is;
-// the caller holds mutex.
+// publish updates the traffic for the request path: that of the followed orders, and of services
+// that only have barred versions. The caller must hold mutex.
 func (r *Runner) publish() {
 	traffic := make(map[string]*Traffic, len(r.following))
 	for service, barred := range r.barred {
@@ -259,12 +259,12 @@
 	r.traffic.Store(&traffic)
 }
 
-// without returns versions without one.
-func without(versions []string, version string) []string {
+// removeVersion returns a copy of versions without the given one.
+func removeVersion(versions []string, version string) []string {
 	return slices.DeleteFunc(slices.Clone(versions), func(other string) bool { return other == version })
 }
 
-// log writes how the state of an order's object was read.
+// log logs how the state of an order's object was read.
 func (r *Runner) log(service string, reading Reading, order *Order) {
 	pairs := []any{"service", service, "reading", reading}
 	if order != nil {
@@ -274,7 +274,7 @@
 	r.config.Logger.Info("rollout.order", pairs...)
 }
 
-// Heard takes in a word of another daemon.
+// Heard records a word of another daemon.
 func (r *Runner) Heard(word Word) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -283,7 +283,7 @@
 	}
 }
 
-// Reported takes in what another daemon has seen of a service's order.
+// Reported records a report of another daemon on a service's order.
 func (r *Runner) Reported(service string, report Report) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -292,7 +292,7 @@
 	}
 }
 
-// Lost notes that the link to a daemon is lost, or that it started again.
+// Lost records that a daemon restarted or that the link to it was lost.
 func (r *Runner) Lost(node string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/model/rollout/runner_test.go
+++ b/internal/model/rollout/runner_test.go
@@ -16,24 +16,25 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// afterMove is when all calls of an order of 30 s go to the new version, and no end is written yet.
+// afterMove is the time into an order of 30 s at which all calls have moved and no end is written
+// yet.
 const afterMove = 27 * time.Second
 
-// testSite is some runners with a store, links between them and the instances of one
-// service, without calls. It lives in a bubble of virtual time.
+// testSite consists of runners with a store, links between them and the instances of one service,
+// but without calls. It runs in a synctest bubble with virtual time.
 type testSite struct {
 	runners map[string]*Runner
 	cancel  map[string]context.CancelFunc
 
-	// mutex protects everything below.
+	// mutex guards the fields below.
 	mutex    sync.Mutex
 	order    *Order
 	revision uint64
 	down     bool
 	answered time.Time
 	members  []string
-	// cut is a daemon that reaches the store and no other daemon, unread one that has read no
-	// order yet; empty for none.
+	// cut is a daemon that reaches the store but no other daemon; unread is a daemon that has read
+	// no order yet. Empty for none.
 	cut       string
 	unread    string
 	endpoints []*lapisv1.Endpoint
@@ -42,7 +43,7 @@
 
 var errDown = errors.New("the store is down")
 
-// startSite starts runners; the store has no order yet.
+// startSite starts the runners; the store holds no order yet.
 func startSite(ctx context.Context, endpoints ...*lapisv1.Endpoint) *testSite {
 	site := &testSite{
 		runners: map[string]*Runner{}, cancel: map[string]context.CancelFunc{},
@@ -69,7 +70,7 @@
 	return endpoints
 }
 
-// give writes an order as the operator does; nil takes it away.
+// give writes an order as the operator does; nil deletes it.
 func (s *testSite) give(order *Order) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -88,7 +89,7 @@
 	s.show()
 }
 
-// show tells every runner the state of the order; the caller holds mutex.
+// show delivers the state of the order to every runner. The caller must hold mutex.
 func (s *testSite) show() {
 	var shown *Order
 	if s.order != nil {
@@ -158,7 +159,7 @@
 	return slices.Clone(s.endpoints), func(*lapisv1.Endpoint) bool { return false }
 }
 
-// end returns the end in the store.
+// end returns the end that the store holds.
 func (s *testSite) end() End {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -168,21 +169,21 @@
 	return s.order.End()
 }
 
-// written returns the ends written so far.
+// written returns all ends written so far.
 func (s *testSite) written() []End {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Clone(s.ends)
 }
 
-// change changes the site.
+// change modifies the site under its mutex.
 func (s *testSite) change(do func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	do()
 }
 
-// allowed returns the versions that may get calls on a daemon.
+// allowed returns the versions that may get calls from a daemon.
 func (s *testSite) allowed(node string) (versions []string) {
 	traffic := s.runners[node].Traffic("desk")
 	for _, version := range []string{"v1", "v2", "v3"} {
@@ -217,7 +218,7 @@
 // Known implements Links.
 func (l siteLinks) Known() int { return len(l.site.runners) }
 
-// reaches reports whether the daemon reaches another one.
+// reaches reports whether the daemon can reach another one.
 func (l siteLinks) reaches(node string) bool {
 	l.site.mutex.Lock()
 	defer l.site.mutex.Unlock()
@@ -247,12 +248,12 @@
 	}
 }
 
-// to returns an order.
-func to(version string, duration time.Duration) *Order {
+// newOrder returns an order.
+func newOrder(version string, duration time.Duration) *Order {
 	return &Order{Identity: Identity{Target: version, Duration: duration}}
 }
 
-// inSite runs a test in virtual time.
+// inSite runs a test on a site with virtual time, after discoveryTime.
 func inSite(t *testing.T, endpoints []*lapisv1.Endpoint, test func(t *testing.T, site *testSite)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -260,17 +261,17 @@
 		defer synctest.Wait()
 		defer cancel()
 		site := startSite(ctx, endpoints...)
-		time.Sleep(settleTime + time.Second)
+		time.Sleep(discoveryTime + time.Second)
 		test(t, site)
 	})
 }
 
-var both = append(instances("v1", 4), instances("v2", 4)...)
+var bothVersions = append(instances("v1", 4), instances("v2", 4)...)
 
 func TestOrderIsFollowedToItsEnd(t *testing.T) {
-	inSite(t, both, func(t *testing.T, site *testSite) {
+	inSite(t, bothVersions, func(t *testing.T, site *testSite) {
 		assert.DeepEqual(t, site.allowed("a"), []string{"v1", "v2", "v3"})
-		site.give(to("v2", 30*time.Second))
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(10 * time.Second)
 		assert.DeepEqual(t, site.written(), []End{EndRunning})
 		assert.DeepEqual(t, site.allowed("a"), []string{"v1", "v3"})
@@ -284,7 +285,7 @@
 
 func TestVersionInForceIsCompletedAtOnce(t *testing.T) {
 	inSite(t, instances("v2", 4), func(t *testing.T, site *testSite) {
-		site.give(to("v2", 30*time.Second))
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(time.Second)
 		assert.Assert(t, slices.Contains(site.allowed("a"), "v2"))
 		time.Sleep(29 * time.Second)
@@ -294,7 +295,7 @@
 
 func TestVersionWithoutInstancesIsRolledBack(t *testing.T) {
 	inSite(t, instances("v1", 4), func(t *testing.T, site *testSite) {
-		site.give(to("v2", 30*time.Second))
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(20 * time.Second)
 		assert.Equal(t, site.end(), EndRunning)
 		time.Sleep(10 * time.Second)
@@ -305,8 +306,8 @@
 
 func TestImpossibleDurationIsRolledBackAtOnce(t *testing.T) {
 	for _, duration := range []time.Duration{0, time.Second} {
-		inSite(t, both, func(t *testing.T, site *testSite) {
-			site.give(to("v2", duration))
+		inSite(t, bothVersions, func(t *testing.T, site *testSite) {
+			site.give(newOrder("v2", duration))
 			time.Sleep(time.Second)
 			assert.Equal(t, site.end(), EndRolledBack)
 			assert.DeepEqual(t, site.allowed("a"), []string{"v1", "v3"})
@@ -315,8 +316,8 @@
 }
 
 func TestMalformedOrderDoesNothing(t *testing.T) {
-	inSite(t, both, func(t *testing.T, site *testSite) {
-		site.give(to("", 30*time.Second))
+	inSite(t, bothVersions, func(t *testing.T, site *testSite) {
+		site.give(newOrder("", 30*time.Second))
 		time.Sleep(40 * time.Second)
 		assert.Equal(t, len(site.written()), 0)
 		assert.DeepEqual(t, site.allowed("a"), []string{"v1", "v2", "v3"})
@@ -324,11 +325,11 @@
 }
 
 func TestSecondOrderSupersedesTheFirst(t *testing.T) {
-	inSite(t, slices.Concat(both, instances("v3", 4)), func(t *testing.T, site *testSite) {
-		site.give(to("v2", 30*time.Second))
+	inSite(t, slices.Concat(bothVersions, instances("v3", 4)), func(t *testing.T, site *testSite) {
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(afterMove)
 		assert.DeepEqual(t, site.allowed("a"), []string{"v2"})
-		site.give(to("v3", 30*time.Second))
+		site.give(newOrder("v3", 30*time.Second))
 		time.Sleep(time.Second)
 		assert.DeepEqual(t, site.allowed("a"), []string{"v1"})
 		time.Sleep(29 * time.Second)
@@ -338,10 +339,10 @@
 }
 
 func TestSecondOrderBackToTheVersionInForce(t *testing.T) {
-	inSite(t, both, func(t *testing.T, site *testSite) {
-		site.give(to("v2", 30*time.Second))
+	inSite(t, bothVersions, func(t *testing.T, site *testSite) {
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(afterMove)
-		site.give(to("v1", 30*time.Second))
+		site.give(newOrder("v1", 30*time.Second))
 		time.Sleep(time.Second)
 		assert.Assert(t, slices.Contains(site.allowed("a"), "v1") && !slices.Contains(site.allowed("a"), "v2"))
 		time.Sleep(29 * time.Second)
@@ -352,8 +353,8 @@
 
 func TestOrderTakenAwayLeadsBack(t *testing.T) {
 	for _, after := range []time.Duration{5 * time.Second, afterMove} {
-		inSite(t, both, func(t *testing.T, site *testSite) {
-			site.give(to("v2", 30*time.Second))
+		inSite(t, bothVersions, func(t *testing.T, site *testSite) {
+			site.give(newOrder("v2", 30*time.Second))
 			time.Sleep(after)
 			site.give(nil)
 			time.Sleep(time.Second)
@@ -367,11 +368,11 @@
 
 func TestSameOrderGivenAgainAfterItsEnd(t *testing.T) {
 	inSite(t, instances("v1", 4), func(t *testing.T, site *testSite) {
-		site.give(to("v2", 30*time.Second))
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, site.end(), EndRolledBack)
-		site.change(func() { site.endpoints = both })
-		site.give(to("v2", 30*time.Second))
+		site.change(func() { site.endpoints = bothVersions })
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, site.end(), EndRunning)
 		time.Sleep(25 * time.Second)
@@ -380,8 +381,8 @@
 }
 
 func TestFrozenDeciderIsReplaced(t *testing.T) {
-	inSite(t, both, func(t *testing.T, site *testSite) {
-		site.give(to("v2", 30*time.Second))
+	inSite(t, bothVersions, func(t *testing.T, site *testSite) {
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(10 * time.Second)
 		first := ranked(site.order.Identity, site.members)[0]
 		site.cancel[first]()
@@ -394,12 +395,12 @@
 	})
 }
 
-// A decider that reaches the store but no other daemon decides nothing for them, in
-// whichever state it was when it was cut off.
+// A decider that reaches the store but no other daemon must not write an end, in any state in which
+// it was cut off.
 func TestCutDeciderWritesNoEnd(t *testing.T) {
 	for _, after := range []time.Duration{10 * time.Second, afterMove} {
-		inSite(t, both, func(t *testing.T, site *testSite) {
-			site.give(to("v2", 30*time.Second))
+		inSite(t, bothVersions, func(t *testing.T, site *testSite) {
+			site.give(newOrder("v2", 30*time.Second))
 			time.Sleep(after)
 			first := ranked(site.order.Identity, site.members)[0]
 			for node, cancel := range site.cancel {
@@ -417,8 +418,8 @@
 }
 
 func TestSilentMemberKeepsTheEndFromBeingWritten(t *testing.T) {
-	inSite(t, both, func(t *testing.T, site *testSite) {
-		site.give(to("v2", 30*time.Second))
+	inSite(t, bothVersions, func(t *testing.T, site *testSite) {
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(10 * time.Second)
 		last := ranked(site.order.Identity, site.members)[3]
 		site.cancel[last]()
@@ -428,8 +429,8 @@
 }
 
 func TestStoreThatIsDownPutsTheShiftOff(t *testing.T) {
-	inSite(t, both, func(t *testing.T, site *testSite) {
-		site.give(to("v2", 30*time.Second))
+	inSite(t, bothVersions, func(t *testing.T, site *testSite) {
+		site.give(newOrder("v2", 30*time.Second))
 		time.Sleep(20 * time.Second)
 		site.change(func() { site.down = true })
 		time.Sleep(15 * time.Second)
--- a/internal/model/rollout/runner_tick.go
+++ b/internal/model/rollout/runner_tick.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Tick decides once for every order.
+// Tick decides once on every order.
 func (r *Runner) Tick(ctx context.Context) {
 	members := r.config.Links.Members()
 	r.mutex.Lock()
@@ -19,8 +19,8 @@
 	}
 }
 
-// unbar lifts the bar of a service whose every instance it would keep from calls: the end
-// of the order that came to nothing was then not heard of here. The caller holds mutex.
+// unbar removes the bars of a service if they exclude all of its instances. Such a version is in
+// force, so this daemon missed the completion of its order. The caller must hold mutex.
 func (r *Runner) unbar(service string) {
 	endpoints, _ := r.config.Instances.Of(service)
 	for _, endpoint := range endpoints {
@@ -28,15 +28,15 @@
 			return
 		}
 	}
-	if len(endpoints) > 0 && r.config.Now().Sub(r.started) >= settleTime {
+	if len(endpoints) > 0 && r.config.Now().Sub(r.started) >= discoveryTime {
 		delete(r.barred, service)
 		r.publish()
 	}
 }
 
-// tick decides once for an order: the allocation is in force before the word that rests
-// on it is spread. The caller holds mutex.
-func (r *Runner) tick(ctx context.Context, service string, followed *following, members []string) {
+// tick decides once on an order. It applies the allocation before it sends the word, because the
+// word states that the allocation is in force. The caller must hold mutex.
+func (r *Runner) tick(ctx context.Context, service string, followed *followedOrder, members []string) {
 	now := r.config.Now()
 	if slices.Contains(followed.deciders, r.config.Node) && !followed.controller.Ended() {
 		followed.controller.Report(followed.report(r.config.Node, r.config.Incarnation, now))
@@ -47,8 +47,8 @@
 	for _, step := range decision.Steps {
 		r.config.Logger.Info("rollout.step", step.Fields()...)
 	}
-	r.spread(now, followed, decision)
-	if decision.Ask && !followed.asking && now.Sub(followed.askedAt) >= AskAgainAfter {
+	r.sendDue(now, followed, decision)
+	if decision.Ask && !followed.asking && now.Sub(followed.askedAt) >= StoreRetryDelay {
 		followed.asking, followed.askedAt = true, now
 		go r.ask(ctx, service, followed)
 	}
@@ -57,8 +57,8 @@
 	}
 }
 
-// report returns what this daemon has seen.
-func (f *following) report(node string, incarnation uint64, now time.Time) Report {
+// report returns a report with all evidence of this daemon.
+func (f *followedOrder) report(node string, incarnation uint64, now time.Time) Report {
 	f.sequence++
 	return Report{
 		Order: f.controller.Order().Identity, Node: node, Incarnation: incarnation,
@@ -66,25 +66,25 @@
 	}
 }
 
-// Changed reports whether a word says anything that an earlier one did not.
+// Changed reports whether a word differs from an earlier one in more than its times.
 func (w Word) Changed(earlier Word) bool {
 	return w.Phase != earlier.Phase || w.Holding != earlier.Holding || !slices.Equal(w.Probed, earlier.Probed) || w.Diverted != earlier.Diverted || w.Drained != earlier.Drained
 }
 
-// spread tells the word and the evidence when they are due. The caller holds mutex.
-func (r *Runner) spread(now time.Time, followed *following, decision Decision) {
-	if followed.controller.Quiet(now) {
+// sendDue sends the word and the report if they are due. The caller must hold mutex.
+func (r *Runner) sendDue(now time.Time, followed *followedOrder, decision Decision) {
+	if followed.controller.DoneSending(now) {
 		return
 	}
-	if decision.Word.Changed(followed.told) || now.Sub(followed.toldAt) >= WordEvery {
+	if decision.Word.Changed(followed.lastWord) || now.Sub(followed.lastWordAt) >= WordInterval {
 		nodes := decision.Deciders
-		if decision.Word.Changed(followed.told) || slices.Contains(nodes, r.config.Node) {
+		if decision.Word.Changed(followed.lastWord) || slices.Contains(nodes, r.config.Node) {
 			nodes = nil
 		}
-		followed.told, followed.toldAt = decision.Word, now
+		followed.lastWord, followed.lastWordAt = decision.Word, now
 		r.config.Links.Spread(decision.Word, nodes)
 	}
-	if followed.controller.Ended() || now.Sub(followed.reportedAt) < ReportEvery {
+	if followed.controller.Ended() || now.Sub(followed.reportedAt) < ReportInterval {
 		return
 	}
 	followed.reportedAt = now
@@ -96,11 +96,11 @@
 	}
 }
 
-// view returns what is known of an order now; the caller holds mutex.
-func (r *Runner) view(now time.Time, service string, followed *following, members []string) View {
+// view returns the current view of an order. The caller must hold mutex.
+func (r *Runner) view(now time.Time, service string, followed *followedOrder, members []string) View {
 	view := View{
 		Now: now, Members: members, Known: r.config.Links.Known(), Barred: slices.Clone(r.barred[service]),
-		Settled: now.Sub(r.started) >= settleTime, OldInFlight: followed.traffic.OldInFlight(),
+		InstancesKnown: now.Sub(r.started) >= discoveryTime, OldInFlight: followed.traffic.OldInFlight(),
 		StoreAnswered: r.config.Store.AnsweredAt(), Nodes: map[string]string{}, Serving: r.config.Links.Serving(service),
 	}
 	target := followed.controller.Order().Target
@@ -120,8 +120,8 @@
 	return view
 }
 
-// write makes a write and takes in what became of it.
-func (r *Runner) write(ctx context.Context, service string, followed *following, write Write) {
+// write does a write and records the answer.
+func (r *Runner) write(ctx context.Context, service string, followed *followedOrder, write Write) {
 	answer := r.config.Store.WriteStatus(ctx, write)
 	r.config.Logger.Info("rollout.write", "service", service, "target", write.Order.Target, "revision", write.Revision,
 		"end", write.Status.End, "outcome", answer.Outcome)
@@ -132,11 +132,11 @@
 	}
 	known := followed.controller.Order()
 	reading := followed.controller.Answered(r.config.Now(), answer)
-	r.changed(service, known, reading, answer.Seen)
+	r.handleReading(service, known, reading, answer.Seen)
 }
 
-// ask asks the store for an order and takes in what it says.
-func (r *Runner) ask(ctx context.Context, service string, followed *following) {
+// ask queries the store for an order and records the result.
+func (r *Runner) ask(ctx context.Context, service string, followed *followedOrder) {
 	order, err := r.config.Store.Ask(ctx, service)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -145,5 +145,5 @@
 		return
 	}
 	known := followed.controller.Order()
-	r.changed(service, known, followed.controller.Observe(order), order)
+	r.handleReading(service, known, followed.controller.Observe(order), order)
 }
--- a/internal/model/rollout/seeds_race_test.go
+++ b/internal/model/rollout/seeds_race_test.go
@@ -2,7 +2,7 @@
 
 package rollout
 
-// daySeeds is how many days of each scenario are played. The model is one goroutine, in
-// which the race detector finds nothing and costs a multiple; make test plays all seeds
-// without it.
-const daySeeds = 20
+// simSeeds is the number of runs of each scenario. The simulation runs in one goroutine, in which
+// the race detector finds nothing but takes several times as long; make test runs all seeds without
+// it.
+const simSeeds = 20
--- a/internal/model/rollout/seeds_test.go
+++ b/internal/model/rollout/seeds_test.go
@@ -2,5 +2,5 @@
 
 package rollout
 
-// daySeeds is how many days of each scenario are played.
-const daySeeds = 200
+// simSeeds is the number of runs of each scenario.
+const simSeeds = 200
--- a/internal/model/rollout/traffic.go
+++ b/internal/model/rollout/traffic.go
@@ -8,21 +8,21 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Allocation is what the new version of a service gets of a daemon's calls.
+// Allocation determines which of a daemon's calls to a service go to the new version.
 type Allocation struct {
 	Order Identity
-	// Share is the new version's share; 0 for nothing and 1 for everything.
+	// Share is the new version's share of the calls, from 0 for none to 1 for all.
 	Share float64
-	// Probed are the instances that get the share while it is below 1.
+	// Probed holds the instances that get the share while it is below 1.
 	Probed []string
-	// Sole is true when no other version has instances: the new one is the one in force.
+	// Sole is true if no other version has instances, so that the new version is the one in force.
 	Sole bool
-	// Barred are the versions of orders that came to nothing; they get no calls.
+	// Barred holds the versions of orders that ended without completion; they get no calls.
 	Barred []string
 }
 
-// open reports whether a version may get calls.
-func (a Allocation) open(version string) bool {
+// allows reports whether a version may get calls.
+func (a Allocation) allows(version string) bool {
 	switch {
 	case version == a.Order.Target:
 		return a.Share > 0 || a.Sole
@@ -33,8 +33,8 @@
 	}
 }
 
-// without returns the constraint on calls that the new version does not get.
-func (a Allocation) without() Choice {
+// exclusions returns the constraint on calls that do not go to the new version.
+func (a Allocation) exclusions() Choice {
 	barred := slices.Clone(a.Barred)
 	if !a.Sole {
 		barred = append(barred, a.Order.Target)
@@ -46,62 +46,62 @@
 type Attempt struct {
 	Route    string
 	Endpoint *lapisv1.Endpoint
-	// isNew is true for the new version, and counted while the attempt counts as one in
-	// flight at the old one.
+	// isNew is true for a call to the new version; counted is true while the attempt is included in
+	// Traffic.oldInFlight.
 	isNew, counted bool
 	generation     uint64
-	// number names the attempt while it is in flight, and began is when it was sent.
-	number uint64
-	began  time.Time
+	// id identifies the attempt while it is in flight; sentAt is when it was sent.
+	id     uint64
+	sentAt time.Time
 }
 
-// New reports whether the attempt went to the version ordered.
+// New reports whether the attempt went to the ordered version.
 func (a Attempt) New() bool { return a.isNew }
 
-// Traffic is what the request path of a daemon asks about one service with a roll-out,
-// and where it says what it sent and what came of it. It is safe for concurrent use.
+// Traffic controls and records the calls of a daemon to one service with a roll-out: the request
+// path asks it for the constraint on each attempt, and reports the attempts and answers to it. It
+// is safe for concurrent use.
 type Traffic struct {
-	// mutex protects everything below.
+	// mutex guards the fields below.
 	mutex      sync.Mutex
 	allocation Allocation
 	exposure   *Exposure
 	evidence   Evidence
-	// generation rises with each order, so that answers to calls of an earlier one are
-	// no evidence; oldInFlight counts the calls at instances of other versions.
+	// generation increases with each order, so that answers to calls of an earlier order are not
+	// counted as evidence. oldInFlight is the number of calls in flight at other versions.
 	generation  uint64
 	oldInFlight int
 	sent        Sent
-	// running are the attempts in flight that are no evidence yet, by number, and usual
-	// how long those at the old version took here from Begin to the answer, by route.
-	running map[uint64]Attempt
-	number  uint64
-	usual   map[string]*baseline
+	// pending holds, by id, the attempts in flight that are not counted as evidence yet. waits
+	// holds, by route, the times from Begin to the answer at the old version.
+	pending map[uint64]Attempt
+	lastID  uint64
+	waits   map[string]*baseline
 }
 
-// overdueClasses is from how many classes above the usual time from Begin to the answer
-// a call in flight counts as slow before it is answered: 5.6 to 8 times. That is far more
-// than slowClasses, because that time has waits in it that are not the instance's, and the
-// few instances that are probed are waited for more.
-const overdueClasses = slowClasses + 2
+// overdueClassOffset is the number of classes above the median wait from which a call in flight
+// counts as slow before it is answered: 5.6 to 8 times the median. It is above slowClassOffset,
+// because the wait includes times that are not caused by the instance, and calls wait longer for
+// the few probed instances.
+const overdueClassOffset = slowClassOffset + 2
 
-// leastUsual is the number of answers from which on the usual time is known: the first
-// to come are the quickest.
-const leastUsual = 20
+// minBaselineAnswers is the number of answers from which a median is used, because the first
+// answers to arrive are the fastest ones.
+const minBaselineAnswers = 20
 
-// Sent counts the calls sent to the service since the order was known here.
+// Sent counts the calls sent to the service since this daemon learned of the order.
 type Sent struct{ New, All uint64 }
 
-// NewTraffic returns the traffic of a service whose order gives the new version nothing
-// yet.
+// NewTraffic returns the traffic of a service with no calls to the order's version.
 func NewTraffic(order Identity) *Traffic {
 	return &Traffic{
 		allocation: Allocation{Order: order}, exposure: NewExposure(), evidence: Evidence{},
-		running: map[uint64]Attempt{}, usual: map[string]*baseline{},
+		pending: map[uint64]Attempt{}, waits: map[string]*baseline{},
 	}
 }
 
-// Apply puts an allocation in force: from its return on, Begin refuses what it does not
-// allow. Calls that are in flight stay where they are.
+// Apply puts an allocation in force. After it returns, Begin refuses attempts that the allocation
+// does not allow. Calls in flight are not affected.
 func (t *Traffic) Apply(allocation Allocation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -110,16 +110,16 @@
 		t.exposure = NewExposure()
 		t.evidence = Evidence{}
 		t.sent = Sent{}
-		t.running = map[uint64]Attempt{}
-		t.usual = map[string]*baseline{}
+		t.pending = map[uint64]Attempt{}
+		t.waits = map[string]*baseline{}
 	}
 	t.allocation = allocation
 	t.exposure.SetShare(allocation.Share)
 }
 
-// Choose returns the constraint on the next attempt of a route. probe is true when the
-// attempt was given to the new version within the bound: whoever then sends it elsewhere
-// must call Return, which gives the constraint that then holds.
+// Choose returns the constraint on the next attempt of a route. probe is true if the attempt was
+// granted to the new version within the bound. A caller that sends it elsewhere must call Return,
+// which returns the constraint that applies then.
 func (t *Traffic) Choose(route string) (required Choice, probe bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -128,14 +128,14 @@
 	case t.allocation.Share >= 1:
 		return OnlyVersion(target), false
 	case t.allocation.Share <= 0 || !t.exposure.Allow(route):
-		return t.allocation.without(), false
+		return t.allocation.exclusions(), false
 	default:
 		return OnlyInstances(target, t.allocation.Probed), true
 	}
 }
 
-// Return gives back an attempt that Choose gave to the new version and that did not go
-// there, and returns the constraint that it then has.
+// Return gives back an attempt that Choose granted to the new version but that was not sent there,
+// and returns the constraint that applies instead.
 func (t *Traffic) Return(route string) Choice {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -143,16 +143,15 @@
 	if t.allocation.Share >= 1 {
 		return OnlyVersion(t.allocation.Order.Target)
 	}
-	return t.allocation.without()
+	return t.allocation.exclusions()
 }
 
-// Begin notes that a call is about to be sent to an endpoint. ok is false when the
-// allocation has changed since Choose so that it may not be sent there; it must then be
-// chosen for again.
+// Begin records that a call is about to be sent to an endpoint. ok is false if the allocation
+// changed since Choose and no longer allows the endpoint; the caller must then call Choose again.
 func (t *Traffic) Begin(route string, endpoint *lapisv1.Endpoint, now time.Time) (attempt Attempt, ok bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if !t.allocation.open(endpoint.GetVersion()) {
+	if !t.allocation.allows(endpoint.GetVersion()) {
 		return Attempt{}, false
 	}
 	isNew := endpoint.GetVersion() == t.allocation.Order.Target
@@ -163,86 +162,87 @@
 	} else {
 		t.oldInFlight++
 	}
-	t.number++
+	t.lastID++
 	attempt = Attempt{
 		Route: route, Endpoint: endpoint, isNew: isNew, counted: !isNew, generation: t.generation,
-		number: t.number, began: now,
+		id: t.lastID, sentAt: now,
 	}
-	t.running[t.number] = attempt
+	t.pending[t.lastID] = attempt
 	return attempt, true
 }
 
-// Ended notes the end of an attempt that is no evidence: refused before it ran, given up
-// by its caller before it was overdue, or lost on the way.
+// Ended records the end of an attempt without an answer that counts: it was refused before it ran,
+// cancelled by its caller, or lost. It counts as slow if it was overdue.
 func (t *Traffic) Ended(attempt Attempt, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.ended(attempt) && t.overdue(attempt, now) {
-		t.evidence.Note(keyOf(attempt), false, longest)
+	if t.finish(attempt) && t.overdue(attempt, now) {
+		t.evidence.Note(keyOf(attempt), false, highestClassTime)
 	}
 }
 
-// Answered notes the answer of an instance to an attempt, with which the attempt ends:
-// whether it was a failure of the instance's own, and how long it worked. Answers of cold
-// instances are no evidence.
+// Answered records the answer of an instance and the end of the attempt: failed is true for a
+// failure of the instance itself, and taken is the service time. Answers of cold instances are not
+// counted as evidence.
 func (t *Traffic) Answered(attempt Attempt, failed, cold bool, taken time.Duration, now time.Time) {
 	t.Judge(attempt, failed, cold, taken, now)
 	t.Ended(attempt, now)
 }
 
-// Judge notes the answer of an instance as Answered does, while the attempt stays in
-// flight: its body is still on its way, and Ended follows.
+// Judge records the answer of an instance like Answered, but leaves the attempt in flight: its body
+// is still being transferred, and the caller must call Ended afterwards.
 func (t *Traffic) Judge(attempt Attempt, failed, cold bool, taken time.Duration, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	open := t.close(attempt)
+	open := t.takePending(attempt)
 	if cold || !open {
 		return
 	}
 	t.evidence.Note(keyOf(attempt), failed, taken)
 	if !attempt.isNew && !failed {
-		t.learn(attempt.Route, now.Sub(attempt.began))
+		t.recordWait(attempt.Route, now.Sub(attempt.sentAt))
 	}
 }
 
-// Cold notes that the instance of an attempt in flight is cold: it is no evidence then.
+// Cold records that the instance of an attempt is cold, so that the attempt is not counted as
+// evidence.
 func (t *Traffic) Cold(attempt Attempt) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	delete(t.running, attempt.number)
+	delete(t.pending, attempt.id)
 }
 
-// learn takes a time from Begin to the answer into the usual ones; the caller holds mutex.
-func (t *Traffic) learn(route string, waited time.Duration) {
-	usual := t.usual[route]
-	if usual == nil {
-		usual = &baseline{}
-		t.usual[route] = usual
+// recordWait adds a time from Begin to the answer. The caller must hold mutex.
+func (t *Traffic) recordWait(route string, waited time.Duration) {
+	waits := t.waits[route]
+	if waits == nil {
+		waits = &baseline{}
+		t.waits[route] = waits
 	}
 	var counts Counts
 	counts.Note(false, waited)
-	usual.add(counts)
+	waits.add(counts)
 }
 
-// overdue reports whether an attempt takes so long that it is slow whenever it is
-// answered; the caller holds mutex.
+// overdue reports whether an attempt takes so long that it counts as slow regardless of its answer.
+// The caller must hold mutex.
 func (t *Traffic) overdue(attempt Attempt, now time.Time) bool {
-	usual := t.usual[attempt.Route]
-	known := usual != nil && usual.answers >= leastUsual
-	return known && timeClass(now.Sub(attempt.began)) >= usual.median()+overdueClasses
+	waits := t.waits[attempt.Route]
+	known := waits != nil && waits.answers >= minBaselineAnswers
+	return known && timeClass(now.Sub(attempt.sentAt)) >= waits.median()+overdueClassOffset
 }
 
-// sweep notes the calls in flight that are overdue; the caller holds mutex.
-func (t *Traffic) sweep(now time.Time) {
-	for number, attempt := range t.running {
+// recordOverdue counts the overdue calls in flight as slow. The caller must hold mutex.
+func (t *Traffic) recordOverdue(now time.Time) {
+	for id, attempt := range t.pending {
 		if t.overdue(attempt, now) {
-			t.evidence.Note(keyOf(attempt), false, longest)
-			delete(t.running, number)
+			t.evidence.Note(keyOf(attempt), false, highestClassTime)
+			delete(t.pending, id)
 		}
 	}
 }
 
-// keyOf returns the counter of an attempt's answer.
+// keyOf returns the key of the counter for an attempt's answer.
 func keyOf(attempt Attempt) Key {
 	key := Key{New: attempt.isNew, Route: attempt.Route, Zone: attempt.Endpoint.GetZone()}
 	if attempt.isNew {
@@ -251,44 +251,44 @@
 	return key
 }
 
-// ended takes an attempt out of those in flight and reports whether it was no evidence
-// yet; the caller holds mutex.
-func (t *Traffic) ended(attempt Attempt) (open bool) {
+// finish removes an attempt from those in flight and reports whether it was still pending. The
+// caller must hold mutex.
+func (t *Traffic) finish(attempt Attempt) (open bool) {
 	if attempt.counted {
 		t.oldInFlight--
 	}
-	return t.close(attempt)
+	return t.takePending(attempt)
 }
 
-// close takes an attempt out of those that may become evidence and reports whether it was
-// one; the caller holds mutex.
-func (t *Traffic) close(attempt Attempt) (open bool) {
+// takePending removes an attempt from pending and reports whether it was there. The caller must
+// hold mutex.
+func (t *Traffic) takePending(attempt Attempt) (open bool) {
 	if attempt.generation != t.generation {
 		return false
 	}
-	_, open = t.running[attempt.number]
-	delete(t.running, attempt.number)
+	_, open = t.pending[attempt.id]
+	delete(t.pending, attempt.id)
 	return open
 }
 
-// OldInFlight returns the calls in flight at instances of other versions.
+// OldInFlight returns the number of calls in flight at instances of other versions.
 func (t *Traffic) OldInFlight() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.oldInFlight
 }
 
-// Sent returns what was sent since the order was known here.
+// Sent returns the numbers of calls sent since this daemon learned of the order.
 func (t *Traffic) Sent() Sent {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.sent
 }
 
-// Evidence returns a copy of what this daemon has seen until now.
+// Evidence returns a copy of the evidence that this daemon has collected until now.
 func (t *Traffic) Evidence(now time.Time) Evidence {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.sweep(now)
+	t.recordOverdue(now)
 	return t.evidence.Clone()
 }
--- a/internal/model/rollout/variants_test.go
+++ b/internal/model/rollout/variants_test.go
@@ -8,33 +8,33 @@
 	"gotest.tools/v3/assert"
 )
 
-// variantSeeds is enough for each broken variant to show.
+// variantSeeds is the number of runs, enough for each faulty variant to fail.
 const variantSeeds = 20
 
-// playSome plays a scenario with a few seeds.
-func playSome(s scenario) []dayResult {
-	results := make([]dayResult, 0, variantSeeds)
+// runFewSeeds runs a scenario with variantSeeds seeds.
+func runFewSeeds(s scenario) []simResult {
+	results := make([]simResult, 0, variantSeeds)
 	for seed := range uint64(variantSeeds) {
-		results = append(results, playDay(s, seed))
+		results = append(results, runSimulation(s, seed))
 	}
 	return results
 }
 
 func TestDaysCatchAJudgeOfFailuresAlone(t *testing.T) {
 	t.Parallel()
-	day := scenario{bad: fromStart(0, 0.5), variant: variant{deafToTime: true}}
-	assert.Assert(t, stored(playSome(day), EndRolledBack) < variantSeeds/2)
+	faulty := scenario{bad: fromStart(0, 0.5), variant: variant{ignoresTimes: true}}
+	assert.Assert(t, stored(runFewSeeds(faulty), EndRolledBack) < variantSeeds/2)
 }
 
-// One daemon hears of the shift late, so that the end has to wait for its word.
+// One daemon receives the words of the shift late, so that the end must wait for its word.
 func TestDaysCatchAnEndWrittenTooEarly(t *testing.T) {
 	t.Parallel()
 	const late = 5 * time.Second
-	for seed, result := range playSome(scenario{slowToHear: late}) {
-		assert.Check(t, result.end == EndCompleted && result.endAfter <= dayDuration, "seed %d: %s after %v", seed, result.end, result.endAfter)
+	for seed, result := range runFewSeeds(scenario{wordDelay: late}) {
+		assert.Check(t, result.end == EndCompleted && result.endAfter <= simDuration, "seed %d: %s after %v", seed, result.end, result.endAfter)
 		assert.Check(t, result.oldAfterCompleted == 0, "seed %d", seed)
 	}
-	for seed, result := range playSome(scenario{slowToHear: late, variant: variant{early: true}}) {
+	for seed, result := range runFewSeeds(scenario{wordDelay: late, variant: variant{announcesEarly: true}}) {
 		assert.Check(t, result.oldAfterCompleted > 0, "seed %d", seed)
 	}
 }
@@ -42,7 +42,7 @@
 func TestDaysCatchDaemonsThatCountTheSlackForThemselves(t *testing.T) {
 	t.Parallel()
 	caught := 0
-	for _, result := range playSome(scenario{bad: fromStart(0.3, 0), restarts: true, variant: variant{slack: 50}}) {
+	for _, result := range runFewSeeds(scenario{bad: fromStart(0.3, 0), restarts: true, variant: variant{slack: 50}}) {
 		if result.worstOver > 0 {
 			caught++
 		}
@@ -50,19 +50,19 @@
 	assert.Assert(t, caught > 0)
 }
 
-// The version turns bad after all have moved, while the store does writes late: a daemon
-// that goes back on its own sends to instances that the late end stopped.
+// The version turns bad after all calls have moved, while the store does writes late. A daemon that
+// reverts on its own sends calls to instances that were stopped after the late end.
 func TestDaysCatchAStepTakenBack(t *testing.T) {
 	t.Parallel()
 	turnsBad := func(*rand.Rand) fault {
-		return fault{failing: 0.9, after: PlanFor(time.Time{}, dayDuration).SettledAt.Sub(time.Time{}) - 100*time.Millisecond}
+		return fault{failing: 0.9, after: PlanFor(time.Time{}, simDuration).CompletionAt.Sub(time.Time{}) - 100*time.Millisecond}
 	}
 	sent := func(v variant) (old int) {
-		for _, result := range playSome(scenario{bad: turnsBad, storeFaults: true, variant: v}) {
+		for _, result := range runFewSeeds(scenario{bad: turnsBad, storeFaults: true, variant: v}) {
 			old += result.oldAfterCompleted
 		}
 		return old
 	}
 	assert.Equal(t, sent(variant{}), 0)
-	assert.Assert(t, sent(variant{takesBack: true}) > 0)
+	assert.Assert(t, sent(variant{revertsAlone: true}) > 0)
 }
