--- a/internal/model/orders/orders.go
+++ b/internal/model/orders/orders.go
@@ -1,14 +1,14 @@
-// Package orders holds the operators' orders beside the configuration: the evacuation of zones and
-// the roll-out of versions.
-// Orders are known as a whole, at a revision of the store that they are written to; a daemon
-// follows the newest that it learned of.
+// Package orders holds the operators' orders in addition to the configuration: the evacuation of
+// zones and the roll-out of versions. Orders are always known as a complete set at a revision of
+// the store; a daemon follows the newest set that it has received.
 //
-// The package owns the orders in force on a daemon (Current), in memory. It does no I/O: what
-// other daemons and the store answer is passed in, what must be spread is returned. It relies on
-// the places in the store's history (position.Position), which a set's revision is, to grow.
+// The package holds the orders in force on a daemon (Current) in memory. It does no I/O: the caller
+// passes in the answers of other daemons and of the store, and spreads the sets that are returned.
+// The revision of a set is a position in the store's history (position.Position); the package
+// depends on positions increasing.
 //
-// What must hold: orders that were taken back do not come back from a daemon that missed it;
-// every daemon that learned of the same revisions follows the same orders.
+// Invariants: orders that were withdrawn do not return through a daemon that missed the withdrawal;
+// all daemons that received the same revisions follow the same orders.
 package orders
 
 import (
@@ -25,21 +25,20 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Kinds are the kinds of orders that operators give.
+// Kinds selects the kinds of orders that operators can give.
 type Kinds struct{ Evacuations, Rollouts bool }
 
-// Any reports whether operators give any orders.
+// Any reports whether operators can give orders of any kind.
 func (k Kinds) Any() bool { return k.Evacuations || k.Rollouts }
 
-// Set is all orders in force at one revision of the store. It is immutable and safe for
-// concurrent use; nil is the set of a daemon that has not learned of any yet.
+// Set holds all orders in force at one revision of the store. It is immutable and safe for
+// concurrent use; nil is the set of a daemon that has not received any.
 type Set struct {
 	message   *lapisv1.Orders
 	evacuated map[string]bool
 }
 
-// NewSet returns the set of a message. The message must not be changed
-// afterwards.
+// NewSet returns the set of a message. The caller must not modify the message afterwards.
 func NewSet(message *lapisv1.Orders) *Set {
 	evacuated := make(map[string]bool, len(message.GetEvacuations()))
 	for _, evacuation := range message.GetEvacuations() {
@@ -54,7 +53,7 @@
 	return &Set{message: message, evacuated: evacuated}
 }
 
-// Revision returns the store's revision at which these were the orders, 0 for nil.
+// Revision returns the store's revision of the set, 0 for nil.
 func (s *Set) Revision() uint64 { return s.Message().GetRevision() }
 
 // Message returns the message of the set, nil for nil.
@@ -65,10 +64,10 @@
 	return s.message
 }
 
-// Evacuated reports whether the instances of a zone get no calls.
+// Evacuated reports whether a zone is evacuated, so that its instances get no calls.
 func (s *Set) Evacuated(zone string) bool { return s != nil && s.evacuated[zone] }
 
-// Zones returns the evacuated zones in order.
+// Zones returns the evacuated zones, sorted.
 func (s *Set) Zones() []string {
 	zones := make([]string, 0, len(s.Message().GetEvacuations()))
 	for _, evacuation := range s.Message().GetEvacuations() {
@@ -77,35 +76,35 @@
 	return zones
 }
 
-// Rollouts returns the states of the objects that order roll-outs, in order of name.
+// Rollouts returns the states of the objects that order roll-outs, sorted by name.
 func (s *Set) Rollouts() []*lapisv1.Rollout { return s.Message().GetRollouts() }
 
-// SameAs reports whether two sets evacuate the same zones and order the same roll-outs, whatever
-// their revisions. A roll-out whose object was written since is another one: its status and the
-// revision that the next write must name have changed.
-func (s *Set) SameAs(other *Set) bool {
+// EqualOrders reports whether two sets evacuate the same zones and order the same roll-outs, at any
+// revisions. A roll-out whose object was written in between differs, because its status and the
+// revision for the next write have changed.
+func (s *Set) EqualOrders(other *Set) bool {
 	return (s == nil) == (other == nil) && slices.Equal(s.Zones(), other.Zones()) &&
 		slices.EqualFunc(s.Rollouts(), other.Rollouts(), func(a, b *lapisv1.Rollout) bool { return proto.Equal(a, b) })
 }
 
-// samePhase reports whether no era began or settled between two sets.
+// samePhase reports whether no era began or ended its settling period between two sets.
 func (s *Set) samePhase(other *Set) bool {
 	return position.Position(s.Revision()).Phase() == position.Position(other.Revision()).Phase()
 }
 
-// restated returns the same orders at another revision.
-func (s *Set) restated(revision uint64) *Set {
+// withRevision returns the same orders at another revision.
+func (s *Set) withRevision(revision uint64) *Set {
 	return &Set{
 		message:   &lapisv1.Orders{Revision: revision, Evacuations: s.Message().GetEvacuations(), Rollouts: s.Rollouts()},
 		evacuated: s.evacuated,
 	}
 }
 
-// GivenAgain returns the zones that are evacuated in both sets, but by different orders: the
-// first was taken back and another given in between.
+// GivenAgain returns the zones that are evacuated in both sets, but by different orders: the first
+// order was withdrawn and another one given in between.
 func (s *Set) GivenAgain(before *Set) []string {
 	if position.Position(s.Revision()).Era() != position.Position(before.Revision()).Era() {
-		// Revisions of several eras are not compared.
+		// Revisions of different eras cannot be compared.
 		return nil
 	}
 	given := map[string]uint64{}
@@ -121,25 +120,25 @@
 	return again
 }
 
-// Current is the newest set that a daemon knows. It is safe for concurrent use. Now, unless nil, is its
-// clock; it must be set before the first use.
+// Current holds the newest set that a daemon knows. It is safe for concurrent use. Now is its clock
+// and must be set before the first use; nil selects boottime.Now.
 type Current struct {
 	Now func() time.Time
 
 	set atomic.Pointer[Set]
 
-	// mutex is held while set is replaced and protects what is below. read is the place in the
-	// store's history up to which this daemon has read the orders itself.
-	mutex   sync.Mutex
-	read    uint64
-	returns settling
+	// mutex is held while set is replaced, and guards the fields below. readRevision is the
+	// position up to which this daemon itself has read the orders from the store.
+	mutex        sync.Mutex
+	readRevision uint64
+	transition   eraTransition
 }
 
-// Load returns the newest set, nil before the first.
+// Load returns the newest set, nil before the first one.
 func (c *Current) Load() *Set { return c.set.Load() }
 
-// Message returns what other daemons are told: the newest set, and how far the era that it belongs
-// to has settled. It is nil before the first set.
+// Message returns the message for other daemons: the newest set and the settling state of its era.
+// It is nil before the first set.
 func (c *Current) Message() *lapisv1.Orders {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -147,13 +146,13 @@
 	if set == nil {
 		return nil
 	}
-	told := &lapisv1.Orders{
+	outgoing := &lapisv1.Orders{
 		Revision: set.Revision(), Evacuations: set.Message().GetEvacuations(), Rollouts: set.Message().GetRollouts(),
 	}
-	if position.Position(set.Revision()).EraBegun() == c.returns.era {
-		c.returns.state(told, c.now())
+	if position.Position(set.Revision()).EraBegun() == c.transition.era {
+		c.transition.addState(outgoing, c.now())
 	}
-	return told
+	return outgoing
 }
 
 func (c *Current) now() time.Time {
@@ -163,45 +162,46 @@
 	return c.Now()
 }
 
-// Evacuated reports whether the instances of a zone get no calls.
+// Evacuated reports whether a zone is evacuated, so that its instances get no calls.
 func (c *Current) Evacuated(zone string) bool { return c.Load().Evacuated(zone) }
 
-// ApplyReceived applies another daemon's set if it is newer than the present one, and returns
-// the one before. A set that is no newer than what this daemon has read from the store, and
-// differs from the present one, was taken back meanwhile: then the present orders are restated at
-// the revision read, so that daemons that follow the received ones drop them. changed is true
-// where the present set has another revision now, which must be spread.
+// ApplyReceived applies another daemon's set if it is newer than the current one, and returns the
+// previous set. A set that is not newer than what this daemon has read from the store, but differs
+// from the current set, was withdrawn in the meantime. In that case the current orders get the
+// revision that was read, so that daemons that follow the received orders drop them. changed is
+// true if the current set has a new revision, which must be spread.
 func (c *Current) ApplyReceived(set *Set) (before *Set, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	before = c.Load()
-	set = c.returns.apply(set, before, c.now())
+	set = c.transition.apply(set, before, c.now())
 	if set.Revision() <= before.Revision() {
 		return before, false
 	}
-	if set.Revision() <= c.read && !set.SameAs(before) {
-		set = before.restated(c.read)
+	if set.Revision() <= c.readRevision && !set.EqualOrders(before) {
+		set = before.withRevision(c.readRevision)
 	}
 	c.set.Store(set)
 	return before, true
 }
 
-// ApplyStored applies what the store has answered to this daemon. A set that evacuates the same
-// zones as the present one takes its revision, so that nothing is spread anew, and changed is
-// false; but other daemons must learn that an era began or settled, or superseded orders.
+// ApplyStored applies a set that this daemon has read from the store, and returns the previous set.
+// If the orders are unchanged, the current revision is kept and changed is false, so that nothing
+// is spread again. Other daemons must still learn that an era began or settled, or that it
+// superseded orders; changed is true then.
 func (c *Current) ApplyStored(set *Set) (before *Set, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	before = c.Load()
-	superseded := len(c.returns.superseded)
-	set = c.returns.apply(set, before, c.now())
-	if set.Revision() <= max(before.Revision(), c.read) {
+	superseded := len(c.transition.superseded)
+	set = c.transition.apply(set, before, c.now())
+	if set.Revision() <= max(before.Revision(), c.readRevision) {
 		return before, false
 	}
-	c.read = set.Revision()
-	known := set.samePhase(before) && len(c.returns.superseded) == superseded
-	if known && set.SameAs(before) {
-		c.set.Store(set.restated(before.Revision()))
+	c.readRevision = set.Revision()
+	known := set.samePhase(before) && len(c.transition.superseded) == superseded
+	if known && set.EqualOrders(before) {
+		c.set.Store(set.withRevision(before.Revision()))
 		return before, false
 	}
 	c.set.Store(set)
--- a/internal/model/orders/orders_test.go
+++ b/internal/model/orders/orders_test.go
@@ -9,7 +9,7 @@
 	"github.com/lapisvane/lapisvane/internal/model/orders"
 )
 
-// set returns orders at a revision that evacuate zones since given.
+// set returns a set at a revision; its zones are evacuated by orders of revision given.
 func set(revision, given uint64, zones ...string) *orders.Set {
 	message := &lapisv1.Orders{Revision: revision}
 	for _, zone := range zones {
@@ -31,8 +31,8 @@
 	assert.Assert(t, taken && !current.Evacuated("a") && current.Evacuated("b"))
 }
 
-// Orders that the store repeats at a later revision are not spread anew; that an order was given
-// again between two readings is seen once.
+// Orders that the store repeats at a later revision must not be spread again. An order that was
+// given again between two reads must be reported once.
 func TestSameOrdersKeepTheirRevision(t *testing.T) {
 	current := &orders.Current{}
 	_, taken := current.ApplyStored(set(5, 4, "a"))
@@ -47,8 +47,8 @@
 	assert.Assert(t, !taken && current.Evacuated("a"), "an answer that was overtaken")
 }
 
-// One daemon saw an order that was taken away before another one read the store, which
-// knew neither: the older order must not come back through the first.
+// Guards against the return of a withdrawn order: one daemon saw an order that was withdrawn before
+// another daemon read the store. The second one must not follow the order received from the first.
 func TestOrderTakenAwayDoesNotComeBack(t *testing.T) {
 	first, second := &orders.Current{}, &orders.Current{}
 	first.ApplyStored(set(5, 0))
@@ -58,7 +58,7 @@
 	assert.Equal(t, second.Load().Revision(), uint64(5))
 
 	_, taken := second.ApplyReceived(first.Load())
-	assert.Assert(t, taken, "it must be stated anew")
+	assert.Assert(t, taken, "the current orders must get the revision that was read")
 	assert.Assert(t, !second.Evacuated("a"))
 	_, taken = first.ApplyReceived(second.Load())
 	assert.Assert(t, taken && !first.Evacuated("a"))
--- a/internal/model/orders/settling.go
+++ b/internal/model/orders/settling.go
@@ -9,97 +9,97 @@
 	"github.com/lapisvane/lapisvane/internal/model/position"
 )
 
-// SettleTime is how long after the store's return from a copy the orders followed before stay in
-// force although the store lacks them: its operator needs time to write again what was lost. It is
-// above the age of the copies, which is some seconds.
+// SettleTime is the time for which previous orders stay in force, although the store lacks them,
+// after the store was restored from a copy. It gives the operator time to write lost orders again.
+// It is longer than the age of the copies, which is a few seconds.
 const SettleTime = 10 * time.Second
 
-// settling is the rule by which orders pass from one era of the store to the next.
+// eraTransition carries orders from one era of the store to the next. After a restore the store
+// lacks the newest writes. Without this rule, a lost order would be dropped until its operator
+// writes it again, and a withdrawn one would return.
 //
-// Inputs: a set of the store or of another daemon, the set followed, the time. In this order: a
-// set of the era followed is taken as it is. The first one of a later era begins SettleTime, in
-// which the set followed is carried: what it orders stays in force besides what the new era orders,
-// at a place between the eras (Position.Settling), so that daemons compare it rightly. What the new
-// era has ordered supersedes what is carried, also once it is taken back; daemons tell each other so of
-// evacuations only, a roll-out is superseded where the daemon itself saw it in the new era. An order that was taken
-// back in the era before, and is in the copy unchanged, is left out meanwhile. Once SettleTime is
-// over, the store's orders are taken as they are.
+// Its inputs are a set of the store or of another daemon, the current set, and the time. A set of
+// the current era is taken unchanged. The first set of a later era starts SettleTime. During it,
+// the orders of the current set are carried: they stay in force in addition to those of the new
+// era, at a position between the eras (Position.Settling), so that daemons order these sets
+// correctly. An order of the new era supersedes the carried one for the same zone, even after it is
+// withdrawn. Daemons exchange superseded zones only; a roll-out is superseded only on a daemon that
+// has seen it in the new era itself. An order that was withdrawn in the previous era and is
+// unchanged in the copy is left out. After SettleTime, the store's orders are taken unchanged.
 //
-// SettleTime belongs to the era: daemons tell each other for how long it has lasted and what it
-// superseded, and each takes the longest time and all zones that it was told. It is over for all
-// when it is over for the first that learned of the era, however late the others hear of it.
-//
-// Reason: a return takes away what was written lately. Without the carrying an order that daemons
-// follow would be dropped until its operator writes it again, and one taken back would come back.
-type settling struct {
-	// era is the newest one known, 0 before the first set, and began the earliest time at which a
-	// daemon is known to have learned of it.
-	era   uint64
-	began time.Time
-	// carried are the orders followed when that era began and not superseded yet, by zone; nil once
-	// the era has settled.
+// SettleTime belongs to the era. Daemons exchange its age and the superseded zones, and each takes
+// the highest age and all zones that it received. It therefore ends for all daemons when it ends
+// for the first one that learned of the era, even if others learned of it later.
+type eraTransition struct {
+	// era is the newest known era, 0 before the first set. beganAt is the earliest time at which
+	// any daemon is known to have learned of it.
+	era     uint64
+	beganAt time.Time
+	// carried holds, by zone, the previous era's orders that are not superseded yet; nil after the
+	// era has settled.
 	carried map[string]*lapisv1.Evacuation
-	// superseded are the zones for which that era has had orders while it settled.
+	// superseded holds the zones for which the era has had orders during its settling period.
 	superseded map[string]bool
-	// rollouts are the orders of roll-outs followed when that era began, by name.
+	// rollouts holds, by name, the carried roll-outs.
 	rollouts map[string]*lapisv1.Rollout
-	// takenBack holds the orders that were taken back in the era of carried, by zone.
-	takenBack map[string]uint64
-	// followed are all orders of this era so far, by zone: what was ever given and by which
-	// revision of the store.
+	// withdrawn holds, by zone, the revisions of the orders that were withdrawn in the previous
+	// era.
+	withdrawn map[string]uint64
+	// followed holds, by zone, the store revision of the newest order followed in this era,
+	// including withdrawn ones.
 	followed map[string]uint64
 }
 
-// apply returns what is followed of a set in place of before.
-func (s *settling) apply(set, before *Set, now time.Time) *Set {
+// apply returns the set to follow, after before, when set arrives.
+func (s *eraTransition) apply(set, before *Set, now time.Time) *Set {
 	at := position.Position(set.Revision())
 	era := at.EraBegun()
 	if era > s.era {
 		s.begin(era, before, now)
 	}
 	if era == s.era && era > 0 {
-		s.learn(set.Message(), now)
+		s.mergePeerState(set.Message(), now)
 	}
 	if s.age(now) >= SettleTime {
-		s.carried, s.rollouts, s.takenBack = nil, nil, nil
+		s.carried, s.rollouts, s.withdrawn = nil, nil, nil
 	}
-	s.note(set)
+	s.recordFollowed(set)
 	if s.carried == nil || at.IsSettling() || era < s.era {
 		return set
 	}
 	return s.carry(set)
 }
 
-// begin begins an era. Nothing is carried into the first one that is known.
-func (s *settling) begin(era uint64, before *Set, now time.Time) {
+// begin starts an era. No orders are carried into the first known era.
+func (s *eraTransition) begin(era uint64, before *Set, now time.Time) {
 	if before != nil {
 		s.carried, s.rollouts = byZone(before), rolloutsByName(before)
-		s.takenBack = s.followed
+		s.withdrawn = s.followed
 		for zone := range s.carried {
-			delete(s.takenBack, zone)
+			delete(s.withdrawn, zone)
 		}
 	}
-	s.era, s.began = era, now
+	s.era, s.beganAt = era, now
 	s.superseded, s.followed = map[string]bool{}, map[string]uint64{}
 }
 
-// age returns the least time that has passed since the era began.
-func (s *settling) age(now time.Time) time.Duration { return now.Sub(s.began) }
+// age returns the time since the era began, as far as this daemon knows.
+func (s *eraTransition) age(now time.Time) time.Duration { return now.Sub(s.beganAt) }
 
-// learn takes from a message of the present era for how long it has lasted and what it superseded.
-// An age beyond SettleTime says no more than that the era has settled.
-func (s *settling) learn(message *lapisv1.Orders, now time.Time) {
-	told := time.Duration(min(message.GetEraAgeMs(), uint64(SettleTime.Milliseconds()))) * time.Millisecond
-	if told > s.age(now) {
-		s.began = now.Add(-told)
+// mergePeerState merges the age and the superseded zones from a message of the current era. Ages
+// are capped at SettleTime, at which the era has settled.
+func (s *eraTransition) mergePeerState(message *lapisv1.Orders, now time.Time) {
+	peerAge := time.Duration(min(message.GetEraAgeMs(), uint64(SettleTime.Milliseconds()))) * time.Millisecond
+	if peerAge > s.age(now) {
+		s.beganAt = now.Add(-peerAge)
 	}
 	for _, zone := range message.GetSupersededZones() {
 		s.supersede(zone)
 	}
 }
 
-// state adds to a message of the present era what learn takes from it.
-func (s *settling) state(message *lapisv1.Orders, now time.Time) {
+// addState adds the age and the superseded zones to a message of the current era.
+func (s *eraTransition) addState(message *lapisv1.Orders, now time.Time) {
 	if s.era == 0 {
 		return
 	}
@@ -109,14 +109,14 @@
 	}
 }
 
-// supersede ends the carrying of what the era before ordered for a zone.
-func (s *settling) supersede(zone string) {
+// supersede stops carrying the previous era's order for a zone.
+func (s *eraTransition) supersede(zone string) {
 	delete(s.carried, zone)
 	s.superseded[zone] = true
 }
 
-// note remembers the orders of a set.
-func (s *settling) note(set *Set) {
+// recordFollowed records the orders of a set.
+func (s *eraTransition) recordFollowed(set *Set) {
 	if s.followed == nil {
 		s.followed = map[string]uint64{}
 	}
@@ -125,11 +125,11 @@
 	}
 }
 
-// carry returns a set of the new era with the orders carried into it.
-func (s *settling) carry(set *Set) *Set {
+// carry returns a set of the new era with the carried orders added.
+func (s *eraTransition) carry(set *Set) *Set {
 	ordered := byZone(set)
 	maps.DeleteFunc(ordered, func(zone string, evacuation *lapisv1.Evacuation) bool {
-		revision, taken := s.takenBack[zone]
+		revision, taken := s.withdrawn[zone]
 		return taken && revision == evacuation.GetRevision()
 	})
 	for zone := range ordered {
@@ -142,9 +142,9 @@
 	})
 }
 
-// withRollouts returns the roll-outs of a set of the new era and those that are carried into it. One
-// that the new era orders as well stands as it does there: its next write must name that revision.
-func (s *settling) withRollouts(set *Set) map[string]*lapisv1.Rollout {
+// withRollouts returns the roll-outs of a set of the new era and the carried ones. A roll-out that
+// exists in both is taken from the new era, because its next write must name that revision.
+func (s *eraTransition) withRollouts(set *Set) map[string]*lapisv1.Rollout {
 	ordered := rolloutsByName(set)
 	for name := range ordered {
 		delete(s.rollouts, name)
@@ -161,7 +161,7 @@
 	return rollouts
 }
 
-// byZone returns the orders of a set by their zones.
+// byZone returns the orders of a set by zone.
 func byZone(set *Set) map[string]*lapisv1.Evacuation {
 	orders := map[string]*lapisv1.Evacuation{}
 	for _, evacuation := range set.Message().GetEvacuations() {
