--- a/internal/model/account/account.go
+++ b/internal/model/account/account.go
@@ -1,11 +1,11 @@
-// Package account tells which account a caller belongs to by the API key that it presents.
+// Package account identifies the account of a caller by the API key that it presents.
 //
-// A Directory is built from a configuration version and is immutable, so that it is safe for
-// concurrent use. It holds digests of the keys and no key: what a daemon keeps, compares and shows
-// does not let anyone make calls.
+// A Directory is built from one version of the configuration and is immutable, so that it is safe
+// for concurrent use. It holds digests of the keys and never the keys, so that the data that a
+// daemon keeps, compares and shows cannot be used to make calls.
 //
-// What must hold: a key that the version does not hold belongs to nobody, and an account's name is
-// that of a group of callers (package admission shares slots between groups).
+// Invariants: a key that the version does not hold belongs to no account; the name of an account is
+// the name of a group of callers (package admission shares slots between groups).
 package account
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// DigestBytes is the length of a key's digest: long enough that no two keys have the same.
+// DigestBytes is the length of a key's digest: long enough that digests do not collide in practice.
 const DigestBytes = 16
 
-// Digest stands for an API key: the first bytes of its SHA-256.
+// Digest identifies an API key: the first bytes of its SHA-256 hash.
 type Digest [DigestBytes]byte
 
 // DigestOf returns the digest of a key.
@@ -26,42 +26,42 @@
 	return Digest(sum[:DigestBytes])
 }
 
-// Account is what holds for the callers who present one of its keys.
+// Account holds the properties of the callers that present one of its keys.
 type Account struct {
 	Name string
-	// Priority goes before the priority of the route; 0 is the most urgent.
+	// Priority takes precedence over the priority of the route; 0 is the most urgent.
 	Priority uint32
-	// Rate bounds the calls a second at all daemons together, 0 for no bound; Burst is how many
-	// may come at once above that.
+	// Rate is the limit in calls per second over all daemons, 0 for no limit. Burst is the number
+	// of calls above the rate that may arrive at once.
 	Rate  float64
 	Burst uint32
-	// Keys is the number of its keys.
+	// Keys is the number of API keys of the account.
 	Keys int
 }
 
-// Limited reports whether the account's calls are bounded.
+// Limited reports whether the account has a rate limit.
 func (a *Account) Limited() bool { return a != nil && a.Rate > 0 }
 
-// Directory holds the accounts of a configuration version. A nil Directory stands for one without
-// accounts: every caller is served.
+// Directory holds the accounts of one version of the configuration. A nil Directory represents a
+// configuration without accounts, in which every caller is served.
 type Directory struct {
 	accounts map[string]*Account
 	byKey    map[Digest]*Account
 }
 
-// NewDirectory returns the directory of a configuration's accounts, nil where it has none.
+// NewDirectory returns the directory of a configuration's accounts, or nil if the message is nil.
 func NewDirectory(message *lapisv1.Accounts) *Directory {
 	if message == nil {
 		return nil
 	}
 	directory := &Directory{accounts: map[string]*Account{}, byKey: make(map[Digest]*Account, countKeys(message))}
-	for _, stated := range message.GetAccounts() {
+	for _, configured := range message.GetAccounts() {
 		known := &Account{
-			Name: stated.GetName(), Priority: stated.GetPriority(), Rate: stated.GetCallsPerSecond(),
-			Burst: stated.GetBurst(), Keys: len(stated.GetKeyDigests()),
+			Name: configured.GetName(), Priority: configured.GetPriority(), Rate: configured.GetCallsPerSecond(),
+			Burst: configured.GetBurst(), Keys: len(configured.GetKeyDigests()),
 		}
 		directory.accounts[known.Name] = known
-		for _, digest := range stated.GetKeyDigests() {
+		for _, digest := range configured.GetKeyDigests() {
 			if len(digest) == DigestBytes {
 				directory.byKey[Digest(digest)] = known
 			}
@@ -71,13 +71,13 @@
 }
 
 func countKeys(message *lapisv1.Accounts) (keys int) {
-	for _, stated := range message.GetAccounts() {
-		keys += len(stated.GetKeyDigests())
+	for _, configured := range message.GetAccounts() {
+		keys += len(configured.GetKeyDigests())
 	}
 	return keys
 }
 
-// Find returns the account that the key of a digest belongs to, nil for none.
+// Find returns the account of a key's digest, or nil if there is none.
 func (d *Directory) Find(key Digest) *Account {
 	if d == nil {
 		return nil
@@ -85,8 +85,8 @@
 	return d.byKey[key]
 }
 
-// Holds reports whether the key of a digest lets its callers make calls: it belongs to an account, or
-// there are none. A digest of another length is that of no key.
+// Holds reports whether callers with the key's digest may make calls: the key belongs to an
+// account, or the configuration has no accounts. A digest of a different length matches no key.
 func (d *Directory) Holds(key []byte) bool {
 	if d == nil {
 		return true
@@ -94,8 +94,8 @@
 	return len(key) == DigestBytes && d.byKey[Digest(key)] != nil
 }
 
-// Named returns the account of a name, nil for none.
-func (d *Directory) Named(name string) *Account {
+// ByName returns the account with a name, or nil if there is none.
+func (d *Directory) ByName(name string) *Account {
 	if d == nil {
 		return nil
 	}
@@ -110,7 +110,7 @@
 	return len(d.byKey)
 }
 
-// Accounts returns all accounts by name. The map is not changed.
+// Accounts returns all accounts by name. The map is immutable and must not be modified.
 func (d *Directory) Accounts() map[string]*Account {
 	if d == nil {
 		return nil
--- a/internal/model/account/account_test.go
+++ b/internal/model/account/account_test.go
@@ -10,8 +10,8 @@
 	"github.com/lapisvane/lapisvane/internal/model/account"
 )
 
-// stated returns an account with the given keys, as a configuration states it.
-func stated(name string, keys ...string) *lapisv1.Account {
+// newAccount returns an account with the given keys in the form of the configuration.
+func newAccount(name string, keys ...string) *lapisv1.Account {
 	made := &lapisv1.Account{Name: name}
 	for _, key := range keys {
 		digest := account.DigestOf([]byte(key))
@@ -28,10 +28,10 @@
 	return found.Name
 }
 
-// A key belongs to its account as it is written, and to nobody in any other form.
+// A key must match its account only in its exact form.
 func TestKeysBelongToTheirAccount(t *testing.T) {
 	directory := account.NewDirectory(&lapisv1.Accounts{Accounts: []*lapisv1.Account{
-		stated("alpha", "key-of-alpha", "other-key"), stated("beta", "key-of-beta"), stated("none"),
+		newAccount("alpha", "key-of-alpha", "other-key"), newAccount("beta", "key-of-beta"), newAccount("none"),
 	}})
 	for key, name := range map[string]string{
 		"key-of-alpha": "alpha", "other-key": "alpha", "key-of-beta": "beta",
@@ -39,23 +39,24 @@
 	} {
 		assert.Equal(t, find(directory, key), name, "%q", key)
 	}
-	assert.Equal(t, directory.Named("alpha").Keys, 2)
+	assert.Equal(t, directory.ByName("alpha").Keys, 2)
 	assert.Equal(t, directory.Keys(), 3)
 	assert.Equal(t, len(directory.Accounts()), 3)
-	assert.Assert(t, directory.Named("gamma") == nil)
+	assert.Assert(t, directory.ByName("gamma") == nil)
 }
 
-// Without accounts no key counts, and no caller needs one; with none of them every caller does.
+// Without the accounts message, callers need no key; with an empty one, every caller needs a key and
+// no key matches.
 func TestNoAccountsAreNotNoneOfThem(t *testing.T) {
 	var without *account.Directory
 	digest := account.DigestOf([]byte("any"))
 	assert.Assert(t, account.NewDirectory(nil) == without)
-	assert.Assert(t, without.Find(digest) == nil && without.Holds(digest[:]) && without.Named("alpha") == nil && without.Accounts() == nil && without.Keys() == 0)
+	assert.Assert(t, without.Find(digest) == nil && without.Holds(digest[:]) && without.ByName("alpha") == nil && without.Accounts() == nil && without.Keys() == 0)
 	empty := account.NewDirectory(&lapisv1.Accounts{})
 	assert.Assert(t, empty != nil && empty.Find(digest) == nil && !empty.Holds(digest[:]))
 }
 
-// A digest that is cut short or empty is that of no key, in a configuration and in a call.
+// A truncated or empty digest must match no key, in a configuration or in a call.
 func TestDigestsOfAnotherLengthMatchNothing(t *testing.T) {
 	digest := account.DigestOf([]byte("key"))
 	short := &lapisv1.Account{Name: "alpha", KeyDigests: [][]byte{digest[:4], nil, append(digest[:], 0)}}
@@ -63,7 +64,7 @@
 	for _, presented := range [][]byte{digest[:], digest[:4], nil, {}} {
 		assert.Assert(t, !directory.Holds(presented))
 	}
-	assert.Assert(t, account.NewDirectory(&lapisv1.Accounts{Accounts: []*lapisv1.Account{stated("alpha", "key")}}).Holds(digest[:]))
+	assert.Assert(t, account.NewDirectory(&lapisv1.Accounts{Accounts: []*lapisv1.Account{newAccount("alpha", "key")}}).Holds(digest[:]))
 }
 
 func TestOnlyAccountsWithARateAreLimited(t *testing.T) {
@@ -73,21 +74,21 @@
 
 const manyKeys = 10_000
 
-// many returns accounts with manyKeys keys together.
-func many() *lapisv1.Accounts {
+// manyAccounts returns accounts with manyKeys keys in total.
+func manyAccounts() *lapisv1.Accounts {
 	accounts := &lapisv1.Accounts{}
 	for number := range 100 {
 		var keys []string
 		for key := range manyKeys / 100 {
 			keys = append(keys, fmt.Sprintf("key-%d-%d", number, key))
 		}
-		accounts.Accounts = append(accounts.Accounts, stated(fmt.Sprint("account-", number), keys...))
+		accounts.Accounts = append(accounts.Accounts, newAccount(fmt.Sprint("account-", number), keys...))
 	}
 	return accounts
 }
 
 func BenchmarkFindAmongManyKeys(b *testing.B) {
-	directory := account.NewDirectory(many())
+	directory := account.NewDirectory(manyAccounts())
 	key := []byte("key-50-50")
 	b.ReportAllocs()
 	for b.Loop() {
@@ -98,7 +99,7 @@
 }
 
 func BenchmarkFindUnknownAmongManyKeys(b *testing.B) {
-	directory := account.NewDirectory(many())
+	directory := account.NewDirectory(manyAccounts())
 	key := []byte("key-50-unknown")
 	b.ReportAllocs()
 	for b.Loop() {
@@ -108,9 +109,9 @@
 	}
 }
 
-// The bytes of a directory, by the key, are those allocated divided by manyKeys.
+// The memory of a directory per key is the number of allocated bytes divided by manyKeys.
 func BenchmarkDirectoryOfManyKeys(b *testing.B) {
-	accounts := many()
+	accounts := manyAccounts()
 	b.ReportAllocs()
 	for b.Loop() {
 		account.NewDirectory(accounts)
--- a/internal/model/account/weights.go
+++ b/internal/model/account/weights.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Weights returns the weight of each account for a fair share of what all of them use: its rate
-// limit in calls a second, so that a large account is not held to the share of a small one. An account
-// without a limit may ask for any amount, and weighs as much as the one with the highest. It is nil
-// where no account has a limit: all weigh the same.
+// Weights returns the weight of each account in fair sharing: its rate limit in calls per second,
+// so that a large account is not limited to the share of a small one. An account without a limit
+// gets the highest weight, because it may request any amount. The result is nil if no account has a
+// limit; all accounts then have the same weight.
 func (d *Directory) Weights() map[string]uint32 {
 	highest := uint32(0)
 	for _, known := range d.Accounts() {
@@ -27,13 +27,13 @@
 	return weights
 }
 
-// weight is the account's rate limit, rounded up; 0 without one.
+// weight returns the account's rate limit, rounded up, or 0 if it has none.
 func (a *Account) weight() uint32 {
 	return uint32(min(math.Ceil(max(a.Rate, 0)), math.MaxUint32))
 }
 
-// UsualPriority returns the priority that holds for calls without an account beside those with one,
-// such as calls of instances and of public routes: the median of the accounts' priorities.
+// UsualPriority returns the priority of calls without an account relative to those with one, such
+// as calls of instances and of public routes: the median of the accounts' priorities.
 func (d *Directory) UsualPriority() uint32 {
 	var priorities []uint32
 	for _, known := range d.Accounts() {
--- a/internal/model/account/weights_test.go
+++ b/internal/model/account/weights_test.go
@@ -8,7 +8,7 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// An account weighs what its rate limit allows; one without a limit weighs as the largest.
+// The weight of an account is its rate limit; an account without a limit has the highest weight.
 func TestWeightsFollowRateLimits(t *testing.T) {
 	directory := NewDirectory(&lapisv1.Accounts{Accounts: []*lapisv1.Account{
 		{Name: "large", CallsPerSecond: 300}, {Name: "small", CallsPerSecond: 0.2}, {Name: "free"},
@@ -19,7 +19,7 @@
 	assert.Assert(t, (*Directory)(nil).Weights() == nil)
 }
 
-// Calls without an account rank as those of most accounts do.
+// Calls without an account have the median priority of the accounts.
 func TestUsualPriorityIsThatOfMostAccounts(t *testing.T) {
 	directory := NewDirectory(&lapisv1.Accounts{Accounts: []*lapisv1.Account{
 		{Name: "a", Priority: 0}, {Name: "b", Priority: 2}, {Name: "c", Priority: 1}, {Name: "d", Priority: 1},
