--- a/internal/model/position/position.go
+++ b/internal/model/position/position.go
@@ -1,10 +1,10 @@
-// Package position holds places in the history of a store that may come back from a copy of
-// itself. Its revisions go back then and are given out again for other content, and its era, a
-// number that it states, rises by one. A Position joins both into one number that only grows, so
-// that places of different eras are compared as they must be: each of a later era is newer.
+// Package position orders the states in the history of a store that may be restored from a copy.
+// After a restore, the store assigns the same revisions again to other content, and increments its
+// era. A Position combines era and revision into one increasing number, so that every state of a
+// later era is newer.
 //
-// The package is pure and owns no state. What must hold: a revision is compared, kept or passed on
-// only as a part of a Position.
+// The package holds no state. Invariant: a revision is compared, stored or passed on only as a part
+// of a Position.
 package position
 
 import (
@@ -13,37 +13,37 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Position is an era and a revision within it, in the order of time. It is one number, so that
-// daemons that know no eras compare it as they compare revisions; in a store that states no era it
-// is the revision.
+// Position is a revision within an era, ordered by time. It is a single number, so that daemons
+// without knowledge of eras can compare it like a revision. For a store without eras it equals the
+// revision.
 type Position uint64
 
-// revisionBits is how much of a Position is the revision and the mark of Settling. 46,000 changes a
-// day fill it in 32,000 years; 16 million eras are left.
+// revisionBits is the number of bits for the revision and settlingBit. 46,000 changes a day fill
+// them in 32,000 years; the remaining bits allow 16 million eras.
 const revisionBits = 40
 
-// maxRevision and maxEra are the largest that a Position holds.
+// maxRevision and maxEra are the largest values that a Position can hold.
 const (
 	maxRevision = 1<<(revisionBits-1) - 1
 	maxEra      = 1<<(64-revisionBits) - 1
 )
 
-// In returns the place of a revision in an era. Errors: PlatformBadAnswer for numbers that a
-// Position cannot hold.
+// In returns the position of a revision in an era. Errors: PlatformBadAnswer for numbers that
+// exceed the range of a Position.
 func In(era, revision uint64) (Position, error) {
 	if revision > maxRevision || era > maxEra {
-		return 0, result.Errorf(result.PlatformBadAnswer, "revision %d of era %d is beyond what can be compared", revision, era)
+		return 0, result.Errorf(result.PlatformBadAnswer, "revision %d of era %d exceeds the range of a position", revision, era)
 	}
 	return Position(era<<revisionBits | revision), nil
 }
 
-// Era returns the era, 0 where the store states none.
+// Era returns the era, 0 for a store without eras.
 func (p Position) Era() uint64 { return uint64(p) >> revisionBits }
 
 // Revision returns the revision within the era.
 func (p Position) Revision() uint64 { return uint64(p) & maxRevision }
 
-// String returns "era.revision", the revision alone where the store states no era.
+// String returns "era.revision", or only the revision for a store without eras.
 func (p Position) String() string {
 	if p.Era() == 0 {
 		return fmt.Sprint(p.Revision())
@@ -51,21 +51,21 @@
 	return fmt.Sprintf("%d.%d", p.Era(), p.Revision())
 }
 
-// settlingBit marks a place between two eras. Revisions of a store stay below it.
+// settlingBit marks a position between two eras. It is above maxRevision.
 const settlingBit = 1 << (revisionBits - 1)
 
-// Settling returns the place that stands for p as long as what was lost with the era before may be
-// written again: newer than all of that era, older than all of p's. Such places are in the order
-// of p.
+// Settling returns the position that represents p while lost writes of the previous era may be
+// written again: newer than the whole previous era and older than all of p's era. Such positions
+// have the same order as the positions that they represent.
 func (p Position) Settling() Position {
 	return Position((p.Era()-1)<<revisionBits | settlingBit | p.Revision())
 }
 
-// IsSettling reports whether p is a place that Settling returned.
+// IsSettling reports whether p was returned by Settling.
 func (p Position) IsSettling() bool { return p&settlingBit != 0 }
 
-// EraBegun returns the newest era that has begun at p: that of p, the one after for a place that
-// Settling returned.
+// EraBegun returns the newest era that has begun at p: the era of p, or the one after it if p was
+// returned by Settling.
 func (p Position) EraBegun() uint64 {
 	if p.IsSettling() {
 		return p.Era() + 1
@@ -73,6 +73,6 @@
 	return p.Era()
 }
 
-// Phase returns a number that is the same for all places of an era after it settled, and for all
-// places while it settles, and that grows from each of these to the next.
+// Phase returns a number that is the same for all positions of a settled era, and for all positions
+// during the settling period before it, and that increases from each of these to the next.
 func (p Position) Phase() uint64 { return uint64(p) >> (revisionBits - 1) }
--- a/internal/model/position/position_test.go
+++ b/internal/model/position/position_test.go
@@ -10,7 +10,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// The order of positions is that of eras, then of revisions.
+// Positions must be ordered by era first and by revision second.
 func TestLaterErasAreNewer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era, revision := rapid.Uint64Range(0, 1<<24-1), rapid.Uint64Range(0, 1<<39-1)
@@ -26,7 +26,8 @@
 	})
 }
 
-// A settling place is between the eras, and its order is that of the places that it stands for.
+// A settling position must lie between the eras, and settling positions must be ordered like the
+// positions that they represent.
 func TestSettlingIsBetweenTheEras(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era := rapid.Uint64Range(1, 1<<24-1).Draw(t, "era")
