--- a/internal/model/quarantine/registry.go
+++ b/internal/model/quarantine/registry.go
@@ -78,8 +78,8 @@
 func (r *Registry) count(keys []fingerprint.Key) int {
 	maxCount := 0
 	for _, key := range keys {
-		if known, ok := r.entries[key]; ok {
-			maxCount = max(maxCount, known.Count())
+		if suspect, ok := r.entries[key]; ok {
+			maxCount = max(maxCount, suspect.Count())
 		}
 	}
 	return maxCount
@@ -93,12 +93,12 @@
 	defer r.mutex.Unlock()
 	now := r.now()
 	for _, key := range keys {
-		known, ok := r.entries[key]
-		if !ok || now.Sub(known.lastCrashAt) > suspectTTL || stateOf(known.Count()) != stateQuarantined || !known.involves(caller) {
+		suspect, ok := r.entries[key]
+		if !ok || now.Sub(suspect.lastCrashAt) > suspectTTL || stateOf(suspect.Count()) != stateQuarantined || !suspect.involves(caller) {
 			continue
 		}
-		verdict := Verdict{Quarantined: true, Key: key, Crashes: known.Count(), Trials: known.Trials}
-		verdict.RetryAfter, verdict.TrialDue = nextRun(now.Sub(known.lastCrashAt), known.Trials)
+		verdict := Verdict{Quarantined: true, Key: key, Crashes: suspect.Count(), Trials: suspect.Trials}
+		verdict.RetryAfter, verdict.TrialDue = nextRun(now.Sub(suspect.lastCrashAt), suspect.Trials)
 		return verdict
 	}
 	return Verdict{}
@@ -129,15 +129,15 @@
 // addCrash adds a crash to the record of a key, and the record to changed if it was modified. The
 // caller must hold mutex.
 func (r *Registry) addCrash(changed []Record, key fingerprint.Key, head fingerprint.Head, crash Crash, now time.Time) []Record {
-	known := r.getOrCreateEntry(key, head)
-	if !known.add(crash) {
+	suspect := r.getOrCreateEntry(key, head)
+	if !suspect.add(crash) {
 		return changed
 	}
-	known.lastCrashAt = now
-	known.Stored, known.Local = false, true
-	r.updateIndex(known)
+	suspect.lastCrashAt = now
+	suspect.Stored, suspect.Local = false, true
+	r.updateIndex(suspect)
 	changed = slices.DeleteFunc(changed, func(record Record) bool { return record.Key == key })
-	return append(changed, known.record(now))
+	return append(changed, suspect.record(now))
 }
 
 // Answered refutes all crashes under the keys of a request that an instance has answered. It
@@ -147,17 +147,17 @@
 	defer r.mutex.Unlock()
 	now := r.now()
 	for _, key := range keys {
-		known, ok := r.entries[key]
-		if !ok || len(known.Crashes) == 0 {
+		suspect, ok := r.entries[key]
+		if !ok || len(suspect.Crashes) == 0 {
 			continue
 		}
-		for _, crash := range slices.Clone(known.Crashes) {
-			known.refute(crash.ID)
+		for _, crash := range slices.Clone(suspect.Crashes) {
+			suspect.refute(crash.ID)
 		}
-		known.Stored = false
-		known.removalDue = known.inStore
-		r.updateIndex(known)
-		changed = append(changed, known.record(now))
+		suspect.Stored = false
+		suspect.removalDue = suspect.inStore
+		r.updateIndex(suspect)
+		changed = append(changed, suspect.record(now))
 	}
 	return changed
 }
@@ -167,12 +167,12 @@
 func (r *Registry) NoteTrial(key fingerprint.Key, trials uint32) (changed []Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, ok := r.entries[key]
-	if !ok || trials <= known.Trials {
+	suspect, ok := r.entries[key]
+	if !ok || trials <= suspect.Trials {
 		return nil
 	}
-	known.Trials = trials
-	return []Record{known.record(r.now())}
+	suspect.Trials = trials
+	return []Record{suspect.record(r.now())}
 }
 
 // Merge merges records of another daemon or of the Store, and returns the records that changed.
@@ -185,11 +185,11 @@
 		if record.Age > suspectTTL {
 			continue
 		}
-		known := r.getOrCreateEntry(record.Key, record.Head)
-		updated := known.mergeRecord(record, now)
-		r.updateIndex(known)
+		suspect := r.getOrCreateEntry(record.Key, record.Head)
+		updated := suspect.mergeRecord(record, now)
+		r.updateIndex(suspect)
 		if updated {
-			changed = append(changed, known.record(now))
+			changed = append(changed, suspect.record(now))
 		}
 	}
 	return changed
@@ -213,9 +213,9 @@
 func (r *Registry) ForgetStored() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, known := range r.entries {
-		known.Stored = false
-		known.removalDue = known.inStore && len(known.Crashes) == 0
+	for _, suspect := range r.entries {
+		suspect.Stored = false
+		suspect.removalDue = suspect.inStore && len(suspect.Crashes) == 0
 	}
 }
 
@@ -226,8 +226,8 @@
 	defer r.mutex.Unlock()
 	now := r.now()
 	records := make([]Record, 0, len(r.entries))
-	for _, known := range r.entries {
-		records = append(records, known.record(now))
+	for _, suspect := range r.entries {
+		records = append(records, suspect.record(now))
 	}
 	slices.SortFunc(records, func(one, other Record) int {
 		return cmp.Or(cmp.Compare(other.Count(), one.Count()), cmp.Compare(one.Age, other.Age), slices.Compare(one.Key[:], other.Key[:]))
@@ -239,8 +239,8 @@
 func (r *Registry) Sizes() (suspects, quarantined int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, known := range r.entries {
-		current := stateOf(known.Count())
+	for _, suspect := range r.entries {
+		current := stateOf(suspect.Count())
 		if current != stateRefuted {
 			suspects++
 		}
--- a/internal/model/quarantine/registry_test.go
+++ b/internal/model/quarantine/registry_test.go
@@ -33,15 +33,15 @@
 }
 
 func TestQuarantinedFromTheThirdCrash(t *testing.T) {
-	registry, guilty := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
+	registry, poison := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
 	for crash := range uint64(3) {
-		assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").Quarantined)
-		assert.Equal(t, MayRepeat(registry.Count(guilty.Keys)), crash < 2)
-		registry.Crashed(crash, []InFlight{guilty})
+		assert.Assert(t, !registry.Evaluate(poison.Keys, "desk").Quarantined)
+		assert.Equal(t, MayRepeat(registry.Count(poison.Keys)), crash < 2)
+		registry.Crashed(crash, []InFlight{poison})
 		// The same crash, reported again, counts once.
-		registry.Crashed(crash, []InFlight{guilty})
+		registry.Crashed(crash, []InFlight{poison})
 	}
-	verdict := registry.Evaluate(guilty.Keys, "desk")
+	verdict := registry.Evaluate(poison.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && !verdict.TrialDue)
 	assert.Equal(t, verdict.RetryAfter, trialDelay)
 	assert.Assert(t, registry.Suspected(lineOf("/deadly")))
@@ -51,18 +51,18 @@
 // A request that was merely in flight together with a poison request is cleared by its next
 // response, and is not suspected of further crashes once the poison request has the most crashes.
 func TestOnesThatRanBesideAreRefuted(t *testing.T) {
-	registry, guilty, beside, late := newFakeClockRegistry(), inFlightOf("/deadly", "desk"), inFlightOf("/fine", "desk"), inFlightOf("/late", "desk")
-	registry.Crashed(1, []InFlight{guilty, beside})
-	assert.Equal(t, len(registry.Answered(beside.Keys)), 1)
-	assert.Equal(t, registry.Count(beside.Keys), 0)
+	registry, poison, bystander, late := newFakeClockRegistry(), inFlightOf("/deadly", "desk"), inFlightOf("/fine", "desk"), inFlightOf("/late", "desk")
+	registry.Crashed(1, []InFlight{poison, bystander})
+	assert.Equal(t, len(registry.Answered(bystander.Keys)), 1)
+	assert.Equal(t, registry.Count(bystander.Keys), 0)
 	assert.Assert(t, !registry.Suspected(lineOf("/fine")))
-	registry.Crashed(2, []InFlight{guilty, beside})
-	registry.Crashed(3, []InFlight{guilty, late})
+	registry.Crashed(2, []InFlight{poison, bystander})
+	registry.Crashed(3, []InFlight{poison, late})
 	assert.Equal(t, registry.Count(late.Keys), 0)
-	assert.Equal(t, registry.Count(guilty.Keys), 3)
+	assert.Equal(t, registry.Count(poison.Keys), 3)
 	// A refuted crash that is reported again does not count.
-	registry.Merge([]Record{{Key: beside.Keys[0], Head: beside.Head, Crashes: []Crash{{ID: 1, Caller: "desk"}}}})
-	assert.Equal(t, registry.Count(beside.Keys), 1)
+	registry.Merge([]Record{{Key: bystander.Keys[0], Head: bystander.Head, Crashes: []Crash{{ID: 1, Caller: "desk"}}}})
+	assert.Equal(t, registry.Count(bystander.Keys), 1)
 }
 
 // A caller must neither quarantine the requests of another caller nor evict its entries.
@@ -77,14 +77,14 @@
 	registry.Crashed(10, []InFlight{inFlightOf("/same", "victim")})
 	assert.Assert(t, registry.Evaluate(theirs.Keys, "victim").Quarantined)
 
-	guilty := inFlightOf("/deadly", "victim")
+	poison := inFlightOf("/deadly", "victim")
 	for crash := range uint64(3) {
-		registry.Crashed(20+crash, []InFlight{guilty})
+		registry.Crashed(20+crash, []InFlight{poison})
 	}
 	for flood := range uint64(maxEntries + 100) {
 		registry.Crashed(100+flood, []InFlight{inFlightOf(fmt.Sprintf("/flood/%d", flood), "attacker")})
 	}
-	assert.Assert(t, registry.Evaluate(guilty.Keys, "victim").Quarantined)
+	assert.Assert(t, registry.Evaluate(poison.Keys, "victim").Quarantined)
 	suspects, _ := registry.Sizes()
 	assert.Assert(t, suspects <= maxEntries)
 }
@@ -110,30 +110,30 @@
 // A quarantined request may run as a trial after trialDelay. If the trial crashes, the request
 // stays quarantined until the suspect expires; a response refutes the crashes.
 func TestOneTrialRuns(t *testing.T) {
-	registry, guilty := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
+	registry, poison := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
 	for crash := range uint64(3) {
-		registry.Crashed(crash, []InFlight{guilty})
+		registry.Crashed(crash, []InFlight{poison})
 	}
 	registry.now = registry.now.Add(trialDelay)
-	verdict := registry.Evaluate(guilty.Keys, "desk")
+	verdict := registry.Evaluate(poison.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && verdict.TrialDue)
 	assert.Equal(t, len(registry.NoteTrial(verdict.Key, verdict.Trials+1)), 1)
-	assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").TrialDue)
-	registry.Crashed(9, []InFlight{guilty})
-	verdict = registry.Evaluate(guilty.Keys, "desk")
+	assert.Assert(t, !registry.Evaluate(poison.Keys, "desk").TrialDue)
+	registry.Crashed(9, []InFlight{poison})
+	verdict = registry.Evaluate(poison.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && !verdict.TrialDue)
 	assert.Equal(t, verdict.RetryAfter, suspectTTL)
-	registry.Answered(guilty.Keys)
-	assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").Quarantined)
+	registry.Answered(poison.Keys)
+	assert.Assert(t, !registry.Evaluate(poison.Keys, "desk").Quarantined)
 }
 
 func TestCrashesAreForgotten(t *testing.T) {
-	registry, guilty := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
+	registry, poison := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
 	for crash := range uint64(3) {
-		registry.Crashed(crash, []InFlight{guilty})
+		registry.Crashed(crash, []InFlight{poison})
 	}
 	registry.now = registry.now.Add(suspectTTL + time.Second)
-	assert.Assert(t, !registry.Evaluate(guilty.Keys, "desk").Quarantined)
+	assert.Assert(t, !registry.Evaluate(poison.Keys, "desk").Quarantined)
 	registry.Crashed(9, nil)
 	suspects, _ := registry.Sizes()
 	assert.Equal(t, suspects, 0)
@@ -175,20 +175,20 @@
 
 // A record must be stored again after it changed, and removed from the store once it is refuted.
 func TestWhatTheStoreLacks(t *testing.T) {
-	registry, guilty := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
-	registry.Crashed(1, []InFlight{guilty})
+	registry, poison := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
+	registry.Crashed(1, []InFlight{poison})
 	assert.Equal(t, len(registry.Unstored()), 0)
-	registry.Crashed(2, []InFlight{guilty})
+	registry.Crashed(2, []InFlight{poison})
 	lacking := registry.Unstored()
 	assert.Equal(t, len(lacking), 1)
 	assert.Assert(t, lacking[0].Local)
 	registry.NoteStored(lacking[0])
 	assert.Equal(t, len(registry.Unstored()), 0)
-	registry.Crashed(3, []InFlight{guilty})
+	registry.Crashed(3, []InFlight{poison})
 	assert.Equal(t, len(registry.Unstored()), 1)
 	assert.Equal(t, len(registry.TakeRemovals()), 0)
-	registry.Answered(guilty.Keys)
-	assert.DeepEqual(t, registry.TakeRemovals(), guilty.Keys)
+	registry.Answered(poison.Keys)
+	assert.DeepEqual(t, registry.TakeRemovals(), poison.Keys)
 	assert.Equal(t, len(registry.TakeRemovals()), 0)
 
 	// A daemon that learns from another one that a record is stored must not store it again.
--- a/internal/model/quarantine/retention.go
+++ b/internal/model/quarantine/retention.go
@@ -20,42 +20,42 @@
 // getOrCreateEntry returns the entry of a key and creates it if there is none. The caller must hold
 // mutex.
 func (r *Registry) getOrCreateEntry(key fingerprint.Key, head fingerprint.Head) *entry {
-	known, ok := r.entries[key]
+	suspect, ok := r.entries[key]
 	if ok {
-		return known
+		return suspect
 	}
 	if len(r.entries) >= maxEntries {
 		r.evict()
 	}
-	known = &entry{Record: Record{Key: key, Head: head}}
-	r.entries[key] = known
-	return known
+	suspect = &entry{Record: Record{Key: key, Head: head}}
+	r.entries[key] = suspect
+	return suspect
 }
 
 // updateIndex updates suspectsByHead and suspectCount after the crashes of an entry changed. The
 // caller must hold mutex.
-func (r *Registry) updateIndex(known *entry) {
-	suspected := len(known.Crashes) > 0
-	if suspected == known.inHeads {
+func (r *Registry) updateIndex(suspect *entry) {
+	suspected := len(suspect.Crashes) > 0
+	if suspected == suspect.inHeads {
 		return
 	}
-	known.inHeads = suspected
+	suspect.inHeads = suspected
 	if suspected {
-		r.suspectsByHead[known.Head]++
+		r.suspectsByHead[suspect.Head]++
 		r.suspectCount.Add(1)
 		return
 	}
 	r.suspectCount.Add(-1)
-	if r.suspectsByHead[known.Head]--; r.suspectsByHead[known.Head] <= 0 {
-		delete(r.suspectsByHead, known.Head)
+	if r.suspectsByHead[suspect.Head]--; r.suspectsByHead[suspect.Head] <= 0 {
+		delete(r.suspectsByHead, suspect.Head)
 	}
 }
 
 // remove deletes an entry. The caller must hold mutex.
-func (r *Registry) remove(known *entry) {
-	known.Crashes = nil
-	r.updateIndex(known)
-	delete(r.entries, known.Key)
+func (r *Registry) remove(suspect *entry) {
+	suspect.Crashes = nil
+	r.updateIndex(suspect)
+	delete(r.entries, suspect.Key)
 }
 
 // sweep deletes entries older than suspectTTL or refutedTTL. The caller must hold mutex.
@@ -64,13 +64,13 @@
 		return
 	}
 	r.sweptAt = now
-	for _, known := range r.entries {
+	for _, suspect := range r.entries {
 		keep := suspectTTL
-		if len(known.Crashes) == 0 {
+		if len(suspect.Crashes) == 0 {
 			keep = refutedTTL
 		}
-		if now.Sub(known.lastCrashAt) > keep {
-			r.remove(known)
+		if now.Sub(suspect.lastCrashAt) > keep {
+			r.remove(suspect)
 		}
 	}
 }
@@ -80,17 +80,17 @@
 // oldest. The caller must hold mutex.
 func (r *Registry) evict() {
 	sizes := map[string]int{}
-	for _, known := range r.entries {
-		sizes[known.owner()]++
+	for _, suspect := range r.entries {
+		sizes[suspect.owner()]++
 	}
 	var worst *entry
-	for _, known := range r.entries {
+	for _, suspect := range r.entries {
 		if worst == nil || cmp.Or(
-			cmp.Compare(sizes[known.owner()], sizes[worst.owner()]),
-			cmp.Compare(worst.Count(), known.Count()),
-			worst.lastCrashAt.Compare(known.lastCrashAt),
+			cmp.Compare(sizes[suspect.owner()], sizes[worst.owner()]),
+			cmp.Compare(worst.Count(), suspect.Count()),
+			worst.lastCrashAt.Compare(suspect.lastCrashAt),
 		) > 0 {
-			worst = known
+			worst = suspect
 		}
 	}
 	if worst != nil {
--- a/internal/model/quarantine/store.go
+++ b/internal/model/quarantine/store.go
@@ -42,9 +42,9 @@
 	defer r.mutex.Unlock()
 	now := r.now()
 	var records []Record
-	for _, known := range r.entries {
-		if !known.Stored && !MayRepeat(known.Count()) {
-			records = append(records, known.record(now))
+	for _, suspect := range r.entries {
+		if !suspect.Stored && !MayRepeat(suspect.Count()) {
+			records = append(records, suspect.record(now))
 		}
 	}
 	return records
@@ -54,13 +54,13 @@
 func (r *Registry) NoteStored(record Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, ok := r.entries[record.Key]
+	suspect, ok := r.entries[record.Key]
 	if !ok {
 		return
 	}
-	known.inStore = true
-	if len(known.Crashes) <= len(record.Crashes) {
-		known.Stored = true
+	suspect.inStore = true
+	if len(suspect.Crashes) <= len(record.Crashes) {
+		suspect.Stored = true
 	}
 }
 
@@ -69,11 +69,11 @@
 func (r *Registry) TakeRemovals() (keys []fingerprint.Key) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for key, known := range r.entries {
-		if known.removalDue && len(known.Crashes) == 0 {
+	for key, suspect := range r.entries {
+		if suspect.removalDue && len(suspect.Crashes) == 0 {
 			keys = append(keys, key)
 		}
-		known.removalDue = false
+		suspect.removalDue = false
 	}
 	return keys
 }
