--- a/internal/requestpath/origin/backend.go
+++ b/internal/requestpath/origin/backend.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// connect finds out whether the back end accepts a connection. Errors: those of the dial.
-func (b *backend) connect(ctx context.Context) error {
+// probe finds out whether the back end accepts a connection. Errors: those of the dial.
+func (b *backend) probe(ctx context.Context) error {
 	dialer := net.Dialer{Timeout: backendDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", b.address)
 	if err != nil {
@@ -56,17 +56,17 @@
 		b.pool.put(conn)
 		return nil, result.Wrap(result.CallNotRunExpired, ctx.Err(), "the call ended before it was handed over")
 	}
-	current := &exchange{backend: b, conn: conn, request: request, written: make(chan struct{})}
-	current.unwatch = context.AfterFunc(ctx, func() { _ = conn.Close() }) // Closed to interrupt the exchange, which reports why.
-	sent := time.Now()
+	current := &exchange{backend: b, conn: conn, request: request, writeDone: make(chan struct{})}
+	current.stopCancelWatch = context.AfterFunc(ctx, func() { _ = conn.Close() }) // Closed to interrupt the exchange, which reports why.
+	sentAt := time.Now()
 	beforeSend()
 	response, err := current.run(call)
 	if err != nil {
-		current.end(false)
+		current.release(false)
 		if ctx.Err() == nil {
-			b.pool.noteBreak(conn, time.Since(sent))
+			b.pool.recordBreak(conn, time.Since(sentAt))
 		}
-		return nil, result.Wrap(brokenCode(ctx), err, "request to %s", b.address)
+		return nil, result.Wrap(failedExchangeCode(ctx), err, "request to %s", b.address)
 	}
 	response.Body = &exchangeBody{exchange: current, body: response.Body, response: response}
 	return response, nil
@@ -95,15 +95,15 @@
 		// The HTTP library would add one of its own.
 		request.Header["User-Agent"] = []string{""}
 	}
-	b.stampRequest(ctx, request, open)
+	b.setEnvelopeHeaders(ctx, request, open)
 	if call.Trailers != nil && open.GetContentLength() < 0 {
 		announceTrailers(request, call)
 	}
 	return request, nil
 }
 
-// stampRequest sets the header fields of the envelope.
-func (b *backend) stampRequest(ctx context.Context, request *http.Request, open *lapisv1.CallOpen) {
+// setEnvelopeHeaders sets the header fields of the envelope.
+func (b *backend) setEnvelopeHeaders(ctx context.Context, request *http.Request, open *lapisv1.CallOpen) {
 	envelope := b.envelope
 	if deadline, ok := ctx.Deadline(); ok {
 		remaining := max(time.Until(deadline).Milliseconds(), 1)
--- a/internal/requestpath/origin/coldness_test.go
+++ b/internal/requestpath/origin/coldness_test.go
@@ -21,37 +21,37 @@
 		steps func(*fixture)
 		paced bool
 	}{
-		"cold from its start":        {4, func(b *fixture) { b.heartbeat(coldTime, 0) }, true},
-		"no rate":                    {0, func(b *fixture) { b.heartbeat(coldTime, 0) }, false},
+		"cold from its start":        {4, func(b *fixture) { b.heartbeat(coldDuration, 0) }, true},
+		"no rate":                    {0, func(b *fixture) { b.heartbeat(coldDuration, 0) }, false},
 		"warm from its start":        {4, func(b *fixture) { b.heartbeat(0, 0) }, false},
-		"cold anew":                  {4, func(b *fixture) { b.heartbeat(0, 0); b.heartbeat(coldTime, 0) }, true},
-		"warm at once as it says":    {4, func(b *fixture) { b.heartbeat(coldTime, 0); b.heartbeat(0, 0) }, false},
-		"late heartbeat says warm":   {4, func(b *fixture) { b.heartbeat(0, 0); b.heartbeat(coldTime, 0); b.heartbeat(0, 2) }, true},
-		"late heartbeat says cold":   {4, func(b *fixture) { b.heartbeat(coldTime, 0); b.heartbeat(0, 0); b.heartbeat(coldTime, 2) }, false},
-		"its time is over":           {4, func(b *fixture) { b.heartbeat(coldTime, 0); time.Sleep(coldTime) }, false},
-		"the rate is taken away":     {4, func(b *fixture) { b.heartbeat(coldTime, 0); b.rate(0) }, false},
-		"the rate comes later":       {0, func(b *fixture) { b.heartbeat(coldTime, 0); b.rate(4) }, true},
-		"no configuration yet":       {-1, func(b *fixture) { b.heartbeat(coldTime, 0) }, true},
+		"cold anew":                  {4, func(b *fixture) { b.heartbeat(0, 0); b.heartbeat(coldDuration, 0) }, true},
+		"warm at once as it says":    {4, func(b *fixture) { b.heartbeat(coldDuration, 0); b.heartbeat(0, 0) }, false},
+		"late heartbeat says warm":   {4, func(b *fixture) { b.heartbeat(0, 0); b.heartbeat(coldDuration, 0); b.heartbeat(0, 2) }, true},
+		"late heartbeat says cold":   {4, func(b *fixture) { b.heartbeat(coldDuration, 0); b.heartbeat(0, 0); b.heartbeat(coldDuration, 2) }, false},
+		"its time is over":           {4, func(b *fixture) { b.heartbeat(coldDuration, 0); time.Sleep(coldDuration) }, false},
+		"the rate is taken away":     {4, func(b *fixture) { b.heartbeat(coldDuration, 0); b.configureColdRate(0) }, false},
+		"the rate comes later":       {0, func(b *fixture) { b.heartbeat(coldDuration, 0); b.configureColdRate(4) }, true},
+		"no configuration yet":       {-1, func(b *fixture) { b.heartbeat(coldDuration, 0) }, true},
 		"warm, no configuration yet": {-1, func(b *fixture) { b.heartbeat(0, 0) }, false},
-		"a rate after none":          {-1, func(b *fixture) { b.heartbeat(coldTime, 0); b.rate(4) }, true},
-		"no rate after none":         {-1, func(b *fixture) { b.heartbeat(coldTime, 0); b.rate(0) }, false},
-		"nothing known, no bound":    {-1, func(b *fixture) { b.config.Cold = ColdBound{}; b.heartbeat(coldTime, 0) }, false},
+		"a rate after none":          {-1, func(b *fixture) { b.heartbeat(coldDuration, 0); b.configureColdRate(4) }, true},
+		"no rate after none":         {-1, func(b *fixture) { b.heartbeat(coldDuration, 0); b.configureColdRate(0) }, false},
+		"nothing known, no bound":    {-1, func(b *fixture) { b.config.Cold = ColdBound{}; b.heartbeat(coldDuration, 0) }, false},
 		"to be heard first":          {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation() }, true},
 		"heard since":                {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.heartbeat(0, 0) }, false},
 		"heard with an old one":      {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.heartbeat(0, 1) }, true},
-		"not heard for long":         {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); time.Sleep(coldTime) }, false},
+		"not heard for long":         {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); time.Sleep(coldDuration) }, false},
 		"heard first, none known":    {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation() }, true},
 		"heard since, none known":    {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.heartbeat(0, 0) }, false},
-		"to be heard, a rate after":  {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.rate(4) }, true},
-		"not heard, none known":      {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); time.Sleep(heartbeatSilence) }, false},
+		"to be heard, a rate after":  {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.configureColdRate(4) }, true},
+		"not heard, none known":      {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); time.Sleep(heartbeatTimeout) }, false},
 		"no rate, to be heard first": {0, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation() }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fixture := newFixture(t, row.rate)
 				row.steps(fixture)
-				admitted := fixture.press(time.Second)
-				assert.Equal(t, admitted <= boundOfSecond, row.paced, "%d admitted", admitted)
+				admitted := fixture.admitFor(time.Second)
+				assert.Equal(t, admitted <= maxAdmittedPerSecond, row.paced, "%d admitted", admitted)
 				assert.Assert(t, admitted >= 3 || row.rate < 0, "%d admitted", admitted)
 			})
 		})
@@ -61,19 +61,19 @@
 // endEvacuation is the end of an evacuation of the instance's zone.
 func (b *fixture) endEvacuation() {
 	instance, _ := b.instance("desk", "desk-1")
-	instance.coldUntilHeartbeat()
+	instance.assumeColdUntilHeartbeat()
 }
 
 // A daemon that ends and starts anew within the second keeps the bound with the one before.
 func TestRestartedDaemonKeepsTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, after := newFixture(t, 4), newFixture(t, 4)
-		before.heartbeat(coldTime, 0)
+		before.heartbeat(coldDuration, 0)
 		time.Sleep(500 * time.Millisecond)
-		admitted := before.press(300 * time.Millisecond)
-		after.heartbeat(coldTime, 0)
-		admitted += after.press(600 * time.Millisecond)
-		assert.Assert(t, admitted >= 4 && admitted <= boundOfSecond, "%d admitted", admitted)
+		admitted := before.admitFor(300 * time.Millisecond)
+		after.heartbeat(coldDuration, 0)
+		admitted += after.admitFor(600 * time.Millisecond)
+		assert.Assert(t, admitted >= 4 && admitted <= maxAdmittedPerSecond, "%d admitted", admitted)
 	})
 }
 
@@ -82,12 +82,12 @@
 func TestNewColdInstanceIsPacedWhenCallsFindIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
-		_, fresh := fixture.registered(Registration{
-			Service: "desk", Instance: "desk-1", Address: "127.0.0.1:1", Slots: 100, Sequence: 1, ColdFor: coldTime,
+		_, fresh := fixture.findOrRegister(Registration{
+			Service: "desk", Instance: "desk-1", Address: "127.0.0.1:1", Slots: 100, Sequence: 1, ColdFor: coldDuration,
 		})
 		assert.Assert(t, fresh)
-		admitted := fixture.press(time.Second)
-		assert.Assert(t, admitted >= 3 && admitted <= boundOfSecond, "%d admitted", admitted)
+		admitted := fixture.admitFor(time.Second)
+		assert.Assert(t, admitted >= 3 && admitted <= maxAdmittedPerSecond, "%d admitted", admitted)
 	})
 }
 
@@ -95,10 +95,10 @@
 func TestChangesOfColdnessAreAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
-		fixture.heartbeat(coldTime, 0)
+		fixture.heartbeat(coldDuration, 0)
 		assert.Assert(t, fixture.cold())
 		changes := fixture.changes
-		fixture.press(time.Second)
+		fixture.admitFor(time.Second)
 		fixture.heartbeat(time.Second, 0)
 		assert.Equal(t, fixture.changes, changes, "nothing changed")
 		fixture.heartbeat(0, 0)
@@ -125,11 +125,11 @@
 		go func() { defer close(done); fixture.Run(ctx) }()
 		defer func() { cancel(); <-done }()
 		synctest.Wait()
-		fixture.heartbeat(coldTime, 0)
-		time.Sleep(coldTime / 2)
-		fixture.heartbeat(coldTime/2, 0)
+		fixture.heartbeat(coldDuration, 0)
+		time.Sleep(coldDuration / 2)
+		fixture.heartbeat(coldDuration/2, 0)
 		assert.Assert(t, announced.Load() > 0)
-		time.Sleep(coldTime)
+		time.Sleep(coldDuration)
 		fixture.heartbeat(0, 0)
 		synctest.Wait()
 		assert.Equal(t, announced.Load(), uint32(0))
@@ -140,11 +140,11 @@
 // the rate of their pool; after a while, and after the crash of a warm one, they get more again.
 func TestColdInstancesArePacedCautiouslyAfterACrash(t *testing.T) {
 	for name, row := range map[string]struct {
-		coldFor, later time.Duration
-		least, most    int
+		coldFor, later           time.Duration
+		minAdmitted, maxAdmitted int
 	}{
-		"crashed while cold":           {coldTime, 0, 2, 4},
-		"crashed while cold, long ago": {coldTime, cautiousFor, 7, 9},
+		"crashed while cold":           {coldDuration, 0, 2, 4},
+		"crashed while cold, long ago": {coldDuration, cautiousPaceDuration, 7, 9},
 		"crashed while warm":           {0, 0, 7, 9},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -153,12 +153,12 @@
 				fixture.heartbeat(row.coldFor, 0)
 				instance, _ := fixture.instance("desk", "desk-1")
 				instance.mutex.Lock()
-				instance.takeDown(downBroke)
+				instance.markDownByCalls(downCallsBroken)
 				instance.mutex.Unlock()
 				time.Sleep(row.later)
-				fixture.heartbeat(coldTime, 0)
-				admitted := fixture.press(time.Second)
-				assert.Assert(t, admitted >= row.least && admitted <= row.most, "%d admitted", admitted)
+				fixture.heartbeat(coldDuration, 0)
+				admitted := fixture.admitFor(time.Second)
+				assert.Assert(t, admitted >= row.minAdmitted && admitted <= row.maxAdmitted, "%d admitted", admitted)
 			})
 		})
 	}
--- a/internal/requestpath/origin/connection.go
+++ b/internal/requestpath/origin/connection.go
@@ -35,11 +35,11 @@
 	writer *bufio.Writer
 	// reused is true from the second exchange on.
 	reused bool
-	// keepFor bounds the time between two exchanges; idleSince is when the last such time began,
+	// idleTimeout bounds the time between two exchanges; idleSince is when the last such time began,
 	// and idleFor how long it was.
-	keepFor   time.Duration
-	idleSince time.Time
-	idleFor   time.Duration
+	idleTimeout  time.Duration
+	idleSince    time.Time
+	idleDuration time.Duration
 }
 
 // connectionPool keeps the connections to one back end. It is safe for concurrent use. How long a
@@ -62,8 +62,8 @@
 	return &connectionPool{address: address, limit: limit, dialer: net.Dialer{Timeout: backendDialTimeout}}
 }
 
-// limitTo replaces the number of connections that may be open; 0 keeps it.
-func (p *connectionPool) limitTo(limit int) {
+// setLimit replaces the number of connections that may be open; 0 keeps it.
+func (p *connectionPool) setLimit(limit int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if limit > 0 {
@@ -76,7 +76,7 @@
 // ended.
 func (p *connectionPool) get(ctx context.Context) (*connection, error) {
 	for {
-		conn, err := p.take()
+		conn, err := p.takeIdle()
 		if err != nil {
 			return nil, err
 		}
@@ -84,8 +84,8 @@
 			return p.dial(ctx)
 		}
 		now := boottime.Now()
-		conn.idleFor = now.Sub(conn.idleSince)
-		if p.idleBound.allows(conn.idleFor, conn.keepFor, now) && isUsable(conn.Conn) {
+		conn.idleDuration = now.Sub(conn.idleSince)
+		if p.idleBound.allows(conn.idleDuration, conn.idleTimeout, now) && isUsable(conn.Conn) {
 			conn.reused = true
 			return conn, nil
 		}
@@ -93,9 +93,9 @@
 	}
 }
 
-// take removes the connection used last; nil means that one is to be dialed, which is counted as
+// takeIdle removes the connection used last; nil means that one is to be dialed, which is counted as
 // open already.
-func (p *connectionPool) take() (*connection, error) {
+func (p *connectionPool) takeIdle() (*connection, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if count := len(p.idle); count > 0 {
@@ -123,7 +123,7 @@
 	}
 	return &connection{
 		Conn: raw, reader: bufio.NewReaderSize(raw, backendBufferBytes),
-		writer: bufio.NewWriterSize(raw, backendBufferBytes), keepFor: backendIdleTimeout,
+		writer: bufio.NewWriterSize(raw, backendBufferBytes), idleTimeout: backendIdleTimeout,
 	}, nil
 }
 
@@ -147,24 +147,24 @@
 	p.mutex.Unlock()
 }
 
-// noteBreak records that a connection broke before an answer came, so long after the request was
+// recordBreak records that a connection broke before an answer came, so long after the request was
 // sent over it.
-func (p *connectionPool) noteBreak(conn *connection, after time.Duration) {
-	if conn.reused && after < droppedWithin {
-		p.idleBound.noteDropped(conn.idleFor, boottime.Now())
+func (p *connectionPool) recordBreak(conn *connection, after time.Duration) {
+	if conn.reused && after < droppedConnectionWindow {
+		p.idleBound.recordDrop(conn.idleDuration, boottime.Now())
 	}
 }
 
-// closeOld closes the connections that were idle for too long, or all idle ones, and then those in
+// closeExpired closes the connections that were idle for too long, or all idle ones, and then those in
 // use as well at the end of their exchange.
-func (p *connectionPool) closeOld(all bool) {
+func (p *connectionPool) closeExpired(all bool) {
 	p.mutex.Lock()
-	var old []*connection
+	var expired []*connection
 	kept := p.idle[:0]
 	now := boottime.Now()
 	for _, conn := range p.idle {
-		if all || !p.idleBound.allows(now.Sub(conn.idleSince), conn.keepFor, now) {
-			old = append(old, conn)
+		if all || !p.idleBound.allows(now.Sub(conn.idleSince), conn.idleTimeout, now) {
+			expired = append(expired, conn)
 			continue
 		}
 		kept = append(kept, conn)
@@ -172,7 +172,7 @@
 	p.idle = kept
 	p.closed = p.closed || all
 	p.mutex.Unlock()
-	for _, conn := range old {
+	for _, conn := range expired {
 		p.discard(conn)
 	}
 }
@@ -200,13 +200,13 @@
 
 // Constants of idleBound.
 const (
-	// droppedWithin is the time after a request was sent in which a broken connection counts as one
+	// droppedConnectionWindow is the time after a request was sent in which a broken connection counts as one
 	// that the back end had dropped while it was idle. It must be above a round trip on the machine
 	// and below the usual service time, or calls that the back end broke off itself are counted.
-	droppedWithin = 20 * time.Millisecond
-	// idleMemory is how long a lowered bound holds. It must be above backendIdleTimeout, or a
+	droppedConnectionWindow = 20 * time.Millisecond
+	// idleBoundTTL is how long a lowered bound holds. It must be above backendIdleTimeout, or a
 	// connection outlives what was learned.
-	idleMemory = 10 * time.Second
+	idleBoundTTL = 10 * time.Second
 )
 
 // idleBound learns how long a back end's connections may be idle. A back end may drop one without
@@ -214,31 +214,31 @@
 // is safe for concurrent use.
 type idleBound struct {
 	// mutex protects everything below.
-	mutex sync.Mutex
-	limit time.Duration
-	until time.Time
+	mutex     sync.Mutex
+	maxIdle   time.Duration
+	expiresAt time.Time
 }
 
-// noteDropped records that a connection was dropped while it was idle for so long. Half of that is
+// recordDrop records that a connection was dropped while it was idle for so long. Half of that is
 // allowed from now on, or less where less was learned before.
-func (b *idleBound) noteDropped(idleFor time.Duration, now time.Time) {
+func (b *idleBound) recordDrop(idleDuration time.Duration, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	limit := idleFor / 2
-	if now.Before(b.until) {
-		limit = min(limit, b.limit)
+	limit := idleDuration / 2
+	if now.Before(b.expiresAt) {
+		limit = min(limit, b.maxIdle)
 	}
-	b.limit = limit
-	b.until = now.Add(idleMemory)
+	b.maxIdle = limit
+	b.expiresAt = now.Add(idleBoundTTL)
 }
 
 // allows reports whether a connection may be used that was idle for so long and that the back end
 // keeps for keepFor.
-func (b *idleBound) allows(idleFor, keepFor time.Duration, now time.Time) bool {
+func (b *idleBound) allows(idleDuration, idleTimeout time.Duration, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if now.Before(b.until) {
-		keepFor = min(keepFor, b.limit)
+	if now.Before(b.expiresAt) {
+		idleTimeout = min(idleTimeout, b.maxIdle)
 	}
-	return idleFor < keepFor
+	return idleDuration < idleTimeout
 }
--- a/internal/requestpath/origin/connection_test.go
+++ b/internal/requestpath/origin/connection_test.go
@@ -12,19 +12,19 @@
 
 // At the limit of connections a call is refused, as not run.
 func TestConnectionsAreLimited(t *testing.T) {
-	pool := newConnectionPool(nowhere, 2)
+	pool := newConnectionPool(unreachableAddress, 2)
 	for range 2 {
-		conn, err := pool.take()
+		conn, err := pool.takeIdle()
 		assert.NilError(t, err)
 		assert.Assert(t, conn == nil, "there is none to take")
 	}
 	_, err := pool.get(t.Context())
 	assert.Assert(t, result.Is(err, result.CallNotRunOverloaded), "%v", err)
-	pool.limitTo(0)
-	_, err = pool.take()
+	pool.setLimit(0)
+	_, err = pool.takeIdle()
 	assert.Assert(t, result.Is(err, result.CallNotRunOverloaded), "0 keeps the limit: %v", err)
-	pool.limitTo(3)
-	_, err = pool.take()
+	pool.setLimit(3)
+	_, err = pool.takeIdle()
 	assert.NilError(t, err)
 }
 
--- a/internal/requestpath/origin/constants_test.go
+++ b/internal/requestpath/origin/constants_test.go
@@ -21,21 +21,21 @@
 		why          string
 		lower, upper time.Duration
 	}{
-		{"one late heartbeat does not give the address away", 2 * heartbeat, presentFor},
-		{"an instance that gave its address away is not silent yet", presentFor, heartbeatSilence},
-		{"a silent instance is dropped after it is taken as down", heartbeatSilence, heartbeatMemory},
-		{"a heartbeat cannot bring an instance back that left", heartbeatMemory, withdrawnMemory},
-		{"silence is seen soon after it begins", checkInterval, heartbeatSilence / 10},
-		{"calls of one crash are seen to break together", longestSpread, crashPolls * crashPollInterval},
-		{"a broken call is not held up by polls for long", crashPolls * crashPollInterval, crashProbeTimeout},
+		{"one late heartbeat does not give the address away", 2 * heartbeat, presenceTimeout},
+		{"an instance that gave its address away is not silent yet", presenceTimeout, heartbeatTimeout},
+		{"a silent instance is dropped after it is taken as down", heartbeatTimeout, silentInstanceTTL},
+		{"a heartbeat cannot bring an instance back that left", silentInstanceTTL, withdrawnTTL},
+		{"silence is seen soon after it begins", checkInterval, heartbeatTimeout / 10},
+		{"calls of one crash are seen to break together", longestSpread, maxCrashPolls * crashPollInterval},
+		{"a broken call is not held up by polls for long", maxCrashPolls * crashPollInterval, crashProbeTimeout},
 		{"a probe that a call waits for is the shorter one", crashProbeTimeout, backendDialTimeout},
-		{"probes of an instance do not overlap", backendDialTimeout, probeSpacing},
-		{"calls given up before a crash still count when it is found", crashPolls*crashPollInterval + crashProbeTimeout, recentCallWindow},
+		{"probes of an instance do not overlap", backendDialTimeout, minProbeInterval},
+		{"calls given up before a crash still count when it is found", maxCrashPolls*crashPollInterval + crashProbeTimeout, recentCallWindow},
 		{"a stated time less its margin is some time", keepAliveMargin, backendIdleTimeout},
-		{"a lowered bound holds for longer than a connection is kept idle", backendIdleTimeout, idleMemory},
-		{"an attempt is remembered for as long as it may wait", admission.BackgroundFactor * queueTime, attemptMemory},
-		{"a caller's key outlasts its attempts", attemptMemory, keyMemory},
-		{"an instance that comes back after a cold crash is paced cautiously", heartbeatSilence, cautiousFor},
+		{"a lowered bound holds for longer than a connection is kept idle", backendIdleTimeout, idleBoundTTL},
+		{"an attempt is remembered for as long as it may wait", admission.BackgroundFactor * queueTime, attemptTTL},
+		{"a caller's key outlasts its attempts", attemptTTL, idempotencyKeyTTL},
+		{"an instance that comes back after a cold crash is paced cautiously", heartbeatTimeout, cautiousPaceDuration},
 	} {
 		assert.Check(t, row.lower < row.upper, "%s: %s is not below %s", row.why, row.lower, row.upper)
 	}
@@ -44,8 +44,8 @@
 // What the counts must be, as their comments say.
 func TestRelationsOfCounts(t *testing.T) {
 	assert.Assert(t, downAfterFailures > 1, "one lost connection takes an instance down")
-	assert.Assert(t, probeAfterBroken > 1, "one broken call has an instance probed")
+	assert.Assert(t, probeAfterBrokenCalls > 1, "one broken call has an instance probed")
 	assert.Assert(t, maxRecentCalls > DefaultSlots, "a crash forgets calls that it had")
-	assert.Assert(t, rateUnknown > 0 && rateUnknown < 4.5, "an unknown instance gets more than a known one")
-	assert.Assert(t, maxShortBody < 4<<20, "bodies are long that the caller's daemon takes as short")
+	assert.Assert(t, unconfiguredColdRate > 0 && unconfiguredColdRate < 4.5, "an unknown instance gets more than a known one")
+	assert.Assert(t, maxShortBodyBytes < 4<<20, "bodies are long that the caller's daemon takes as short")
 }
--- a/internal/requestpath/origin/crash.go
+++ b/internal/requestpath/origin/crash.go
@@ -30,34 +30,36 @@
 	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 }
 
-// noReporter is used where nobody follows crashes.
-type noReporter struct{}
+// noopCrashReporter is used where nobody follows crashes.
+type noopCrashReporter struct{}
 
-func (noReporter) Crashed(string, uint64, []quarantine.InFlight)         {}
-func (noReporter) Suspected(fingerprint.Line) bool                       { return false }
-func (noReporter) Answered([]fingerprint.Key)                            {}
-func (noReporter) Count([]fingerprint.Key) int                           { return 0 }
-func (noReporter) Evaluate([]fingerprint.Key, string) quarantine.Verdict { return quarantine.Verdict{} }
+func (noopCrashReporter) Crashed(string, uint64, []quarantine.InFlight) {}
+func (noopCrashReporter) Suspected(fingerprint.Line) bool               { return false }
+func (noopCrashReporter) Answered([]fingerprint.Key)                    {}
+func (noopCrashReporter) Count([]fingerprint.Key) int                   { return 0 }
+func (noopCrashReporter) Evaluate([]fingerprint.Key, string) quarantine.Verdict {
+	return quarantine.Verdict{}
+}
 
-// noteUnanswered removes a call that got no answer from those in flight, and returns the error that
+// finishUnanswered removes a call that got no answer from those in flight, and returns the error that
 // it ends with. One whose instance crashed ends with CallInstanceCrashed and the number of instances
 // that crashed under such calls.
-func (o *Origin) noteUnanswered(ctx context.Context, instance *Instance, sent *inFlightCall, err error) error {
+func (o *Origin) finishUnanswered(ctx context.Context, instance *Instance, tracked *inFlightCall, err error) error {
 	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
-		instance.inFlight.remove(sent)
+		instance.inFlight.remove(tracked)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			// It crashed after the calls that it had were given up.
 			o.reportCrash(instance)
 		}
 		return err
 	}
-	instance.inFlight.removeUnanswered(sent, time.Now())
+	instance.inFlight.removeUnanswered(tracked, time.Now())
 	if !result.Is(err, result.CallUnknownOutcome) || !o.hasCrashed(ctx, instance) {
 		return err
 	}
 	crashed := result.Errorf(result.CallInstanceCrashed, "instance %s ended", instance.Name)
 	crashed.Cause = err
-	crashed.Crashes = max(o.config.Crashes.Count(sent.keys()), 1)
+	crashed.Crashes = max(o.config.Crashes.Count(tracked.keys()), 1)
 	return crashed
 }
 
@@ -70,7 +72,7 @@
 		case crashPoll:
 			time.Sleep(crashPollInterval)
 			seen.polls++
-			seen.inFlight, seen.reported = instance.inFlight.poll()
+			seen.inFlight, seen.crashReported = instance.inFlight.poll()
 		case crashProbe:
 			seen.probed, seen.refused = true, o.probeCrash(ctx, instance)
 		case crashConfirmed:
@@ -85,18 +87,18 @@
 // as crashed then. Any other error of the probe, a time-out too, is no proof. Of several calls one
 // probes; the others learn what it found.
 func (o *Origin) probeCrash(ctx context.Context, instance *Instance) (refused bool) {
-	instance.inFlight.probing.Lock()
-	defer instance.inFlight.probing.Unlock()
+	instance.inFlight.probeMutex.Lock()
+	defer instance.inFlight.probeMutex.Unlock()
 	if _, crashed := instance.inFlight.poll(); crashed {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
 	defer cancel()
-	if !errors.Is(instance.backend.connect(ctx), syscall.ECONNREFUSED) {
+	if !errors.Is(instance.backend.probe(ctx), syscall.ECONNREFUSED) {
 		return false
 	}
 	o.reportCrash(instance)
-	instance.noteCrash()
+	instance.recordCrash()
 	return true
 }
 
--- a/internal/requestpath/origin/crash_test.go
+++ b/internal/requestpath/origin/crash_test.go
@@ -19,48 +19,48 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// recorder is a CrashReporter that counts as a registry does, and remembers the crashes.
-type recorder struct {
+// crashRecorder is a CrashReporter that counts as a registry does, and remembers the crashes.
+type crashRecorder struct {
 	*quarantine.Registry
 	mutex   sync.Mutex
 	crashes [][]quarantine.InFlight
 }
 
-func (r *recorder) Crashed(_ string, id uint64, inFlight []quarantine.InFlight) {
+func (r *crashRecorder) Crashed(_ string, id uint64, inFlight []quarantine.InFlight) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.crashes = append(r.crashes, inFlight)
 	r.Registry.Crashed(id, inFlight)
 }
 
-func (r *recorder) Answered(keys []fingerprint.Key) { r.Registry.Answered(keys) }
+func (r *crashRecorder) Answered(keys []fingerprint.Key) { r.Registry.Answered(keys) }
 
-func (r *recorder) seen() [][]quarantine.InFlight {
+func (r *crashRecorder) recorded() [][]quarantine.InFlight {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.crashes
 }
 
-// breaking is an instance of which calls break off: all of them with the instance where they
+// crashingBackend is an instance of which calls break off: all of them with the instance where they
 // request /end, one alone where they ask for /break.
-type breaking struct {
+type crashingBackend struct {
 	listener net.Listener
 	mutex    sync.Mutex
 	conns    []net.Conn
 	waiting  chan struct{}
 }
 
-func startBreaking(t *testing.T) *breaking {
+func startCrashingBackend(t *testing.T) *crashingBackend {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	started := &breaking{listener: listener, waiting: make(chan struct{}, 8)}
+	started := &crashingBackend{listener: listener, waiting: make(chan struct{}, 8)}
 	go started.accept()
 	t.Cleanup(started.end)
 	return started
 }
 
-func (b *breaking) accept() {
+func (b *crashingBackend) accept() {
 	for {
 		conn, err := b.listener.Accept()
 		if err != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (b *breaking) serve(conn net.Conn) {
+func (b *crashingBackend) serve(conn net.Conn) {
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-func (b *breaking) end() {
+func (b *crashingBackend) end() {
 	_ = b.listener.Close()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -99,8 +99,8 @@
 	}
 }
 
-// send hands a call over and returns how it ended.
-func send(origin *Origin, path string) error {
+// sendCall hands a call over and returns how it ended.
+func sendCall(origin *Origin, path string) error {
 	answer, err := origin.Handle(context.Background(), &callapi.Call{Open: &lapisv1.CallOpen{
 		Service: "desk", Instance: "desk-1", Method: http.MethodGet, Target: path, Host: "a.example",
 		AttemptId: path + time.Now().String(), CallerService: "shop",
@@ -111,10 +111,10 @@
 	return err
 }
 
-func startBesideBreaking(t *testing.T) (*breaking, *Origin, *recorder) {
+func newOriginWithCrashingBackend(t *testing.T) (*crashingBackend, *Origin, *crashRecorder) {
 	t.Helper()
-	instance := startBreaking(t)
-	crashes := &recorder{Registry: quarantine.NewRegistry(time.Now)}
+	instance := startCrashingBackend(t)
+	crashes := &crashRecorder{Registry: quarantine.NewRegistry(time.Now)}
 	origin := New(Config{
 		Backends: []BackendConfig{{Service: "desk", Instance: "desk-1", Address: instance.listener.Addr().String()}}, Crashes: crashes,
 		QueueLength: 10, QueueTime: time.Second,
@@ -124,18 +124,18 @@
 
 // An instance that crashes takes all its calls with it: each error says so, and all are reported.
 func TestCrashOfAnInstanceIsNoticed(t *testing.T) {
-	instance, origin, crashes := startBesideBreaking(t)
-	beside := make(chan error, 1)
-	go func() { beside <- send(origin, "/wait") }()
+	instance, origin, crashes := newOriginWithCrashingBackend(t)
+	concurrent := make(chan error, 1)
+	go func() { concurrent <- sendCall(origin, "/wait") }()
 	<-instance.waiting
-	for _, err := range []error{send(origin, "/end"), <-beside} {
+	for _, err := range []error{sendCall(origin, "/end"), <-concurrent} {
 		var ended *result.Error
 		assert.Assert(t, errors.As(err, &ended))
 		assert.Equal(t, ended.Code, result.CallInstanceCrashed)
 		assert.Equal(t, ended.Crashes, 1)
 		assert.Equal(t, callapi.OutcomeOf(err), callapi.OutcomeUnknown)
 	}
-	seen := crashes.seen()
+	seen := crashes.recorded()
 	assert.Equal(t, len(seen), 1)
 	assert.Equal(t, len(seen[0]), 2)
 	for _, call := range seen[0] {
@@ -145,18 +145,18 @@
 
 // A call that breaks off alone is no crash, whether others are in flight or not.
 func TestBrokenCallIsNoCrash(t *testing.T) {
-	instance, origin, crashes := startBesideBreaking(t)
-	assert.Assert(t, result.Is(send(origin, "/break"), result.CallUnknownOutcome))
-	go func() { _ = send(origin, "/wait") }()
+	instance, origin, crashes := newOriginWithCrashingBackend(t)
+	assert.Assert(t, result.Is(sendCall(origin, "/break"), result.CallUnknownOutcome))
+	go func() { _ = sendCall(origin, "/wait") }()
 	<-instance.waiting
-	assert.Assert(t, result.Is(send(origin, "/break"), result.CallUnknownOutcome))
-	assert.Equal(t, len(crashes.seen()), 0)
+	assert.Assert(t, result.Is(sendCall(origin, "/break"), result.CallUnknownOutcome))
+	assert.Equal(t, len(crashes.recorded()), 0)
 }
 
 // An instance that ends after its callers gave up takes their calls with it all the same: the next
 // call finds its port closed.
 func TestCrashAfterTheCallsWereGivenUp(t *testing.T) {
-	instance, origin, crashes := startBesideBreaking(t)
+	instance, origin, crashes := newOriginWithCrashingBackend(t)
 	ctx, giveUp := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
@@ -169,12 +169,12 @@
 	<-instance.waiting
 	giveUp()
 	assert.Assert(t, result.Is(<-ended, result.CallCancelled))
-	assert.Equal(t, len(crashes.seen()), 0)
+	assert.Equal(t, len(crashes.recorded()), 0)
 	instance.end()
 	for range 2 {
-		assert.Assert(t, result.Is(send(origin, "/wait"), result.CallNotRunUnreachable))
+		assert.Assert(t, result.Is(sendCall(origin, "/wait"), result.CallNotRunUnreachable))
 	}
-	seen := crashes.seen()
+	seen := crashes.recorded()
 	assert.Equal(t, len(seen), 1, "a crash is reported once")
 	assert.Equal(t, len(seen[0]), 1)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/wait"}
--- a/internal/requestpath/origin/dedup_test.go
+++ b/internal/requestpath/origin/dedup_test.go
@@ -62,9 +62,9 @@
 	assert.Assert(t, known("first"))
 	now = now.Add(1)
 	assert.Assert(t, !known("first"))
-	for id := range maxRemembered {
+	for id := range maxDedupEntries {
 		known(fmt.Sprint(id))
 	}
 	assert.Assert(t, !known("first"))
-	assert.Equal(t, len(cache.entries), maxRemembered)
+	assert.Equal(t, len(cache.entries), maxDedupEntries)
 }
--- a/internal/requestpath/origin/drain.go
+++ b/internal/requestpath/origin/drain.go
@@ -18,26 +18,26 @@
 	DrainReplaced DrainReason = "replaced"
 )
 
-// drainReasons are all reasons: calls are refused with the first of those that hold. The permanent
+// drainReasonPrecedence are all reasons: calls are refused with the first of those that hold. The permanent
 // ones come first, so that no caller comes back in vain.
-var drainReasons = []DrainReason{DrainReplaced, DrainInstance, DrainStop, DrainOperator, DrainMachineList, DrainEvacuated}
+var drainReasonPrecedence = []DrainReason{DrainReplaced, DrainInstance, DrainStop, DrainOperator, DrainMachineList, DrainEvacuated}
 
 // Drain adds a reason to take no new work; the calls in flight go on.
 func (i *Instance) Drain(reason DrainReason) {
 	i.mutex.Lock()
-	i.reasons[reason] = true
+	i.drainReasons[reason] = true
 	fire(i.lifecycle, triggerDrain)
-	first, _ := i.firstReason()
+	first, _ := i.firstDrainReason()
 	i.queue.Close(drainRefusal(i.Name, first))
 	i.mutex.Unlock()
-	go i.noteIdle()
+	go i.awaitIdle()
 }
 
-func (i *Instance) noteIdle() {
+func (i *Instance) awaitIdle() {
 	<-i.queue.Idle()
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if len(i.reasons) > 0 {
+	if len(i.drainReasons) > 0 {
 		fire(i.lifecycle, triggerIdle)
 	}
 }
@@ -47,40 +47,40 @@
 func (i *Instance) Resume(reason DrainReason) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if !i.reasons[reason] {
+	if !i.drainReasons[reason] {
 		return
 	}
-	delete(i.reasons, reason)
-	if left, drains := i.firstReason(); drains {
-		i.queue.Close(drainRefusal(i.Name, left))
+	delete(i.drainReasons, reason)
+	if remaining, draining := i.firstDrainReason(); draining {
+		i.queue.Close(drainRefusal(i.Name, remaining))
 		return
 	}
 	fire(i.lifecycle, triggerResume)
 	if !i.downByCalls {
-		i.catchUpLifecycle()
+		i.applyMissedHeartbeats()
 	}
 	i.downByCalls = false
 	i.queue.Reopen()
 }
 
-// firstReason returns the first of the reasons that hold; the caller holds mutex.
-func (i *Instance) firstReason() (reason DrainReason, drains bool) {
-	for _, reason := range drainReasons {
-		if i.reasons[reason] {
+// firstDrainReason returns the first of the reasons that hold; the caller holds mutex.
+func (i *Instance) firstDrainReason() (reason DrainReason, draining bool) {
+	for _, reason := range drainReasonPrecedence {
+		if i.drainReasons[reason] {
 			return reason, true
 		}
 	}
 	return "", false
 }
 
-// catchUpLifecycle applies the heartbeats that came, or stayed away, while the instance
+// applyMissedHeartbeats applies the heartbeats that came, or stayed away, while the instance
 // drained; the caller holds mutex.
-func (i *Instance) catchUpLifecycle() {
-	if !i.registered || i.lastHeartbeat.IsZero() {
+func (i *Instance) applyMissedHeartbeats() {
+	if !i.registered || i.lastHeartbeatAt.IsZero() {
 		return
 	}
 	fire(i.lifecycle, triggerUp)
-	if isSilent(time.Since(i.lastHeartbeat)) {
+	if isSilent(time.Since(i.lastHeartbeatAt)) {
 		fire(i.lifecycle, triggerDown)
 	}
 }
@@ -98,13 +98,13 @@
 // that run go on to their end. The callers' daemons choose other instances by themselves: this
 // guards against those that do not know the order yet.
 func (o *Origin) SetEvacuated(evacuated bool) {
-	o.evacuating.Lock()
-	defer o.evacuating.Unlock()
+	o.evacuationMutex.Lock()
+	defer o.evacuationMutex.Unlock()
 	o.mutex.Lock()
-	before := o.evacuated
+	wasEvacuated := o.evacuated
 	o.evacuated = evacuated
 	o.mutex.Unlock()
-	if before == evacuated {
+	if wasEvacuated == evacuated {
 		return
 	}
 	instances := o.Instances()
@@ -113,7 +113,7 @@
 			instance.Drain(DrainEvacuated)
 			continue
 		}
-		instance.coldUntilHeartbeat()
+		instance.assumeColdUntilHeartbeat()
 		instance.Resume(DrainEvacuated)
 	}
 	o.config.Logger.Info("instances.evacuated", "evacuated", evacuated, "instances", len(instances))
--- a/internal/requestpath/origin/evacuation_test.go
+++ b/internal/requestpath/origin/evacuation_test.go
@@ -15,12 +15,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// nowhere is an address at which no back end answers.
-const nowhere = "127.0.0.1:1"
+// unreachableAddress is an address at which no back end answers.
+const unreachableAddress = "127.0.0.1:1"
 
-// running returns an origin in region r1 with one instance of two slots. It is stopped by
+// newRunningOrigin returns an origin in region r1 with one instance of two slots. It is stopped by
 // the end of the test's bubble.
-func running(t *testing.T) *Origin {
+func newRunningOrigin(t *testing.T) *Origin {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	made := New(Config{QueueLength: 8, QueueTime: 10 * time.Second, Region: "r1"})
@@ -28,16 +28,16 @@
 	go func() { defer close(done); made.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 	synctest.Wait()
-	made.Register(heartbeatOf("desk-1", 1))
+	made.Register(newHeartbeat("desk-1", 1))
 	return made
 }
 
-func heartbeatOf(instance string, sequence uint64) Registration {
-	return Registration{Service: "desk", Instance: instance, Address: nowhere, Slots: 2, Sequence: sequence}
+func newHeartbeat(instance string, sequence uint64) Registration {
+	return Registration{Service: "desk", Instance: instance, Address: unreachableAddress, Slots: 2, Sequence: sequence}
 }
 
-// call hands a call to desk-1, for the given regions, and returns how it ends.
-func call(o *Origin, attempt string, regions ...string) chan error {
+// startCall hands a startCall to desk-1, for the given regions, and returns how it ends.
+func startCall(o *Origin, attempt string, regions ...string) chan error {
 	ended := make(chan error, 1)
 	go func() {
 		open := &lapisv1.CallOpen{Service: "desk", Instance: "desk-1", AttemptId: attempt, Target: "/", Method: "GET", AllowedRegions: regions}
@@ -47,15 +47,15 @@
 	return ended
 }
 
-func instanceOf(t *testing.T, o *Origin, name string) *Instance {
+func requireInstance(t *testing.T, o *Origin, name string) *Instance {
 	t.Helper()
 	instance, ok := o.instance("desk", name)
 	assert.Assert(t, ok, "%s is forgotten", name)
 	return instance
 }
 
-// fill takes both slots of the instance.
-func fill(t *testing.T, instance *Instance) (slots []*admission.Slot) {
+// fillSlots takes both slots of the instance.
+func fillSlots(t *testing.T, instance *Instance) (slots []*admission.Slot) {
 	t.Helper()
 	for range 2 {
 		slot, err := instance.queue.Acquire(t.Context(), admission.Request{})
@@ -74,10 +74,10 @@
 // on. After the end of the evacuation the instance takes work at once, without a further heartbeat.
 func TestEvacuationWithCallsWaitingAndRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
-		instance := instanceOf(t, o, "desk-1")
-		slots := fill(t, instance)
-		waiting := call(o, "waits")
+		o := newRunningOrigin(t)
+		instance := requireInstance(t, o, "desk-1")
+		slots := fillSlots(t, instance)
+		waiting := startCall(o, "waits")
 		synctest.Wait()
 		ordered, announced := time.Now(), 0
 		o.config.Changed = func() { announced++ }
@@ -85,7 +85,7 @@
 		o.SetEvacuated(true)
 		assert.Equal(t, announced, 1, "it is announced at once, and once")
 		assertCode(t, <-waiting, result.CallNotRunEvacuated)
-		assertCode(t, <-call(o, "comes later"), result.CallNotRunEvacuated)
+		assertCode(t, <-startCall(o, "comes later"), result.CallNotRunEvacuated)
 		assert.Equal(t, time.Since(ordered), time.Duration(0))
 		assert.Equal(t, o.InFlight(), 2)
 		assert.Equal(t, instance.State(), StateDraining)
@@ -97,17 +97,17 @@
 		assert.Equal(t, instance.State(), StateDrained)
 		o.SetEvacuated(false)
 		assert.Equal(t, instance.State(), StateReady)
-		assertCode(t, <-call(o, "after"), result.CallNotRunUnreachable)
+		assertCode(t, <-startCall(o, "after"), result.CallNotRunUnreachable)
 	})
 }
 
 // An instance that registers in an evacuated zone gets nothing until that ends.
 func TestInstanceThatRegistersDuringAnEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
+		o := newRunningOrigin(t)
 		o.SetEvacuated(true)
 		o.Register(Registration{Service: "desk", Instance: "desk-2", Address: "127.0.0.1:2", Slots: 2, Sequence: 1})
-		second := instanceOf(t, o, "desk-2")
+		second := requireInstance(t, o, "desk-2")
 		_, err := second.queue.Acquire(t.Context(), admission.Request{})
 		assertCode(t, err, result.CallNotRunEvacuated)
 		o.SetEvacuated(false)
@@ -121,21 +121,21 @@
 	for name, evacuationEndsFirst := range map[string]bool{"evacuation ends first": true, "drain ends first": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := running(t)
-				instance := instanceOf(t, o, "desk-1")
+				o := newRunningOrigin(t)
+				instance := requireInstance(t, o, "desk-1")
 				instance.Drain(DrainOperator)
 				o.SetEvacuated(true)
 				if evacuationEndsFirst {
 					o.SetEvacuated(false)
-					assertCode(t, <-call(o, "drained"), result.CallNotRunDraining)
+					assertCode(t, <-startCall(o, "drained"), result.CallNotRunDraining)
 					instance.Resume(DrainOperator)
 				} else {
 					instance.Resume(DrainOperator)
-					assertCode(t, <-call(o, "evacuated"), result.CallNotRunEvacuated)
+					assertCode(t, <-startCall(o, "evacuated"), result.CallNotRunEvacuated)
 					o.SetEvacuated(false)
 				}
 				assert.Equal(t, instance.State(), StateReady)
-				assertCode(t, <-call(o, "after"), result.CallNotRunUnreachable)
+				assertCode(t, <-startCall(o, "after"), result.CallNotRunUnreachable)
 			})
 		})
 	}
@@ -145,8 +145,8 @@
 // that left for good does not come back with the end of the evacuation.
 func TestCallsAreRefusedWithTheFirstReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
-		slots := fill(t, instanceOf(t, o, "desk-1"))
+		o := newRunningOrigin(t)
+		slots := fillSlots(t, requireInstance(t, o, "desk-1"))
 		defer func() {
 			for _, slot := range slots {
 				slot.Release(false)
@@ -154,9 +154,9 @@
 		}()
 		o.Withdraw("desk-1")
 		o.SetEvacuated(true)
-		assertCode(t, <-call(o, "leaves"), result.CallNotRunDraining)
+		assertCode(t, <-startCall(o, "leaves"), result.CallNotRunDraining)
 		o.SetEvacuated(false)
-		assertCode(t, <-call(o, "leaves still"), result.CallNotRunDraining)
+		assertCode(t, <-startCall(o, "leaves still"), result.CallNotRunDraining)
 	})
 }
 
@@ -164,16 +164,16 @@
 // that works: a late heartbeat of an earlier one does not end it.
 func TestLateHeartbeatDuringAnEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
+		o := newRunningOrigin(t)
 		o.SetEvacuated(true)
-		o.Register(heartbeatOf("desk-0", 9))
+		o.Register(newHeartbeat("desk-0", 9))
 		for sequence := range uint64(60) {
-			o.Register(heartbeatOf("desk-1", 2+sequence))
+			o.Register(newHeartbeat("desk-1", 2+sequence))
 			time.Sleep(1500 * time.Millisecond)
 		}
 		assert.Equal(t, len(o.Withdrawn()), 0)
 		o.SetEvacuated(false)
-		assert.Equal(t, instanceOf(t, o, "desk-1").State(), StateReady)
+		assert.Equal(t, requireInstance(t, o, "desk-1").State(), StateReady)
 	})
 }
 
@@ -183,14 +183,14 @@
 	for name, back := range map[string]bool{"comes back": true, "stays away": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := running(t)
+				o := newRunningOrigin(t)
 				o.SetEvacuated(true)
 				time.Sleep(5 * time.Minute)
-				instance := instanceOf(t, o, "desk-1")
+				instance := requireInstance(t, o, "desk-1")
 				assert.Equal(t, instance.advertisedState(), lapisv1.Endpoint_STATE_DRAINING)
 				o.SetEvacuated(false)
 				if back {
-					o.Register(heartbeatOf("desk-1", 2))
+					o.Register(newHeartbeat("desk-1", 2))
 					assert.Equal(t, instance.State(), StateReady)
 					return
 				}
@@ -218,9 +218,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := running(t)
+				o := newRunningOrigin(t)
 				o.config.Region = row.region
-				assertCode(t, <-call(o, "a", row.regions...), row.code)
+				assertCode(t, <-startCall(o, "a", row.regions...), row.code)
 			})
 		})
 	}
@@ -229,13 +229,13 @@
 // A call keeps the homes that it came with while it waits, whatever comes in force meanwhile.
 func TestHomesChangeWhileACallWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
-		slots := fill(t, instanceOf(t, o, "desk-1"))
-		before := call(o, "before", "r1")
-		abroad := call(o, "abroad", "r2")
+		o := newRunningOrigin(t)
+		slots := fillSlots(t, requireInstance(t, o, "desk-1"))
+		before := startCall(o, "before", "r1")
+		abroad := startCall(o, "abroad", "r2")
 		synctest.Wait()
 		o.Configure(&snapshot.Snapshot{Revision: 2})
-		after := call(o, "after", "r2")
+		after := startCall(o, "after", "r2")
 		synctest.Wait()
 		for _, slot := range slots {
 			slot.Release(true)
--- a/internal/requestpath/origin/exchange.go
+++ b/internal/requestpath/origin/exchange.go
@@ -12,18 +12,18 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// maxStaleAnswers bounds the answers to earlier requests that are skipped on one connection, and
-// maxStaleBytes the length of each. With more the call waits for bytes that are not its own.
+// maxStaleResponses bounds the answers to earlier requests that are skipped on one connection, and
+// maxStaleBodyBytes the length of each. With more the call waits for bytes that are not its own.
 const (
-	maxStaleAnswers = 2
-	maxStaleBytes   = 1 << 20
+	maxStaleResponses = 2
+	maxStaleBodyBytes = 1 << 20
 )
 
 // Errors of an exchange whose answer belongs to another request: the connection ended after the
 // first such answer, or more came than maxStaleAnswers.
 var (
-	errStaleAnswer  = errors.New("the answer belongs to another request")
-	errStaleAnswers = errors.New("the answers belong to other requests")
+	errStaleResponse         = errors.New("the answer belongs to another request")
+	errTooManyStaleResponses = errors.New("the answers belong to other requests")
 )
 
 // exchange is one request on one connection and its answer.
@@ -31,11 +31,11 @@
 	backend *backend
 	conn    *connection
 	request *http.Request
-	// unwatch keeps the end of the context from closing the connection.
-	unwatch func() bool
-	// written is closed when the request was written; writeErr then tells how that ended.
-	written  chan struct{}
-	writeErr error
+	// stopCancelWatch keeps the end of the context from closing the connection.
+	stopCancelWatch func() bool
+	// writeDone is closed when the request was writeDone; writeErr then tells how that ended.
+	writeDone chan struct{}
+	writeErr  error
 	// stale is true when the connection brought an answer to another request, so that it
 	// is not used again.
 	stale bool
@@ -51,24 +51,24 @@
 	} else {
 		go e.write()
 	}
-	for range maxStaleAnswers + 1 {
+	for range maxStaleResponses + 1 {
 		response, err := e.readHead()
 		if err != nil {
 			return nil, err
 		}
-		if e.belongs(response) {
+		if e.matchesRequestID(response) {
 			return response, nil
 		}
 		e.stale = true
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStaleBytes)); err != nil || response.Close {
-			return nil, errStaleAnswer
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStaleBodyBytes)); err != nil || response.Close {
+			return nil, errStaleResponse
 		}
 	}
-	return nil, errStaleAnswers
+	return nil, errTooManyStaleResponses
 }
 
 func (e *exchange) write() {
-	defer close(e.written)
+	defer close(e.writeDone)
 	if e.writeErr = e.request.Write(e.conn.writer); e.writeErr == nil {
 		e.writeErr = e.conn.writer.Flush()
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// belongs reports whether an answer is that to this request, by the request id that it echoes.
-func (e *exchange) belongs(response *http.Response) bool {
+// matchesRequestID reports whether an answer is that to this request, by the request id that it echoes.
+func (e *exchange) matchesRequestID(response *http.Response) bool {
 	envelope := e.backend.envelope
 	if !envelope.EchoesRequestID {
 		return true
@@ -93,17 +93,17 @@
 	return response.Header.Get(envelope.RequestID) == e.request.Header.Get(envelope.RequestID)
 }
 
-// end gives the connection back, or closes it unless the exchange was whole.
-func (e *exchange) end(whole bool) {
+// release gives the connection back, or closes it unless the exchange was whole.
+func (e *exchange) release(reusable bool) {
 	e.once.Do(func() {
-		stopped := e.unwatch()
+		stopped := e.stopCancelWatch()
 		select {
-		case <-e.written:
-			whole = whole && e.writeErr == nil
+		case <-e.writeDone:
+			reusable = reusable && e.writeErr == nil
 		default:
-			whole = false
+			reusable = false
 		}
-		if whole && stopped && !e.stale && e.conn.reader.Buffered() == 0 {
+		if reusable && stopped && !e.stale && e.conn.reader.Buffered() == 0 {
 			e.backend.pool.put(e.conn)
 			return
 		}
@@ -123,25 +123,25 @@
 	if err == io.EOF {
 		b.finish()
 	} else if err != nil {
-		b.exchange.end(false)
+		b.exchange.release(false)
 	}
 	return count, err
 }
 
 func (b *exchangeBody) finish() {
 	if keep, stated := keepAliveOf(b.response.Header); stated {
-		b.exchange.conn.keepFor = keep
+		b.exchange.conn.idleTimeout = keep
 	}
-	b.exchange.end(!b.response.Close)
+	b.exchange.release(!b.response.Close)
 }
 
 func (b *exchangeBody) Close() error {
-	b.exchange.end(false)
+	b.exchange.release(false)
 	return nil
 }
 
-// brokenCode returns the code of a call that was sent and got no whole answer.
-func brokenCode(ctx context.Context) result.Code {
+// failedExchangeCode returns the code of a call that was sent and got no whole answer.
+func failedExchangeCode(ctx context.Context) result.Code {
 	switch {
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		return result.CallDeadline
--- a/internal/requestpath/origin/fixture_test.go
+++ b/internal/requestpath/origin/fixture_test.go
@@ -17,11 +17,11 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
-// coldTime is how long the tests' instances stay cold, and boundOfSecond what one of
+// coldDuration is how long the tests' instances stay cold, and maxAdmittedPerSecond what one of
 // them must not get more than in any second: 4 calls a second, times 1.5, and 6.
 const (
-	coldTime      = 3 * time.Second
-	boundOfSecond = 12
+	coldDuration         = 3 * time.Second
+	maxAdmittedPerSecond = 12
 )
 
 // fixture is an origin with one instance, whose heartbeats the test sends.
@@ -30,10 +30,10 @@
 	t        *testing.T
 	sequence uint64
 
-	// noted protects everything below.
-	noted   sync.Mutex
-	changes int
-	lines   []string
+	// recordMutex protects everything below.
+	recordMutex sync.Mutex
+	changes     int
+	lines       []string
 }
 
 // newFixture returns an origin whose pool states perSecond calls a second of a cold instance; one
@@ -43,26 +43,26 @@
 	made := &fixture{t: t}
 	made.Origin = New(Config{
 		QueueLength: 64, QueueTime: time.Second, Cold: ColdBound{Overshoot: 1.5, Allowance: 6},
-		Changed: func() { made.note(func() { made.changes++ }) },
-		Logger:  funcr.New(func(_, line string) { made.note(func() { made.lines = append(made.lines, line) }) }, funcr.Options{}),
+		Changed: func() { made.withLock(func() { made.changes++ }) },
+		Logger:  funcr.New(func(_, line string) { made.withLock(func() { made.lines = append(made.lines, line) }) }, funcr.Options{}),
 	})
 	if perSecond >= 0 {
-		made.rate(perSecond)
+		made.configureColdRate(perSecond)
 	}
 	return made
 }
 
-func (b *fixture) note(change func()) {
-	b.noted.Lock()
-	defer b.noted.Unlock()
+func (b *fixture) withLock(change func()) {
+	b.recordMutex.Lock()
+	defer b.recordMutex.Unlock()
 	change()
 }
 
-// rate puts a configuration in force.
-func (b *fixture) rate(perSecond float64) {
+// configureColdRate puts a configuration in force.
+func (b *fixture) configureColdRate(perSecond float64) {
 	configuration, err := meshconfig.Compose(meshconfig.Composition{Revision: 1, Pools: []*lapisv1.Pool{{
 		Name: "desk", Group: meshconfig.DefaultGroup, Slots: 100, ConnectionLimit: 100,
-		ColdCallsPerSecond: perSecond, ColdStartMillis: uint32(coldTime.Milliseconds()),
+		ColdCallsPerSecond: perSecond, ColdStartMillis: uint32(coldDuration.Milliseconds()),
 	}}}, nil)
 	assert.NilError(b.t, err)
 	store := &snapshot.Store{}
@@ -72,16 +72,16 @@
 
 // heartbeat has the instance state that it stays cold for so long; older tells how many
 // heartbeats ago it was sent.
-func (b *fixture) heartbeat(coldFor time.Duration, older uint64) {
+func (b *fixture) heartbeat(coldFor time.Duration, sentEarlier uint64) {
 	b.sequence++
 	b.Register(Registration{
 		Service: "desk", Instance: "desk-1", Address: "127.0.0.1:1", Slots: 100,
-		Sequence: b.sequence - older, ColdFor: coldFor,
+		Sequence: b.sequence - sentEarlier, ColdFor: coldFor,
 	})
 }
 
-// press tries to start calls without a pause, for so long, and returns how many were admitted.
-func (b *fixture) press(during time.Duration) (admitted int) {
+// admitFor tries to start calls without a pause, for so long, and returns how many were admitted.
+func (b *fixture) admitFor(during time.Duration) (admitted int) {
 	b.t.Helper()
 	instance, ok := b.instance("desk", "desk-1")
 	assert.Assert(b.t, ok)
--- a/internal/requestpath/origin/handle.go
+++ b/internal/requestpath/origin/handle.go
@@ -20,20 +20,20 @@
 // Handle implements callapi.Handler: it refuses the call, with an error that proves that it did not
 // run, or hands it to its instance once. refusal.go has the order of the conditions.
 func (o *Origin) Handle(ctx context.Context, call *callapi.Call) (*callapi.Answer, error) {
-	began := time.Now()
-	answer, err := o.handleRecovering(ctx, call)
+	startedAt := time.Now()
+	answer, err := o.handleWithRecover(ctx, call)
 	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
 		o.counts.refused.Add(1)
 	}
 	if err != nil {
-		o.logFailure(call, err, began)
+		o.logFailure(call, err, startedAt)
 	}
 	return answer, err
 }
 
-// handleRecovering handles a call, and has a panic end that call only: it would end the daemon with
+// handleWithRecover handles a call, and has a panic end that call only: it would end the daemon with
 // all its calls, and the request would be repeated at the next one.
-func (o *Origin) handleRecovering(ctx context.Context, call *callapi.Call) (answer *callapi.Answer, err error) {
+func (o *Origin) handleWithRecover(ctx context.Context, call *callapi.Call) (answer *callapi.Answer, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			answer, err = nil, result.Errorf(result.CallUnknownOutcome, "panic: %v", cause)
@@ -53,7 +53,7 @@
 		o.counts.duplicates.Add(1)
 		return nil, result.Errorf(result.CallNotRunDuplicate, "attempt %s came before", open.GetAttemptId())
 	}
-	release, err := o.claimKey(open)
+	release, err := o.claimIdempotencyKey(open)
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
 		release()
 	}
-	return answer, instance.work.tell(err, time.Now())
+	return answer, instance.reportedWork.annotate(err, time.Now())
 }
 
 // checkArrival returns the instance of a call, or why the call is refused as it arrives. Errors:
@@ -71,28 +71,28 @@
 	if !ok {
 		return nil, unknownRefusal(open, o.isWithdrawn(open.GetInstance()))
 	}
-	if err := checkShutdown(open, time.Now(), o.shutdownTime()); err != nil {
+	if err := checkShutdown(open, time.Now(), o.currentShutdownDeadline()); err != nil {
 		return nil, err
 	}
 	return instance, checkRegion(open, o.config.Region)
 }
 
-// claimKey refuses a call whose idempotency key was seen here. release forgets the key, for a call
+// claimIdempotencyKey refuses a call whose idempotency key was seen here. release forgets the key, for a call
 // that did not run. Errors: CallNotRunDuplicate.
-func (o *Origin) claimKey(open *lapisv1.CallOpen) (release func(), err error) {
+func (o *Origin) claimIdempotencyKey(open *lapisv1.CallOpen) (release func(), err error) {
 	if open.GetIdempotencyKey() == "" {
 		return func() {}, nil
 	}
 	key := open.GetService() + "\x00" + open.GetGroup() + "\x00" + open.GetIdempotencyKey()
-	if _, known := o.keys.Claim(key, attemptStarted); known {
+	if _, known := o.idempotencyKeys.Claim(key, attemptStarted); known {
 		o.counts.duplicates.Add(1)
 		return nil, result.Errorf(result.CallNotRunDuplicate, "the idempotency key was used before")
 	}
-	return func() { o.keys.Forget(key) }, nil
+	return func() { o.idempotencyKeys.Forget(key) }, nil
 }
 
 // admissionRequest returns what a call that came at the given time asks of the instance's queue.
-func (i *Instance) admissionRequest(open *lapisv1.CallOpen, came time.Time) admission.Request {
+func (i *Instance) admissionRequest(open *lapisv1.CallOpen, arrivedAt time.Time) admission.Request {
 	request := admission.Request{
 		Group: open.GetGroup(), HasAccount: open.GetAccount() != "", Background: open.GetBackground(), Upload: open.GetUpload(),
 		AccountPriority: open.GetAccountPriority(), Priority: open.GetPriority(),
@@ -104,18 +104,18 @@
 		request.AccountPriority = i.anonymousPriority.Load()
 	}
 	if open.GetExpiresAfterMillis() > 0 {
-		request.StartBy = came.Add(time.Duration(open.GetExpiresAfterMillis()) * time.Millisecond)
+		request.StartBy = arrivedAt.Add(time.Duration(open.GetExpiresAfterMillis()) * time.Millisecond)
 	}
 	if open.GetTargetMillis() > 0 {
-		request.Due = came.Add(time.Duration(open.GetTargetMillis()) * time.Millisecond)
+		request.Due = arrivedAt.Add(time.Duration(open.GetTargetMillis()) * time.Millisecond)
 	}
 	return request
 }
 
 // admitAndRun waits for a slot and hands the call over.
 func (o *Origin) admitAndRun(ctx context.Context, instance *Instance, call *callapi.Call) (*callapi.Answer, error) {
-	came, suspendedBefore := time.Now(), boottime.Suspended()
-	slot, err := instance.queue.Acquire(ctx, instance.admissionRequest(call.Open, came))
+	arrivedAt, suspendedBefore := time.Now(), boottime.Suspended()
+	slot, err := instance.queue.Acquire(ctx, instance.admissionRequest(call.Open, arrivedAt))
 	if err != nil {
 		return nil, err
 	}
@@ -126,30 +126,30 @@
 			slot.Cancel()
 		}
 	}()
-	waited := time.Since(came)
-	err = checkSuspended(call.Open, waited, boottime.Suspended()-suspendedBefore)
+	queueTime := time.Since(arrivedAt)
+	err = checkSuspended(call.Open, queueTime, boottime.Suspended()-suspendedBefore)
 	if err == nil {
-		err = o.begin(call, came)
+		err = o.startAttempt(call, arrivedAt)
 	}
 	if err != nil {
 		return nil, err
 	}
-	answer, err := o.run(ctx, instance, slot, call)
+	answer, err := o.handOver(ctx, instance, slot, call)
 	handedOver = true
 	if err == nil {
-		o.logAnswer(instance, call, answer, waited, slot.Ahead())
+		o.logAnswer(instance, call, answer, queueTime, slot.Ahead())
 	}
 	return answer, err
 }
 
-// begin records that a call, which came at the given time, starts; from then on it may have run.
+// startAttempt records that a call, which came at the given time, starts; from then on it may have run.
 // Errors: those of checkQuarantine, checkShutdown and checkKey, and CallNotRunDuplicate.
-func (o *Origin) begin(call *callapi.Call, came time.Time) error {
+func (o *Origin) startAttempt(call *callapi.Call, arrivedAt time.Time) error {
 	open := call.Open
 	if err := o.checkQuarantine(call); err != nil {
 		return err
 	}
-	if err := checkShutdown(open, came, o.shutdownTime()); err != nil {
+	if err := checkShutdown(open, arrivedAt, o.currentShutdownDeadline()); err != nil {
 		return err
 	}
 	if err := checkKey(open, o.configuration()); err != nil {
@@ -167,19 +167,19 @@
 	if executing <= 0 {
 		return 0
 	}
-	return min(float64(o.repeating.Load())/float64(executing), 1)
+	return min(float64(o.executingRepeats.Load())/float64(executing), 1)
 }
 
 // countExecuting counts a call as executing, until done is called.
 func (o *Origin) countExecuting(call *callapi.Call) (done func()) {
-	repeats := int64(0)
+	repeat := int64(0)
 	if call.Open.GetRepeat() {
-		repeats = 1
+		repeat = 1
 	}
 	o.executing.Add(1)
-	o.repeating.Add(repeats)
+	o.executingRepeats.Add(repeat)
 	return func() {
 		o.executing.Add(-1)
-		o.repeating.Add(-repeats)
+		o.executingRepeats.Add(-repeat)
 	}
 }
--- a/internal/requestpath/origin/handle_test.go
+++ b/internal/requestpath/origin/handle_test.go
@@ -15,30 +15,30 @@
 
 // A call that makes the daemon panic ends alone.
 func TestPanicEndsOneCall(t *testing.T) {
-	_, origin, _ := startBesideBreaking(t)
+	_, origin, _ := newOriginWithCrashingBackend(t)
 	for try := range 2 * DefaultSlots {
-		_, err := origin.Handle(context.Background(), &callapi.Call{Body: panicking{}, Buffered: true, Open: &lapisv1.CallOpen{
+		_, err := origin.Handle(context.Background(), &callapi.Call{Body: panickingBody{}, Buffered: true, Open: &lapisv1.CallOpen{
 			Service: "desk", Instance: "desk-1", Method: http.MethodPost, Target: "/answer", Host: "a.example", ContentLength: 5, AttemptId: fmt.Sprint(try),
 		}})
 		assert.Assert(t, result.Is(err, result.CallUnknownOutcome))
 	}
-	assert.NilError(t, send(origin, "/answer"))
+	assert.NilError(t, sendCall(origin, "/answer"))
 	assert.Equal(t, origin.InFlight(), 0)
 }
 
 // A call that panicked is not in flight any more, so that a later crash of the instance is told
 // from a broken connection.
 func TestCrashAfterAPanicIsNoticed(t *testing.T) {
-	_, origin, crashes := startBesideBreaking(t)
-	_, err := origin.Handle(context.Background(), &callapi.Call{Body: panicking{}, Buffered: true, Open: &lapisv1.CallOpen{
+	_, origin, crashes := newOriginWithCrashingBackend(t)
+	_, err := origin.Handle(context.Background(), &callapi.Call{Body: panickingBody{}, Buffered: true, Open: &lapisv1.CallOpen{
 		Service: "desk", Instance: "desk-1", Method: http.MethodPost, Target: "/answer", Host: "a.example", ContentLength: 5, AttemptId: "panics",
 	}})
 	assert.Assert(t, result.Is(err, result.CallUnknownOutcome))
-	assert.Assert(t, result.Is(send(origin, "/end"), result.CallInstanceCrashed))
-	assert.Equal(t, len(crashes.seen()), 1)
+	assert.Assert(t, result.Is(sendCall(origin, "/end"), result.CallInstanceCrashed))
+	assert.Equal(t, len(crashes.recorded()), 1)
 }
 
-// panicking is a body whose reading panics.
-type panicking struct{}
+// panickingBody is a body whose reading panics.
+type panickingBody struct{}
 
-func (panicking) Read([]byte) (int, error) { panic("on purpose") }
+func (panickingBody) Read([]byte) (int, error) { panic("on purpose") }
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -11,57 +11,57 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// run hands a call that has a slot to its instance and returns the answer. The slot is given back
+// handOver hands a call that has a slot to its instance and returns the answer. The slot is given back
 // with the error, or at the end of the answer. Errors: those of roundTrip, CallInstanceCrashed where
 // the instance ended under the call, and the instance's own refusal.
-func (o *Origin) run(ctx context.Context, instance *Instance, slot *admission.Slot, call *callapi.Call) (*callapi.Answer, error) {
-	began := time.Now()
+func (o *Origin) handOver(ctx context.Context, instance *Instance, slot *admission.Slot, call *callapi.Call) (*callapi.Answer, error) {
+	startedAt := time.Now()
 	defer o.countExecuting(call)()
-	sent := track(call)
+	tracked := trackCall(call)
 	returned := false
 	defer func() {
 		// A panic while the call is sent ends this call only. It must not stay in flight: a
 		// crash of the instance is recognised by all its calls ending.
 		if !returned {
-			instance.inFlight.remove(sent)
+			instance.inFlight.remove(tracked)
 		}
 	}()
-	response, err := instance.backend.roundTrip(ctx, call, func() { instance.inFlight.add(sent) })
+	response, err := instance.backend.roundTrip(ctx, call, func() { instance.inFlight.add(tracked) })
 	returned = true
 	if err != nil {
-		err = o.noteUnanswered(ctx, instance, sent, err)
-		o.noteCall(instance, err)
-		o.endUnanswered(slot, err)
+		err = o.finishUnanswered(ctx, instance, tracked, err)
+		o.recordCallEnd(instance, err)
+		o.releaseUnanswered(slot, err)
 		return nil, err
 	}
 	o.counts.handedOver.Add(1)
-	instance.inFlight.remove(sent)
-	o.noteCall(instance, nil)
+	instance.inFlight.remove(tracked)
+	o.recordCallEnd(instance, nil)
 	workPercent := o.config.Envelope.WorkPercent(response.Header)
-	instance.work.note(workPercent, time.Now())
-	if refusal := o.refusalOf(instance, response, slot.HadRoom()); refusal != nil {
+	instance.reportedWork.record(workPercent, time.Now())
+	if refusal := o.responseRefusal(instance, response, slot.HadRoom()); refusal != nil {
 		_ = response.Body.Close() // It only ends the exchange, and never fails.
-		endRefused(slot, refusal)
+		releaseRefused(slot, refusal)
 		return nil, refusal
 	}
-	o.noteRefuted(sent, response.StatusCode)
-	head := headOf(response)
+	o.clearSuspicion(tracked, response.StatusCode)
+	head := responseHead(response)
 	head.Load = instance.queue.Load()
-	head.ServiceMicros = uint32(time.Since(began).Microseconds())
+	head.ServiceMicros = uint32(time.Since(startedAt).Microseconds())
 	head.WorkPercent = workPercent
-	broke := func(err error) {
-		o.noteCall(instance, err)
-		o.logFailure(call, err, began)
+	onError := func(err error) {
+		o.recordCallEnd(instance, err)
+		o.logFailure(call, err, startedAt)
 	}
-	body := &answerBody{body: response.Body, slot: slot, broke: broke}
+	body := &responseBody{body: response.Body, slot: slot, onError: onError}
 	return &callapi.Answer{
 		Head: head, Body: body,
-		Trailers: func() []*lapisv1.HeaderField { return fieldsOf(response.Trailer) },
+		Trailers: func() []*lapisv1.HeaderField { return headerFields(response.Trailer) },
 	}, nil
 }
 
-// endUnanswered ends the slot of a call that its instance did not answer.
-func (o *Origin) endUnanswered(slot *admission.Slot, err error) {
+// releaseUnanswered ends the slot of a call that its instance did not answer.
+func (o *Origin) releaseUnanswered(slot *admission.Slot, err error) {
 	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
 		slot.Cancel()
 		return
@@ -71,8 +71,8 @@
 	o.counts.broken.Add(1)
 }
 
-// endRefused ends the slot of a call that its instance refused.
-func endRefused(slot *admission.Slot, refusal error) {
+// releaseRefused ends the slot of a call that its instance refused.
+func releaseRefused(slot *admission.Slot, refusal error) {
 	if result.Is(refusal, result.CallNotRunShed) {
 		slot.Release(true)
 		return
@@ -80,13 +80,13 @@
 	slot.Cancel()
 }
 
-// refusalOf returns the error for an answer which states that the back end did not run the request,
+// responseRefusal returns the error for an answer which states that the back end did not run the request,
 // nil for any other; hadRoom tells that the instance had a free slot. An instance that is not the one
 // the request was meant for (421) has taken its address.
-func (o *Origin) refusalOf(instance *Instance, response *http.Response, hadRoom bool) error {
+func (o *Origin) responseRefusal(instance *Instance, response *http.Response, hadFreeSlot bool) error {
 	if o.config.Envelope.ExpectedInstance != "" && response.StatusCode == http.StatusMisdirectedRequest {
 		o.markReplaced(instance)
 		return result.Errorf(result.CallNotRunUnknownHere, "another instance answers at the address of %s", instance.Name)
 	}
-	return instanceRefusal(response, &o.config.Envelope, hadRoom)
+	return instanceRefusal(response, &o.config.Envelope, hadFreeSlot)
 }
--- a/internal/requestpath/origin/health.go
+++ b/internal/requestpath/origin/health.go
@@ -8,30 +8,30 @@
 	"github.com/pkg/errors"
 )
 
-// noteCall records what the end of a call shows of whether the instance is up; it reports whether
+// recordCallEnd records what the end of a call shows of whether the instance is up; it reports whether
 // the instance is to be probed for a connection.
-func (i *Instance) noteCall(err error) (probeDue bool) {
+func (i *Instance) recordCallEnd(err error) (probeDue bool) {
 	switch evidenceOf(err) {
 	case evidenceAnswer:
-		i.noteConnection(nil)
+		i.recordConnection(nil)
 	case evidenceNoConnection:
-		i.noteConnection(err)
-	case evidenceBroke:
+		i.recordConnection(err)
+	case evidenceCallBroken:
 		i.mutex.Lock()
 		defer i.mutex.Unlock()
-		return i.reachability.noteBroken(time.Now())
+		return i.reachability.recordBrokenCall(time.Now())
 	}
 	return false
 }
 
-// noteConnection records whether the back end accepts connections; err tells why it does not.
-func (i *Instance) noteConnection(err error) {
+// recordConnection records whether the back end accepts connections; err tells why it does not.
+func (i *Instance) recordConnection(err error) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if err != nil {
 		refused := errors.Is(err, syscall.ECONNREFUSED)
-		if cause, down := i.reachability.noteNoConnection(refused, time.Now()); down {
-			i.takeDown(cause)
+		if cause, down := i.reachability.recordFailedConnection(refused, time.Now()); down {
+			i.markDownByCalls(cause)
 		}
 		return
 	}
@@ -42,23 +42,23 @@
 	i.markUp()
 }
 
-// noteCrash records that the instance was found to have crashed.
-func (i *Instance) noteCrash() {
+// recordCrash records that the instance was found to have crashed.
+func (i *Instance) recordCrash() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.takeDown(downBroke)
+	i.markDownByCalls(downCallsBroken)
 }
 
-// takeDown takes the instance as down by what its calls showed: waiting and new calls are refused, so
+// markDownByCalls takes the instance as down by what its calls showed: waiting and new calls are refused, so
 // that they go elsewhere; the caller holds mutex.
-func (i *Instance) takeDown(cause downCause) {
+func (i *Instance) markDownByCalls(cause downCause) {
 	state := i.lifecycle.MustState()
 	if i.downByCalls || (state != StateReady && state != StateDown) {
 		return
 	}
 	i.downByCalls = true
-	if now := time.Now(); now.Before(i.coldness.until()) {
-		i.coldness.crashes.note(now)
+	if now := time.Now(); now.Before(i.coldState.coldUntil()) {
+		i.coldState.crashes.record(now)
 	}
 	i.markDown(cause)
 	i.queue.Close(downRefusal(i.Name, cause))
@@ -68,13 +68,13 @@
 func (i *Instance) markDown(cause downCause) {
 	occupancy := i.queue.Occupancy()
 	i.logger.Info("instance.down", "instance", i.Name, "service", i.Service, "cause", string(cause),
-		"running", occupancy.Running, "waiting", occupancy.Waiting, "cold", i.coldness.isCold)
+		"running", occupancy.Running, "waiting", occupancy.Waiting, "cold", i.coldState.loggedCold)
 	fire(i.lifecycle, triggerDown)
 }
 
 // markUp records that the instance is up; the caller holds mutex.
 func (i *Instance) markUp() {
-	i.reachability.noteAnswer()
+	i.reachability.recordAnswer()
 	i.inFlight.clearCrash()
 	fire(i.lifecycle, triggerUp)
 	if !i.downByCalls || i.lifecycle.MustState() != StateReady {
@@ -85,28 +85,28 @@
 	i.logger.Info("instance.up", "instance", i.Name, "service", i.Service)
 }
 
-// noteCall records the end of a call at its instance, and probes the instance if it is due.
-func (o *Origin) noteCall(instance *Instance, err error) {
-	if instance.noteCall(err) {
-		o.probe(instance)
+// recordCallEnd records the end of a call at its instance, and probes the instance if it is due.
+func (o *Origin) recordCallEnd(instance *Instance, err error) {
+	if instance.recordCallEnd(err) {
+		o.probeInBackground(instance)
 	}
 }
 
-// probe finds out, in the background, whether an instance of which calls broke off accepts a
+// probeInBackground finds out, in the background, whether an instance of which calls broke off accepts a
 // connection.
-func (o *Origin) probe(instance *Instance) {
+func (o *Origin) probeInBackground(instance *Instance) {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
 	ctx := o.runContext
 	if ctx == nil || ctx.Err() != nil {
 		return
 	}
-	o.running.Go(func() { instance.probeConnection(ctx) })
+	o.goroutines.Go(func() { instance.probeConnection(ctx) })
 }
 
 func (i *Instance) probeConnection(ctx context.Context) {
-	if err := i.backend.connect(ctx); err != nil && ctx.Err() == nil {
-		i.noteConnection(err)
+	if err := i.backend.probe(ctx); err != nil && ctx.Err() == nil {
+		i.recordConnection(err)
 	}
 }
 
@@ -114,8 +114,8 @@
 func (i *Instance) heartbeatAge() time.Duration {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.lastHeartbeat.IsZero() {
+	if i.lastHeartbeatAt.IsZero() {
 		return 0
 	}
-	return time.Since(i.lastHeartbeat)
+	return time.Since(i.lastHeartbeatAt)
 }
--- a/internal/requestpath/origin/health_test.go
+++ b/internal/requestpath/origin/health_test.go
@@ -19,7 +19,7 @@
 func TestCrashedInstanceGetsNothingUntilItsHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
-		fixture.heartbeat(coldTime, 0)
+		fixture.heartbeat(coldDuration, 0)
 		instance, _ := fixture.instance("desk", "desk-1")
 		waiting := make(chan error, 1)
 		go func() {
@@ -28,16 +28,16 @@
 		}()
 		synctest.Wait()
 		for range downAfterFailures {
-			instance.noteCall(result.Errorf(result.CallNotRunUnreachable, "refused"))
+			instance.recordCallEnd(result.Errorf(result.CallNotRunUnreachable, "refused"))
 		}
 		synctest.Wait()
 		assert.Assert(t, result.Is(<-waiting, result.CallNotRunUnreachable))
 		assert.Equal(t, fixture.Advertised()[0].GetState(), lapisv1.Endpoint_STATE_SUSPECT)
-		instance.noteCall(nil)
-		assert.Equal(t, fixture.press(2*time.Second), 0, "an answer that was on its way brings it up")
+		instance.recordCallEnd(nil)
+		assert.Equal(t, fixture.admitFor(2*time.Second), 0, "an answer that was on its way brings it up")
 		assert.Assert(t, contains(fixture.lines[len(fixture.lines)-1], `"instance.down"`, `"cause"="no_connections"`, `"waiting"=1`))
 		fixture.heartbeat(0, 0)
-		assert.Assert(t, fixture.press(time.Second) > boundOfSecond)
+		assert.Assert(t, fixture.admitFor(time.Second) > maxAdmittedPerSecond)
 	})
 }
 
@@ -68,14 +68,14 @@
 		fixture.heartbeat(0, 0)
 		instance, _ := fixture.instance("desk", "desk-1")
 		for range downAfterFailures {
-			instance.noteCall(result.Errorf(result.CallNotRunUnreachable, "refused"))
+			instance.recordCallEnd(result.Errorf(result.CallNotRunUnreachable, "refused"))
 		}
 		instance.Drain(DrainOperator)
 		fixture.heartbeat(0, 0)
-		assert.Equal(t, fixture.press(10*time.Millisecond), 0)
+		assert.Equal(t, fixture.admitFor(10*time.Millisecond), 0)
 		instance.Resume(DrainOperator)
 		fixture.heartbeat(0, 0)
-		assert.Assert(t, fixture.press(10*time.Millisecond) > 0)
+		assert.Assert(t, fixture.admitFor(10*time.Millisecond) > 0)
 	})
 }
 
@@ -87,20 +87,20 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); fixture.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
-	for fixture.runs() == nil {
+	for fixture.currentRunContext() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	fixture.heartbeat(0, 0)
 	instance, _ := fixture.instance("desk", "desk-1")
-	for range probeAfterBroken {
-		fixture.noteCall(instance, result.Errorf(result.CallUnknownOutcome, "reset"))
+	for range probeAfterBrokenCalls {
+		fixture.recordCallEnd(instance, result.Errorf(result.CallUnknownOutcome, "reset"))
 	}
 	for end := time.Now().Add(5 * time.Second); instance.State() != StateDown; time.Sleep(time.Millisecond) {
 		assert.Assert(t, time.Now().Before(end), "it is not probed")
 	}
 }
 
-func (b *fixture) runs() context.Context {
+func (b *fixture) currentRunContext() context.Context {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	return b.runContext
--- a/internal/requestpath/origin/idlebound_test.go
+++ b/internal/requestpath/origin/idlebound_test.go
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			bound := &idleBound{}
 			for _, broke := range row.broken {
-				bound.noteDropped(broke.idleFor, start.Add(broke.at))
+				bound.recordDrop(broke.idleFor, start.Add(broke.at))
 			}
 			assert.Equal(t, bound.allows(row.idleFor, keep, start.Add(row.after)), row.allowed)
 		})
--- a/internal/requestpath/origin/incarnation.go
+++ b/internal/requestpath/origin/incarnation.go
@@ -11,8 +11,8 @@
 type heartbeatKind int
 
 const (
-	// heartbeatOfLeft: its instance left for good; it counts for nothing.
-	heartbeatOfLeft heartbeatKind = iota
+	// heartbeatOfWithdrawn: its instance left for good; it counts for nothing.
+	heartbeatOfWithdrawn heartbeatKind = iota
 	// heartbeatOfKnown: its instance is known.
 	heartbeatOfKnown
 	// heartbeatOfEarlier: it was held up, and is of an earlier incarnation at an address that
@@ -22,13 +22,13 @@
 	heartbeatOfNew
 )
 
-// rivals is what is known of other incarnations with the id or the address of a heartbeat.
-type rivals struct {
-	// laterPresent is true where one that started later is present, and held where one of which the
+// incarnationConflicts is what is known of other incarnations with the id or the address of a heartbeat.
+type incarnationConflicts struct {
+	// laterStartPresent is true where one that started later is present, and addressHeld where one of which the
 	// order of starts is not known holds the address or the id (holdsAddress).
-	laterPresent, held bool
-	// present is the name of that one, for the log.
-	present string
+	laterStartPresent, addressHeld bool
+	// holder is the name of that one, for the log.
+	holder string
 }
 
 // kindOfHeartbeat returns what a heartbeat counts for. left and known tell whether its incarnation
@@ -40,15 +40,15 @@
 // are not, an unknown instance whose heartbeat is not its first is an earlier one, which this daemon
 // has forgotten: the address stays with its holder. If it is the later one after all, because its
 // first heartbeat was lost, it is accepted once the other is not present any more.
-func kindOfHeartbeat(left, known bool, others rivals, sequence uint64) heartbeatKind {
+func kindOfHeartbeat(withdrawn, known bool, conflicts incarnationConflicts, sequence uint64) heartbeatKind {
 	switch {
-	case left:
-		return heartbeatOfLeft
+	case withdrawn:
+		return heartbeatOfWithdrawn
 	case known:
 		return heartbeatOfKnown
-	case others.laterPresent:
+	case conflicts.laterStartPresent:
 		return heartbeatOfEarlier
-	case others.held && sequence > 1:
+	case conflicts.addressHeld && sequence > 1:
 		return heartbeatOfEarlier
 	default:
 		return heartbeatOfNew
@@ -72,7 +72,7 @@
 	case StateDrained:
 		return reasons[DrainInstance] || reasons[DrainReplaced]
 	case StateDown:
-		return isForgotten(heartbeatAge)
+		return isExpired(heartbeatAge)
 	default:
 		return false
 	}
--- a/internal/requestpath/origin/incarnation_test.go
+++ b/internal/requestpath/origin/incarnation_test.go
@@ -23,11 +23,11 @@
 		"in the middle, the address held":   {held: true, sequence: 2, want: heartbeatOfEarlier},
 		"known":                             {known: true, sequence: 7, want: heartbeatOfKnown},
 		"known, another holds the address":  {known: true, held: true, sequence: 7, want: heartbeatOfKnown},
-		"left, still known until it drains": {left: true, known: true, sequence: 7, want: heartbeatOfLeft},
-		"left, with a first heartbeat":      {left: true, sequence: 1, want: heartbeatOfLeft},
+		"left, still known until it drains": {left: true, known: true, sequence: 7, want: heartbeatOfWithdrawn},
+		"left, with a first heartbeat":      {left: true, sequence: 1, want: heartbeatOfWithdrawn},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, kindOfHeartbeat(row.left, row.known, rivals{laterPresent: row.later, held: row.held}, row.sequence), row.want)
+			assert.Equal(t, kindOfHeartbeat(row.left, row.known, incarnationConflicts{laterStartPresent: row.later, addressHeld: row.held}, row.sequence), row.want)
 		})
 	}
 }
@@ -42,11 +42,11 @@
 		want    bool
 	}{
 		"ready":                    {0, StateReady, nil, true},
-		"ready, not heard lately":  {presentFor, StateReady, nil, false},
+		"ready, not heard lately":  {presenceTimeout, StateReady, nil, false},
 		"down":                     {0, StateDown, nil, false},
 		"evacuated":                {0, StateDraining, evacuated, true},
 		"evacuated and drained":    {0, StateDrained, evacuated, true},
-		"evacuated, not heard":     {presentFor, StateDrained, evacuated, false},
+		"evacuated, not heard":     {presenceTimeout, StateDrained, evacuated, false},
 		"evacuated, and it leaves": {0, StateDraining, map[DrainReason]bool{DrainEvacuated: true, DrainInstance: true}, false},
 		"evacuated and replaced":   {0, StateDraining, map[DrainReason]bool{DrainEvacuated: true, DrainReplaced: true}, false},
 		"drained by an operator":   {0, StateDrained, map[DrainReason]bool{DrainOperator: true}, false},
@@ -59,7 +59,7 @@
 
 // An instance is dropped once it left and is idle, or was silent for long.
 func TestIsOver(t *testing.T) {
-	long := heartbeatMemory + 1
+	long := silentInstanceTTL + 1
 	for name, row := range map[string]struct {
 		age     time.Duration
 		state   State
@@ -67,7 +67,7 @@
 		want    bool
 	}{
 		"ready":                            {0, StateReady, nil, false},
-		"down for a while":                 {heartbeatMemory, StateDown, nil, false},
+		"down for a while":                 {silentInstanceTTL, StateDown, nil, false},
 		"down for long":                    {long, StateDown, nil, true},
 		"it left, calls run":               {0, StateDraining, map[DrainReason]bool{DrainInstance: true}, false},
 		"it left":                          {0, StateDrained, map[DrainReason]bool{DrainInstance: true}, true},
--- a/internal/requestpath/origin/inflight.go
+++ b/internal/requestpath/origin/inflight.go
@@ -18,21 +18,21 @@
 	mutex sync.Mutex
 	// digest is that of the body so far; nil for a call without a body.
 	digest hash.Hash
-	// read counts the body's bytes so far; whole is true once it was read to its end.
-	read  int64
-	whole bool
+	// bodyBytesRead counts the body's bytes so far; whole is true once it was bodyBytesRead to its end.
+	bodyBytesRead int64
+	bodyComplete  bool
 	// endedAt is when the call ended without an answer; inFlightCalls.mutex protects it.
 	endedAt time.Time
 }
 
-// track has the call's body hashed on its way to the instance.
-func track(call *callapi.Call) *inFlightCall {
-	sent := &inFlightCall{open: call.Open, whole: call.Body == nil}
+// trackCall has the call's body hashed on its way to the instance.
+func trackCall(call *callapi.Call) *inFlightCall {
+	tracked := &inFlightCall{open: call.Open, bodyComplete: call.Body == nil}
 	if call.Body != nil {
-		sent.digest = fingerprint.NewBody()
-		call.Body = &hashedBody{Reader: call.Body, call: sent}
+		tracked.digest = fingerprint.NewBody()
+		call.Body = &hashedBody{Reader: call.Body, call: tracked}
 	}
-	return sent
+	return tracked
 }
 
 // hashedBody is the body of a call that is hashed as it is read.
@@ -46,16 +46,16 @@
 	h.call.mutex.Lock()
 	defer h.call.mutex.Unlock()
 	_, _ = h.call.digest.Write(buffer[:count]) // A hash.Hash never returns an error.
-	h.call.read += int64(count)
-	h.call.whole = h.call.whole || err == io.EOF || h.call.read == h.call.open.GetContentLength()
+	h.call.bodyBytesRead += int64(count)
+	h.call.bodyComplete = h.call.bodyComplete || err == io.EOF || h.call.bodyBytesRead == h.call.open.GetContentLength()
 	return count, err
 }
 
-// isWhole reports whether the whole body was sent.
-func (c *inFlightCall) isWhole() bool {
+// isBodyComplete reports whether the whole body was sent.
+func (c *inFlightCall) isBodyComplete() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.whole
+	return c.bodyComplete
 }
 
 // keys returns the call's keys, as far as its body is known.
@@ -63,7 +63,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	line, length := fingerprint.LineOf(c.open), c.open.GetContentLength()
-	if !c.whole {
+	if !c.bodyComplete {
 		return []fingerprint.Key{fingerprint.PartialOf(line, length)}
 	}
 	if c.digest == nil {
@@ -72,9 +72,9 @@
 	return fingerprint.OfDigest(line, length, c.digest).Whole()
 }
 
-// allKeys returns the keys and the partial one, under which a crash is recorded that came before the
+// keysWithPartial returns the keys and the partial one, under which a crash is recorded that came before the
 // body was read to its end.
-func (c *inFlightCall) allKeys() []fingerprint.Key {
+func (c *inFlightCall) keysWithPartial() []fingerprint.Key {
 	keys := c.keys()
 	if c.open.GetContentLength() != 0 {
 		keys = append(keys, fingerprint.PartialOf(fingerprint.LineOf(c.open), c.open.GetContentLength()))
@@ -87,22 +87,22 @@
 	// mutex protects everything below but probing.
 	mutex sync.Mutex
 	calls map[*inFlightCall]bool
-	// recent are those that ended without an answer lately, the oldest first.
-	recent []*inFlightCall
+	// recentlyUnanswered are those that ended without an answer lately, the oldest first.
+	recentlyUnanswered []*inFlightCall
 	// crashed is true from when the instance was found to have crashed until it is up.
 	crashed bool
-	// probing is held while one call finds out whether the instance crashed, so that one
+	// probeMutex is held while one call finds out whether the instance crashed, so that one
 	// probe answers for all calls that broke with it.
-	probing sync.Mutex
+	probeMutex sync.Mutex
 }
 
-func (c *inFlightCalls) add(sent *inFlightCall) {
+func (c *inFlightCalls) add(started *inFlightCall) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.calls == nil {
 		c.calls = map[*inFlightCall]bool{}
 	}
-	c.calls[sent] = true
+	c.calls[started] = true
 }
 
 // remove is for a call that was answered, or did not run.
@@ -118,9 +118,9 @@
 	defer c.mutex.Unlock()
 	delete(c.calls, ended)
 	ended.endedAt = now
-	c.recent = append(c.recent, ended)
-	if len(c.recent) > maxRecentCalls {
-		c.recent = c.recent[1:]
+	c.recentlyUnanswered = append(c.recentlyUnanswered, ended)
+	if len(c.recentlyUnanswered) > maxRecentCalls {
+		c.recentlyUnanswered = c.recentlyUnanswered[1:]
 	}
 }
 
@@ -143,12 +143,12 @@
 	for call := range c.calls {
 		calls = append(calls, call)
 	}
-	for _, call := range c.recent {
+	for _, call := range c.recentlyUnanswered {
 		if wasInFlight(call.endedAt, now) {
 			calls = append(calls, call)
 		}
 	}
-	c.recent = nil
+	c.recentlyUnanswered = nil
 	return calls, true
 }
 
--- a/internal/requestpath/origin/inflight_test.go
+++ b/internal/requestpath/origin/inflight_test.go
@@ -40,11 +40,11 @@
 			if row.body != "" {
 				call.Body = strings.NewReader(row.body)
 			}
-			sent := track(call)
+			sent := trackCall(call)
 			if call.Body != nil {
 				_, _ = io.ReadAll(io.LimitReader(call.Body, row.read))
 			}
-			assert.Equal(t, sent.isWhole(), row.whole)
+			assert.Equal(t, sent.isBodyComplete(), row.whole)
 			assert.DeepEqual(t, sent.keys(), row.keys)
 		})
 	}
--- a/internal/requestpath/origin/instance.go
+++ b/internal/requestpath/origin/instance.go
@@ -32,11 +32,11 @@
 type Instance struct {
 	Service string
 	// Name is that of identity.
-	Name     string
-	identity incarnation.Incarnation
-	queue    *admission.Queue
-	backend  *backend
-	started  time.Time
+	Name      string
+	identity  incarnation.Incarnation
+	queue     *admission.Queue
+	backend   *backend
+	startedAt time.Time
 	// registered is true for an instance that announced itself: its heartbeats
 	// then tell its state, and it is not probed at intervals.
 	registered bool
@@ -47,18 +47,18 @@
 	inFlight inFlightCalls
 	// anonymousPriority is the account's priority that holds for calls without an account.
 	anonymousPriority atomic.Uint32
-	// work is what it states of how long work takes there.
-	work statedWork
+	// reportedWork is what it states of how long reportedWork takes there.
+	reportedWork reportedWork
 
 	// mutex protects everything below.
 	mutex sync.Mutex
 	// slots, sequence and lastHeartbeat are from the newest heartbeat.
-	slots         int
-	sequence      uint64
-	lastHeartbeat time.Time
-	coldness      coldness
-	lifecycle     *stateless.StateMachine
-	reasons       map[DrainReason]bool
+	slots           int
+	sequence        uint64
+	lastHeartbeatAt time.Time
+	coldState       coldState
+	lifecycle       *stateless.StateMachine
+	drainReasons    map[DrainReason]bool
 	// reachability is what its calls show, and downByCalls true while the instance is down by
 	// that. It is no state of the lifecycle, because it outlasts a drain: after that the instance
 	// is announced as ready only once it is heard.
@@ -69,9 +69,9 @@
 func newInstance(service string, identity incarnation.Incarnation, address string, limits admission.Limits, connections int, envelope *callapi.Envelope) *Instance {
 	return &Instance{
 		Service: service, Name: identity.Name(), identity: identity,
-		queue:   admission.NewQueue(limits, time.Now),
-		backend: newBackend(address, identity.ID, envelope, connections),
-		started: time.Now(), lifecycle: newLifecycle(), reasons: map[DrainReason]bool{}, logger: logr.Discard(),
+		queue:     admission.NewQueue(limits, time.Now),
+		backend:   newBackend(address, identity.ID, envelope, connections),
+		startedAt: time.Now(), lifecycle: newLifecycle(), drainReasons: map[DrainReason]bool{}, logger: logr.Discard(),
 	}
 }
 
@@ -103,20 +103,20 @@
 	}
 }
 
-// check probes the back end while it is starting or down; one that registered
+// checkHealth probes the back end while it is starting or down; one that registered
 // is down when its heartbeats stay away.
-func (i *Instance) check(ctx context.Context) {
+func (i *Instance) checkHealth(ctx context.Context) {
 	state := i.State()
 	if i.registered {
 		i.mutex.Lock()
-		if isSilent(time.Since(i.lastHeartbeat)) && state == StateReady {
+		if isSilent(time.Since(i.lastHeartbeatAt)) && state == StateReady {
 			i.markDown(downSilent)
 		}
 		i.mutex.Unlock()
 		return
 	}
 	if state == StateStarting || state == StateDown {
-		i.noteConnection(i.backend.connect(ctx))
+		i.recordConnection(i.backend.probe(ctx))
 	}
 }
 
@@ -127,7 +127,7 @@
 	if !i.registered {
 		return false
 	}
-	return shouldDrop(time.Since(i.lastHeartbeat), i.lifecycle.MustState().(State), i.reasons)
+	return shouldDrop(time.Since(i.lastHeartbeatAt), i.lifecycle.MustState().(State), i.drainReasons)
 }
 
 // watch follows the instance's state until it ended or ctx ends, and calls
@@ -137,9 +137,9 @@
 	defer ticker.Stop()
 	announced := lapisv1.Endpoint_STATE_UNSPECIFIED
 	for {
-		i.check(ctx)
-		warm := i.noteWarm()
-		i.backend.pool.closeOld(false)
+		i.checkHealth(ctx)
+		warm := i.checkWarmedUp()
+		i.backend.pool.closeExpired(false)
 		if now := i.advertisedState(); now != announced || warm {
 			announced = now
 			changed()
@@ -162,8 +162,8 @@
 	defer i.mutex.Unlock()
 	return &lapisv1.Endpoint{
 		Service: i.Service, Instance: i.Name, Version: i.version, State: state,
-		StartedUnixMillis: i.started.UnixMilli(), Slots: uint32(i.slots),
-		ColdMillis: uint32(max(time.Until(i.coldness.until()).Milliseconds(), 0)),
+		StartedUnixMillis: i.startedAt.UnixMilli(), Slots: uint32(i.slots),
+		ColdMillis: uint32(max(time.Until(i.coldState.coldUntil()).Milliseconds(), 0)),
 	}
 }
 
@@ -186,7 +186,7 @@
 	} else {
 		i.queue.Configure(slots, service.Shares)
 	}
-	i.backend.pool.limitTo(int(service.Bundle.GetPool().GetConnectionLimit()))
+	i.backend.pool.setLimit(int(service.Bundle.GetPool().GetConnectionLimit()))
 	switch {
 	case service.Retired[i.identity.ID]:
 		i.Retire()
--- a/internal/requestpath/origin/lifecycle_test.go
+++ b/internal/requestpath/origin/lifecycle_test.go
@@ -9,8 +9,8 @@
 // Every trigger is permitted or ignored in every state, so that fire cannot fail.
 func TestEveryTriggerIsHandledInEveryState(t *testing.T) {
 	triggers := []trigger{triggerUp, triggerDown, triggerDrain, triggerResume, triggerIdle, triggerRetire}
-	// ways lead from the first state to each one.
-	ways := map[State][]trigger{
+	// triggersTo lead from the first state to each one.
+	triggersTo := map[State][]trigger{
 		StateStarting: nil,
 		StateReady:    {triggerUp},
 		StateDown:     {triggerUp, triggerDown},
@@ -18,10 +18,10 @@
 		StateDrained:  {triggerDrain, triggerIdle},
 		StateRetired:  {triggerRetire},
 	}
-	for state, way := range ways {
+	for state, path := range triggersTo {
 		for _, event := range triggers {
 			machine := newLifecycle()
-			for _, step := range way {
+			for _, step := range path {
 				fire(machine, step)
 			}
 			assert.Equal(t, machine.MustState(), state)
--- a/internal/requestpath/origin/liveness.go
+++ b/internal/requestpath/origin/liveness.go
@@ -31,14 +31,14 @@
 	// downAfterFailures is the number of failed connections in a row after which an instance is
 	// taken as down. It must be above 1: one connection may be lost on its way.
 	downAfterFailures = 3
-	// probeAfterBroken is the number of calls that broke off within brokenCallWindow, without an
+	// probeAfterBrokenCalls is the number of calls that broke off within brokenCallWindow, without an
 	// answer in between, after which the instance is probed for a connection. Single calls break
 	// because a connection was idle for too long or was reset.
-	probeAfterBroken = 3
-	brokenCallWindow = 500 * time.Millisecond
-	// probeSpacing is the least time between two such probes. It must be longer than
+	probeAfterBrokenCalls = 3
+	brokenCallWindow      = 500 * time.Millisecond
+	// minProbeInterval is the least time between two such probes. It must be longer than
 	// backendDialTimeout, or probes of one instance overlap.
-	probeSpacing = 500 * time.Millisecond
+	minProbeInterval = 500 * time.Millisecond
 )
 
 // downCause is why an instance counts as down.
@@ -47,7 +47,7 @@
 // Causes of being down, as they are logged.
 const (
 	downUnreachable downCause = "no_connections"
-	downBroke       downCause = "calls_broke_off"
+	downCallsBroken downCause = "calls_broke_off"
 	downSilent      downCause = "no_heartbeats"
 )
 
@@ -61,8 +61,8 @@
 	evidenceAnswer
 	// evidenceNoConnection: no connection could be opened.
 	evidenceNoConnection
-	// evidenceBroke: the call was handed over and broke off.
-	evidenceBroke
+	// evidenceCallBroken: the call was handed over and broke off.
+	evidenceCallBroken
 )
 
 // evidenceOf returns what the end of a call, err or nil for an answer, says of its instance. A
@@ -79,7 +79,7 @@
 	case result.Is(err, result.CallDeadline) || result.Is(err, result.CallCancelled):
 		return evidenceNone
 	case callapi.OutcomeOf(err) == callapi.OutcomeUnknown:
-		return evidenceBroke
+		return evidenceCallBroken
 	default:
 		return evidenceNone
 	}
@@ -90,48 +90,48 @@
 type reachability struct {
 	// failedConnections counts the connections in a row that could not be opened.
 	failedConnections int
-	// broken are the times of the calls that broke off since the last answer, within
+	// brokenCallTimes are the times of the calls that broke off since the last answer, within
 	// brokenCallWindow.
-	broken []time.Time
-	// probedAt is when the instance was probed last.
-	probedAt time.Time
+	brokenCallTimes []time.Time
+	// lastProbeAt is when the instance was probed last.
+	lastProbeAt time.Time
 }
 
-// noteAnswer records that the instance is up.
-func (r *reachability) noteAnswer() {
+// recordAnswer records that the instance is up.
+func (r *reachability) recordAnswer() {
 	r.failedConnections = 0
-	r.broken = r.broken[:0]
+	r.brokenCallTimes = r.brokenCallTimes[:0]
 }
 
-// noteBroken records that a call broke off. It reports whether the instance is to be probed:
+// recordBrokenCall records that a call broke off. It reports whether the instance is to be probed:
 // probeAfterBroken calls broke off lately, and it was not probed within probeSpacing.
-func (r *reachability) noteBroken(now time.Time) (probe bool) {
-	r.forget(now)
-	r.broken = append(r.broken, now)
-	if len(r.broken) < probeAfterBroken || now.Sub(r.probedAt) < probeSpacing {
+func (r *reachability) recordBrokenCall(now time.Time) (probe bool) {
+	r.pruneBrokenCalls(now)
+	r.brokenCallTimes = append(r.brokenCallTimes, now)
+	if len(r.brokenCallTimes) < probeAfterBrokenCalls || now.Sub(r.lastProbeAt) < minProbeInterval {
 		return false
 	}
-	r.probedAt = now
+	r.lastProbeAt = now
 	return true
 }
 
-// noteNoConnection records that a connection could not be opened. It reports whether the
+// recordFailedConnection records that a connection could not be opened. It reports whether the
 // instance is down, and why. The conditions, in this order: refused after a call broke off
 // lately, which one refusal proves; or downAfterFailures in a row, refused or not, since one that
 // found no answer in time may be lost on its way.
-func (r *reachability) noteNoConnection(refused bool, now time.Time) (cause downCause, down bool) {
-	r.forget(now)
+func (r *reachability) recordFailedConnection(refused bool, now time.Time) (cause downCause, down bool) {
+	r.pruneBrokenCalls(now)
 	r.failedConnections++
-	if refused && len(r.broken) > 0 {
-		return downBroke, true
+	if refused && len(r.brokenCallTimes) > 0 {
+		return downCallsBroken, true
 	}
 	return downUnreachable, r.failedConnections >= downAfterFailures
 }
 
-// forget drops the calls that broke off long ago.
-func (r *reachability) forget(now time.Time) {
-	for len(r.broken) > 0 && now.Sub(r.broken[0]) > brokenCallWindow {
-		r.broken = r.broken[1:]
+// pruneBrokenCalls drops the calls that broke off long ago.
+func (r *reachability) pruneBrokenCalls(now time.Time) {
+	for len(r.brokenCallTimes) > 0 && now.Sub(r.brokenCallTimes[0]) > brokenCallWindow {
+		r.brokenCallTimes = r.brokenCallTimes[1:]
 	}
 }
 
@@ -143,7 +143,7 @@
 	// nine (log lines of daemons with a third of a core). A call that breaks alone is answered
 	// later by all polls together.
 	crashPollInterval = 2 * time.Millisecond
-	crashPolls        = 4
+	maxCrashPolls     = 4
 	// crashProbeTimeout bounds the probe for a connection. The instance is on the same machine,
 	// where an ended one refuses within a millisecond. It must be below backendDialTimeout, since a
 	// call waits for it.
@@ -162,9 +162,9 @@
 type crashEvidence struct {
 	// polls is how often the instance's calls were looked at; inFlight and reported are from the
 	// last time: the calls that it still has, and whether another call found that it crashed.
-	polls    int
-	inFlight int
-	reported bool
+	polls         int
+	inFlight      int
+	crashReported bool
 	// probed is true once its port was probed, and refused tells whether it refused then, or
 	// was found to by another call before.
 	probed, refused bool
@@ -194,9 +194,9 @@
 		return crashExcluded
 	case seen.polls == 0:
 		return crashPoll
-	case seen.inFlight == 0 || seen.reported:
+	case seen.inFlight == 0 || seen.crashReported:
 		return crashProbe
-	case seen.polls < crashPolls:
+	case seen.polls < maxCrashPolls:
 		return crashPoll
 	default:
 		return crashExcluded
@@ -210,19 +210,19 @@
 // suspended neither the instance nor this daemon runs. Instances send one every 1.5 s (the
 // users' setting heartbeat-ms).
 const (
-	// presentFor is how long an instance is taken as the one at its address, whatever a late
+	// presenceTimeout is how long an instance is taken as the one at its address, whatever a late
 	// heartbeat of an earlier one says: three heartbeats. It must be below heartbeatSilence.
-	presentFor = 4500 * time.Millisecond
-	// heartbeatSilence is the time after which a registered instance is taken as down: four
+	presenceTimeout = 4500 * time.Millisecond
+	// heartbeatTimeout is the time after which a registered instance is taken as down: four
 	// heartbeats.
-	heartbeatSilence = 6 * time.Second
-	// heartbeatMemory is the time after which a silent instance is dropped; its next heartbeat
+	heartbeatTimeout = 6 * time.Second
+	// silentInstanceTTL is the time after which a silent instance is dropped; its next heartbeat
 	// registers it anew. It must be above heartbeatSilence and below withdrawnMemory.
-	heartbeatMemory = time.Minute
+	silentInstanceTTL = time.Minute
 )
 
 // isPresent, isSilent and isForgotten tell what an instance counts as whose newest heartbeat
 // is so old.
-func isPresent(heartbeatAge time.Duration) bool   { return heartbeatAge < presentFor }
-func isSilent(heartbeatAge time.Duration) bool    { return heartbeatAge > heartbeatSilence }
-func isForgotten(heartbeatAge time.Duration) bool { return heartbeatAge > heartbeatMemory }
+func isPresent(heartbeatAge time.Duration) bool { return heartbeatAge < presenceTimeout }
+func isSilent(heartbeatAge time.Duration) bool  { return heartbeatAge > heartbeatTimeout }
+func isExpired(heartbeatAge time.Duration) bool { return heartbeatAge > silentInstanceTTL }
--- a/internal/requestpath/origin/liveness_test.go
+++ b/internal/requestpath/origin/liveness_test.go
@@ -23,8 +23,8 @@
 		"some break, far apart":             {"bblbblbb", 0, ""},
 		"many break at once":                {"bbbbbbbb", 1, ""},
 		"many break for long":               {"bbblbbblbbb", 3, ""},
-		"many break, and one is refused":    {"bbbr", 1, downBroke},
-		"one breaks, and one is refused":    {"br", 0, downBroke},
+		"many break, and one is refused":    {"bbbr", 1, downCallsBroken},
+		"one breaks, and one is refused":    {"br", 0, downCallsBroken},
 		"one breaks, one is refused later":  {"blr", 0, ""},
 		"one breaks, and one is lost":       {"bs", 0, ""},
 		"several are lost":                  {"sss", 0, downUnreachable},
@@ -37,13 +37,13 @@
 			for _, event := range row.events {
 				switch event {
 				case broke:
-					if known.noteBroken(now) {
+					if known.recordBrokenCall(now) {
 						probes++
 					}
 				case answered:
-					known.noteAnswer()
+					known.recordAnswer()
 				case refused, silent:
-					if found, down := known.noteNoConnection(event == refused, now); down {
+					if found, down := known.recordFailedConnection(event == refused, now); down {
 						cause = found
 					}
 				case later:
@@ -60,8 +60,8 @@
 func TestEvidenceOf(t *testing.T) {
 	for code, want := range map[result.Code]evidence{
 		result.CallNotRunUnreachable: evidenceNoConnection,
-		result.CallUnknownOutcome:    evidenceBroke,
-		result.CallTruncated:         evidenceBroke,
+		result.CallUnknownOutcome:    evidenceCallBroken,
+		result.CallTruncated:         evidenceCallBroken,
 		result.CallDeadline:          evidenceNone,
 		result.CallCancelled:         evidenceNone,
 		result.CallInstanceCrashed:   evidenceNone,
@@ -83,13 +83,13 @@
 	}{
 		"nothing is known":                 {crashEvidence{}, crashPoll},
 		"calls go on":                      {crashEvidence{polls: 1, inFlight: 2}, crashPoll},
-		"calls go on at the last poll":     {crashEvidence{polls: crashPolls, inFlight: 1}, crashExcluded},
+		"calls go on at the last poll":     {crashEvidence{polls: maxCrashPolls, inFlight: 1}, crashExcluded},
 		"all calls broke off":              {crashEvidence{polls: 1}, crashProbe},
-		"all broke off at the last poll":   {crashEvidence{polls: crashPolls}, crashProbe},
-		"another call found it":            {crashEvidence{polls: 1, inFlight: 2, reported: true}, crashProbe},
+		"all broke off at the last poll":   {crashEvidence{polls: maxCrashPolls}, crashProbe},
+		"another call found it":            {crashEvidence{polls: 1, inFlight: 2, crashReported: true}, crashProbe},
 		"the port refuses":                 {crashEvidence{polls: 1, probed: true, refused: true}, crashConfirmed},
 		"the port accepts":                 {crashEvidence{polls: 1, probed: true}, crashExcluded},
-		"found by another, it accepts now": {crashEvidence{polls: 1, reported: true, probed: true}, crashExcluded},
+		"found by another, it accepts now": {crashEvidence{polls: 1, crashReported: true, probed: true}, crashExcluded},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, nextCrashCheck(row.seen), row.want) })
 	}
@@ -106,14 +106,14 @@
 // An instance is present, then silent, then forgotten, by the age of its newest heartbeat.
 func TestHeartbeatAges(t *testing.T) {
 	for age, want := range map[time.Duration][3]bool{
-		0:                    {true, false, false},
-		presentFor - 1:       {true, false, false},
-		presentFor:           {false, false, false},
-		heartbeatSilence:     {false, false, false},
-		heartbeatSilence + 1: {false, true, false},
-		heartbeatMemory:      {false, true, false},
-		heartbeatMemory + 1:  {false, true, true},
+		0:                     {true, false, false},
+		presenceTimeout - 1:   {true, false, false},
+		presenceTimeout:       {false, false, false},
+		heartbeatTimeout:      {false, false, false},
+		heartbeatTimeout + 1:  {false, true, false},
+		silentInstanceTTL:     {false, true, false},
+		silentInstanceTTL + 1: {false, true, true},
 	} {
-		assert.Equal(t, [3]bool{isPresent(age), isSilent(age), isForgotten(age)}, want, "%s", age)
+		assert.Equal(t, [3]bool{isPresent(age), isSilent(age), isExpired(age)}, want, "%s", age)
 	}
 }
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -57,17 +57,17 @@
 
 // Origin serves calls for the back ends beside the daemon. It is safe for concurrent use.
 type Origin struct {
-	config      Config
-	coldCrashes coldCrashes
-	attempts    *dedupCache
-	keys        *dedupCache
-	running     sync.WaitGroup
-	counts      counters
-	// executing counts the calls that instances have, repeating those of them that are repeats.
-	executing, repeating atomic.Int64
+	config          Config
+	coldCrashes     coldCrashes
+	attempts        *dedupCache
+	idempotencyKeys *dedupCache
+	goroutines      sync.WaitGroup
+	counts          counters
+	// executing counts the calls that instances have, executingRepeats those of them that are repeats.
+	executing, executingRepeats atomic.Int64
 
-	// unknownServices bounds the lines about heartbeats of services that nobody declared.
-	unknownServices rate.Sometimes
+	// unknownServiceLog bounds the lines about heartbeats of services that nobody declared.
+	unknownServiceLog rate.Sometimes
 
 	// mutex protects everything below.
 	mutex     sync.RWMutex
@@ -76,12 +76,12 @@
 	withdrawn map[string]time.Time
 	current   *snapshot.Snapshot
 	stopping  bool
-	// shutdownBy is when all calls here must be over; zero while the daemon is not stopping.
-	shutdownBy time.Time
+	// shutdownDeadline is when all calls here must be over; zero while the daemon is not stopping.
+	shutdownDeadline time.Time
 	// evacuated is true while no instance here may get work.
 	evacuated bool
-	// evacuating is held while evacuated changes and the instances follow.
-	evacuating sync.Mutex
+	// evacuationMutex is held while evacuated changes and the instances follow.
+	evacuationMutex sync.Mutex
 	// runContext is set by Run and ends the watching of instances.
 	runContext context.Context
 }
@@ -103,15 +103,15 @@
 		config.Logger = logr.Discard()
 	}
 	if config.Crashes == nil {
-		config.Crashes = noReporter{}
+		config.Crashes = noopCrashReporter{}
 	}
 	if config.Changed == nil {
 		config.Changed = func() {}
 	}
 	origin := &Origin{
 		config: config, instances: map[instanceKey]*Instance{}, withdrawn: map[string]time.Time{},
-		attempts: newDedupCache(attemptMemory, time.Now), keys: newDedupCache(keyMemory, time.Now),
-		unknownServices: rate.Sometimes{First: unknownServiceLines, Interval: unknownServiceInterval},
+		attempts: newDedupCache(attemptTTL, time.Now), idempotencyKeys: newDedupCache(idempotencyKeyTTL, time.Now),
+		unknownServiceLog: rate.Sometimes{First: unknownServiceLines, Interval: unknownServiceInterval},
 	}
 	limits := admission.Limits{Slots: DefaultSlots, QueueLength: config.QueueLength, QueueTime: config.QueueTime}
 	for _, backend := range config.Backends {
@@ -132,7 +132,7 @@
 	}
 	o.mutex.Unlock()
 	<-ctx.Done()
-	o.running.Wait()
+	o.goroutines.Wait()
 }
 
 // watch follows an instance while the origin runs, and drops it when it says so; the caller holds
@@ -142,22 +142,22 @@
 	if ctx == nil || ctx.Err() != nil {
 		return
 	}
-	o.running.Go(func() {
+	o.goroutines.Go(func() {
 		instance.watch(ctx, o.config.Changed)
 		if ctx.Err() == nil {
-			o.drop(instance)
+			o.removeInstance(instance)
 		}
 	})
 }
 
-// drop forgets an instance and closes its connections.
-func (o *Origin) drop(instance *Instance) {
+// removeInstance forgets an instance and closes its connections.
+func (o *Origin) removeInstance(instance *Instance) {
 	o.mutex.Lock()
 	delete(o.instances, instanceKey{instance.Service, instance.Name})
 	o.mutex.Unlock()
 	o.config.Logger.Info("instance.dropped", "instance", instance.Name, "service", instance.Service, "state", string(instance.State()))
 	instance.queue.Close(result.Errorf(result.CallNotRunDraining, "instance %s left", instance.Name))
-	instance.backend.pool.closeOld(true)
+	instance.backend.pool.closeExpired(true)
 	o.config.Changed()
 }
 
@@ -229,13 +229,13 @@
 func (o *Origin) Drain(by time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.shutdownBy = by
+	o.shutdownDeadline = by
 }
 
-func (o *Origin) shutdownTime() time.Time {
+func (o *Origin) currentShutdownDeadline() time.Time {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
-	return o.shutdownBy
+	return o.shutdownDeadline
 }
 
 // Stop drains all instances because the daemon is stopping.
--- a/internal/requestpath/origin/quarantine.go
+++ b/internal/requestpath/origin/quarantine.go
@@ -9,11 +9,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// maxShortBody is the length in bytes up to which a body counts as short: it is read whole here,
+// maxShortBodyBytes is the length in bytes up to which a body counts as short: it is read whole here,
 // right before the call would run, to know the request's keys. It must be below the bound of the
 // caller's daemon (4 MiB), which checks longer ones too; here they would keep the slot until they
 // have arrived.
-const maxShortBody = 64 << 10
+const maxShortBodyBytes = 64 << 10
 
 // checkQuarantine refuses a call under which instances crashed. The caller's daemon checks too;
 // this one may know more by the time when the call would run. The conditions, in this order:
@@ -25,7 +25,7 @@
 	if call.Open.GetTrial() || !o.config.Crashes.Suspected(line) {
 		return nil
 	}
-	if length := call.Open.GetContentLength(); call.Body != nil && (length < 0 || length > maxShortBody) {
+	if length := call.Open.GetContentLength(); call.Body != nil && (length < 0 || length > maxShortBodyBytes) {
 		return nil
 	}
 	content, err := bufferBody(call)
@@ -48,12 +48,12 @@
 	return content, nil
 }
 
-// noteRefuted records that an instance answered a suspected call with the given HTTP status: the
+// clearSuspicion records that an instance answered a suspected call with the given HTTP status: the
 // crashes under such calls were not because of them. An answer that came before the whole body
 // went there says nothing, since the call may not have run; neither does a server error.
-func (o *Origin) noteRefuted(answered *inFlightCall, status int) {
-	if status >= callapi.FirstServerError || !answered.isWhole() || !o.config.Crashes.Suspected(fingerprint.LineOf(answered.open)) {
+func (o *Origin) clearSuspicion(tracked *inFlightCall, status int) {
+	if status >= callapi.FirstServerError || !tracked.isBodyComplete() || !o.config.Crashes.Suspected(fingerprint.LineOf(tracked.open)) {
 		return
 	}
-	o.config.Crashes.Answered(answered.allKeys())
+	o.config.Crashes.Answered(tracked.keysWithPartial())
 }
--- a/internal/requestpath/origin/quarantine_bench_test.go
+++ b/internal/requestpath/origin/quarantine_bench_test.go
@@ -15,7 +15,7 @@
 // Where keys are hashed in any case it is 950 to 1,010 ns and 10 allocations; where they are
 // not, 89 ns and one.
 func BenchmarkNothingSuspected(b *testing.B) {
-	origin := New(Config{Crashes: &recorder{Registry: quarantine.NewRegistry(time.Now)}})
+	origin := New(Config{Crashes: &crashRecorder{Registry: quarantine.NewRegistry(time.Now)}})
 	call := &callapi.Call{Open: &lapisv1.CallOpen{Method: "GET", Host: "shop.example", Target: "/look/a?page=3", CallerService: "desk"}}
 	refused := 0
 	b.ReportAllocs()
@@ -23,7 +23,7 @@
 		if origin.checkQuarantine(call) != nil {
 			refused++
 		}
-		origin.noteRefuted(track(call), 200)
+		origin.clearSuspicion(trackCall(call), 200)
 	}
 	assert.Equal(b, refused, 0)
 }
--- a/internal/requestpath/origin/quarantine_test.go
+++ b/internal/requestpath/origin/quarantine_test.go
@@ -18,24 +18,24 @@
 
 // A quarantined request does not reach the instance, and an answer refutes a suspicion.
 func TestQuarantineBesideTheInstance(t *testing.T) {
-	_, origin, crashes := startBesideBreaking(t)
+	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
 	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
 	crashes.Crashed("other", 1, inFlight)
 	crashes.Crashed("other", 2, inFlight)
-	assert.NilError(t, send(origin, "/answer"))
+	assert.NilError(t, sendCall(origin, "/answer"))
 	assert.Assert(t, !crashes.Suspected(line))
 	for end := range uint64(3) {
 		crashes.Crashed("other", 3+end, inFlight)
 	}
-	err := send(origin, "/answer")
+	err := sendCall(origin, "/answer")
 	assert.Assert(t, result.Is(err, result.CallNotRunQuarantined))
 	assert.Equal(t, callapi.OutcomeOf(err), callapi.OutcomeNotRun)
 }
 
 // A short body from another daemon, which comes in pieces, is checked beside the instance too.
 func TestShortBodiesAreCheckedBesideTheInstance(t *testing.T) {
-	_, origin, crashes := startBesideBreaking(t)
+	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/answer"}
 	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, []byte("deadly")).Whole(), Caller: "shop"}}
 	for end := range uint64(3) {
@@ -56,13 +56,13 @@
 
 // An answer that comes before the body refutes nothing.
 func TestEarlyAnswerRefutesNothing(t *testing.T) {
-	_, origin, crashes := startBesideBreaking(t)
+	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/early"}
-	key := fingerprint.PartialOf(line, maxShortBody+1)
+	key := fingerprint.PartialOf(line, maxShortBodyBytes+1)
 	crashes.Crashed("other", 1, []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: []fingerprint.Key{key}, Caller: "shop"}})
 	reader, writer := io.Pipe()
 	answer, err := origin.Handle(context.Background(), &callapi.Call{Body: reader, Open: &lapisv1.CallOpen{
-		Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host, ContentLength: maxShortBody + 1,
+		Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host, ContentLength: maxShortBodyBytes + 1,
 		AttemptId: "early", CallerService: "shop",
 	}})
 	assert.NilError(t, err)
@@ -73,18 +73,18 @@
 
 // A trial of a quarantined request reaches the instance, and its answer refutes the crashes.
 func TestTrialReachesTheInstance(t *testing.T) {
-	_, origin, crashes := startBesideBreaking(t)
+	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
 	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
 	for end := range uint64(3) {
 		crashes.Crashed("other", end, inFlight)
 	}
-	assert.Assert(t, result.Is(send(origin, "/answer"), result.CallNotRunQuarantined))
+	assert.Assert(t, result.Is(sendCall(origin, "/answer"), result.CallNotRunQuarantined))
 	answer, err := origin.Handle(context.Background(), &callapi.Call{Open: &lapisv1.CallOpen{
 		Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host,
 		AttemptId: "trial", CallerService: "shop", Trial: true,
 	}})
 	assert.NilError(t, err)
 	_ = answer.Body.Close()
-	assert.NilError(t, send(origin, "/answer"))
+	assert.NilError(t, sendCall(origin, "/answer"))
 }
--- a/internal/requestpath/origin/refusal.go
+++ b/internal/requestpath/origin/refusal.go
@@ -40,26 +40,26 @@
 
 // unknownRefusal returns the error for a call whose instance is not beside this daemon; left is
 // true for one that was here and left for good.
-func unknownRefusal(open *lapisv1.CallOpen, left bool) *result.Error {
-	if left {
+func unknownRefusal(open *lapisv1.CallOpen, withdrawn bool) *result.Error {
+	if withdrawn {
 		return result.Errorf(result.CallNotRunDraining, "instance %s left", open.GetInstance())
 	}
 	return result.Errorf(result.CallNotRunUnknownHere, "no instance %s/%s here", open.GetService(), open.GetInstance())
 }
 
-// lifetime returns how long a call may last from its arrival on; 0 for one without a deadline.
-func lifetime(open *lapisv1.CallOpen) time.Duration {
+// callTimeout returns how long a call may last from its arrival on; 0 for one without a deadline.
+func callTimeout(open *lapisv1.CallOpen) time.Duration {
 	return time.Duration(open.GetDeadlineMillis()) * time.Millisecond
 }
 
 // checkShutdown refuses a call, which came at the given time, that may go on after the time when
 // all must be over; that is zero while the daemon is not stopping. A call without a deadline may
 // always go on. Errors: CallNotRunStopping.
-func checkShutdown(open *lapisv1.CallOpen, came, shutdownBy time.Time) error {
-	if shutdownBy.IsZero() {
+func checkShutdown(open *lapisv1.CallOpen, arrivedAt, shutdownDeadline time.Time) error {
+	if shutdownDeadline.IsZero() {
 		return nil
 	}
-	if lasts := lifetime(open); lasts == 0 || came.Add(lasts).After(shutdownBy) {
+	if timeout := callTimeout(open); timeout == 0 || arrivedAt.Add(timeout).After(shutdownDeadline) {
 		return result.Errorf(result.CallNotRunStopping, "the daemon stops before the call must be over")
 	}
 	return nil
@@ -78,9 +78,9 @@
 // checkSuspended refuses a call whose time passed while it waited and the machine was suspended:
 // the clock that its wait is bounded by stood then, and its caller has given up. waited is by that
 // clock, suspended is what the machine missed of it meanwhile. Errors: CallNotRunExpired.
-func checkSuspended(open *lapisv1.CallOpen, waited, suspended time.Duration) error {
-	lasts := lifetime(open)
-	if suspended > 0 && lasts > 0 && waited+suspended >= lasts {
+func checkSuspended(open *lapisv1.CallOpen, queueTime, suspended time.Duration) error {
+	timeout := callTimeout(open)
+	if suspended > 0 && timeout > 0 && queueTime+suspended >= timeout {
 		return result.Errorf(result.CallNotRunExpired, "the machine was suspended for %s while the call waited", suspended)
 	}
 	return nil
@@ -114,15 +114,15 @@
 	return result.Errorf(result.CallNotRunUnreachable, "instance %s is down (%s)", instance, cause)
 }
 
-// returnWithRoom is when the caller of a call may come back that an instance refused although it had
+// freeSlotRetryDelay is when the caller of a call may come back that an instance refused although it had
 // room: no load has to pass first, so that a later return finds nothing better. The pause keeps
 // callers from trying without one.
-const returnWithRoom = 20 * time.Millisecond
+const freeSlotRetryDelay = 20 * time.Millisecond
 
 // instanceRefusal returns the error for an answer that states that the instance did not run the
 // request (the header field of the envelope, with 503 or 429); nil for any other answer. hadRoom
 // tells that the instance had a free slot.
-func instanceRefusal(response *http.Response, envelope *callapi.Envelope, hadRoom bool) error {
+func instanceRefusal(response *http.Response, envelope *callapi.Envelope, hadFreeSlot bool) error {
 	if response.Header.Get(envelope.NotRun) == "" {
 		return nil
 	}
@@ -130,8 +130,8 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		refusal := result.Errorf(result.CallNotRunShed, "the back end answered %d", response.StatusCode)
 		refusal.RetryAfter = retryAfterOf(response.Header)
-		if hadRoom {
-			refusal.RetryAfter = returnWithRoom
+		if hadFreeSlot {
+			refusal.RetryAfter = freeSlotRetryDelay
 		}
 		return refusal
 	default:
--- a/internal/requestpath/origin/refusal_test.go
+++ b/internal/requestpath/origin/refusal_test.go
@@ -24,8 +24,8 @@
 		3 * time.Second: result.CallNotRunUnreachable,
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			o := running(t)
-			slots := fill(t, instanceOf(t, o, "desk-1"))
+			o := newRunningOrigin(t)
+			slots := fillSlots(t, requireInstance(t, o, "desk-1"))
 			ended := make(chan error, 1)
 			go func() {
 				open := &lapisv1.CallOpen{
@@ -109,7 +109,7 @@
 		"it may have run": {http.StatusServiceUnavailable, false, "2", false, result.OK, 0},
 		"another failure": {http.StatusInternalServerError, true, "", false, result.OK, 0},
 		"an answer":       {http.StatusOK, true, "", false, result.OK, 0},
-		"it had room":     {http.StatusServiceUnavailable, true, "2", true, result.CallNotRunShed, returnWithRoom},
+		"it had room":     {http.StatusServiceUnavailable, true, "2", true, result.CallNotRunShed, freeSlotRetryDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := &http.Response{StatusCode: row.status, Header: http.Header{}}
@@ -130,7 +130,7 @@
 
 // Every reason to drain has its code.
 func TestDrainRefusal(t *testing.T) {
-	for _, reason := range drainReasons {
+	for _, reason := range drainReasonPrecedence {
 		want := result.CallNotRunDraining
 		switch reason {
 		case DrainStop:
--- a/internal/requestpath/origin/registration.go
+++ b/internal/requestpath/origin/registration.go
@@ -34,8 +34,8 @@
 // Register records a heartbeat, the first of which makes the instance known. From its return on, a
 // draining instance gets no call that it did not have before.
 func (o *Origin) Register(registration Registration) {
-	instance, fresh := o.registered(registration)
-	changed := instance != nil && instance.noteHeartbeat(registration, fresh)
+	instance, isNew := o.findOrRegister(registration)
+	changed := instance != nil && instance.applyHeartbeat(registration, isNew)
 	if registration.Draining {
 		o.Withdraw(registration.incarnation().Name())
 		return
@@ -43,40 +43,40 @@
 	if instance == nil {
 		return
 	}
-	o.replaceRivals(instance, fresh)
-	if changed || fresh {
+	o.replaceConflicting(instance, isNew)
+	if changed || isNew {
 		o.config.Changed()
 	}
 }
 
-// registered returns the instance that a heartbeat is from, which may be new; nil where the
+// findOrRegister returns the instance that a heartbeat is from, which may be new; nil where the
 // heartbeat counts for nothing.
-func (o *Origin) registered(registration Registration) (instance *Instance, fresh bool) {
+func (o *Origin) findOrRegister(registration Registration) (instance *Instance, isNew bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.forgetWithdrawn()
+	o.pruneWithdrawn()
 	identity := registration.incarnation()
-	_, left := o.withdrawn[identity.Name()]
+	_, withdrawn := o.withdrawn[identity.Name()]
 	key := instanceKey{registration.Service, identity.Name()}
 	known, isKnown := o.instances[key]
 	if !isKnown && !o.hasService(registration.Service) {
-		o.unknownServices.Do(func() {
+		o.unknownServiceLog.Do(func() {
 			o.config.Logger.Info("instance.service_unknown", "instance", identity.Name(), "service", registration.Service)
 		})
 		return nil, false
 	}
-	others := o.rivalsOf(identity, registration.Address)
-	switch kindOfHeartbeat(left, isKnown, others, registration.Sequence) {
-	case heartbeatOfLeft:
+	conflicts := o.conflictsOf(identity, registration.Address)
+	switch kindOfHeartbeat(withdrawn, isKnown, conflicts, registration.Sequence) {
+	case heartbeatOfWithdrawn:
 		return nil, false
 	case heartbeatOfKnown:
 		return known, false
 	case heartbeatOfEarlier:
 		o.config.Logger.Info("instance.beat_late", "instance", identity.Name(), "address", registration.Address,
-			"sequence", registration.Sequence, "present", others.present)
+			"sequence", registration.Sequence, "present", conflicts.holder)
 		return nil, false
 	}
-	instance = o.newRegistered(registration)
+	instance = o.newRegisteredInstance(registration)
 	o.instances[key] = instance
 	o.watch(instance)
 	o.config.Logger.Info("instance.registered", "instance", instance.Name, "service", instance.Service,
@@ -96,21 +96,21 @@
 	return known
 }
 
-// newRegistered returns the instance that a first heartbeat states. From the start it follows what
+// newRegisteredInstance returns the instance that a first heartbeat states. From the start it follows what
 // is known of its pool, of the daemon and of its zone; the caller holds mutex.
-func (o *Origin) newRegistered(registration Registration) *Instance {
+func (o *Origin) newRegisteredInstance(registration Registration) *Instance {
 	limits := admission.Limits{Slots: max(registration.Slots, 1), QueueLength: o.config.QueueLength, QueueTime: o.config.QueueTime}
 	instance := newInstance(registration.Service, registration.incarnation(), registration.Address, limits, DefaultConnections, &o.config.Envelope)
 	instance.registered = true
 	instance.slots = registration.Slots
 	instance.logger = o.config.Logger
-	instance.coldness.bound = o.config.Cold
-	instance.coldness.crashes = &o.coldCrashes
+	instance.coldState.bound = o.config.Cold
+	instance.coldState.crashes = &o.coldCrashes
 	instance.version = registration.Version
 	if o.current != nil {
 		instance.configure(o.current)
 	}
-	instance.paceFirst(registration)
+	instance.setInitialPace(registration)
 	if o.stopping {
 		instance.Drain(DrainStop)
 	}
@@ -120,44 +120,44 @@
 	return instance
 }
 
-// rivalsOf returns what is known of other incarnations with the id of one, or at its address; the
+// conflictsOf returns what is known of other incarnations with the id of one, or at its address; the
 // caller holds mutex.
-func (o *Origin) rivalsOf(identity incarnation.Incarnation, address string) (others rivals) {
+func (o *Origin) conflictsOf(identity incarnation.Incarnation, address string) (conflicts incarnationConflicts) {
 	for _, instance := range o.instances {
-		if !instance.isRivalOf(identity, address) {
+		if !instance.conflictsWith(identity, address) {
 			continue
 		}
 		startedLater := instance.identity.StartedAfter(identity)
 		startedEarlier := identity.StartedAfter(instance.identity)
 		if startedLater && isPresent(instance.heartbeatAge()) {
-			others.laterPresent, others.present = true, instance.Name
+			conflicts.laterStartPresent, conflicts.holder = true, instance.Name
 		}
 		if !startedLater && !startedEarlier && instance.holdsAddress() {
-			others.held, others.present = true, instance.Name
+			conflicts.addressHeld, conflicts.holder = true, instance.Name
 		}
 	}
-	if later := o.laterLeft(identity); later != "" {
-		others.laterPresent, others.present = true, later
+	if laterStart := o.laterWithdrawnStart(identity); laterStart != "" {
+		conflicts.laterStartPresent, conflicts.holder = true, laterStart
 	}
-	return others
+	return conflicts
 }
 
-// laterLeft returns the name of a later start of an incarnation's id that left for good and was
+// laterWithdrawnStart returns the name of a later start of an incarnation's id that left for good and was
 // present until lately, so that what is heard of the earlier one was held up; empty for none. The
 // caller holds mutex.
-func (o *Origin) laterLeft(identity incarnation.Incarnation) string {
+func (o *Origin) laterWithdrawnStart(identity incarnation.Incarnation) string {
 	for name, at := range o.withdrawn {
-		left := incarnation.Parse(name)
-		if left.ID == identity.ID && left.StartedAfter(identity) && isPresent(time.Since(at)) {
+		withdrawn := incarnation.Parse(name)
+		if withdrawn.ID == identity.ID && withdrawn.StartedAfter(identity) && isPresent(time.Since(at)) {
 			return name
 		}
 	}
 	return ""
 }
 
-// isRivalOf reports whether the instance registered with the id of another incarnation, or at its
+// conflictsWith reports whether the instance registered with the id of another incarnation, or at its
 // address.
-func (i *Instance) isRivalOf(identity incarnation.Incarnation, address string) bool {
+func (i *Instance) conflictsWith(identity incarnation.Incarnation, address string) bool {
 	return i.registered && i.identity != identity && (i.identity.ID == identity.ID || i.backend.address == address)
 }
 
@@ -165,7 +165,7 @@
 	age := i.heartbeatAge()
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return holdsAddress(age, i.lifecycle.MustState().(State), i.reasons)
+	return holdsAddress(age, i.lifecycle.MustState().(State), i.drainReasons)
 }
 
 // LocalService returns the service of the instance that became known last, of those that are not
@@ -175,7 +175,7 @@
 	defer o.mutex.RUnlock()
 	var newest *Instance
 	for _, instance := range o.instances {
-		if newest == nil || instance.started.After(newest.started) {
+		if newest == nil || instance.startedAt.After(newest.startedAt) {
 			newest = instance
 		}
 	}
@@ -185,9 +185,9 @@
 	return newest.Service
 }
 
-// noteHeartbeat records a heartbeat; it reports whether what is announced changed. One with a lower
+// applyHeartbeat records a heartbeat; it reports whether what is announced changed. One with a lower
 // sequence than the newest was held up on its way and counts for nothing.
-func (i *Instance) noteHeartbeat(registration Registration, fresh bool) (changed bool) {
+func (i *Instance) applyHeartbeat(registration Registration, isNew bool) (changed bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if registration.Sequence < i.sequence {
@@ -195,31 +195,31 @@
 	}
 	now := time.Now()
 	i.sequence = registration.Sequence
-	i.lastHeartbeat = now
+	i.lastHeartbeatAt = now
 	source := coldByHeartbeat
-	if fresh {
+	if isNew {
 		source = coldByStart
 	}
-	i.coldness.noteHeartbeat(registration.ColdFor, registration.Sequence, now)
-	changed = i.followCold(source, now)
+	i.coldState.recordHeartbeat(registration.ColdFor, registration.Sequence, now)
+	changed = i.updatePace(source, now)
 	if registration.Slots > 0 && registration.Slots != i.slots {
 		i.slots = registration.Slots
 		changed = true
 	}
-	before := i.lifecycle.MustState()
+	previousState := i.lifecycle.MustState()
 	i.markUp()
-	return changed || before != i.lifecycle.MustState()
+	return changed || previousState != i.lifecycle.MustState()
 }
 
-// withdrawnMemory is how long it is remembered that an instance left, so that a late heartbeat does
+// withdrawnTTL is how long it is remembered that an instance left, so that a late heartbeat does
 // not bring it back. It must be longer than a heartbeat may be held up.
-const withdrawnMemory = 10 * time.Minute
+const withdrawnTTL = 10 * time.Minute
 
 // Withdraw drains an instance for good: it gets no call from now on, those that it has go on, and
 // no heartbeat brings it back.
 func (o *Origin) Withdraw(name string) {
 	o.mutex.Lock()
-	_, before := o.withdrawn[name]
+	_, alreadyWithdrawn := o.withdrawn[name]
 	o.withdrawn[name] = time.Now()
 	o.mutex.Unlock()
 	for _, instance := range o.Instances() {
@@ -227,7 +227,7 @@
 			instance.Drain(DrainInstance)
 		}
 	}
-	if !before {
+	if !alreadyWithdrawn {
 		o.config.Logger.Info("instance.leaving", "instance", name)
 		o.config.Changed()
 	}
@@ -254,8 +254,8 @@
 func (o *Origin) isWithdrawn(name string) bool {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
-	_, left := o.withdrawn[name]
-	return left
+	_, withdrawn := o.withdrawn[name]
+	return withdrawn
 }
 
 // Withdrawn returns the instances that left.
@@ -269,24 +269,24 @@
 	return names
 }
 
-// forgetWithdrawn drops what is old; the caller holds mutex.
-func (o *Origin) forgetWithdrawn() {
+// pruneWithdrawn drops what is old; the caller holds mutex.
+func (o *Origin) pruneWithdrawn() {
 	for name, at := range o.withdrawn {
-		if time.Since(at) > withdrawnMemory {
+		if time.Since(at) > withdrawnTTL {
 			delete(o.withdrawn, name)
 		}
 	}
 }
 
-// replaceRivals withdraws the other incarnations with the id or at the address of one that was heard:
+// replaceConflicting withdraws the other incarnations with the id or at the address of one that was heard:
 // those that started before it and, at its first heartbeat, those of which that is not known. One
 // that started later stays: it was not heard lately, and is the present one if it is heard again.
-func (o *Origin) replaceRivals(heard *Instance, fresh bool) {
+func (o *Origin) replaceConflicting(reporting *Instance, isNew bool) {
 	for _, instance := range o.Instances() {
-		if !instance.isRivalOf(heard.identity, heard.backend.address) || instance.identity.StartedAfter(heard.identity) {
+		if !instance.conflictsWith(reporting.identity, reporting.backend.address) || instance.identity.StartedAfter(reporting.identity) {
 			continue
 		}
-		if fresh || heard.identity.StartedAfter(instance.identity) {
+		if isNew || reporting.identity.StartedAfter(instance.identity) {
 			o.markReplaced(instance)
 		}
 	}
--- a/internal/requestpath/origin/registration_test.go
+++ b/internal/requestpath/origin/registration_test.go
@@ -14,8 +14,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// settle is longer than the interval in which an origin checks its instances.
-const settle = time.Second
+// settleTime is longer than the interval in which an origin checks its instances.
+const settleTime = time.Second
 
 // startOrigin runs an origin in a synctest bubble until stop is called.
 func startOrigin(t *testing.T) (running *origin.Origin, stop func()) {
@@ -51,7 +51,7 @@
 				defer stop()
 				running.Register(registration("desk-1", "127.0.0.1:1"))
 				leave(running)
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 				for _, endpoint := range running.Advertised() {
 					assert.Assert(t, endpoint.GetInstance() != "desk-1", "it is announced as %s", endpoint.GetState())
 				}
@@ -80,7 +80,7 @@
 		defer stop()
 		running.Register(registration("desk-1", "127.0.0.1:1"))
 		running.Withdraw("desk-1")
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		late := registration("desk-1", "127.0.0.1:1")
 		late.Sequence = 9
 		running.Register(late)
--- a/internal/requestpath/origin/requestlog.go
+++ b/internal/requestpath/origin/requestlog.go
@@ -14,9 +14,9 @@
 const (
 	// eventRefused is for a call that did not run, eventBroke for one that may
 	// have, eventAnswered for one that was answered.
-	eventRefused  = "origin.refused"
-	eventBroke    = "origin.broke"
-	eventAnswered = "origin.answered"
+	eventRefused        = "origin.refused"
+	eventOutcomeUnknown = "origin.broke"
+	eventAnswered       = "origin.answered"
 	// eventPanicked is for a call that made this daemon panic.
 	eventPanicked = "origin.panicked"
 )
@@ -36,9 +36,9 @@
 }
 
 // logFailure writes the line of a call that got no answer, with the load of its instance.
-func (o *Origin) logFailure(call *callapi.Call, err error, began time.Time) {
+func (o *Origin) logFailure(call *callapi.Call, err error, startedAt time.Time) {
 	open := call.Open
-	event := eventBroke
+	event := eventOutcomeUnknown
 	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
 		event = eventRefused
 	}
@@ -60,15 +60,15 @@
 		"cold_rate", cold.PerSecond, "cold_tokens", cold.Tokens,
 		"account", open.GetAccount(), "account_priority", open.GetAccountPriority(), "priority", open.GetPriority(), "due_ms", open.GetTargetMillis(),
 		"may_wait_ms", open.GetMaxWaitMillis(), "given_ms", open.GetDeadlineMillis(),
-		"took_ms", time.Since(began).Milliseconds(), "head", fingerprint.HeadOf(fingerprint.LineOf(open)), "caller_service", open.GetCallerService(), "detail", err)
+		"took_ms", time.Since(startedAt).Milliseconds(), "head", fingerprint.HeadOf(fingerprint.LineOf(open)), "caller_service", open.GetCallerService(), "detail", err)
 }
 
 // logAnswer writes the line of a call that the instance answered.
-func (o *Origin) logAnswer(instance *Instance, call *callapi.Call, answer *callapi.Answer, waited time.Duration, ahead int) {
+func (o *Origin) logAnswer(instance *Instance, call *callapi.Call, answer *callapi.Answer, queueTime time.Duration, ahead int) {
 	o.config.Decisions.Success(eventAnswered, o.requestID(call), func() []any {
 		return []any{
 			"attempt", call.Open.GetAttemptId(), "instance", instance.Name, "status", answer.Head.GetStatus(),
-			"waited_ms", waited.Milliseconds(), "ahead", ahead, "service_ms", float64(answer.Head.GetServiceMicros()) / 1000,
+			"waited_ms", queueTime.Milliseconds(), "ahead", ahead, "service_ms", float64(answer.Head.GetServiceMicros()) / 1000,
 			"load", float64(answer.Head.GetLoad()), "work_percent", answer.Head.GetWorkPercent(),
 			"account", call.Open.GetAccount(), "priority", call.Open.GetPriority(), "due_ms", call.Open.GetTargetMillis(),
 		}
--- a/internal/requestpath/origin/response.go
+++ b/internal/requestpath/origin/response.go
@@ -12,19 +12,19 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-func headOf(response *http.Response) *lapisv1.CallHead {
+func responseHead(response *http.Response) *lapisv1.CallHead {
 	head := &lapisv1.CallHead{Status: uint32(response.StatusCode), ContentLength: response.ContentLength}
-	head.Headers = fieldsOf(response.Header)
+	head.Headers = headerFields(response.Header)
 	for name := range response.Trailer {
 		head.Headers = append(head.Headers, &lapisv1.HeaderField{Name: "Trailer", Value: name})
 	}
 	return head
 }
 
-func fieldsOf(header http.Header) []*lapisv1.HeaderField {
+func headerFields(header http.Header) []*lapisv1.HeaderField {
 	fields := make([]*lapisv1.HeaderField, 0, len(header))
 	for name, values := range header {
-		if hopByHop[name] {
+		if hopByHopHeaders[name] {
 			continue
 		}
 		for _, value := range values {
@@ -34,8 +34,8 @@
 	return fields
 }
 
-// hopByHop names the fields of one connection only (RFC 9110, section 7.6.1), in canonical form.
-var hopByHop = map[string]bool{
+// hopByHopHeaders names the fields of one connection only (RFC 9110, section 7.6.1), in canonical form.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 }
@@ -67,27 +67,27 @@
 	return seconds
 }
 
-// answerBody gives the slot back when the answer has been read or closed.
-type answerBody struct {
+// responseBody gives the slot back when the answer has been read or closed.
+type responseBody struct {
 	body io.ReadCloser
 	slot *admission.Slot
-	// broke is called when the answer breaks off.
-	broke func(error)
+	// onError is called when the answer breaks off.
+	onError func(error)
 }
 
-func (a *answerBody) Read(buffer []byte) (int, error) {
+func (a *responseBody) Read(buffer []byte) (int, error) {
 	count, err := a.body.Read(buffer)
 	if err != nil {
 		a.slot.Release(false)
 	}
 	if err != nil && err != io.EOF {
 		err = result.Wrap(result.CallTruncated, err, "the answer broke off")
-		a.broke(err)
+		a.onError(err)
 	}
 	return count, err
 }
 
-func (a *answerBody) Close() error {
+func (a *responseBody) Close() error {
 	err := a.body.Close()
 	a.slot.Release(false)
 	return err
--- a/internal/requestpath/origin/restart_test.go
+++ b/internal/requestpath/origin/restart_test.go
@@ -17,33 +17,33 @@
 // heartbeatInterval is that of the instances in these tests.
 const heartbeatInterval = 1500 * time.Millisecond
 
-// beat is a heartbeat of a start of the instance desk-1, of born seconds.
-func beat(born, sequence uint64) origin.Registration {
+// newHeartbeat is a heartbeat of a start of the instance desk-1, of born seconds.
+func newHeartbeat(born, sequence uint64) origin.Registration {
 	stated := registration("desk-1", "127.0.0.1:1")
 	stated.Born, stated.Sequence = born*1000, sequence
 	return stated
 }
 
-// series are so many heartbeats of a start from a sequence on.
-func series(born, sequence uint64, count int) (beats []origin.Registration) {
+// newHeartbeats are so many heartbeats of a start from a sequence on.
+func newHeartbeats(born, sequence uint64, count int) (beats []origin.Registration) {
 	for index := range count {
-		beats = append(beats, beat(born, sequence+uint64(index)))
+		beats = append(beats, newHeartbeat(born, sequence+uint64(index)))
 	}
 	return beats
 }
 
-func leaving(stated origin.Registration) origin.Registration {
+func withDraining(stated origin.Registration) origin.Registration {
 	stated.Draining = true
 	return stated
 }
 
-func at(address string, stated origin.Registration) origin.Registration {
+func withAddress(address string, stated origin.Registration) origin.Registration {
 	stated.Address = address
 	return stated
 }
 
-// of gives a heartbeat another id.
-func of(id string, stated origin.Registration) origin.Registration {
+// withInstanceID gives a heartbeat another id.
+func withInstanceID(id string, stated origin.Registration) origin.Registration {
 	stated.Instance = id
 	return stated
 }
@@ -67,24 +67,24 @@
 		heartbeats []origin.Registration
 		ready      string
 	}{
-		"started again":                         {[]origin.Registration{beat(1, 900), beat(2, 1)}, second},
-		"its first heartbeat was lost":          {[]origin.Registration{beat(1, 900), beat(2, 2)}, second},
-		"at another address":                    {[]origin.Registration{beat(1, 900), at("127.0.0.1:2", beat(2, 1))}, second},
-		"after it had left":                     {[]origin.Registration{beat(1, 900), leaving(beat(1, 901)), beat(2, 1)}, second},
-		"late heartbeats of the start before":   {[]origin.Registration{beat(1, 900), beat(2, 1), beat(1, 901), beat(2, 2)}, second},
-		"the start before was forgotten":        {[]origin.Registration{beat(2, 1), beat(1, 900), beat(2, 2)}, second},
-		"its first heartbeat is late":           {[]origin.Registration{beat(2, 5), beat(1, 1), beat(2, 6)}, second},
-		"the start before is heard first":       {[]origin.Registration{beat(1, 900), beat(2, 7)}, second},
-		"the start before leaves late":          {[]origin.Registration{beat(2, 1), leaving(beat(1, 902)), beat(2, 2)}, second},
-		"late and elsewhere":                    {[]origin.Registration{beat(2, 1), at("127.0.0.1:2", beat(1, 1)), beat(2, 2)}, second},
-		"another instance before it, late":      {[]origin.Registration{beat(2, 1), of("desk-0", beat(1, 1)), beat(2, 2)}, second},
-		"a heartbeat without start":             {[]origin.Registration{beat(2, 5), beat(0, 900), beat(2, 6)}, second},
-		"starts are stated from now on":         {[]origin.Registration{beat(0, 900), beat(2, 1)}, second},
-		"the clock was set back":                {append([]origin.Registration{beat(2, 900)}, series(1, 1, 6)...), first},
-		"set back, and the other one is heard":  {append(append([]origin.Registration{beat(2, 900)}, series(1, 1, 6)...), beat(2, 901), beat(1, 7)), second},
-		"two starts that state the same time":   {append([]origin.Registration{beat(1, 900)}, series(1, 1, 50)...), first},
-		"two starts that state none":            {append([]origin.Registration{beat(0, 900)}, series(0, 1, 50)...), "desk-1"},
-		"draining, late heartbeat of the first": {[]origin.Registration{beat(2, 1), leaving(beat(2, 2)), beat(1, 900)}, ""},
+		"started again":                         {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 1)}, second},
+		"its first heartbeat was lost":          {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 2)}, second},
+		"at another address":                    {[]origin.Registration{newHeartbeat(1, 900), withAddress("127.0.0.1:2", newHeartbeat(2, 1))}, second},
+		"after it had left":                     {[]origin.Registration{newHeartbeat(1, 900), withDraining(newHeartbeat(1, 901)), newHeartbeat(2, 1)}, second},
+		"late heartbeats of the start before":   {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 1), newHeartbeat(1, 901), newHeartbeat(2, 2)}, second},
+		"the start before was forgotten":        {[]origin.Registration{newHeartbeat(2, 1), newHeartbeat(1, 900), newHeartbeat(2, 2)}, second},
+		"its first heartbeat is late":           {[]origin.Registration{newHeartbeat(2, 5), newHeartbeat(1, 1), newHeartbeat(2, 6)}, second},
+		"the start before is heard first":       {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 7)}, second},
+		"the start before leaves late":          {[]origin.Registration{newHeartbeat(2, 1), withDraining(newHeartbeat(1, 902)), newHeartbeat(2, 2)}, second},
+		"late and elsewhere":                    {[]origin.Registration{newHeartbeat(2, 1), withAddress("127.0.0.1:2", newHeartbeat(1, 1)), newHeartbeat(2, 2)}, second},
+		"another instance before it, late":      {[]origin.Registration{newHeartbeat(2, 1), withInstanceID("desk-0", newHeartbeat(1, 1)), newHeartbeat(2, 2)}, second},
+		"a heartbeat without start":             {[]origin.Registration{newHeartbeat(2, 5), newHeartbeat(0, 900), newHeartbeat(2, 6)}, second},
+		"starts are stated from now on":         {[]origin.Registration{newHeartbeat(0, 900), newHeartbeat(2, 1)}, second},
+		"the clock was set back":                {append([]origin.Registration{newHeartbeat(2, 900)}, newHeartbeats(1, 1, 6)...), first},
+		"set back, and the other one is heard":  {append(append([]origin.Registration{newHeartbeat(2, 900)}, newHeartbeats(1, 1, 6)...), newHeartbeat(2, 901), newHeartbeat(1, 7)), second},
+		"two starts that state the same time":   {append([]origin.Registration{newHeartbeat(1, 900)}, newHeartbeats(1, 1, 50)...), first},
+		"two starts that state none":            {append([]origin.Registration{newHeartbeat(0, 900)}, newHeartbeats(0, 1, 50)...), "desk-1"},
+		"draining, late heartbeat of the first": {[]origin.Registration{newHeartbeat(2, 1), withDraining(newHeartbeat(2, 2)), newHeartbeat(1, 900)}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -120,10 +120,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				running, stop := startOrigin(t)
 				defer stop()
-				running.Register(beat(1, 900))
-				running.Register(beat(2, 1))
+				running.Register(newHeartbeat(1, 900))
+				running.Register(newHeartbeat(2, 1))
 				row.withdraw(running)
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 				assert.DeepEqual(t, readyNames(running), row.ready)
 			})
 		})
@@ -135,9 +135,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		running, stop := startOrigin(t)
 		defer stop()
-		running.Register(beat(1, 900))
-		running.Register(beat(2, 1))
-		time.Sleep(settle)
+		running.Register(newHeartbeat(1, 900))
+		running.Register(newHeartbeat(2, 1))
+		time.Sleep(settleTime)
 		call := &callapi.Call{Open: &lapisv1.CallOpen{Service: "desk", Instance: "desk-1@1000", AttemptId: "a"}}
 		_, err := running.Handle(context.Background(), call)
 		assert.Assert(t, result.Is(err, result.CallNotRunDraining), "%v", err)
--- a/internal/requestpath/origin/revocation_test.go
+++ b/internal/requestpath/origin/revocation_test.go
@@ -16,11 +16,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// presented is the digest of the key of the tests' calls.
-var presented = account.DigestOf([]byte("a key"))
+// keyDigest is the digest of the key of the tests' calls.
+var keyDigest = account.DigestOf([]byte("a key"))
 
-// accountsOf returns accounts, each with one key, by name.
-func accountsOf(keys map[string]account.Digest) *lapisv1.Accounts {
+// newAccounts returns accounts, each with one key, by name.
+func newAccounts(keys map[string]account.Digest) *lapisv1.Accounts {
 	accounts := &lapisv1.Accounts{}
 	for name, key := range keys {
 		accounts.Accounts = append(accounts.Accounts, &lapisv1.Account{Name: name, KeyDigests: [][]byte{key[:]}})
@@ -28,8 +28,8 @@
 	return accounts
 }
 
-// inForce returns a snapshot with accounts.
-func inForce(t *testing.T, revision uint64, accounts *lapisv1.Accounts) *snapshot.Snapshot {
+// newSnapshot returns a snapshot with accounts.
+func newSnapshot(t *testing.T, revision uint64, accounts *lapisv1.Accounts) *snapshot.Snapshot {
 	t.Helper()
 	configuration, err := meshconfig.Compose(meshconfig.Composition{
 		Revision: revision, Accounts: accounts,
@@ -45,22 +45,22 @@
 // older one, which may lack it because it is new, proves nothing.
 func TestRevokedKeysAreRefusedBesideTheInstance(t *testing.T) {
 	const admittedUnder = 5
-	with, without := accountsOf(map[string]account.Digest{"alpha": presented}), accountsOf(nil)
-	moved := accountsOf(map[string]account.Digest{"beta": presented})
+	with, without := newAccounts(map[string]account.Digest{"alpha": keyDigest}), newAccounts(nil)
+	moved := newAccounts(map[string]account.Digest{"beta": keyDigest})
 	for name, row := range map[string]struct {
 		digest  []byte
 		current *snapshot.Snapshot
 		code    result.Code
 	}{
-		"in force":              {presented[:], inForce(t, 6, with), result.OK},
-		"revoked":               {presented[:], inForce(t, 6, without), result.CallUnknownKey},
-		"moved":                 {presented[:], inForce(t, 6, moved), result.OK},
-		"the same version":      {presented[:], inForce(t, admittedUnder, without), result.OK},
-		"not known here yet":    {presented[:], inForce(t, 4, without), result.OK},
-		"accounts are given up": {presented[:], inForce(t, 6, nil), result.OK},
-		"no configuration yet":  {presented[:], nil, result.OK},
-		"no key was needed":     {nil, inForce(t, 6, without), result.OK},
-		"no digest at all":      {presented[:3], inForce(t, 6, with), result.CallUnknownKey},
+		"in force":              {keyDigest[:], newSnapshot(t, 6, with), result.OK},
+		"revoked":               {keyDigest[:], newSnapshot(t, 6, without), result.CallUnknownKey},
+		"moved":                 {keyDigest[:], newSnapshot(t, 6, moved), result.OK},
+		"the same version":      {keyDigest[:], newSnapshot(t, admittedUnder, without), result.OK},
+		"not known here yet":    {keyDigest[:], newSnapshot(t, 4, without), result.OK},
+		"accounts are given up": {keyDigest[:], newSnapshot(t, 6, nil), result.OK},
+		"no configuration yet":  {keyDigest[:], nil, result.OK},
+		"no key was needed":     {nil, newSnapshot(t, 6, without), result.OK},
+		"no digest at all":      {keyDigest[:3], newSnapshot(t, 6, with), result.CallUnknownKey},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := checkKey(&lapisv1.CallOpen{KeyDigest: row.digest, RouteRevision: admittedUnder}, row.current)
@@ -77,26 +77,26 @@
 		accounts *lapisv1.Accounts
 		code     result.Code
 	}{
-		"revoked": {accountsOf(nil), result.CallUnknownKey},
+		"revoked": {newAccounts(nil), result.CallUnknownKey},
 		// It is tried, and no back end answers there.
-		"kept": {accountsOf(map[string]account.Digest{"alpha": presented}), result.CallNotRunUnreachable},
+		"kept": {newAccounts(map[string]account.Digest{"alpha": keyDigest}), result.CallNotRunUnreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := running(t)
-				o.Configure(inForce(t, 1, accountsOf(map[string]account.Digest{"alpha": presented})))
-				slots := fill(t, instanceOf(t, o, "desk-1"))
+				o := newRunningOrigin(t)
+				o.Configure(newSnapshot(t, 1, newAccounts(map[string]account.Digest{"alpha": keyDigest})))
+				slots := fillSlots(t, requireInstance(t, o, "desk-1"))
 				ended := make(chan error, 1)
 				go func() {
 					open := &lapisv1.CallOpen{
 						Service: "desk", Instance: "desk-1", AttemptId: "waits", Target: "/", Method: "GET", DeadlineMillis: 10_000,
-						Account: "alpha", KeyDigest: presented[:], RouteRevision: 1,
+						Account: "alpha", KeyDigest: keyDigest[:], RouteRevision: 1,
 					}
 					_, err := o.Handle(context.Background(), &callapi.Call{Open: open})
 					ended <- err
 				}()
 				synctest.Wait()
-				o.Configure(inForce(t, 2, row.accounts))
+				o.Configure(newSnapshot(t, 2, row.accounts))
 				time.Sleep(time.Second)
 				for _, slot := range slots {
 					slot.Release(false)
@@ -117,10 +117,10 @@
 	envelope := &callapi.Envelope{Deadline: "Deadline-Ms", Account: "Mesh-Account"}
 	for _, name := range []string{"alpha", ""} {
 		open := &lapisv1.CallOpen{
-			Method: "GET", Target: "/", Account: name, KeyDigest: presented[:],
+			Method: "GET", Target: "/", Account: name, KeyDigest: keyDigest[:],
 			Headers: []*lapisv1.HeaderField{{Name: "mesh-account", Value: "smuggled"}, {Name: "Other", Value: "kept"}},
 		}
-		request, err := newBackend(nowhere, "desk-1", envelope, 1).request(t.Context(), &callapi.Call{Open: open})
+		request, err := newBackend(unreachableAddress, "desk-1", envelope, 1).request(t.Context(), &callapi.Call{Open: open})
 		assert.NilError(t, err)
 		assert.Equal(t, request.Header.Get("Mesh-Account"), name)
 		assert.Assert(t, len(request.Header.Values("Mesh-Account")) <= 1)
--- a/internal/requestpath/origin/suspended_test.go
+++ b/internal/requestpath/origin/suspended_test.go
@@ -18,13 +18,13 @@
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
 		fixture := newFixture(t, 4)
-		fixture.heartbeat(coldTime, 0)
-		gap = heartbeatSilence + coldTime
+		fixture.heartbeat(coldDuration, 0)
+		gap = heartbeatTimeout + coldDuration
 		time.Sleep(200 * time.Millisecond)
 		assert.Assert(t, fixture.cold())
 		instance, ok := fixture.instance("desk", "desk-1")
 		assert.Assert(t, ok)
-		instance.check(t.Context())
+		instance.checkHealth(t.Context())
 		assert.Equal(t, instance.State(), StateReady)
 		fixture.heartbeat(0, 0)
 		assert.Assert(t, !fixture.cold())
@@ -41,13 +41,13 @@
 		defer func() { _ = far.Close() }()
 		pool := newConnectionPool("127.0.0.1:1", 1)
 		pool.open = 1
-		pool.put(&connection{Conn: near, keepFor: backendIdleTimeout})
+		pool.put(&connection{Conn: near, idleTimeout: backendIdleTimeout})
 		time.Sleep(time.Second)
-		pool.closeOld(false)
+		pool.closeExpired(false)
 		assert.Equal(t, len(pool.idle), 1)
 		gap = backendIdleTimeout
 		time.Sleep(time.Second)
-		pool.closeOld(false)
+		pool.closeExpired(false)
 		assert.Equal(t, len(pool.idle), 0)
 	})
 }
