--- a/internal/requestpath/origin/coldness.go
+++ b/internal/requestpath/origin/coldness.go
@@ -8,71 +8,72 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
-// This file is about instances in slow start: until when an instance counts as cold and how many
-// calls a second it is admitted meanwhile (coldness, which is pure but for coldCrashes), and the
-// Instance methods that apply it. What the queue admits within a pace is package admission's.
+// This file handles instances in slow start: until when an instance is cold and how many calls per
+// second it is admitted until then (coldState, which is pure apart from coldCrashes), and the
+// Instance methods that apply this. Package admission decides which calls the queue admits within a
+// pace.
 
-// ColdBound is what a cold instance must not get more than in any second: the pool's
-// rate of cold instances times Overshoot, and Allowance more. Both 0 bound the mean only.
+// ColdBound limits the calls that a cold instance gets in any second: the pool's rate for cold
+// instances times Overshoot, plus Allowance. If both are 0 only the mean rate is limited.
 type ColdBound struct {
 	Overshoot float64
-	// Allowance is in calls.
+	// Allowance is a number of calls.
 	Allowance float64
 }
 
 const (
-	// unconfiguredColdRate is the calls a second that a cold instance is admitted while its daemon has no
-	// configuration yet, where the settings bound what cold instances get. It must be below what
-	// pools state, 4.5 on the users' sites.
+	// unconfiguredColdRate is the number of calls per second that a cold instance is admitted while
+	// its daemon has no configuration and a ColdBound is set. It must be below the rates of the
+	// pools, 4.5 on the users' sites.
 	unconfiguredColdRate = 1
-	// cautiousPaceDuration is how long after a crash of a cold instance those beside the daemon are admitted
-	// no more while cold than their pool states. It must be longer than instances stay cold, so
-	// that it covers the one that comes back.
+	// cautiousPaceDuration is how long after the crash of a cold instance the local cold instances
+	// are admitted no more calls than the rate of their pool. It must exceed the time for which
+	// instances are cold, so that it covers the restarted one.
 	cautiousPaceDuration = time.Minute
 )
 
 // coldSource is why an instance counts as cold.
 type coldSource string
 
-// Sources of coldness.
+// Reasons for which an instance counts as cold.
 const (
-	// coldByStart is the statement of an instance that has just registered, and
-	// coldByHeartbeat that of one that was warm before.
+	// coldByStart: the first heartbeat of the instance stated it. coldByHeartbeat: a later
+	// heartbeat of an instance that was warm before stated it.
 	coldByStart     coldSource = "start"
 	coldByHeartbeat coldSource = "heartbeat"
-	// coldByEvacuation is the end of its zone's evacuation, before which it may have turned
-	// cold without being heard.
+	// coldByEvacuation: an evacuation of its zone ended, during which the instance may have become
+	// cold without a heartbeat.
 	coldByEvacuation coldSource = "evacuation_end"
 )
 
-// coldState is what is known of whether an instance is cold. Times are by the steady clock: while
-// the machine is suspended the instance does not warm up either. It is not safe for concurrent use.
+// coldState tracks whether an instance is cold. Times are by the monotonic clock, because the
+// instance does not warm up either while the machine is suspended. It is not safe for concurrent
+// use.
 type coldState struct {
 	bound ColdBound
-	// callsPerSecond is the capacity of a cold instance as its pool states it, in calls a second,
-	// and startTime how long it stays cold at most; 0 where the pool does not say.
+	// callsPerSecond is the capacity of a cold instance, and maxColdTime the maximum time for which
+	// it is cold, both as configured for its pool; 0 if not configured.
 	callsPerSecond float64
 	maxColdTime    time.Duration
-	// crashes remembers that an instance beside the daemon crashed while it was cold; nil
-	// where that is not known.
+	// crashes records the crashes of cold local instances; nil if they are not recorded.
 	crashes *coldCrashes
 	// configured is true once a configuration was applied.
 	configured bool
-	// warmAt is from the newest heartbeat.
+	// warmAt is when the instance becomes warm by its latest heartbeat.
 	warmAt time.Time
-	// After its zone's evacuation an instance counts as cold until a heartbeat later than
-	// awaitAfterSequence, or until heartbeatWaitEnd.
+	// After an evacuation of its zone an instance counts as cold until a heartbeat with a sequence
+	// above heartbeatWaitSequence, or until heartbeatWaitEnd.
 	heartbeatWaitEnd      time.Time
 	heartbeatWaitSequence uint64
-	// loggedCold and source are what was logged last, and admitted what the queue had admitted
-	// under a pace when it began.
+	// loggedCold and loggedSource were logged last. admittedBefore is the number of calls that the
+	// queue had admitted under a pace before the instance became cold.
 	loggedCold     bool
 	loggedSource   coldSource
 	admittedBefore int64
 }
 
-// coldUntil returns when the instance is warm, as far as is known: the later of warmAt and
-// awaitHeartbeatUntil.
+// coldUntil returns when the instance becomes warm, as far as known: the later of warmAt and
+// heartbeatWaitEnd.
 func (c *coldState) coldUntil() time.Time {
 	if c.heartbeatWaitEnd.After(c.warmAt) {
 		return c.heartbeatWaitEnd
@@ -80,8 +81,8 @@
 	return c.warmAt
 }
 
-// recordHeartbeat records a heartbeat that states how much longer the instance stays cold. One sent
-// before awaitAfterSequence was set does not end the time for which it counts as cold unheard.
+// recordHeartbeat records a heartbeat that states the remaining cold time. A heartbeat sent before
+// heartbeatWaitSequence was set does not end the wait for a newer one.
 func (c *coldState) recordHeartbeat(coldFor time.Duration, sequence uint64, now time.Time) {
 	c.warmAt = now.Add(coldFor)
 	if sequence > c.heartbeatWaitSequence || sequence == 0 {
@@ -89,8 +90,8 @@
 	}
 }
 
-// rate returns the calls a second that a cold instance can take: as the pool states it, or
-// rateUnknown before any configuration where the settings bound it; 0 for no bound.
+// rate returns the calls per second that a cold instance can handle: the rate of its pool, or
+// unconfiguredColdRate before the first configuration if a ColdBound is set; 0 for no limit.
 func (c *coldState) rate() float64 {
 	if !c.configured && c.bound != (ColdBound{}) {
 		return unconfiguredColdRate
@@ -98,9 +99,9 @@
 	return c.callsPerSecond
 }
 
-// pace returns the pace that the queue of the instance keeps; none for a warm instance and where
-// the pool states no rate. It is a cautious one while the rate is a guess, and for a while after a
-// cold instance crashed.
+// pace returns the pace for the instance's queue; the zero Pace for a warm instance and for a pool
+// without a rate. The pace is cautious before the first configuration, when the rate is a guess,
+// and for cautiousPaceDuration after a cold instance crashed.
 func (c *coldState) pace(now time.Time) admission.Pace {
 	if c.rate() <= 0 || !now.Before(c.coldUntil()) {
 		return admission.Pace{}
@@ -111,8 +112,8 @@
 	return pace
 }
 
-// configure applies what the pool states of its cold instances; it reports whether that
-// changed the rate.
+// configure applies the pool's settings for cold instances; it reports whether they changed the
+// rate.
 func (c *coldState) configure(pool *lapisv1.Pool) (changed bool) {
 	previousRate := c.rate()
 	c.configured = true
@@ -121,9 +122,9 @@
 	return c.rate() != previousRate
 }
 
-// maxHeartbeatWait returns how long an instance counts as cold at most while no heartbeat comes:
-// as long as its pool's instances stay so, or, where no configuration says that yet, until its
-// silence would be noticed.
+// maxHeartbeatWait returns how long an instance counts as cold at most without a heartbeat: the
+// maximum cold time of its pool or, before the first configuration, the time after which its
+// silence would be detected.
 func (c *coldState) maxHeartbeatWait() time.Duration {
 	if !c.configured {
 		return heartbeatTimeout
@@ -131,8 +132,8 @@
 	return c.maxColdTime
 }
 
-// coldCrashes remembers when an instance beside the daemon last crashed while it was cold. It is
-// safe for concurrent use; nil remembers nothing.
+// coldCrashes records when a local instance last crashed while it was cold. It is safe for
+// concurrent use; a nil value records nothing.
 type coldCrashes struct{ latest atomic.Pointer[time.Time] }
 
 func (c *coldCrashes) record(now time.Time) {
@@ -141,7 +142,7 @@
 	}
 }
 
-// recent reports whether one crashed within cautiousFor.
+// recent reports whether such a crash happened within cautiousPaceDuration.
 func (c *coldCrashes) recent(now time.Time) bool {
 	if c == nil {
 		return false
@@ -150,7 +151,7 @@
 	return latest != nil && now.Sub(*latest) < cautiousPaceDuration
 }
 
-// configureCold applies what the pool states of its cold instances; the caller holds mutex.
+// configureCold applies the pool's settings for cold instances; the caller holds mutex.
 func (i *Instance) configureCold(pool *lapisv1.Pool) {
 	if !i.coldState.configure(pool) {
 		return
@@ -164,8 +165,8 @@
 	}
 }
 
-// assumeColdUntilHeartbeat has an instance that sends heartbeats count as cold until a newer one, for at
-// most awaitHeartbeatFor.
+// assumeColdUntilHeartbeat treats an instance that sends heartbeats as cold until a newer heartbeat
+// arrives, for at most maxHeartbeatWait.
 func (i *Instance) assumeColdUntilHeartbeat() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -179,7 +180,7 @@
 	i.updatePace(coldByEvacuation, now)
 }
 
-// setInitialPace sets the pace that fits an instance's first heartbeat, before calls can find the
+// setInitialPace sets the pace for an instance's first heartbeat, before calls can find the
 // instance.
 func (i *Instance) setInitialPace(registration Registration) {
 	i.mutex.Lock()
@@ -189,8 +190,8 @@
 	i.queue.SetPace(i.coldState.pace(now))
 }
 
-// updatePace sets the pace that fits what is known, and logs a change between cold and warm, which it
-// reports; the caller holds mutex.
+// updatePace sets the current pace of the queue, and logs and reports a change between cold and
+// warm; the caller holds mutex.
 func (i *Instance) updatePace(source coldSource, now time.Time) (changed bool) {
 	cold := &i.coldState
 	pace := cold.pace(now)
@@ -212,7 +213,8 @@
 	return true
 }
 
-// checkWarmedUp reports whether the instance has turned warm since the last call, and follows that.
+// checkWarmedUp reports whether the instance has become warm since the last call, and updates its
+// pace.
 func (i *Instance) checkWarmedUp() (changed bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -223,5 +225,5 @@
 	return i.updatePace(i.coldState.loggedSource, now)
 }
 
-// ColdUse is how far the instance's pace is used; the rate is 0 while none holds.
+// ColdUse returns the use of the instance's pace; the rate is 0 while no pace applies.
 func (i *Instance) ColdUse() admission.PaceUse { return i.queue.PaceUse() }
--- a/internal/requestpath/origin/crash.go
+++ b/internal/requestpath/origin/crash.go
@@ -14,23 +14,23 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// CrashReporter receives the crashes of instances beside the daemon, and knows which requests are
-// quarantined because of crashes anywhere. Its methods are safe for concurrent use.
+// CrashReporter receives the crashes of local instances, and knows which requests are quarantined
+// because of crashes at any daemon. Its methods are safe for concurrent use.
 type CrashReporter interface {
-	// Crashed records that an instance crashed with calls in flight; id is that of the crash.
-	// On return Suspected, Count and Evaluate take it into account.
+	// Crashed records that an instance crashed with calls in flight; id identifies the crash. After
+	// it has returned, Suspected, Count and Evaluate take the crash into account.
 	Crashed(instance string, id uint64, inFlight []quarantine.InFlight)
-	// Suspected reports whether instances crashed under calls with the head of the line.
+	// Suspected reports whether instances crashed during calls with the head of the line.
 	Suspected(line fingerprint.Line) bool
 	// Answered records that an instance answered a suspected call with the keys.
 	Answered(keys []fingerprint.Key)
-	// Count returns the number of instances that crashed under calls with the keys.
+	// Count returns the number of instances that crashed during calls with the keys.
 	Count(keys []fingerprint.Key) int
-	// Evaluate tells whether a call of a caller is quarantined.
+	// Evaluate returns whether a call of a caller is quarantined.
 	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 }
 
-// noopCrashReporter is used where nobody follows crashes.
+// noopCrashReporter is used if Config.Crashes is nil.
 type noopCrashReporter struct{}
 
 func (noopCrashReporter) Crashed(string, uint64, []quarantine.InFlight) {}
@@ -41,14 +41,14 @@
 	return quarantine.Verdict{}
 }
 
-// finishUnanswered removes a call that got no answer from those in flight, and returns the error that
-// it ends with. One whose instance crashed ends with CallInstanceCrashed and the number of instances
-// that crashed under such calls.
+// finishUnanswered removes a call that got no response from the calls in flight, and returns its
+// final error. If the instance crashed, that is CallInstanceCrashed with the number of instances
+// that crashed during such calls.
 func (o *Origin) finishUnanswered(ctx context.Context, instance *Instance, tracked *inFlightCall, err error) error {
 	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
 		instance.inFlight.remove(tracked)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			// It crashed after the calls that it had were given up.
+			// The instance may have crashed after the callers of its calls had given up.
 			o.reportCrash(instance)
 		}
 		return err
@@ -57,14 +57,14 @@
 	if !result.Is(err, result.CallUnknownOutcome) || !o.hasCrashed(ctx, instance) {
 		return err
 	}
-	crashed := result.Errorf(result.CallInstanceCrashed, "instance %s ended", instance.Name)
+	crashed := result.Errorf(result.CallInstanceCrashed, "the process of instance %s ended", instance.Name)
 	crashed.Cause = err
 	crashed.Crashes = max(o.config.Crashes.Count(tracked.keys()), 1)
 	return crashed
 }
 
-// hasCrashed carries out what nextCrashCheck asks for, for an instance of which a call broke off.
-// It takes up to crashPolls times crashPollInterval, and crashProbeTimeout.
+// hasCrashed carries out the steps of nextCrashCheck after a call to an instance broke off. It takes
+// up to maxCrashPolls times crashPollInterval, plus crashProbeTimeout.
 func (o *Origin) hasCrashed(ctx context.Context, instance *Instance) bool {
 	seen := crashEvidence{}
 	for {
@@ -83,9 +83,9 @@
 	}
 }
 
-// probeCrash reports whether the port of an instance refuses connections, and takes the instance
-// as crashed then. Any other error of the probe, a time-out too, is no proof. Of several calls one
-// probes; the others learn what it found.
+// probeCrash reports whether the port of an instance refuses connections, and marks the instance as
+// crashed if so. Any other error of the probe, including a timeout, is no proof. If several calls
+// broke off, one of them probes and the others use its result.
 func (o *Origin) probeCrash(ctx context.Context, instance *Instance) (refused bool) {
 	instance.inFlight.probeMutex.Lock()
 	defer instance.inFlight.probeMutex.Unlock()
@@ -102,7 +102,7 @@
 	return true
 }
 
-// reportCrash records that an instance crashed with the calls that it had, once for each crash.
+// reportCrash reports that an instance crashed with its calls in flight, once for each crash.
 func (o *Origin) reportCrash(instance *Instance) {
 	calls, first := instance.inFlight.markCrashed(time.Now())
 	if !first {
--- a/internal/requestpath/origin/drain.go
+++ b/internal/requestpath/origin/drain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// DrainReason is why an instance takes no new work. An instance drains while there is any reason.
+// DrainReason is why an instance gets no new calls. An instance drains while any reason applies.
 type DrainReason string
 
 // Reasons to drain.
@@ -10,19 +10,21 @@
 	DrainOperator    DrainReason = "operator"
 	DrainMachineList DrainReason = "machine-list"
 	DrainStop        DrainReason = "stop"
-	// DrainEvacuated is for an instance whose zone is evacuated; it may take work again.
+	// DrainEvacuated applies while the zone is evacuated; the instance may get calls again
+	// afterwards.
 	DrainEvacuated DrainReason = "evacuated"
-	// DrainInstance is the instance's own statement that it leaves.
+	// DrainInstance applies once the instance itself has reported that it leaves.
 	DrainInstance DrainReason = "instance"
-	// DrainReplaced is for an instance whose address another one has.
+	// DrainReplaced applies to an instance whose address another instance has taken over.
 	DrainReplaced DrainReason = "replaced"
 )
 
-// drainReasonPrecedence are all reasons: calls are refused with the first of those that hold. The permanent
-// ones come first, so that no caller comes back in vain.
+// drainReasonPrecedence lists all reasons in the order in which they are reported: calls are
+// refused with the first one that applies. The permanent reasons come first, so that no caller
+// returns to an instance that does not come back.
 var drainReasonPrecedence = []DrainReason{DrainReplaced, DrainInstance, DrainStop, DrainOperator, DrainMachineList, DrainEvacuated}
 
-// Drain adds a reason to take no new work; the calls in flight go on.
+// Drain adds a reason to get no new calls; calls in flight continue.
 func (i *Instance) Drain(reason DrainReason) {
 	i.mutex.Lock()
 	i.drainReasons[reason] = true
@@ -42,8 +44,8 @@
 	}
 }
 
-// Resume removes a reason; without any the instance takes work again, at once if it registered and
-// is not silent.
+// Resume removes a reason. If none remains the instance gets calls again, at once if it is
+// registered and not silent.
 func (i *Instance) Resume(reason DrainReason) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -57,13 +59,14 @@
 	}
 	fire(i.lifecycle, triggerResume)
 	if !i.downByCalls {
-		i.applyMissedHeartbeats()
+		i.applyHeartbeatsDuringDrain()
 	}
 	i.downByCalls = false
 	i.queue.Reopen()
 }
 
-// firstDrainReason returns the first of the reasons that hold; the caller holds mutex.
+// firstDrainReason returns the first reason that applies, in order of precedence; the caller holds
+// mutex.
 func (i *Instance) firstDrainReason() (reason DrainReason, draining bool) {
 	for _, reason := range drainReasonPrecedence {
 		if i.drainReasons[reason] {
@@ -73,9 +76,9 @@
 	return "", false
 }
 
-// applyMissedHeartbeats applies the heartbeats that came, or stayed away, while the instance
-// drained; the caller holds mutex.
-func (i *Instance) applyMissedHeartbeats() {
+// applyHeartbeatsDuringDrain updates the state by the heartbeats that arrived, or stopped, while the
+// instance drained; the caller holds mutex.
+func (i *Instance) applyHeartbeatsDuringDrain() {
 	if !i.registered || i.lastHeartbeatAt.IsZero() {
 		return
 	}
@@ -85,7 +88,7 @@
 	}
 }
 
-// Retire drains the instance for good, as an operator asked.
+// Retire drains the instance permanently, as requested by an operator.
 func (i *Instance) Retire() {
 	i.Drain(DrainOperator)
 	i.mutex.Lock()
@@ -93,10 +96,10 @@
 	fire(i.lifecycle, triggerRetire)
 }
 
-// SetEvacuated makes all instances beside the daemon drain, those included that register
-// later, or ends that. From the return of SetEvacuated(true) on no call starts here; those
-// that run go on to their end. The callers' daemons choose other instances by themselves: this
-// guards against those that do not know the order yet.
+// SetEvacuated drains all local instances, including those that register later, or ends that drain.
+// After SetEvacuated(true) has returned no call starts here; running calls continue to their end.
+// The daemons of callers choose other instances on their own; the drain covers those that have not
+// received the evacuation order yet.
 func (o *Origin) SetEvacuated(evacuated bool) {
 	o.evacuationMutex.Lock()
 	defer o.evacuationMutex.Unlock()
--- a/internal/requestpath/origin/health.go
+++ b/internal/requestpath/origin/health.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// recordCallEnd records what the end of a call shows of whether the instance is up; it reports whether
-// the instance is to be probed for a connection.
+// recordCallEnd updates the reachability of the instance by the result of a call. It reports
+// whether to probe the instance for a connection.
 func (i *Instance) recordCallEnd(err error) (probeDue bool) {
 	switch evidenceOf(err) {
 	case evidenceAnswer:
@@ -24,7 +24,8 @@
 	return false
 }
 
-// recordConnection records whether the back end accepts connections; err tells why it does not.
+// recordConnection records whether the back end accepts connections; err is the error if it does
+// not.
 func (i *Instance) recordConnection(err error) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -36,21 +37,21 @@
 		return
 	}
 	if i.downByCalls && i.registered {
-		// An answer that was on its way; only a heartbeat shows that it is back.
+		// This may be a late response; only a heartbeat shows that the instance is up again.
 		return
 	}
 	i.markUp()
 }
 
-// recordCrash records that the instance was found to have crashed.
+// recordCrash marks the instance as down because a crash was detected.
 func (i *Instance) recordCrash() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.markDownByCalls(downCallsBroken)
 }
 
-// markDownByCalls takes the instance as down by what its calls showed: waiting and new calls are refused, so
-// that they go elsewhere; the caller holds mutex.
+// markDownByCalls marks the instance as down because of failed calls. Waiting and new calls are
+// refused, so that their callers try other instances; the caller holds mutex.
 func (i *Instance) markDownByCalls(cause downCause) {
 	state := i.lifecycle.MustState()
 	if i.downByCalls || (state != StateReady && state != StateDown) {
@@ -85,15 +86,16 @@
 	i.logger.Info("instance.up", "instance", i.Name, "service", i.Service)
 }
 
-// recordCallEnd records the end of a call at its instance, and probes the instance if it is due.
+// recordCallEnd records the result of a call at its instance, and probes the instance if that is
+// due.
 func (o *Origin) recordCallEnd(instance *Instance, err error) {
 	if instance.recordCallEnd(err) {
 		o.probeInBackground(instance)
 	}
 }
 
-// probeInBackground finds out, in the background, whether an instance of which calls broke off accepts a
-// connection.
+// probeInBackground checks, in a goroutine of its own, whether an instance accepts connections
+// after calls to it broke off.
 func (o *Origin) probeInBackground(instance *Instance) {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
@@ -110,7 +112,7 @@
 	}
 }
 
-// heartbeatAge returns the time since the newest heartbeat; 0 for an instance that sends none.
+// heartbeatAge returns the time since the latest heartbeat; 0 for an instance that sends none.
 func (i *Instance) heartbeatAge() time.Duration {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/requestpath/origin/incarnation.go
+++ b/internal/requestpath/origin/incarnation.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// This file holds the rules on which incarnation of an instance is there: what a heartbeat counts
-// for, which instance holds an address, and when an instance is dropped. A restarted instance has a
-// new id at the same address, or the same id and a later start; heartbeats may be held up, and a
-// daemon that has started anew knows none of the earlier incarnations. All of it is pure.
+// This file holds the rules that classify a heartbeat, and that decide which instance holds an
+// address and when an instance is dropped. A restarted instance has a new ID at the same address,
+// or the same ID and a later start time. Heartbeats may be delayed, and a restarted daemon knows
+// none of the earlier incarnations. All functions are pure.
 
-// heartbeatKind is what a heartbeat counts for.
+// heartbeatKind is the class of a heartbeat.
 type heartbeatKind int
 
 const (
-	// heartbeatOfWithdrawn: its instance left for good; it counts for nothing.
+	// heartbeatOfWithdrawn: the instance left permanently; the heartbeat is ignored.
 	heartbeatOfWithdrawn heartbeatKind = iota
-	// heartbeatOfKnown: its instance is known.
+	// heartbeatOfKnown: the instance is known.
 	heartbeatOfKnown
-	// heartbeatOfEarlier: it was held up, and is of an earlier incarnation at an address that
-	// another instance holds; it counts for nothing.
+	// heartbeatOfEarlier: a delayed heartbeat of an earlier incarnation, whose address or ID
+	// another instance holds now; it is ignored.
 	heartbeatOfEarlier
 	// heartbeatOfNew: it registers a new instance, which replaces any other at its address.
 	heartbeatOfNew
 )
 
-// incarnationConflicts is what is known of other incarnations with the id or the address of a heartbeat.
+// incarnationConflicts describes other incarnations with the ID or the address of a heartbeat.
 type incarnationConflicts struct {
-	// laterStartPresent is true where one that started later is present, and addressHeld where one of which the
-	// order of starts is not known holds the address or the id (holdsAddress).
+	// laterStartPresent is true if an incarnation that started later is present. addressHeld is
+	// true if one that cannot be ordered by its start holds the address or the ID (holdsAddress).
 	laterStartPresent, addressHeld bool
-	// holder is the name of that one, for the log.
+	// holder is the name of that incarnation, for the log.
 	holder string
 }
 
-// kindOfHeartbeat returns what a heartbeat counts for. left and known tell whether its incarnation
-// left for good and is known, others what is known of its rivals, and sequence is its number from
-// the start on.
+// kindOfHeartbeat classifies a heartbeat. withdrawn and known state whether its incarnation left
+// permanently and whether it is known, conflicts describes other incarnations, and sequence is the
+// number of the heartbeat since the start of its instance.
 //
-// The conditions are looked at in the order of the code. Where starts are stated they decide, while
-// the later one is present: after that the clock was set back, or the later one is gone. Where they
-// are not, an unknown instance whose heartbeat is not its first is an earlier one, which this daemon
-// has forgotten: the address stays with its holder. If it is the later one after all, because its
-// first heartbeat was lost, it is accepted once the other is not present any more.
+// The conditions apply in the order of the code. Start times, if stated, decide while the later
+// incarnation is present. After that either the later incarnation has ended, or the clock was set
+// back and its start was the earlier one. Without start times, an unknown instance whose heartbeat
+// is not its first counts as an earlier one that this daemon has forgotten, and the address stays
+// with its holder. If it is the later one after all, because its first heartbeat was lost, it is
+// accepted once the other is no longer present.
 func kindOfHeartbeat(withdrawn, known bool, conflicts incarnationConflicts, sequence uint64) heartbeatKind {
 	switch {
 	case withdrawn:
@@ -55,8 +56,9 @@
 	}
 }
 
-// holdsAddress reports whether an instance whose newest heartbeat is so old holds its address: it
-// is present and takes work, or would but for an evacuation of its zone.
+// holdsAddress reports whether an instance holds its address, given the age of its latest
+// heartbeat: it must be present, and either ready or only prevented from that by an evacuation of
+// its zone.
 func holdsAddress(heartbeatAge time.Duration, state State, reasons map[DrainReason]bool) bool {
 	if !isPresent(heartbeatAge) {
 		return false
@@ -64,9 +66,9 @@
 	return state == StateReady || (reasons[DrainEvacuated] && !reasons[DrainInstance] && !reasons[DrainReplaced])
 }
 
-// shouldDrop reports whether an instance that registered is to be dropped: it left for good and no
-// call of it is in flight, or it is down and was silent for long. One that drains for another reason
-// stays, however long it is silent, because it may be resumed.
+// shouldDrop reports whether to drop a registered instance: it left permanently and has no call in
+// flight, or it is down and has been silent for longer than silentInstanceTTL. An instance that
+// drains for another reason stays, however long it is silent, because it may be resumed.
 func shouldDrop(heartbeatAge time.Duration, state State, reasons map[DrainReason]bool) bool {
 	switch state {
 	case StateDrained:
--- a/internal/requestpath/origin/instance.go
+++ b/internal/requestpath/origin/instance.go
@@ -16,52 +16,53 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
-// Times and bounds of an instance.
+// Defaults and intervals of an instance.
 const (
-	// checkInterval is the time between two checks of an instance's state, which for one
-	// that does not register is a probe for a connection; well below heartbeatSilence.
+	// checkInterval is the time between two checks of an instance's state. For an instance without
+	// heartbeats a check is a connection probe. It must be well below heartbeatTimeout, so that a
+	// silent instance is detected soon.
 	checkInterval = 200 * time.Millisecond
-	// DefaultSlots and DefaultConnections hold until a configuration is known: what the
-	// users' sites state of an instance (about 6 slots and 130 connections).
+	// DefaultSlots and DefaultConnections apply until a configuration is known. They are the values
+	// that the users' sites configure for an instance (about 6 slots and 130 connections).
 	DefaultSlots       = 6
 	DefaultConnections = 130
 )
 
-// Instance is one back end beside the daemon, with its state, its queue and its connections. It is
-// safe for concurrent use.
+// Instance is one local back end with its state, its queue and its connections. It is safe for
+// concurrent use.
 type Instance struct {
 	Service string
-	// Name is that of identity.
+	// Name is identity.Name().
 	Name      string
 	identity  incarnation.Incarnation
 	queue     *admission.Queue
 	backend   *backend
 	startedAt time.Time
-	// registered is true for an instance that announced itself: its heartbeats
-	// then tell its state, and it is not probed at intervals.
+	// registered is true for an instance that sends heartbeats. They determine its state, and it is
+	// not probed at intervals.
 	registered bool
 	logger     logr.Logger
-	// version is that of the instance's software, as its first heartbeat said.
+	// version is the version of the instance's software, as stated by its first heartbeat.
 	version string
-	// inFlight are the calls that it has.
+	// inFlight holds the calls in flight at the instance.
 	inFlight inFlightCalls
-	// anonymousPriority is the account's priority that holds for calls without an account.
+	// anonymousPriority is the account priority of calls without an account.
 	anonymousPriority atomic.Uint32
-	// reportedWork is what it states of how long reportedWork takes there.
+	// reportedWork is what the instance reports about how long work takes there.
 	reportedWork reportedWork
 
 	// mutex protects everything below.
 	mutex sync.Mutex
-	// slots, sequence and lastHeartbeat are from the newest heartbeat.
+	// slots, sequence and lastHeartbeatAt are from the latest heartbeat.
 	slots           int
 	sequence        uint64
 	lastHeartbeatAt time.Time
 	coldState       coldState
 	lifecycle       *stateless.StateMachine
 	drainReasons    map[DrainReason]bool
-	// reachability is what its calls show, and downByCalls true while the instance is down by
-	// that. It is no state of the lifecycle, because it outlasts a drain: after that the instance
-	// is announced as ready only once it is heard.
+	// reachability is the evidence from calls, and downByCalls is true while the instance is down
+	// because of it. downByCalls is not a state of the lifecycle, because it outlasts a drain:
+	// after the drain the instance is announced as ready only once a heartbeat has arrived.
 	reachability reachability
 	downByCalls  bool
 }
@@ -94,7 +95,7 @@
 		return lapisv1.Endpoint_STATE_GONE
 	case StateDown:
 		if i.registered {
-			// It may be back with its next heartbeat.
+			// The next heartbeat may bring it up again.
 			return lapisv1.Endpoint_STATE_SUSPECT
 		}
 		return lapisv1.Endpoint_STATE_DRAINING
@@ -103,8 +104,8 @@
 	}
 }
 
-// checkHealth probes the back end while it is starting or down; one that registered
-// is down when its heartbeats stay away.
+// checkHealth probes an instance without heartbeats while it is starting or down, and marks an
+// instance with heartbeats as down when they stop.
 func (i *Instance) checkHealth(ctx context.Context) {
 	state := i.State()
 	if i.registered {
@@ -120,7 +121,7 @@
 	}
 }
 
-// shouldDrop reports whether the instance is to be dropped; one that does not register never is.
+// shouldDrop reports whether to drop the instance; an instance without heartbeats is never dropped.
 func (i *Instance) shouldDrop() bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -130,8 +131,8 @@
 	return shouldDrop(time.Since(i.lastHeartbeatAt), i.lifecycle.MustState().(State), i.drainReasons)
 }
 
-// watch follows the instance's state until it ended or ctx ends, and calls
-// changed after each change of what is announced.
+// watch monitors the instance until it is to be dropped or ctx ends, and calls changed after each
+// change of the announced endpoint.
 func (i *Instance) watch(ctx context.Context, changed func()) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -155,7 +156,7 @@
 	}
 }
 
-// endpoint returns what is announced of the instance.
+// endpoint returns the endpoint to announce for the instance.
 func (i *Instance) endpoint() *lapisv1.Endpoint {
 	state := i.advertisedState()
 	i.mutex.Lock()
--- a/internal/requestpath/origin/lifecycle.go
+++ b/internal/requestpath/origin/lifecycle.go
@@ -6,21 +6,21 @@
 	"github.com/qmuntal/stateless"
 )
 
-// State is the state of a back-end instance as seen by the daemon beside it.
+// State is the state of an instance as seen by the local daemon.
 type State string
 
 // States of an instance.
 const (
-	// StateStarting has not accepted a connection yet.
+	// StateStarting: the instance has not accepted a connection yet.
 	StateStarting State = "starting"
 	StateReady    State = "ready"
-	// StateDown stopped accepting connections.
+	// StateDown: the instance does not accept connections, or its heartbeats stopped.
 	StateDown State = "down"
-	// StateDraining takes no new work; calls are still in flight.
+	// StateDraining: the instance gets no new calls; some are still in flight.
 	StateDraining State = "draining"
-	// StateDrained takes no new work and has none in flight.
+	// StateDrained: the instance gets no new calls and has none in flight.
 	StateDrained State = "drained"
-	// StateRetired never takes work again.
+	// StateRetired: the instance never gets calls again.
 	StateRetired State = "retired"
 )
 
--- a/internal/requestpath/origin/liveness.go
+++ b/internal/requestpath/origin/liveness.go
@@ -7,36 +7,38 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// This file answers "is the instance up?". The answers are pure: what happened and the time are
-// passed in. Whoever acts on them is in health.go (what calls show), crash.go (whether the
+// This file holds the rules that decide whether an instance is up. The functions are pure: events
+// and times are passed in. They are applied in health.go (results of calls), crash.go (whether the
 // process ended) and instance.go (heartbeats).
 //
-// There are three rules because three things are asked, and a wrong answer costs something
-// else each time:
+// There are three rules, because they answer different questions and a wrong result has a different
+// cost:
 //
-//   - May calls be sent to it? (reachability) A wrong "down" takes an instance's capacity away
-//     until its next heartbeat, a wrong "up" costs each call that is sent there. Single calls
-//     break for many reasons (a connection that was idle for too long, a reset), so that several
-//     failures are needed, or one broken call together with a refused connection.
-//   - Did the process end under its calls? (nextCrashCheck) The answer is counted against
-//     every request that was in flight, and three of them hold a request back everywhere
-//     (package quarantine). It must come before the broken call is answered, because the
-//     caller's daemon decides by it whether to repeat. So it is asked with the first broken
-//     call, and needs proof: all calls of the instance broke off and its port refuses.
-//   - Is it heard? (isSilent, isForgotten, isPresent) An instance that hangs, or whose machine
-//     is gone, breaks no calls and refuses no connection; only its heartbeats stay away.
-
-// Constants of the reachability.
+//   - May calls be sent to the instance (reachability)? A wrong "down" removes the capacity of an
+//     instance until its next heartbeat; a wrong "up" fails each call that is sent there. Single
+//     calls break off for many reasons (a connection that was idle for too long, a reset), so
+//     several failures are needed, or one broken call together with a refused connection.
+//   - Did the process end during its calls (nextCrashCheck)? A crash is counted against every
+//     request that was in flight, and three crashes quarantine a request at all daemons (package
+//     quarantine). The result must be known before the broken call is answered, because the
+//     caller's daemon uses it to decide on a retry. The check therefore starts with the first
+//     broken call and needs proof: all calls of the instance broke off and its port refuses
+//     connections.
+//   - Does the instance send heartbeats (isSilent, isExpired, isPresent)? An instance that hangs,
+//     or whose machine has failed, breaks no calls and refuses no connections; only its heartbeats
+//     stop.
+
+// Constants of the reachability rule.
 const (
-	// downAfterFailures is the number of failed connections in a row after which an instance is
-	// taken as down. It must be above 1: one connection may be lost on its way.
+	// downAfterFailures is the number of consecutive failed connections after which an instance is
+	// marked as down. It must be above 1, because a single connection attempt may be lost.
 	downAfterFailures = 3
-	// probeAfterBrokenCalls is the number of calls that broke off within brokenCallWindow, without an
-	// answer in between, after which the instance is probed for a connection. Single calls break
-	// because a connection was idle for too long or was reset.
+	// probeAfterBrokenCalls is the number of calls that break off within brokenCallWindow, without
+	// a response in between, after which the instance is probed for a connection. Single calls
+	// break off because a connection was idle for too long or was reset.
 	probeAfterBrokenCalls = 3
 	brokenCallWindow      = 500 * time.Millisecond
-	// minProbeInterval is the least time between two such probes. It must be longer than
+	// minProbeInterval is the minimum time between two such probes. It must be above
 	// backendDialTimeout, or probes of one instance overlap.
 	minProbeInterval = 500 * time.Millisecond
 )
@@ -44,30 +46,30 @@
 // downCause is why an instance counts as down.
 type downCause string
 
-// Causes of being down, as they are logged.
+// Causes of being down, as written to the log.
 const (
 	downUnreachable downCause = "no_connections"
 	downCallsBroken downCause = "calls_broke_off"
 	downSilent      downCause = "no_heartbeats"
 )
 
-// evidence is what the end of a call says of its instance.
+// evidence is what the result of a call shows about its instance.
 type evidence int
 
 const (
-	// evidenceNone: it says nothing, or what it says is known already.
+	// evidenceNone: the result shows nothing, or nothing new.
 	evidenceNone evidence = iota
 	// evidenceAnswer: the instance answered.
 	evidenceAnswer
 	// evidenceNoConnection: no connection could be opened.
 	evidenceNoConnection
-	// evidenceCallBroken: the call was handed over and broke off.
+	// evidenceCallBroken: the call was sent and broke off.
 	evidenceCallBroken
 )
 
-// evidenceOf returns what the end of a call, err or nil for an answer, says of its instance. A
-// call that its caller gave up, or that ran out of time, says nothing; neither does one that
-// ended in a crash, since the instance was probed already.
+// evidenceOf returns the evidence in the result of a call; err is nil for a response. A call that
+// its caller cancelled, or whose deadline passed, shows nothing; neither does one that ended in a
+// crash, because the instance was already probed.
 func evidenceOf(err error) evidence {
 	switch {
 	case err == nil:
@@ -85,15 +87,15 @@
 	}
 }
 
-// reachability is what calls lately showed of whether an instance can be reached. The zero
-// value knows nothing. It is not safe for concurrent use.
+// reachability holds the recent evidence from calls of whether an instance can be reached. The zero
+// value holds none. It is not safe for concurrent use.
 type reachability struct {
-	// failedConnections counts the connections in a row that could not be opened.
+	// failedConnections counts the consecutive connections that could not be opened.
 	failedConnections int
-	// brokenCallTimes are the times of the calls that broke off since the last answer, within
+	// brokenCallTimes are the times of the calls that broke off since the last response, within
 	// brokenCallWindow.
 	brokenCallTimes []time.Time
-	// lastProbeAt is when the instance was probed last.
+	// lastProbeAt is when the instance was last probed.
 	lastProbeAt time.Time
 }
 
@@ -103,8 +105,8 @@
 	r.brokenCallTimes = r.brokenCallTimes[:0]
 }
 
-// recordBrokenCall records that a call broke off. It reports whether the instance is to be probed:
-// probeAfterBroken calls broke off lately, and it was not probed within probeSpacing.
+// recordBrokenCall records that a call broke off. It reports whether to probe the instance:
+// probeAfterBrokenCalls calls broke off recently, and there was no probe within minProbeInterval.
 func (r *reachability) recordBrokenCall(now time.Time) (probe bool) {
 	r.pruneBrokenCalls(now)
 	r.brokenCallTimes = append(r.brokenCallTimes, now)
@@ -116,9 +118,9 @@
 }
 
 // recordFailedConnection records that a connection could not be opened. It reports whether the
-// instance is down, and why. The conditions, in this order: refused after a call broke off
-// lately, which one refusal proves; or downAfterFailures in a row, refused or not, since one that
-// found no answer in time may be lost on its way.
+// instance is down, and the cause. The conditions apply in this order: the connection was refused
+// after a call broke off recently, for which one refusal is proof; or downAfterFailures consecutive
+// connections failed for any reason, because one that timed out may have been lost in transit.
 func (r *reachability) recordFailedConnection(refused bool, now time.Time) (cause downCause, down bool) {
 	r.pruneBrokenCalls(now)
 	r.failedConnections++
@@ -128,64 +130,64 @@
 	return downUnreachable, r.failedConnections >= downAfterFailures
 }
 
-// pruneBrokenCalls drops the calls that broke off long ago.
+// pruneBrokenCalls removes the calls that broke off longer than brokenCallWindow ago.
 func (r *reachability) pruneBrokenCalls(now time.Time) {
 	for len(r.brokenCallTimes) > 0 && now.Sub(r.brokenCallTimes[0]) > brokenCallWindow {
 		r.brokenCallTimes = r.brokenCallTimes[1:]
 	}
 }
 
-// Constants of the finding that an instance crashed.
+// Constants of the crash rule.
 const (
-	// crashPollInterval is how long after a call broke off the other calls of its instance
-	// are looked at, and crashPolls how often at the most. When a process ended, all its calls
-	// were noticed to break within 0.1 ms seven times, and within 1.6 and 5.3 ms once each, of
-	// nine (log lines of daemons with a third of a core). A call that breaks alone is answered
-	// later by all polls together.
+	// crashPollInterval is the time between a broken call and the first poll of the other calls of
+	// its instance, and between polls; maxCrashPolls is the maximum number of polls. Of nine
+	// processes that ended, all calls were seen to break off within 0.1 ms for seven, and within
+	// 1.6 and 5.3 ms for one each (log lines of daemons with a third of a core). All polls together
+	// delay the answer to a call that breaks off alone.
 	crashPollInterval = 2 * time.Millisecond
 	maxCrashPolls     = 4
-	// crashProbeTimeout bounds the probe for a connection. The instance is on the same machine,
-	// where an ended one refuses within a millisecond. It must be below backendDialTimeout, since a
-	// call waits for it.
+	// crashProbeTimeout limits the connection probe. The instance is on the same machine, where the
+	// port of an ended process refuses within a millisecond. It must be below backendDialTimeout,
+	// because a call waits for the probe.
 	crashProbeTimeout = 100 * time.Millisecond
-	// recentCallWindow is how long a call that ended without an answer counts as in flight: a
-	// caller may give up before the instance ends under its call. A longer one suspects more
-	// requests that had nothing to do with the crash, a shorter one misses the request whose caller
-	// gave up first.
+	// recentCallWindow is how long a call that ended without a response counts as in flight,
+	// because a caller may give up before the instance ends during its call. A longer window
+	// suspects more requests that were unrelated to the crash; a shorter one misses the request
+	// whose caller gave up first.
 	recentCallWindow = 500 * time.Millisecond
-	// maxRecentCalls bounds such calls, the oldest go first. It must be above the slots of an
-	// instance (6 to 13 on the users' sites).
+	// maxRecentCalls limits the number of such calls; the oldest are dropped first. It must be
+	// above the slots of an instance (6 to 13 on the users' sites).
 	maxRecentCalls = 64
 )
 
-// crashEvidence is what is known of an instance of which a call broke off.
+// crashEvidence is the evidence of a crash, collected after a call to an instance broke off.
 type crashEvidence struct {
-	// polls is how often the instance's calls were looked at; inFlight and reported are from the
-	// last time: the calls that it still has, and whether another call found that it crashed.
+	// polls is the number of polls of the instance's calls. inFlight and crashReported are from the
+	// last poll: the number of calls still in flight, and whether another call detected a crash.
 	polls         int
 	inFlight      int
 	crashReported bool
-	// probed is true once its port was probed, and refused tells whether it refused then, or
-	// was found to by another call before.
+	// probed is true once the port was probed; refused is true if it refused the connection, then
+	// or in an earlier probe of another call.
 	probed, refused bool
 }
 
-// crashCheck is what to do next to find out whether an instance crashed.
+// crashCheck is the next step to find out whether an instance crashed.
 type crashCheck int
 
 const (
-	// crashPoll: wait for crashPollInterval and look at the instance's calls.
+	// crashPoll: wait for crashPollInterval and poll the instance's calls.
 	crashPoll crashCheck = iota
-	// crashProbe: find out whether its port refuses connections.
+	// crashProbe: check whether its port refuses connections.
 	crashProbe
-	// crashConfirmed and crashExcluded end the search.
+	// crashConfirmed and crashExcluded are the two results.
 	crashConfirmed
 	crashExcluded
 )
 
-// nextCrashCheck returns the next step. An instance crashed when all its calls broke off and its
-// port refuses connections. Calls are looked at first, because that costs nothing: one that
-// breaks while others go on is the usual case.
+// nextCrashCheck returns the next step. An instance crashed if all its calls broke off and its port
+// refuses connections. Calls are polled first because that is cheap, and because usually one call
+// breaks off while others continue.
 func nextCrashCheck(seen crashEvidence) crashCheck {
 	switch {
 	case seen.probed && seen.refused:
@@ -203,26 +205,25 @@
 	}
 }
 
-// wasInFlight reports whether a call that ended without an answer counts as in flight now.
+// wasInFlight reports whether a call that ended without a response counts as in flight now.
 func wasInFlight(endedAt, now time.Time) bool { return now.Sub(endedAt) <= recentCallWindow }
 
-// Times of heartbeats, all measured from the newest one by the steady clock: while the machine is
-// suspended neither the instance nor this daemon runs. Instances send one every 1.5 s (the
+// Limits of the age of the latest heartbeat, measured by the monotonic clock: while the machine is
+// suspended neither the instance nor this daemon runs. Instances send a heartbeat every 1.5 s (the
 // users' setting heartbeat-ms).
 const (
-	// presenceTimeout is how long an instance is taken as the one at its address, whatever a late
-	// heartbeat of an earlier one says: three heartbeats. It must be below heartbeatSilence.
+	// presenceTimeout is how long an instance counts as the present one at its address, regardless
+	// of delayed heartbeats of earlier ones: three heartbeats. It must be below heartbeatTimeout.
 	presenceTimeout = 4500 * time.Millisecond
-	// heartbeatTimeout is the time after which a registered instance is taken as down: four
-	// heartbeats.
+	// heartbeatTimeout is the time without a heartbeat after which a registered instance is marked
+	// as down: four heartbeats.
 	heartbeatTimeout = 6 * time.Second
-	// silentInstanceTTL is the time after which a silent instance is dropped; its next heartbeat
-	// registers it anew. It must be above heartbeatSilence and below withdrawnMemory.
+	// silentInstanceTTL is the time without a heartbeat after which an instance is dropped; its
+	// next heartbeat registers it again. It must be above heartbeatTimeout and below withdrawnTTL.
 	silentInstanceTTL = time.Minute
 )
 
-// isPresent, isSilent and isForgotten tell what an instance counts as whose newest heartbeat
-// is so old.
+// isPresent, isSilent and isExpired classify an instance by the age of its latest heartbeat.
 func isPresent(heartbeatAge time.Duration) bool { return heartbeatAge < presenceTimeout }
 func isSilent(heartbeatAge time.Duration) bool  { return heartbeatAge > heartbeatTimeout }
 func isExpired(heartbeatAge time.Duration) bool { return heartbeatAge > silentInstanceTTL }
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -18,7 +18,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// BackendConfig names one back end beside the daemon, which sends no heartbeats.
+// BackendConfig configures one local back end that sends no heartbeats.
 type BackendConfig struct {
 	Service  string
 	Instance string
@@ -28,26 +28,27 @@
 // Config configures an Origin.
 type Config struct {
 	Backends []BackendConfig
-	// Region is that of the daemon and its instances; empty where it is not known.
+	// Region is the region of the daemon and its instances; empty if it is unknown.
 	Region string
-	// QueueLength and QueueTime bound the waiting calls of each group.
+	// QueueLength and QueueTime limit the number of waiting calls of each group and their wait.
 	QueueLength int
 	QueueTime   time.Duration
-	// Cold bounds what cold instances get.
+	// Cold limits the calls that cold instances get.
 	Cold ColdBound
-	// Envelope names the header fields; the zero value stands for the default.
+	// Envelope names the header fields; the zero value selects callapi.DefaultEnvelope.
 	Envelope callapi.Envelope
-	// Crashes receives the crashes of instances; nil where nobody follows them.
+	// Crashes receives the crashes of instances; nil disables crash reports.
 	Crashes CrashReporter
-	// Changed is called, from any goroutine, when what Advertised returns changed.
+	// Changed is called, from any goroutine, when the result of Advertised changes.
 	Changed func()
-	// Decisions receives the lines about requests, nil for none, and Logger those about instances.
+	// Decisions receives the log lines about requests (nil for none), Logger those about instances.
 	Decisions *decision.Log
 	Logger    logr.Logger
 }
 
-// Lines about heartbeats of services that nobody declared are written for the first ones and then
-// once in an interval. A writer that sends thousands must not fill the log.
+// Limits of the log lines about heartbeats of unconfigured services: the first lines are always
+// written, then one per interval, so that a client that sends thousands of them cannot fill the
+// log.
 const (
 	unknownServiceLines    = 5
 	unknownServiceInterval = time.Second
@@ -55,7 +56,7 @@
 
 type instanceKey struct{ service, instance string }
 
-// Origin serves calls for the back ends beside the daemon. It is safe for concurrent use.
+// Origin serves calls for the local instances. It is safe for concurrent use.
 type Origin struct {
 	config          Config
 	coldCrashes     coldCrashes
@@ -63,30 +64,32 @@
 	idempotencyKeys *dedupCache
 	goroutines      sync.WaitGroup
 	counts          counters
-	// executing counts the calls that instances have, executingRepeats those of them that are repeats.
+	// executing counts the calls that run at instances, and executingRepeats the repeats among
+	// them.
 	executing, executingRepeats atomic.Int64
 
-	// unknownServiceLog bounds the lines about heartbeats of services that nobody declared.
+	// unknownServiceLog limits the log lines about heartbeats of unconfigured services.
 	unknownServiceLog rate.Sometimes
 
 	// mutex protects everything below.
 	mutex     sync.RWMutex
 	instances map[instanceKey]*Instance
-	// withdrawn are instances that left for good, with the time of that report.
+	// withdrawn maps each instance that left permanently to the time of that report.
 	withdrawn map[string]time.Time
 	current   *snapshot.Snapshot
 	stopping  bool
-	// shutdownDeadline is when all calls here must be over; zero while the daemon is not stopping.
+	// shutdownDeadline is when all calls here must have ended; zero while the daemon is not
+	// stopping.
 	shutdownDeadline time.Time
-	// evacuated is true while no instance here may get work.
+	// evacuated is true while no local instance may get calls because its zone is evacuated.
 	evacuated bool
-	// evacuationMutex is held while evacuated changes and the instances follow.
+	// evacuationMutex is held while evacuated changes and the instances are drained or resumed.
 	evacuationMutex sync.Mutex
-	// runContext is set by Run and ends the watching of instances.
+	// runContext is set by Run; its end stops the monitoring of instances.
 	runContext context.Context
 }
 
-// Counts are totals of calls since the start.
+// Counts are totals of calls since the daemon started.
 type Counts struct {
 	HandedOver, Refused, Duplicates, Broken int64
 }
@@ -123,7 +126,7 @@
 	return origin
 }
 
-// Run follows the back ends' state until ctx ends.
+// Run monitors the state of the instances until ctx ends.
 func (o *Origin) Run(ctx context.Context) {
 	o.mutex.Lock()
 	o.runContext = ctx
@@ -135,8 +138,8 @@
 	o.goroutines.Wait()
 }
 
-// watch follows an instance while the origin runs, and drops it when it says so; the caller holds
-// mutex.
+// watch monitors an instance while the origin runs, and removes it when it is to be dropped; the
+// caller holds mutex.
 func (o *Origin) watch(instance *Instance) {
 	ctx := o.runContext
 	if ctx == nil || ctx.Err() != nil {
@@ -150,18 +153,18 @@
 	})
 }
 
-// removeInstance forgets an instance and closes its connections.
+// removeInstance removes an instance, refuses its waiting calls and closes its connections.
 func (o *Origin) removeInstance(instance *Instance) {
 	o.mutex.Lock()
 	delete(o.instances, instanceKey{instance.Service, instance.Name})
 	o.mutex.Unlock()
 	o.config.Logger.Info("instance.dropped", "instance", instance.Name, "service", instance.Service, "state", string(instance.State()))
-	instance.queue.Close(result.Errorf(result.CallNotRunDraining, "instance %s left", instance.Name))
+	instance.queue.Close(result.Errorf(result.CallNotRunDraining, "instance %s has left", instance.Name))
 	instance.backend.pool.closeExpired(true)
 	o.config.Changed()
 }
 
-// Instances returns the instances beside the daemon.
+// Instances returns the local instances.
 func (o *Origin) Instances() []*Instance {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
@@ -172,7 +175,7 @@
 	return instances
 }
 
-// Advertised returns the endpoints to announce.
+// Advertised returns the endpoints to announce to other daemons.
 func (o *Origin) Advertised() []*lapisv1.Endpoint {
 	instances := o.Instances()
 	endpoints := make([]*lapisv1.Endpoint, 0, len(instances))
@@ -192,14 +195,14 @@
 	}
 }
 
-// configuration returns the snapshot in force, nil before the first.
+// configuration returns the snapshot in force, nil before the first one.
 func (o *Origin) configuration() *snapshot.Snapshot {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
 	return o.current
 }
 
-// instance returns an instance beside the daemon.
+// instance returns a local instance by its service and name.
 func (o *Origin) instance(service, name string) (*Instance, bool) {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
@@ -207,8 +210,9 @@
 	return instance, ok
 }
 
-// FollowMachineList drains the ready instances of node, this daemon, that the endpoints show as
-// draining, and resumes those that they show as ready.
+// FollowMachineList applies the endpoint states of the machine list to the instances of node, this
+// daemon: a ready instance that is listed as draining is drained, and one that is listed as ready
+// is resumed.
 func (o *Origin) FollowMachineList(service string, endpoints []*lapisv1.Endpoint, node string) {
 	for _, endpoint := range endpoints {
 		instance, ok := o.instance(service, endpoint.GetInstance())
@@ -224,8 +228,9 @@
 	}
 }
 
-// Drain bounds the calls that still start, those that wait already included: from now on only those
-// whose deadline is not after the given time. After Stop none does.
+// Drain sets the time by which all calls must have ended because the daemon will stop. From then on
+// a call starts only if its deadline is not after that time, even if it was already waiting. After
+// Stop no call starts.
 func (o *Origin) Drain(by time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -257,7 +262,7 @@
 	return total
 }
 
-// Counts returns the totals.
+// Counts returns the totals of calls since the daemon started.
 func (o *Origin) Counts() Counts {
 	return Counts{
 		HandedOver: o.counts.handedOver.Load(), Refused: o.counts.refused.Load(),
--- a/internal/requestpath/origin/registration.go
+++ b/internal/requestpath/origin/registration.go
@@ -7,32 +7,32 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
-// Registration is what an instance states of itself with each heartbeat.
+// Registration is the content of one heartbeat of an instance.
 type Registration struct {
 	Service string
-	// Instance is the id of the instance, and Born the start that speaks (incarnation.Incarnation).
+	// Instance is the ID of the instance, and Born its start time (incarnation.Incarnation).
 	Instance string
 	Born     uint64
 	Address  string
-	// Version is that of the instance's software, which does not change while it runs.
+	// Version is the version of the instance's software, which does not change while it runs.
 	Version string
-	// Slots is the number of calls that the instance works on at once.
+	// Slots is the number of calls that the instance runs at the same time.
 	Slots int
-	// Draining is true when the instance is about to leave.
+	// Draining is true if the instance is about to leave.
 	Draining bool
-	// Sequence rises with each heartbeat, so that a late one is recognised.
+	// Sequence increases with each heartbeat, so that a delayed one is detected.
 	Sequence uint64
-	// ColdFor is how much longer the instance stays cold.
+	// ColdFor is the remaining time for which the instance is cold.
 	ColdFor time.Duration
 }
 
-// incarnation returns the start that a heartbeat is from.
+// incarnation returns the incarnation that sent the heartbeat.
 func (r Registration) incarnation() incarnation.Incarnation {
 	return incarnation.Incarnation{ID: r.Instance, Born: r.Born}
 }
 
-// Register records a heartbeat, the first of which makes the instance known. From its return on, a
-// draining instance gets no call that it did not have before.
+// Register records a heartbeat; the first one registers the instance. After Register has returned
+// for a draining instance, no further call starts there.
 func (o *Origin) Register(registration Registration) {
 	instance, isNew := o.findOrRegister(registration)
 	changed := instance != nil && instance.applyHeartbeat(registration, isNew)
@@ -49,8 +49,8 @@
 	}
 }
 
-// findOrRegister returns the instance that a heartbeat is from, which may be new; nil where the
-// heartbeat counts for nothing.
+// findOrRegister returns the instance that sent a heartbeat, and registers it if it is new; nil if
+// the heartbeat is ignored.
 func (o *Origin) findOrRegister(registration Registration) (instance *Instance, isNew bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -85,9 +85,10 @@
 	return instance, true
 }
 
-// hasService reports whether the configuration in force names a service; so does none that is not
-// known yet. An instance of any other service gets no calls, and might hold the address of one that
-// does: its heartbeat may be another writer's. The caller holds mutex.
+// hasService reports whether the configuration in force names a service; before the first
+// configuration it is true for every service. An instance of an unconfigured service gets no calls
+// and could take the address of one that does, because its heartbeat may come from another sender.
+// The caller holds mutex.
 func (o *Origin) hasService(service string) bool {
 	if o.current == nil {
 		return true
@@ -96,8 +97,8 @@
 	return known
 }
 
-// newRegisteredInstance returns the instance that a first heartbeat states. From the start it follows what
-// is known of its pool, of the daemon and of its zone; the caller holds mutex.
+// newRegisteredInstance returns the instance of a first heartbeat, with the state already known for
+// its pool, the daemon and the zone applied; the caller holds mutex.
 func (o *Origin) newRegisteredInstance(registration Registration) *Instance {
 	limits := admission.Limits{Slots: max(registration.Slots, 1), QueueLength: o.config.QueueLength, QueueTime: o.config.QueueTime}
 	instance := newInstance(registration.Service, registration.incarnation(), registration.Address, limits, DefaultConnections, &o.config.Envelope)
@@ -120,8 +121,8 @@
 	return instance
 }
 
-// conflictsOf returns what is known of other incarnations with the id of one, or at its address; the
-// caller holds mutex.
+// conflictsOf describes the other incarnations with the same ID as the given one, or at its
+// address; the caller holds mutex.
 func (o *Origin) conflictsOf(identity incarnation.Incarnation, address string) (conflicts incarnationConflicts) {
 	for _, instance := range o.instances {
 		if !instance.conflictsWith(identity, address) {
@@ -142,9 +143,9 @@
 	return conflicts
 }
 
-// laterWithdrawnStart returns the name of a later start of an incarnation's id that left for good and was
-// present until lately, so that what is heard of the earlier one was held up; empty for none. The
-// caller holds mutex.
+// laterWithdrawnStart returns the name of a later incarnation with the same ID that left
+// permanently less than presenceTimeout ago; empty if there is none. Heartbeats of the earlier
+// incarnation are then delayed ones. The caller holds mutex.
 func (o *Origin) laterWithdrawnStart(identity incarnation.Incarnation) string {
 	for name, at := range o.withdrawn {
 		withdrawn := incarnation.Parse(name)
@@ -155,8 +156,8 @@
 	return ""
 }
 
-// conflictsWith reports whether the instance registered with the id of another incarnation, or at its
-// address.
+// conflictsWith reports whether the instance is registered with the ID of another incarnation, or
+// at its address.
 func (i *Instance) conflictsWith(identity incarnation.Incarnation, address string) bool {
 	return i.registered && i.identity != identity && (i.identity.ID == identity.ID || i.backend.address == address)
 }
@@ -168,8 +169,8 @@
 	return holdsAddress(age, i.lifecycle.MustState().(State), i.drainReasons)
 }
 
-// LocalService returns the service of the instance that became known last, of those that are not
-// dropped; empty when there is none.
+// LocalService returns the service of the instance that was added last and is not dropped; empty if
+// there is none.
 func (o *Origin) LocalService() string {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
@@ -185,8 +186,8 @@
 	return newest.Service
 }
 
-// applyHeartbeat records a heartbeat; it reports whether what is announced changed. One with a lower
-// sequence than the newest was held up on its way and counts for nothing.
+// applyHeartbeat records a heartbeat and reports whether the announced endpoint changed. A
+// heartbeat with a lower sequence than the latest one was delayed and is ignored.
 func (i *Instance) applyHeartbeat(registration Registration, isNew bool) (changed bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -211,12 +212,12 @@
 	return changed || previousState != i.lifecycle.MustState()
 }
 
-// withdrawnTTL is how long it is remembered that an instance left, so that a late heartbeat does
-// not bring it back. It must be longer than a heartbeat may be held up.
+// withdrawnTTL is how long a withdrawn instance is remembered, so that a delayed heartbeat does not
+// register it again. It must exceed the longest delay of a heartbeat.
 const withdrawnTTL = 10 * time.Minute
 
-// Withdraw drains an instance for good: it gets no call from now on, those that it has go on, and
-// no heartbeat brings it back.
+// Withdraw drains an instance permanently: it gets no further calls, its running calls continue,
+// and no heartbeat brings it back.
 func (o *Origin) Withdraw(name string) {
 	o.mutex.Lock()
 	_, alreadyWithdrawn := o.withdrawn[name]
@@ -233,8 +234,8 @@
 	}
 }
 
-// WithdrawStart is Withdraw for the start of an instance that an id and the time of the start name;
-// where no start is stated, for those of the id that are known.
+// WithdrawStart withdraws the incarnation with an ID and a start time; without a start time (0),
+// the known incarnations with the ID.
 func (o *Origin) WithdrawStart(id string, born uint64) {
 	named := incarnation.Incarnation{ID: id, Born: born}
 	known := false
@@ -258,7 +259,7 @@
 	return withdrawn
 }
 
-// Withdrawn returns the instances that left.
+// Withdrawn returns the names of the instances that left permanently.
 func (o *Origin) Withdrawn() []string {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
@@ -269,7 +270,7 @@
 	return names
 }
 
-// pruneWithdrawn drops what is old; the caller holds mutex.
+// pruneWithdrawn removes the entries older than withdrawnTTL; the caller holds mutex.
 func (o *Origin) pruneWithdrawn() {
 	for name, at := range o.withdrawn {
 		if time.Since(at) > withdrawnTTL {
@@ -278,9 +279,10 @@
 	}
 }
 
-// replaceConflicting withdraws the other incarnations with the id or at the address of one that was heard:
-// those that started before it and, at its first heartbeat, those of which that is not known. One
-// that started later stays: it was not heard lately, and is the present one if it is heard again.
+// replaceConflicting withdraws the other incarnations with the ID or at the address of an instance
+// that sent a heartbeat: those that started earlier and, at its first heartbeat, those that cannot
+// be ordered by their start. An incarnation that started later stays: it has not sent a heartbeat
+// lately, and is the present one if it sends another.
 func (o *Origin) replaceConflicting(reporting *Instance, isNew bool) {
 	for _, instance := range o.Instances() {
 		if !instance.conflictsWith(reporting.identity, reporting.backend.address) || instance.identity.StartedAfter(reporting.identity) {
@@ -292,7 +294,7 @@
 	}
 }
 
-// markReplaced withdraws an instance whose address another one has.
+// markReplaced withdraws an instance whose address another instance has taken over.
 func (o *Origin) markReplaced(instance *Instance) {
 	instance.Drain(DrainReplaced)
 	o.Withdraw(instance.Name)
