--- a/internal/requestpath/origin/backend.go
+++ b/internal/requestpath/origin/backend.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// probe finds out whether the back end accepts a connection. Errors: those of the dial.
+// probe opens and closes a connection to check that the back end accepts connections. Errors: those
+// of the dial.
 func (b *backend) probe(ctx context.Context) error {
 	dialer := net.Dialer{Timeout: backendDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", b.address)
@@ -38,10 +39,10 @@
 	return conn.Close()
 }
 
-// roundTrip sends the call once, and calls beforeSend right before. The answer's body must be
-// closed. Errors: those of connectionPool.get, CallBadRequest when no request can be built from the
-// call, CallNotRunExpired when the caller gave up before; once it was sent CallUnknownOutcome,
-// CallDeadline or CallCancelled.
+// roundTrip sends the call once, and calls beforeSend right before that. The caller must close the
+// response body. Errors: those of connectionPool.get, CallBadRequest if no request can be built
+// from the call, CallNotRunExpired if ctx ended before the call was sent; after that
+// CallUnknownOutcome, CallDeadline or CallCancelled.
 func (b *backend) roundTrip(ctx context.Context, call *callapi.Call, beforeSend func()) (*http.Response, error) {
 	conn, err := b.pool.get(ctx)
 	if err != nil {
@@ -54,7 +55,7 @@
 	}
 	if ctx.Err() != nil {
 		b.pool.put(conn)
-		return nil, result.Wrap(result.CallNotRunExpired, ctx.Err(), "the call ended before it was handed over")
+		return nil, result.Wrap(result.CallNotRunExpired, ctx.Err(), "the call ended before it was sent to the instance")
 	}
 	current := &exchange{backend: b, conn: conn, request: request, writeDone: make(chan struct{})}
 	current.stopCancelWatch = context.AfterFunc(ctx, func() { _ = conn.Close() }) // Closed to interrupt the exchange, which reports why.
@@ -92,7 +93,7 @@
 		request.Header.Add(field.GetName(), field.GetValue())
 	}
 	if request.Header.Get("User-Agent") == "" {
-		// The HTTP library would add one of its own.
+		// Keeps net/http from adding its own User-Agent.
 		request.Header["User-Agent"] = []string{""}
 	}
 	b.setEnvelopeHeaders(ctx, request, open)
@@ -119,7 +120,7 @@
 		request.Header.Set(envelope.CallerService, open.GetCallerService())
 	}
 	if envelope.Account != "" {
-		// Nobody else may state an account, also where the call has none.
+		// A caller must not set the account itself, even if the call has none.
 		request.Header.Del(envelope.Account)
 		if name := open.GetAccount(); name != "" {
 			request.Header.Set(envelope.Account, name)
@@ -127,7 +128,7 @@
 	}
 }
 
-// announceTrailers has the request carry the trailers that the caller announced.
+// announceTrailers declares the trailers that the caller announced, so that the request sends them.
 func announceTrailers(request *http.Request, call *callapi.Call) {
 	names := request.Header.Values("Trailer")
 	if len(names) == 0 {
@@ -141,7 +142,7 @@
 	request.Body = &trailerBody{Reader: call.Body, call: call, request: request}
 }
 
-// trailerBody fills in the trailers at the end of the body, when net/http reads them.
+// trailerBody sets the trailer values at the end of the body, before net/http reads them.
 type trailerBody struct {
 	io.Reader
 	call    *callapi.Call
--- a/internal/requestpath/origin/connection.go
+++ b/internal/requestpath/origin/connection.go
@@ -14,17 +14,17 @@
 
 // Bounds of the connections to a back end.
 const (
-	// backendDialTimeout bounds the opening of a connection. The back end is on the same machine;
-	// a call waits for it, so that it must be well below the usual deadlines, and above
+	// backendDialTimeout limits the opening of a connection. A call waits for it and the back end
+	// is on the same machine, so it must be well below the usual deadlines, and above
 	// crashProbeTimeout.
 	backendDialTimeout = 300 * time.Millisecond
-	// backendIdleTimeout is how long an unused connection is kept where the
-	// back end does not say. It is short because a back end that closes one
-	// just as a call is written to it makes that call's outcome unknown.
+	// backendIdleTimeout is how long an unused connection is kept if the back end states no time.
+	// It is short because a call has an unknown outcome if the back end closes the connection while
+	// the call is written.
 	backendIdleTimeout = 4 * time.Second
-	// keepAliveMargin is taken off the time that a back end states, but not more than half of it.
+	// keepAliveMargin is subtracted from the time that a back end states, up to half of that time.
 	keepAliveMargin = 2 * time.Second
-	// backendBufferBytes is the size of each of a connection's two buffers.
+	// backendBufferBytes is the size of a connection's read buffer and of its write buffer.
 	backendBufferBytes = 4 << 10
 )
 
@@ -35,16 +35,16 @@
 	writer *bufio.Writer
 	// reused is true from the second exchange on.
 	reused bool
-	// idleTimeout bounds the time between two exchanges; idleSince is when the last such time began,
-	// and idleFor how long it was.
+	// idleTimeout is the maximum time between two exchanges. idleSince is when the connection last
+	// became idle, and idleDuration how long it was idle before the current exchange.
 	idleTimeout  time.Duration
 	idleSince    time.Time
 	idleDuration time.Duration
 }
 
-// connectionPool keeps the connections to one back end. It is safe for concurrent use. How long a
-// connection was idle is measured by the time since boot: the back end's clock may go on while this
-// daemon's stands.
+// connectionPool holds the connections to one back end. It is safe for concurrent use. Idle times
+// are measured by the time since boot, because the back end's clock may run while this daemon's
+// monotonic clock is stopped.
 type connectionPool struct {
 	address   string
 	dialer    net.Dialer
@@ -62,7 +62,7 @@
 	return &connectionPool{address: address, limit: limit, dialer: net.Dialer{Timeout: backendDialTimeout}}
 }
 
-// setLimit replaces the number of connections that may be open; 0 keeps it.
+// setLimit sets the maximum number of open connections; 0 leaves it unchanged.
 func (p *connectionPool) setLimit(limit int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -71,8 +71,8 @@
 	}
 }
 
-// get returns a connection that is ready for an exchange, the one used last first. Errors:
-// CallNotRunUnreachable, CallNotRunOverloaded when the limit is reached, CallNotRunExpired when ctx
+// get returns a connection that is ready for an exchange, preferring the one used last. Errors:
+// CallNotRunUnreachable, CallNotRunOverloaded if the limit is reached, CallNotRunExpired if ctx
 // ended.
 func (p *connectionPool) get(ctx context.Context) (*connection, error) {
 	for {
@@ -93,8 +93,8 @@
 	}
 }
 
-// takeIdle removes the connection used last; nil means that one is to be dialed, which is counted as
-// open already.
+// takeIdle removes and returns the idle connection used last. If there is none it returns nil: the
+// caller must then dial a connection, which is already counted as open.
 func (p *connectionPool) takeIdle() (*connection, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -127,7 +127,7 @@
 	}, nil
 }
 
-// put keeps a connection after an exchange that ended cleanly.
+// put returns a connection to the pool after an exchange that ended cleanly.
 func (p *connectionPool) put(conn *connection) {
 	conn.idleSince = boottime.Now()
 	p.mutex.Lock()
@@ -141,22 +141,22 @@
 }
 
 func (p *connectionPool) discard(conn *connection) {
-	_ = conn.Close() // It is given up either way, and nothing is in flight on it.
+	_ = conn.Close() // The connection is discarded either way, and nothing is in flight on it.
 	p.mutex.Lock()
 	p.open--
 	p.mutex.Unlock()
 }
 
-// recordBreak records that a connection broke before an answer came, so long after the request was
-// sent over it.
+// recordBreak records that a connection broke before a response arrived, at the given time after
+// the request was sent over it.
 func (p *connectionPool) recordBreak(conn *connection, after time.Duration) {
 	if conn.reused && after < droppedConnectionWindow {
 		p.idleBound.recordDrop(conn.idleDuration, boottime.Now())
 	}
 }
 
-// closeExpired closes the connections that were idle for too long, or all idle ones, and then those in
-// use as well at the end of their exchange.
+// closeExpired closes the connections that were idle for too long. With all set it closes every
+// idle connection, and those in use at the end of their exchange.
 func (p *connectionPool) closeExpired(all bool) {
 	p.mutex.Lock()
 	var expired []*connection
@@ -177,8 +177,8 @@
 	}
 }
 
-// isUsable reports whether an idle connection is open and nothing has arrived on it: bytes there
-// belong to no request. One without a file descriptor counts as usable.
+// isUsable reports whether an idle connection is open and has no unread bytes, which would belong
+// to no request. A connection without a file descriptor counts as usable.
 func isUsable(conn net.Conn) bool {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
@@ -200,18 +200,19 @@
 
 // Constants of idleBound.
 const (
-	// droppedConnectionWindow is the time after a request was sent in which a broken connection counts as one
-	// that the back end had dropped while it was idle. It must be above a round trip on the machine
-	// and below the usual service time, or calls that the back end broke off itself are counted.
+	// droppedConnectionWindow is the time after sending a request within which a broken connection
+	// counts as dropped by the back end while it was idle. It must be above a round trip on the
+	// machine and below the usual service time, or calls that the back end aborted itself are
+	// counted.
 	droppedConnectionWindow = 20 * time.Millisecond
-	// idleBoundTTL is how long a lowered bound holds. It must be above backendIdleTimeout, or a
-	// connection outlives what was learned.
+	// idleBoundTTL is how long a lowered bound applies. It must be above backendIdleTimeout, or an
+	// idle connection could outlive the bound that applies to it.
 	idleBoundTTL = 10 * time.Second
 )
 
-// idleBound learns how long a back end's connections may be idle. A back end may drop one without
-// closing it, and a request that is then sent over it is lost without proof that it did not run. It
-// is safe for concurrent use.
+// idleBound adapts the maximum idle time of a back end's connections to observed failures. A back
+// end may drop a connection without closing it, and a request that is then sent over it is lost
+// without proof that it did not run. It is safe for concurrent use.
 type idleBound struct {
 	// mutex protects everything below.
 	mutex     sync.Mutex
@@ -219,8 +220,8 @@
 	expiresAt time.Time
 }
 
-// recordDrop records that a connection was dropped while it was idle for so long. Half of that is
-// allowed from now on, or less where less was learned before.
+// recordDrop records that a connection was dropped while it was idle for idleDuration. The bound
+// becomes half of that time, unless a lower bound still applies.
 func (b *idleBound) recordDrop(idleDuration time.Duration, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -232,8 +233,8 @@
 	b.expiresAt = now.Add(idleBoundTTL)
 }
 
-// allows reports whether a connection may be used that was idle for so long and that the back end
-// keeps for keepFor.
+// allows reports whether a connection may be used that was idle for idleDuration and that the back
+// end keeps for idleTimeout.
 func (b *idleBound) allows(idleDuration, idleTimeout time.Duration, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/requestpath/origin/dedup.go
+++ b/internal/requestpath/origin/dedup.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Bounds of what is remembered about calls.
+// Limits of the deduplication.
 const (
-	// attemptTTL is how long an attempt id is remembered. It must be longer than any time
-	// in which an attempt may start, or a copy that was held up would run again.
+	// attemptTTL is how long an attempt ID is remembered. It must exceed the time within which an
+	// attempt may start, or a delayed copy would run again.
 	attemptTTL = 2 * time.Minute
-	// idempotencyKeyTTL is how long a caller's own idempotency key is remembered.
+	// idempotencyKeyTTL is how long a caller's idempotency key is remembered. It must be above
+	// attemptTTL.
 	idempotencyKeyTTL = 10 * time.Minute
-	// maxDedupEntries bounds the entries of each cache; the oldest are dropped first. It must be
-	// above the calls that come within attemptMemory, or an attempt may start twice.
+	// maxDedupEntries limits the entries of each cache; the oldest are evicted first. It must
+	// exceed the number of calls that arrive within attemptTTL, or an attempt could start twice.
 	maxDedupEntries = 200_000
 )
 
-// dedupCache remembers identifiers for a time, so that nothing runs twice. It is safe for
-// concurrent use.
+// dedupCache remembers identifiers for a limited time, so that no attempt or request runs twice. It
+// is safe for concurrent use.
 type dedupCache struct {
 	ttl time.Duration
 	now func() time.Time
@@ -27,26 +28,26 @@
 	// mutex protects everything below.
 	mutex   sync.Mutex
 	entries map[string]*list.Element
-	// byExpiry lists the entries by their expiry.
+	// byExpiry lists the entries in the order of their expiry.
 	byExpiry *list.List
 }
 
-// dedupEntry is one identifier.
+// dedupEntry is the entry of one identifier.
 type dedupEntry struct {
 	id        string
 	state     attemptState
 	expiresAt time.Time
 }
 
-// attemptState is what is known of an attempt.
+// attemptState is the known state of an attempt.
 type attemptState int
 
 const (
-	// attemptWaiting was received and not yet handed over.
+	// attemptWaiting: received and not sent to the instance yet.
 	attemptWaiting attemptState = iota
-	// attemptFenced must not be started any more.
+	// attemptFenced: fenced before its start; it must not start.
 	attemptFenced
-	// attemptStarted was or is about to be handed to the back end.
+	// attemptStarted: sent, or about to be sent, to the instance.
 	attemptStarted
 )
 
@@ -54,7 +55,7 @@
 	return &dedupCache{ttl: ttl, now: now, entries: map[string]*list.Element{}, byExpiry: list.New()}
 }
 
-// Claim remembers id as state unless it is known; then it returns what is known.
+// Claim records id with the given state unless it is known; for a known id it returns that state.
 func (c *dedupCache) Claim(id string, state attemptState) (previous attemptState, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -68,7 +69,7 @@
 	return 0, false
 }
 
-// Start moves a waiting id to started; it reports false for any other.
+// Start changes a waiting id to started; it reports false for any other id.
 func (c *dedupCache) Start(id string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -80,7 +81,7 @@
 	return true
 }
 
-// Fence makes sure that id is not started from now on; it reports whether it was started before.
+// Fence makes sure that id does not start from now on; it reports whether it started before.
 func (c *dedupCache) Fence(id string) (started bool) {
 	if state, known := c.Claim(id, attemptFenced); !known || state == attemptFenced {
 		return false
@@ -89,7 +90,8 @@
 	defer c.mutex.Unlock()
 	element, ok := c.entries[id]
 	if !ok {
-		// Forgotten meanwhile: nothing can be proved, so it counts as started.
+		// The entry has expired in the meantime. It counts as started, because nothing proves the
+		// opposite.
 		return true
 	}
 	entry := element.Value.(*dedupEntry)
@@ -108,7 +110,7 @@
 	}
 }
 
-// evict drops what is old or too much; the caller holds mutex.
+// evict removes expired entries, and the oldest ones if there are too many; the caller holds mutex.
 func (c *dedupCache) evict(now time.Time) {
 	for element := c.byExpiry.Front(); element != nil; element = c.byExpiry.Front() {
 		entry := element.Value.(*dedupEntry)
--- a/internal/requestpath/origin/exchange.go
+++ b/internal/requestpath/origin/exchange.go
@@ -12,41 +12,42 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// maxStaleResponses bounds the answers to earlier requests that are skipped on one connection, and
-// maxStaleBodyBytes the length of each. With more the call waits for bytes that are not its own.
+// Limits of the responses to earlier requests that are skipped on one connection: their number, and
+// the length of each body in bytes. With higher limits the call would wait longer for data that
+// does not belong to it.
 const (
 	maxStaleResponses = 2
 	maxStaleBodyBytes = 1 << 20
 )
 
-// Errors of an exchange whose answer belongs to another request: the connection ended after the
-// first such answer, or more came than maxStaleAnswers.
+// Errors of an exchange that received responses to other requests: errStaleResponse if the
+// connection ended after one, errTooManyStaleResponses if more than maxStaleResponses arrived.
 var (
-	errStaleResponse         = errors.New("the answer belongs to another request")
-	errTooManyStaleResponses = errors.New("the answers belong to other requests")
+	errStaleResponse         = errors.New("the response belongs to another request")
+	errTooManyStaleResponses = errors.New("too many responses belong to other requests")
 )
 
-// exchange is one request on one connection and its answer.
+// exchange is one request on one connection and its response.
 type exchange struct {
 	backend *backend
 	conn    *connection
 	request *http.Request
 	// stopCancelWatch keeps the end of the context from closing the connection.
 	stopCancelWatch func() bool
-	// writeDone is closed when the request was writeDone; writeErr then tells how that ended.
+	// writeDone is closed when the write of the request has ended; writeErr is its result.
 	writeDone chan struct{}
 	writeErr  error
-	// stale is true when the connection brought an answer to another request, so that it
-	// is not used again.
+	// stale is true after the connection delivered a response to another request; the connection is
+	// then not reused.
 	stale bool
 	once  sync.Once
 }
 
-// run writes the request and reads the answer's head. A body that the caller still sends is written
-// at the same time, because the answer may come first.
+// run writes the request and reads the response head. A streamed request body is written
+// concurrently, because the response may arrive before all of it was sent.
 func (e *exchange) run(call *callapi.Call) (*http.Response, error) {
 	if call.Body == nil || call.Buffered {
-		// A failed write does not end the exchange: a refusal may have come before.
+		// A failed write does not end the exchange: the back end may already have sent a refusal.
 		e.write()
 	} else {
 		go e.write()
@@ -74,7 +75,7 @@
 	}
 }
 
-// readHead reads an answer's head and skips informational ones.
+// readHead reads a response head and skips informational (1xx) responses.
 func (e *exchange) readHead() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(e.conn.reader, e.request)
@@ -84,7 +85,8 @@
 	}
 }
 
-// matchesRequestID reports whether an answer is that to this request, by the request id that it echoes.
+// matchesRequestID reports whether a response belongs to this request, by the request ID that the
+// back end echoes. Without an echo every response matches.
 func (e *exchange) matchesRequestID(response *http.Response) bool {
 	envelope := e.backend.envelope
 	if !envelope.EchoesRequestID {
@@ -93,7 +95,8 @@
 	return response.Header.Get(envelope.RequestID) == e.request.Header.Get(envelope.RequestID)
 }
 
-// release gives the connection back, or closes it unless the exchange was whole.
+// release returns the connection to the pool if it is reusable and the exchange completed, and
+// closes it otherwise.
 func (e *exchange) release(reusable bool) {
 	e.once.Do(func() {
 		stopped := e.stopCancelWatch()
@@ -111,7 +114,7 @@
 	})
 }
 
-// exchangeBody ends the exchange with the end of the answer.
+// exchangeBody is a response body whose end releases the connection.
 type exchangeBody struct {
 	exchange *exchange
 	body     io.ReadCloser
@@ -129,8 +132,8 @@
 }
 
 func (b *exchangeBody) finish() {
-	if keep, stated := keepAliveOf(b.response.Header); stated {
-		b.exchange.conn.idleTimeout = keep
+	if timeout, stated := keepAliveOf(b.response.Header); stated {
+		b.exchange.conn.idleTimeout = timeout
 	}
 	b.exchange.release(!b.response.Close)
 }
@@ -140,7 +143,7 @@
 	return nil
 }
 
-// failedExchangeCode returns the code of a call that was sent and got no whole answer.
+// failedExchangeCode returns the result code of a call that was sent and got no complete response.
 func failedExchangeCode(ctx context.Context) result.Code {
 	switch {
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
--- a/internal/requestpath/origin/handle.go
+++ b/internal/requestpath/origin/handle.go
@@ -13,12 +13,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Fence makes sure that an attempt is not started from now on, and reports whether it was started
+// Fence makes sure that an attempt does not start from now on, and reports whether it started
 // before.
 func (o *Origin) Fence(attempt string) (started bool) { return o.attempts.Fence(attempt) }
 
-// Handle implements callapi.Handler: it refuses the call, with an error that proves that it did not
-// run, or hands it to its instance once. refusal.go has the order of the conditions.
+// Handle implements callapi.Handler. It sends the call to its instance once, or refuses it with an
+// error that proves that the call did not run. refusal.go lists the conditions and their order.
 func (o *Origin) Handle(ctx context.Context, call *callapi.Call) (*callapi.Answer, error) {
 	startedAt := time.Now()
 	answer, err := o.handleWithRecover(ctx, call)
@@ -31,8 +31,9 @@
 	return answer, err
 }
 
-// handleWithRecover handles a call, and has a panic end that call only: it would end the daemon with
-// all its calls, and the request would be repeated at the next one.
+// handleWithRecover handles a call and recovers from a panic, so that the panic ends this call
+// only. It would otherwise end the daemon with all its calls, and the request would be retried at
+// the next daemon.
 func (o *Origin) handleWithRecover(ctx context.Context, call *callapi.Call) (answer *callapi.Answer, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -51,7 +52,7 @@
 	}
 	if _, known := o.attempts.Claim(open.GetAttemptId(), attemptWaiting); known {
 		o.counts.duplicates.Add(1)
-		return nil, result.Errorf(result.CallNotRunDuplicate, "attempt %s came before", open.GetAttemptId())
+		return nil, result.Errorf(result.CallNotRunDuplicate, "attempt %s was received before", open.GetAttemptId())
 	}
 	release, err := o.claimIdempotencyKey(open)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return answer, instance.reportedWork.annotate(err, time.Now())
 }
 
-// checkArrival returns the instance of a call, or why the call is refused as it arrives. Errors:
-// CallNotRunUnknownHere, CallNotRunDraining, CallNotRunStopping, CallNotRunRegion.
+// checkArrival returns the instance of a call, or the error if the call is refused on arrival.
+// Errors: CallNotRunUnknownHere, CallNotRunDraining, CallNotRunStopping, CallNotRunRegion.
 func (o *Origin) checkArrival(open *lapisv1.CallOpen) (*Instance, error) {
 	instance, ok := o.instance(open.GetService(), open.GetInstance())
 	if !ok {
@@ -77,8 +78,8 @@
 	return instance, checkRegion(open, o.config.Region)
 }
 
-// claimIdempotencyKey refuses a call whose idempotency key was seen here. release forgets the key, for a call
-// that did not run. Errors: CallNotRunDuplicate.
+// claimIdempotencyKey refuses a call whose idempotency key was used here before. release makes the
+// key available again after a call that did not run. Errors: CallNotRunDuplicate.
 func (o *Origin) claimIdempotencyKey(open *lapisv1.CallOpen) (release func(), err error) {
 	if open.GetIdempotencyKey() == "" {
 		return func() {}, nil
@@ -91,7 +92,7 @@
 	return func() { o.idempotencyKeys.Forget(key) }, nil
 }
 
-// admissionRequest returns what a call that came at the given time asks of the instance's queue.
+// admissionRequest returns the queue request for a call that arrived at the given time.
 func (i *Instance) admissionRequest(open *lapisv1.CallOpen, arrivedAt time.Time) admission.Request {
 	request := admission.Request{
 		Group: open.GetGroup(), HasAccount: open.GetAccount() != "", Background: open.GetBackground(), Upload: open.GetUpload(),
@@ -112,7 +113,7 @@
 	return request
 }
 
-// admitAndRun waits for a slot and hands the call over.
+// admitAndRun waits for a slot and sends the call to the instance.
 func (o *Origin) admitAndRun(ctx context.Context, instance *Instance, call *callapi.Call) (*callapi.Answer, error) {
 	arrivedAt, suspendedBefore := time.Now(), boottime.Suspended()
 	slot, err := instance.queue.Acquire(ctx, instance.admissionRequest(call.Open, arrivedAt))
@@ -122,7 +123,7 @@
 	handedOver := false
 	defer func() {
 		if !handedOver {
-			// A panic must not keep the slot.
+			// Releases the slot also after a panic.
 			slot.Cancel()
 		}
 	}()
@@ -142,8 +143,8 @@
 	return answer, err
 }
 
-// startAttempt records that a call, which came at the given time, starts; from then on it may have run.
-// Errors: those of checkQuarantine, checkShutdown and checkKey, and CallNotRunDuplicate.
+// startAttempt records that a call, which arrived at the given time, starts; from then on it may
+// have run. Errors: those of checkQuarantine, checkShutdown and checkKey, and CallNotRunDuplicate.
 func (o *Origin) startAttempt(call *callapi.Call, arrivedAt time.Time) error {
 	open := call.Open
 	if err := o.checkQuarantine(call); err != nil {
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// RepeatShare returns the share, 0 to 1, of repeats among the calls that instances have now.
+// RepeatShare returns the share, 0 to 1, of repeats among the calls that run at instances now.
 func (o *Origin) RepeatShare() float64 {
 	executing := o.executing.Load()
 	if executing <= 0 {
@@ -170,7 +171,7 @@
 	return min(float64(o.executingRepeats.Load())/float64(executing), 1)
 }
 
-// countExecuting counts a call as executing, until done is called.
+// countExecuting counts a call as executing until done is called.
 func (o *Origin) countExecuting(call *callapi.Call) (done func()) {
 	repeat := int64(0)
 	if call.Open.GetRepeat() {
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -11,17 +11,18 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// handOver hands a call that has a slot to its instance and returns the answer. The slot is given back
-// with the error, or at the end of the answer. Errors: those of roundTrip, CallInstanceCrashed where
-// the instance ended under the call, and the instance's own refusal.
+// handOver sends a call that holds a slot to its instance and returns the response. The slot is
+// released with an error, or at the end of the response. Errors: those of roundTrip,
+// CallInstanceCrashed if the instance's process ended during the call, and the refusal of the
+// instance itself.
 func (o *Origin) handOver(ctx context.Context, instance *Instance, slot *admission.Slot, call *callapi.Call) (*callapi.Answer, error) {
 	startedAt := time.Now()
 	defer o.countExecuting(call)()
 	tracked := trackCall(call)
 	returned := false
 	defer func() {
-		// A panic while the call is sent ends this call only. It must not stay in flight: a
-		// crash of the instance is recognised by all its calls ending.
+		// A panic while the call is sent ends this call only. The call must not stay in flight,
+		// because a crash of the instance is detected by the end of all its calls.
 		if !returned {
 			instance.inFlight.remove(tracked)
 		}
@@ -60,7 +61,7 @@
 	}, nil
 }
 
-// releaseUnanswered ends the slot of a call that its instance did not answer.
+// releaseUnanswered releases the slot of a call that got no response.
 func (o *Origin) releaseUnanswered(slot *admission.Slot, err error) {
 	if callapi.OutcomeOf(err) == callapi.OutcomeNotRun {
 		slot.Cancel()
@@ -71,7 +72,7 @@
 	o.counts.broken.Add(1)
 }
 
-// releaseRefused ends the slot of a call that its instance refused.
+// releaseRefused releases the slot of a call that its instance refused.
 func releaseRefused(slot *admission.Slot, refusal error) {
 	if result.Is(refusal, result.CallNotRunShed) {
 		slot.Release(true)
@@ -80,13 +81,13 @@
 	slot.Cancel()
 }
 
-// responseRefusal returns the error for an answer which states that the back end did not run the request,
-// nil for any other; hadRoom tells that the instance had a free slot. An instance that is not the one
-// the request was meant for (421) has taken its address.
+// responseRefusal returns the error for a response which states that the back end did not run the
+// request, nil for any other response. hadFreeSlot is true if the instance had a free slot. Status
+// 421 means that another instance has taken over the address, so this one is marked as replaced.
 func (o *Origin) responseRefusal(instance *Instance, response *http.Response, hadFreeSlot bool) error {
 	if o.config.Envelope.ExpectedInstance != "" && response.StatusCode == http.StatusMisdirectedRequest {
 		o.markReplaced(instance)
-		return result.Errorf(result.CallNotRunUnknownHere, "another instance answers at the address of %s", instance.Name)
+		return result.Errorf(result.CallNotRunUnknownHere, "another instance listens at the address of %s", instance.Name)
 	}
 	return instanceRefusal(response, &o.config.Envelope, hadFreeSlot)
 }
--- a/internal/requestpath/origin/inflight.go
+++ b/internal/requestpath/origin/inflight.go
@@ -11,21 +11,23 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// inFlightCall is a call that an instance has, or had a moment ago. It is safe for concurrent use.
+// inFlightCall is a call that is in flight at an instance, or was until recently. It is safe for
+// concurrent use.
 type inFlightCall struct {
 	open *lapisv1.CallOpen
-	// mutex protects the rest, which the reader of the body writes.
+	// mutex protects the fields below, which the reader of the body writes.
 	mutex sync.Mutex
-	// digest is that of the body so far; nil for a call without a body.
+	// digest is the hash of the body read so far; nil for a call without a body.
 	digest hash.Hash
-	// bodyBytesRead counts the body's bytes so far; whole is true once it was bodyBytesRead to its end.
+	// bodyBytesRead counts the bytes read so far; bodyComplete is true once the body was read to
+	// its end.
 	bodyBytesRead int64
 	bodyComplete  bool
-	// endedAt is when the call ended without an answer; inFlightCalls.mutex protects it.
+	// endedAt is when the call ended without a response; inFlightCalls.mutex protects it.
 	endedAt time.Time
 }
 
-// trackCall has the call's body hashed on its way to the instance.
+// trackCall returns the record of a call, and wraps its body so that it is hashed while it is sent.
 func trackCall(call *callapi.Call) *inFlightCall {
 	tracked := &inFlightCall{open: call.Open, bodyComplete: call.Body == nil}
 	if call.Body != nil {
@@ -35,7 +37,7 @@
 	return tracked
 }
 
-// hashedBody is the body of a call that is hashed as it is read.
+// hashedBody is the body of a call that is hashed while it is read.
 type hashedBody struct {
 	io.Reader
 	call *inFlightCall
@@ -58,7 +60,7 @@
 	return c.bodyComplete
 }
 
-// keys returns the call's keys, as far as its body is known.
+// keys returns the fingerprint keys of the call; only a partial key before its body is complete.
 func (c *inFlightCall) keys() []fingerprint.Key {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -72,8 +74,8 @@
 	return fingerprint.OfDigest(line, length, c.digest).Whole()
 }
 
-// keysWithPartial returns the keys and the partial one, under which a crash is recorded that came before the
-// body was read to its end.
+// keysWithPartial returns the keys and the partial key, under which a crash is recorded that
+// happened before the body was read to its end.
 func (c *inFlightCall) keysWithPartial() []fingerprint.Key {
 	keys := c.keys()
 	if c.open.GetContentLength() != 0 {
@@ -82,17 +84,17 @@
 	return keys
 }
 
-// inFlightCalls are the calls that an instance has. It is safe for concurrent use.
+// inFlightCalls holds the calls in flight at an instance. It is safe for concurrent use.
 type inFlightCalls struct {
-	// mutex protects everything below but probing.
+	// mutex protects everything below except probeMutex.
 	mutex sync.Mutex
 	calls map[*inFlightCall]bool
-	// recentlyUnanswered are those that ended without an answer lately, the oldest first.
+	// recentlyUnanswered holds the calls that ended without a response recently, oldest first.
 	recentlyUnanswered []*inFlightCall
-	// crashed is true from when the instance was found to have crashed until it is up.
+	// crashed is true from the detection of a crash until the instance is up again.
 	crashed bool
-	// probeMutex is held while one call finds out whether the instance crashed, so that one
-	// probe answers for all calls that broke with it.
+	// probeMutex is held while one call checks whether the instance crashed, so that one probe
+	// serves all calls that broke off together.
 	probeMutex sync.Mutex
 }
 
@@ -105,14 +107,14 @@
 	c.calls[started] = true
 }
 
-// remove is for a call that was answered, or did not run.
+// remove removes a call that was answered or did not run.
 func (c *inFlightCalls) remove(ended *inFlightCall) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.calls, ended)
 }
 
-// removeUnanswered is for a call that ended without an answer.
+// removeUnanswered moves a call that ended without a response to recentlyUnanswered.
 func (c *inFlightCalls) removeUnanswered(ended *inFlightCall, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -124,15 +126,15 @@
 	}
 }
 
-// poll returns the number of calls in flight, and whether the instance was found to have crashed.
+// poll returns the number of calls in flight, and whether a crash of the instance was detected.
 func (c *inFlightCalls) poll() (count int, crashed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.calls), c.crashed
 }
 
-// markCrashed records that the instance crashed and returns the calls that were in flight; first is
-// false when that was recorded before.
+// markCrashed records a crash and returns the calls that were in flight; first is false if the
+// crash was recorded before.
 func (c *inFlightCalls) markCrashed(now time.Time) (calls []*inFlightCall, first bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -152,7 +154,7 @@
 	return calls, true
 }
 
-// clearCrash forgets a crash, because the instance is up again.
+// clearCrash resets the crash because the instance is up again.
 func (c *inFlightCalls) clearCrash() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/requestpath/origin/requestlog.go
+++ b/internal/requestpath/origin/requestlog.go
@@ -12,16 +12,16 @@
 
 // Names of the events about calls; docs/OPERATIONS.md lists their keys.
 const (
-	// eventRefused is for a call that did not run, eventBroke for one that may
-	// have, eventAnswered for one that was answered.
+	// eventRefused is logged for a call that did not run, eventOutcomeUnknown for one that may have
+	// run, and eventAnswered for one that the instance answered.
 	eventRefused        = "origin.refused"
 	eventOutcomeUnknown = "origin.broke"
 	eventAnswered       = "origin.answered"
-	// eventPanicked is for a call that made this daemon panic.
+	// eventPanicked is logged for a call that caused a panic in this daemon.
 	eventPanicked = "origin.panicked"
 )
 
-// requestID returns the caller's id of a call's request; empty where there is none.
+// requestID returns the caller's ID of the request of a call; empty if there is none.
 func (o *Origin) requestID(call *callapi.Call) string {
 	name := o.config.Envelope.RequestID
 	if name == "" {
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// logFailure writes the line of a call that got no answer, with the load of its instance.
+// logFailure logs a call that failed, with the load of its instance.
 func (o *Origin) logFailure(call *callapi.Call, err error, startedAt time.Time) {
 	open := call.Open
 	event := eventOutcomeUnknown
@@ -63,7 +63,7 @@
 		"took_ms", time.Since(startedAt).Milliseconds(), "head", fingerprint.HeadOf(fingerprint.LineOf(open)), "caller_service", open.GetCallerService(), "detail", err)
 }
 
-// logAnswer writes the line of a call that the instance answered.
+// logAnswer logs a call that the instance answered.
 func (o *Origin) logAnswer(instance *Instance, call *callapi.Call, answer *callapi.Answer, queueTime time.Duration, ahead int) {
 	o.config.Decisions.Success(eventAnswered, o.requestID(call), func() []any {
 		return []any{
--- a/internal/requestpath/origin/response.go
+++ b/internal/requestpath/origin/response.go
@@ -34,14 +34,16 @@
 	return fields
 }
 
-// hopByHopHeaders names the fields of one connection only (RFC 9110, section 7.6.1), in canonical form.
+// hopByHopHeaders are the fields that apply to one connection only (RFC 9110, section 7.6.1), in
+// canonical form.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 }
 
-// keepAliveOf returns how long the back end keeps a connection after this answer, less
-// keepAliveMargin; ok is false when it does not say, or not in seconds.
+// keepAliveOf returns how long a connection may stay idle after this response: the timeout of its
+// Keep-Alive field less keepAliveMargin, but at least half of the timeout. ok is false if the field
+// states no timeout in whole seconds.
 func keepAliveOf(header http.Header) (keep time.Duration, ok bool) {
 	for _, value := range header.Values("Keep-Alive") {
 		for _, part := range strings.Split(value, ",") {
@@ -57,8 +59,8 @@
 	return 0, false
 }
 
-// retryAfterOf returns the time of a Retry-After field in seconds; 0 where there is none, or one
-// that is no number (a date), which counts as not known.
+// retryAfterOf returns the delay of a Retry-After field in seconds; 0, which means unknown, if the
+// field is missing or is not a number, such as a date.
 func retryAfterOf(header http.Header) time.Duration {
 	seconds, err := time.ParseDuration(header.Get("Retry-After") + "s")
 	if err != nil {
@@ -67,28 +69,28 @@
 	return seconds
 }
 
-// responseBody gives the slot back when the answer has been read or closed.
+// responseBody is a response body that releases the slot when it has been read or closed.
 type responseBody struct {
 	body io.ReadCloser
 	slot *admission.Slot
-	// onError is called when the answer breaks off.
+	// onError is called if the response ends before it is complete.
 	onError func(error)
 }
 
-func (a *responseBody) Read(buffer []byte) (int, error) {
-	count, err := a.body.Read(buffer)
+func (b *responseBody) Read(buffer []byte) (int, error) {
+	count, err := b.body.Read(buffer)
 	if err != nil {
-		a.slot.Release(false)
+		b.slot.Release(false)
 	}
 	if err != nil && err != io.EOF {
-		err = result.Wrap(result.CallTruncated, err, "the answer broke off")
-		a.onError(err)
+		err = result.Wrap(result.CallTruncated, err, "the response ended before it was complete")
+		b.onError(err)
 	}
 	return count, err
 }
 
-func (a *responseBody) Close() error {
-	err := a.body.Close()
-	a.slot.Release(false)
+func (b *responseBody) Close() error {
+	err := b.body.Close()
+	b.slot.Release(false)
 	return err
 }
