--- a/internal/requestpath/origin/coldness_test.go
+++ b/internal/requestpath/origin/coldness_test.go
@@ -11,40 +11,40 @@
 )
 
 // cold reports whether the instance is announced as cold.
-func (b *fixture) cold() bool { return b.Advertised()[0].GetColdMillis() > 0 }
+func (f *fixture) cold() bool { return f.Advertised()[0].GetColdMillis() > 0 }
 
-// An instance is paced while its newest heartbeat says that it is cold, and only where its pool
-// states a rate.
+// An instance is paced while its latest heartbeat states that it is cold, and only if its pool has
+// a rate for cold instances.
 func TestInstanceIsPacedWhileItSaysThatItIsCold(t *testing.T) {
 	for name, row := range map[string]struct {
 		rate  float64
 		steps func(*fixture)
 		paced bool
 	}{
-		"cold from its start":        {4, func(b *fixture) { b.heartbeat(coldDuration, 0) }, true},
-		"no rate":                    {0, func(b *fixture) { b.heartbeat(coldDuration, 0) }, false},
-		"warm from its start":        {4, func(b *fixture) { b.heartbeat(0, 0) }, false},
-		"cold anew":                  {4, func(b *fixture) { b.heartbeat(0, 0); b.heartbeat(coldDuration, 0) }, true},
-		"warm at once as it says":    {4, func(b *fixture) { b.heartbeat(coldDuration, 0); b.heartbeat(0, 0) }, false},
-		"late heartbeat says warm":   {4, func(b *fixture) { b.heartbeat(0, 0); b.heartbeat(coldDuration, 0); b.heartbeat(0, 2) }, true},
-		"late heartbeat says cold":   {4, func(b *fixture) { b.heartbeat(coldDuration, 0); b.heartbeat(0, 0); b.heartbeat(coldDuration, 2) }, false},
-		"its time is over":           {4, func(b *fixture) { b.heartbeat(coldDuration, 0); time.Sleep(coldDuration) }, false},
-		"the rate is taken away":     {4, func(b *fixture) { b.heartbeat(coldDuration, 0); b.configureColdRate(0) }, false},
-		"the rate comes later":       {0, func(b *fixture) { b.heartbeat(coldDuration, 0); b.configureColdRate(4) }, true},
-		"no configuration yet":       {-1, func(b *fixture) { b.heartbeat(coldDuration, 0) }, true},
-		"warm, no configuration yet": {-1, func(b *fixture) { b.heartbeat(0, 0) }, false},
-		"a rate after none":          {-1, func(b *fixture) { b.heartbeat(coldDuration, 0); b.configureColdRate(4) }, true},
-		"no rate after none":         {-1, func(b *fixture) { b.heartbeat(coldDuration, 0); b.configureColdRate(0) }, false},
-		"nothing known, no bound":    {-1, func(b *fixture) { b.config.Cold = ColdBound{}; b.heartbeat(coldDuration, 0) }, false},
-		"to be heard first":          {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation() }, true},
-		"heard since":                {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.heartbeat(0, 0) }, false},
-		"heard with an old one":      {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.heartbeat(0, 1) }, true},
-		"not heard for long":         {4, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); time.Sleep(coldDuration) }, false},
-		"heard first, none known":    {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation() }, true},
-		"heard since, none known":    {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.heartbeat(0, 0) }, false},
-		"to be heard, a rate after":  {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); b.configureColdRate(4) }, true},
-		"not heard, none known":      {-1, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation(); time.Sleep(heartbeatTimeout) }, false},
-		"no rate, to be heard first": {0, func(b *fixture) { b.heartbeat(0, 0); b.endEvacuation() }, false},
+		"cold from its start":                               {4, func(f *fixture) { f.heartbeat(coldDuration, 0) }, true},
+		"no rate":                                           {0, func(f *fixture) { f.heartbeat(coldDuration, 0) }, false},
+		"warm from its start":                               {4, func(f *fixture) { f.heartbeat(0, 0) }, false},
+		"cold again":                                        {4, func(f *fixture) { f.heartbeat(0, 0); f.heartbeat(coldDuration, 0) }, true},
+		"warm before its time":                              {4, func(f *fixture) { f.heartbeat(coldDuration, 0); f.heartbeat(0, 0) }, false},
+		"delayed heartbeat, warm":                           {4, func(f *fixture) { f.heartbeat(0, 0); f.heartbeat(coldDuration, 0); f.heartbeat(0, 2) }, true},
+		"delayed heartbeat, cold":                           {4, func(f *fixture) { f.heartbeat(coldDuration, 0); f.heartbeat(0, 0); f.heartbeat(coldDuration, 2) }, false},
+		"cold time has passed":                              {4, func(f *fixture) { f.heartbeat(coldDuration, 0); time.Sleep(coldDuration) }, false},
+		"rate removed":                                      {4, func(f *fixture) { f.heartbeat(coldDuration, 0); f.configureColdRate(0) }, false},
+		"rate added later":                                  {0, func(f *fixture) { f.heartbeat(coldDuration, 0); f.configureColdRate(4) }, true},
+		"no configuration yet":                              {-1, func(f *fixture) { f.heartbeat(coldDuration, 0) }, true},
+		"warm, no configuration yet":                        {-1, func(f *fixture) { f.heartbeat(0, 0) }, false},
+		"first configuration, a rate":                       {-1, func(f *fixture) { f.heartbeat(coldDuration, 0); f.configureColdRate(4) }, true},
+		"first configuration, no rate":                      {-1, func(f *fixture) { f.heartbeat(coldDuration, 0); f.configureColdRate(0) }, false},
+		"no configuration, no bound":                        {-1, func(f *fixture) { f.config.Cold = ColdBound{}; f.heartbeat(coldDuration, 0) }, false},
+		"evacuation ended":                                  {4, func(f *fixture) { f.heartbeat(0, 0); f.endEvacuation() }, true},
+		"evacuation ended, new heartbeat":                   {4, func(f *fixture) { f.heartbeat(0, 0); f.endEvacuation(); f.heartbeat(0, 0) }, false},
+		"evacuation ended, delayed heartbeat":               {4, func(f *fixture) { f.heartbeat(0, 0); f.endEvacuation(); f.heartbeat(0, 1) }, true},
+		"evacuation ended, silent for the cold time":        {4, func(f *fixture) { f.heartbeat(0, 0); f.endEvacuation(); time.Sleep(coldDuration) }, false},
+		"evacuation ended, no configuration":                {-1, func(f *fixture) { f.heartbeat(0, 0); f.endEvacuation() }, true},
+		"evacuation ended, new heartbeat, no configuration": {-1, func(f *fixture) { f.heartbeat(0, 0); f.endEvacuation(); f.heartbeat(0, 0) }, false},
+		"evacuation ended, first configuration, a rate":     {-1, func(f *fixture) { f.heartbeat(0, 0); f.endEvacuation(); f.configureColdRate(4) }, true},
+		"evacuation ended, silent, no configuration":        {-1, func(f *fixture) { f.heartbeat(0, 0); f.endEvacuation(); time.Sleep(heartbeatTimeout) }, false},
+		"evacuation ended, no rate":                         {0, func(f *fixture) { f.heartbeat(0, 0); f.endEvacuation() }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -58,13 +58,14 @@
 	}
 }
 
-// endEvacuation is the end of an evacuation of the instance's zone.
-func (b *fixture) endEvacuation() {
-	instance, _ := b.instance("desk", "desk-1")
+// endEvacuation applies the end of an evacuation of the instance's zone.
+func (f *fixture) endEvacuation() {
+	instance, _ := f.instance("desk", "desk-1")
 	instance.assumeColdUntilHeartbeat()
 }
 
-// A daemon that ends and starts anew within the second keeps the bound with the one before.
+// A daemon that restarts within a second and its predecessor together keep the limit of a cold
+// instance.
 func TestRestartedDaemonKeepsTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before, after := newFixture(t, 4), newFixture(t, 4)
@@ -77,21 +78,21 @@
 	})
 }
 
-// A new instance is paced from when calls find it, which is before the rest of its first
+// A new instance is paced as soon as calls can find it, which is before the rest of its first
 // heartbeat is recorded.
 func TestNewColdInstanceIsPacedWhenCallsFindIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
-		_, fresh := fixture.findOrRegister(Registration{
+		_, isNew := fixture.findOrRegister(Registration{
 			Service: "desk", Instance: "desk-1", Address: "127.0.0.1:1", Slots: 100, Sequence: 1, ColdFor: coldDuration,
 		})
-		assert.Assert(t, fresh)
+		assert.Assert(t, isNew)
 		admitted := fixture.admitFor(time.Second)
 		assert.Assert(t, admitted >= 3 && admitted <= maxAdmittedPerSecond, "%d admitted", admitted)
 	})
 }
 
-// Both changes between cold and warm are announced and written down with their source.
+// Each change between cold and warm is announced, and logged with its source.
 func TestChangesOfColdnessAreAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
@@ -100,7 +101,7 @@
 		changes := fixture.changes
 		fixture.admitFor(time.Second)
 		fixture.heartbeat(time.Second, 0)
-		assert.Equal(t, fixture.changes, changes, "nothing changed")
+		assert.Equal(t, fixture.changes, changes, "announced without a change")
 		fixture.heartbeat(0, 0)
 		assert.Equal(t, fixture.changes, changes+1)
 		assert.Assert(t, !fixture.cold())
@@ -113,8 +114,8 @@
 	})
 }
 
-// The end of the time for which an instance said that it is cold is announced too: what
-// was announced before is announced again to each daemon that connects, however late.
+// The end of the cold time is announced too. The failure: daemons that connected later still
+// received the previous announcement.
 func TestEndOfTheColdTimeIsAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
@@ -136,8 +137,8 @@
 	})
 }
 
-// After an instance crashed while it was cold, those that start beside the daemon get no more than
-// the rate of their pool; after a while, and after the crash of a warm one, they get more again.
+// After a cold instance crashed, cold local instances get no more calls than the rate of their
+// pool. They get more again after cautiousPaceDuration, and after the crash of a warm instance.
 func TestColdInstancesArePacedCautiouslyAfterACrash(t *testing.T) {
 	for name, row := range map[string]struct {
 		coldFor, later           time.Duration
--- a/internal/requestpath/origin/connection_test.go
+++ b/internal/requestpath/origin/connection_test.go
@@ -10,13 +10,13 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// At the limit of connections a call is refused, as not run.
+// A call is refused as not run when the connection limit is reached.
 func TestConnectionsAreLimited(t *testing.T) {
 	pool := newConnectionPool(unreachableAddress, 2)
 	for range 2 {
 		conn, err := pool.takeIdle()
 		assert.NilError(t, err)
-		assert.Assert(t, conn == nil, "there is none to take")
+		assert.Assert(t, conn == nil, "unexpected idle connection")
 	}
 	_, err := pool.get(t.Context())
 	assert.Assert(t, result.Is(err, result.CallNotRunOverloaded), "%v", err)
@@ -28,7 +28,8 @@
 	assert.NilError(t, err)
 }
 
-// A connection is kept for less than its back end states: by the margin, or half of a short time.
+// A connection is kept for less time than its back end states: by keepAliveMargin, or by half of a
+// short time.
 func TestKeepAliveOf(t *testing.T) {
 	for value, row := range map[string]struct {
 		keep   time.Duration
--- a/internal/requestpath/origin/crash_test.go
+++ b/internal/requestpath/origin/crash_test.go
@@ -19,7 +19,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// crashRecorder is a CrashReporter that counts as a registry does, and remembers the crashes.
+// crashRecorder is a CrashReporter that counts crashes like a registry, and records them.
 type crashRecorder struct {
 	*quarantine.Registry
 	mutex   sync.Mutex
@@ -41,8 +41,8 @@
 	return r.crashes
 }
 
-// crashingBackend is an instance of which calls break off: all of them with the instance where they
-// request /end, one alone where they ask for /break.
+// crashingBackend is an instance whose calls break off: a request for /end ends the instance with
+// all its calls, and a request for /break closes its own connection only.
 type crashingBackend struct {
 	listener net.Listener
 	mutex    sync.Mutex
@@ -99,7 +99,7 @@
 	}
 }
 
-// sendCall hands a call over and returns how it ended.
+// sendCall sends a call to the instance and returns its error.
 func sendCall(origin *Origin, path string) error {
 	answer, err := origin.Handle(context.Background(), &callapi.Call{Open: &lapisv1.CallOpen{
 		Service: "desk", Instance: "desk-1", Method: http.MethodGet, Target: path, Host: "a.example",
@@ -122,7 +122,8 @@
 	return instance, origin, crashes
 }
 
-// An instance that crashes takes all its calls with it: each error says so, and all are reported.
+// If an instance crashes, all its calls fail with CallInstanceCrashed and are reported with the
+// crash.
 func TestCrashOfAnInstanceIsNoticed(t *testing.T) {
 	instance, origin, crashes := newOriginWithCrashingBackend(t)
 	concurrent := make(chan error, 1)
@@ -143,8 +144,8 @@
 	}
 }
 
-// A call that breaks off alone is no crash, whether others are in flight or not.
-func TestBrokenCallIsNoCrash(t *testing.T) {
+// A call that breaks off alone is not a crash, with or without other calls in flight.
+func TestBrokenCallIsNotACrash(t *testing.T) {
 	instance, origin, crashes := newOriginWithCrashingBackend(t)
 	assert.Assert(t, result.Is(sendCall(origin, "/break"), result.CallUnknownOutcome))
 	go func() { _ = sendCall(origin, "/wait") }()
@@ -153,11 +154,11 @@
 	assert.Equal(t, len(crashes.recorded()), 0)
 }
 
-// An instance that ends after its callers gave up takes their calls with it all the same: the next
-// call finds its port closed.
+// A crash after the callers have given up is reported with their calls: the next call finds that
+// the port refuses connections.
 func TestCrashAfterTheCallsWereGivenUp(t *testing.T) {
 	instance, origin, crashes := newOriginWithCrashingBackend(t)
-	ctx, giveUp := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
 		_, err := origin.Handle(ctx, &callapi.Call{Open: &lapisv1.CallOpen{
@@ -167,7 +168,7 @@
 		ended <- err
 	}()
 	<-instance.waiting
-	giveUp()
+	cancel()
 	assert.Assert(t, result.Is(<-ended, result.CallCancelled))
 	assert.Equal(t, len(crashes.recorded()), 0)
 	instance.end()
--- a/internal/requestpath/origin/dedup_test.go
+++ b/internal/requestpath/origin/dedup_test.go
@@ -14,18 +14,18 @@
 		steps string
 		want  string
 	}{
-		// c claims, s starts, f fences, F forgets; the results are whether it was known, may
-		// start, was started before.
-		"it comes and starts":                   {"cs", "nY"},
-		"it comes twice":                        {"cc", "nk"},
-		"it starts twice":                       {"css", "nYN"},
-		"it starts without having come":         {"s", "N"},
-		"fenced before it comes":                {"fc", ".k"},
-		"fenced before it comes does not start": {"fs", ".N"},
-		"fenced while it waits":                 {"cfs", "n.N"},
-		"fenced after it started":               {"csf", "nY!"},
-		"fenced twice while it waits":           {"cffs", "n..N"},
-		"forgotten, it may come again":          {"cFc", "n-n"},
+		// c claims, s starts, f fences, F forgets. Results: k known, n not known; Y may start, N
+		// may not; ! started before, . not started before; - forgotten.
+		"claimed and started":                  {"cs", "nY"},
+		"claimed twice":                        {"cc", "nk"},
+		"started twice":                        {"css", "nYN"},
+		"started without a claim":              {"s", "N"},
+		"fenced, then claimed":                 {"fc", ".k"},
+		"fenced, then started without a claim": {"fs", ".N"},
+		"fenced while waiting":                 {"cfs", "n.N"},
+		"fenced after the start":               {"csf", "nY!"},
+		"fenced twice while waiting":           {"cffs", "n..N"},
+		"forgotten, then claimed again":        {"cFc", "n-n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cache := newDedupCache(time.Minute, func() time.Time { return time.Unix(1000, 0) })
@@ -49,7 +49,7 @@
 	}
 }
 
-// Identifiers are remembered for their time, and the oldest go first where there are too many.
+// Identifiers are remembered until they expire; the oldest are evicted first if there are too many.
 func TestDedupCacheForgets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cache := newDedupCache(time.Minute, func() time.Time { return now })
--- a/internal/requestpath/origin/evacuation_test.go
+++ b/internal/requestpath/origin/evacuation_test.go
@@ -15,11 +15,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// unreachableAddress is an address at which no back end answers.
+// unreachableAddress is an address at which no back end listens.
 const unreachableAddress = "127.0.0.1:1"
 
-// newRunningOrigin returns an origin in region r1 with one instance of two slots. It is stopped by
-// the end of the test's bubble.
+// newRunningOrigin returns an origin in region r1 with one instance of two slots. It is stopped at
+// the end of the test's synctest bubble.
 func newRunningOrigin(t *testing.T) *Origin {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -36,7 +36,7 @@
 	return Registration{Service: "desk", Instance: instance, Address: unreachableAddress, Slots: 2, Sequence: sequence}
 }
 
-// startCall hands a startCall to desk-1, for the given regions, and returns how it ends.
+// startCall sends a call with the given allowed regions to desk-1; the channel receives its error.
 func startCall(o *Origin, attempt string, regions ...string) chan error {
 	ended := make(chan error, 1)
 	go func() {
@@ -50,7 +50,7 @@
 func requireInstance(t *testing.T, o *Origin, name string) *Instance {
 	t.Helper()
 	instance, ok := o.instance("desk", name)
-	assert.Assert(t, ok, "%s is forgotten", name)
+	assert.Assert(t, ok, "%s is not registered", name)
 	return instance
 }
 
@@ -70,8 +70,8 @@
 	assert.Assert(t, result.Is(err, code), "%v", err)
 }
 
-// Calls that wait when the zone is evacuated, and later ones, are refused at once; those that run go
-// on. After the end of the evacuation the instance takes work at once, without a further heartbeat.
+// Calls that wait when the zone is evacuated, and later ones, are refused at once; running calls
+// continue. After the evacuation the instance gets calls at once, without a further heartbeat.
 func TestEvacuationWithCallsWaitingAndRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newRunningOrigin(t)
@@ -79,14 +79,14 @@
 		slots := fillSlots(t, instance)
 		waiting := startCall(o, "waits")
 		synctest.Wait()
-		ordered, announced := time.Now(), 0
+		evacuatedAt, announced := time.Now(), 0
 		o.config.Changed = func() { announced++ }
 		o.SetEvacuated(true)
 		o.SetEvacuated(true)
-		assert.Equal(t, announced, 1, "it is announced at once, and once")
+		assert.Equal(t, announced, 1, "the evacuation is announced at once, and once only")
 		assertCode(t, <-waiting, result.CallNotRunEvacuated)
 		assertCode(t, <-startCall(o, "comes later"), result.CallNotRunEvacuated)
-		assert.Equal(t, time.Since(ordered), time.Duration(0))
+		assert.Equal(t, time.Since(evacuatedAt), time.Duration(0))
 		assert.Equal(t, o.InFlight(), 2)
 		assert.Equal(t, instance.State(), StateDraining)
 		assert.Equal(t, o.Advertised()[0].GetState(), lapisv1.Endpoint_STATE_DRAINING)
@@ -101,7 +101,7 @@
 	})
 }
 
-// An instance that registers in an evacuated zone gets nothing until that ends.
+// An instance that registers in an evacuated zone gets no calls until the evacuation ends.
 func TestInstanceThatRegistersDuringAnEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newRunningOrigin(t)
@@ -115,8 +115,8 @@
 	})
 }
 
-// An instance takes work again when the last of its reasons to drain ended, in whatever
-// order; until then calls are refused with a reason that holds.
+// An instance gets calls again when the last of its drain reasons ends, in any order; until then
+// calls are refused with a reason that still applies.
 func TestTwoReasonsToDrain(t *testing.T) {
 	for name, evacuationEndsFirst := range map[string]bool{"evacuation ends first": true, "drain ends first": false} {
 		t.Run(name, func(t *testing.T) {
@@ -141,8 +141,8 @@
 	}
 }
 
-// Calls are refused with the first reason of drainReasons, in whatever order they came: an instance
-// that left for good does not come back with the end of the evacuation.
+// Calls are refused with the first reason of drainReasonPrecedence, in whatever order the reasons
+// were added: an instance that left permanently does not come back when the evacuation ends.
 func TestCallsAreRefusedWithTheFirstReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newRunningOrigin(t)
@@ -160,8 +160,8 @@
 	})
 }
 
-// An evacuated instance whose heartbeats come is as much the one at its address as one
-// that works: a late heartbeat of an earlier one does not end it.
+// An evacuated instance that sends heartbeats holds its address like a ready one: a delayed
+// heartbeat of an earlier instance does not withdraw it.
 func TestLateHeartbeatDuringAnEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newRunningOrigin(t)
@@ -177,10 +177,10 @@
 	})
 }
 
-// An evacuated instance that falls silent is not forgotten, and comes back with its next
-// heartbeat; one that stays silent after the evacuation counts as down and is dropped.
+// An evacuated instance that falls silent is not dropped, and comes back with its next heartbeat;
+// one that stays silent after the evacuation counts as down and is dropped.
 func TestSilentInstanceDuringAnEvacuation(t *testing.T) {
-	for name, back := range map[string]bool{"comes back": true, "stays away": false} {
+	for name, comesBack := range map[string]bool{"comes back": true, "stays away": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				o := newRunningOrigin(t)
@@ -189,7 +189,7 @@
 				instance := requireInstance(t, o, "desk-1")
 				assert.Equal(t, instance.advertisedState(), lapisv1.Endpoint_STATE_DRAINING)
 				o.SetEvacuated(false)
-				if back {
+				if comesBack {
 					o.Register(newHeartbeat("desk-1", 2))
 					assert.Equal(t, instance.State(), StateReady)
 					return
@@ -202,19 +202,19 @@
 	}
 }
 
-// The daemon beside the instance refuses what may not run in its region, whatever the
-// caller's daemon believed.
+// The instance's daemon refuses calls that may not run in its region, whatever region the caller's
+// daemon assumed.
 func TestCallsRunInTheirRegionsOnly(t *testing.T) {
 	for name, row := range map[string]struct {
 		region  string
 		regions []string
 		code    result.Code
 	}{
-		"anywhere":        {"r1", nil, result.CallNotRunUnreachable},
-		"at home":         {"r1", []string{"r0", "r1"}, result.CallNotRunUnreachable},
-		"abroad":          {"r1", []string{"r2"}, result.CallNotRunRegion},
-		"nobody knows":    {"", []string{"r2", ""}, result.CallNotRunRegion},
-		"unknown, no one": {"", nil, result.CallNotRunUnreachable},
+		"no list of regions":          {"r1", nil, result.CallNotRunUnreachable},
+		"allowed region":              {"r1", []string{"r0", "r1"}, result.CallNotRunUnreachable},
+		"abroad":                      {"r1", []string{"r2"}, result.CallNotRunRegion},
+		"unknown region, with a list": {"", []string{"r2", ""}, result.CallNotRunRegion},
+		"unknown region, no list":     {"", nil, result.CallNotRunUnreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -226,13 +226,13 @@
 	}
 }
 
-// A call keeps the homes that it came with while it waits, whatever comes in force meanwhile.
+// A waiting call keeps the allowed regions with which it arrived when the configuration changes.
 func TestHomesChangeWhileACallWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newRunningOrigin(t)
 		slots := fillSlots(t, requireInstance(t, o, "desk-1"))
 		before := startCall(o, "before", "r1")
-		abroad := startCall(o, "abroad", "r2")
+		otherRegion := startCall(o, "abroad", "r2")
 		synctest.Wait()
 		o.Configure(&snapshot.Snapshot{Revision: 2})
 		after := startCall(o, "after", "r2")
@@ -241,7 +241,7 @@
 			slot.Release(true)
 		}
 		assertCode(t, <-before, result.CallNotRunUnreachable)
-		assertCode(t, <-abroad, result.CallNotRunRegion)
+		assertCode(t, <-otherRegion, result.CallNotRunRegion)
 		assertCode(t, <-after, result.CallNotRunRegion)
 		assert.Equal(t, o.InFlight(), 0)
 	})
--- a/internal/requestpath/origin/fixture_test.go
+++ b/internal/requestpath/origin/fixture_test.go
@@ -17,8 +17,8 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
-// coldDuration is how long the tests' instances stay cold, and maxAdmittedPerSecond what one of
-// them must not get more than in any second: 4 calls a second, times 1.5, and 6.
+// coldDuration is how long the tests' instances stay cold, and maxAdmittedPerSecond the most calls
+// that one of them may get in any second: 4 calls per second, times 1.5, plus 6.
 const (
 	coldDuration         = 3 * time.Second
 	maxAdmittedPerSecond = 12
@@ -36,8 +36,8 @@
 	lines       []string
 }
 
-// newFixture returns an origin whose pool states perSecond calls a second of a cold instance; one
-// without a configuration where that is negative.
+// newFixture returns an origin whose pool has a rate of perSecond calls per second for cold
+// instances; without a configuration if perSecond is negative.
 func newFixture(t *testing.T, perSecond float64) *fixture {
 	t.Helper()
 	made := &fixture{t: t}
@@ -52,39 +52,40 @@
 	return made
 }
 
-func (b *fixture) withLock(change func()) {
-	b.recordMutex.Lock()
-	defer b.recordMutex.Unlock()
+func (f *fixture) withLock(change func()) {
+	f.recordMutex.Lock()
+	defer f.recordMutex.Unlock()
 	change()
 }
 
-// configureColdRate puts a configuration in force.
-func (b *fixture) configureColdRate(perSecond float64) {
+// configureColdRate applies a configuration with the given rate for cold instances.
+func (f *fixture) configureColdRate(perSecond float64) {
 	configuration, err := meshconfig.Compose(meshconfig.Composition{Revision: 1, Pools: []*lapisv1.Pool{{
 		Name: "desk", Group: meshconfig.DefaultGroup, Slots: 100, ConnectionLimit: 100,
 		ColdCallsPerSecond: perSecond, ColdStartMillis: uint32(coldDuration.Milliseconds()),
 	}}}, nil)
-	assert.NilError(b.t, err)
+	assert.NilError(f.t, err)
 	store := &snapshot.Store{}
-	assert.NilError(b.t, store.ReplaceConfiguration(configuration))
-	b.Configure(store.Current())
+	assert.NilError(f.t, store.ReplaceConfiguration(configuration))
+	f.Configure(store.Current())
 }
 
-// heartbeat has the instance state that it stays cold for so long; older tells how many
-// heartbeats ago it was sent.
-func (b *fixture) heartbeat(coldFor time.Duration, sentEarlier uint64) {
-	b.sequence++
-	b.Register(Registration{
+// heartbeat sends a heartbeat that states a remaining cold time. sentEarlier makes it a delayed
+// one: the number of heartbeats sent after it.
+func (f *fixture) heartbeat(coldFor time.Duration, sentEarlier uint64) {
+	f.sequence++
+	f.Register(Registration{
 		Service: "desk", Instance: "desk-1", Address: "127.0.0.1:1", Slots: 100,
-		Sequence: b.sequence - sentEarlier, ColdFor: coldFor,
+		Sequence: f.sequence - sentEarlier, ColdFor: coldFor,
 	})
 }
 
-// admitFor tries to start calls without a pause, for so long, and returns how many were admitted.
-func (b *fixture) admitFor(during time.Duration) (admitted int) {
-	b.t.Helper()
-	instance, ok := b.instance("desk", "desk-1")
-	assert.Assert(b.t, ok)
+// admitFor requests slots without a pause for the given time, and returns how many calls were
+// admitted.
+func (f *fixture) admitFor(during time.Duration) (admitted int) {
+	f.t.Helper()
+	instance, ok := f.instance("desk", "desk-1")
+	assert.Assert(f.t, ok)
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if slot, err := instance.queue.Acquire(context.Background(), admission.Request{NoWait: true}); err == nil {
 			admitted++
@@ -94,7 +95,7 @@
 	return admitted
 }
 
-// contains reports whether a line has all parts.
+// contains reports whether a line contains all parts.
 func contains(line string, parts ...string) bool {
 	return !slices.ContainsFunc(parts, func(part string) bool { return !strings.Contains(line, part) })
 }
--- a/internal/requestpath/origin/handle_test.go
+++ b/internal/requestpath/origin/handle_test.go
@@ -13,7 +13,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// A call that makes the daemon panic ends alone.
+// A call that causes a panic in the daemon fails alone.
 func TestPanicEndsOneCall(t *testing.T) {
 	_, origin, _ := newOriginWithCrashingBackend(t)
 	for try := range 2 * DefaultSlots {
@@ -26,8 +26,8 @@
 	assert.Equal(t, origin.InFlight(), 0)
 }
 
-// A call that panicked is not in flight any more, so that a later crash of the instance is told
-// from a broken connection.
+// A call that panicked does not stay in flight. The failure: a later crash of the instance was
+// taken for a single broken connection.
 func TestCrashAfterAPanicIsNoticed(t *testing.T) {
 	_, origin, crashes := newOriginWithCrashingBackend(t)
 	_, err := origin.Handle(context.Background(), &callapi.Call{Body: panickingBody{}, Buffered: true, Open: &lapisv1.CallOpen{
@@ -38,7 +38,7 @@
 	assert.Equal(t, len(crashes.recorded()), 1)
 }
 
-// panickingBody is a body whose reading panics.
+// panickingBody is a body that panics when it is read.
 type panickingBody struct{}
 
 func (panickingBody) Read([]byte) (int, error) { panic("on purpose") }
--- a/internal/requestpath/origin/health_test.go
+++ b/internal/requestpath/origin/health_test.go
@@ -14,9 +14,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// What waits for an instance that crashes is refused at once, and nothing is sent to
-// it until its next heartbeat.
-func TestCrashedInstanceGetsNothingUntilItsHeartbeat(t *testing.T) {
+// Calls that wait for an instance that goes down are refused at once, and no calls are admitted
+// until its next heartbeat.
+func TestCrashedInstanceGetsNoCallsUntilItsHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
 		fixture.heartbeat(coldDuration, 0)
@@ -34,16 +34,16 @@
 		assert.Assert(t, result.Is(<-waiting, result.CallNotRunUnreachable))
 		assert.Equal(t, fixture.Advertised()[0].GetState(), lapisv1.Endpoint_STATE_SUSPECT)
 		instance.recordCallEnd(nil)
-		assert.Equal(t, fixture.admitFor(2*time.Second), 0, "an answer that was on its way brings it up")
+		assert.Equal(t, fixture.admitFor(2*time.Second), 0, "a late response brings the instance up")
 		assert.Assert(t, contains(fixture.lines[len(fixture.lines)-1], `"instance.down"`, `"cause"="no_connections"`, `"waiting"=1`))
 		fixture.heartbeat(0, 0)
 		assert.Assert(t, fixture.admitFor(time.Second) > maxAdmittedPerSecond)
 	})
 }
 
-// Calls take the way through the daemon to the closed port, and the last of them is not
-// tried any more.
-func TestCallsToADownInstanceAreNotTried(t *testing.T) {
+// Calls fail at the closed port until the instance is marked as down; the next call is refused
+// without a connection attempt.
+func TestCallsToADownInstanceAreRefused(t *testing.T) {
 	fixture := newFixture(t, 0)
 	fixture.heartbeat(0, 0)
 	var err error
@@ -55,13 +55,13 @@
 	assert.ErrorContains(t, err, "is down (no_connections)")
 }
 
-func (b *fixture) newAttempt() *lapisv1.CallOpen {
-	b.sequence++
+func (f *fixture) newAttempt() *lapisv1.CallOpen {
+	f.sequence++
 	return &lapisv1.CallOpen{Service: "desk", Instance: "desk-1", Method: "GET", Target: "/", AttemptId: time.Now().String()}
 }
 
-// An instance that drains while it is down stays closed when it is heard, and takes calls
-// when the reason ended and it is heard.
+// An instance that drains while it is down gets no calls after a heartbeat; it gets calls once the
+// drain has ended and a heartbeat has arrived.
 func TestDownInstanceThatDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 0)
@@ -79,8 +79,8 @@
 	})
 }
 
-// Calls that broke off have the instance probed, and one that does not accept a
-// connection is down at once.
+// Broken calls cause a probe of the instance, and one that does not accept a connection is marked
+// as down at once.
 func TestBrokenCallsHaveTheInstanceProbed(t *testing.T) {
 	fixture := newFixture(t, 0)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,12 +96,12 @@
 		fixture.recordCallEnd(instance, result.Errorf(result.CallUnknownOutcome, "reset"))
 	}
 	for end := time.Now().Add(5 * time.Second); instance.State() != StateDown; time.Sleep(time.Millisecond) {
-		assert.Assert(t, time.Now().Before(end), "it is not probed")
+		assert.Assert(t, time.Now().Before(end), "the instance was not probed")
 	}
 }
 
-func (b *fixture) currentRunContext() context.Context {
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	return b.runContext
+func (f *fixture) currentRunContext() context.Context {
+	f.mutex.RLock()
+	defer f.mutex.RUnlock()
+	return f.runContext
 }
--- a/internal/requestpath/origin/inflight_test.go
+++ b/internal/requestpath/origin/inflight_test.go
@@ -13,8 +13,8 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-// A call has the keys of its whole body once the instance was sent it, and until then that of the
-// length that it states.
+// A call has the keys of its whole body once all of it was sent to the instance, and until then the
+// partial key of its stated length.
 func TestKeysOfCallsInFlight(t *testing.T) {
 	const content = "abc"
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/order"}
@@ -26,12 +26,12 @@
 		whole  bool
 		keys   []fingerprint.Key
 	}{
-		"without a body":                  {"", 0, 0, true, fingerprint.Of(line, nil).Whole()},
-		"nothing was read":                {content, 3, 0, false, []fingerprint.Key{fingerprint.PartialOf(line, 3)}},
-		"a part was read":                 {content, 3, 2, false, []fingerprint.Key{fingerprint.PartialOf(line, 3)}},
-		"its length was read":             {content, 3, 3, true, whole},
-		"a part of unknown length":        {content, -1, 3, false, []fingerprint.Key{fingerprint.PartialOf(line, -1)}},
-		"all of unknown length, its end ": {content, -1, 4, true, whole},
+		"without a body":                      {"", 0, 0, true, fingerprint.Of(line, nil).Whole()},
+		"nothing was read":                    {content, 3, 0, false, []fingerprint.Key{fingerprint.PartialOf(line, 3)}},
+		"a part was read":                     {content, 3, 2, false, []fingerprint.Key{fingerprint.PartialOf(line, 3)}},
+		"the stated length was read":          {content, 3, 3, true, whole},
+		"a part of unknown length":            {content, -1, 3, false, []fingerprint.Key{fingerprint.PartialOf(line, -1)}},
+		"all of unknown length, with its end": {content, -1, 4, true, whole},
 	} {
 		t.Run(name, func(t *testing.T) {
 			call := &callapi.Call{Open: &lapisv1.CallOpen{
--- a/internal/requestpath/origin/lifecycle_test.go
+++ b/internal/requestpath/origin/lifecycle_test.go
@@ -9,7 +9,7 @@
 // Every trigger is permitted or ignored in every state, so that fire cannot fail.
 func TestEveryTriggerIsHandledInEveryState(t *testing.T) {
 	triggers := []trigger{triggerUp, triggerDown, triggerDrain, triggerResume, triggerIdle, triggerRetire}
-	// triggersTo lead from the first state to each one.
+	// triggersTo lists the triggers that lead from StateStarting to each state.
 	triggersTo := map[State][]trigger{
 		StateStarting: nil,
 		StateReady:    {triggerUp},
--- a/internal/requestpath/origin/liveness_test.go
+++ b/internal/requestpath/origin/liveness_test.go
@@ -9,27 +9,27 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Connections that break do not take an instance down that accepts new ones, however
-// many; that is found out by one probe. One that refuses a connection then is down.
+// Broken connections, however many, do not mark an instance as down that accepts new ones; one
+// probe decides that. An instance that then refuses a connection is down.
 func TestReachability(t *testing.T) {
-	const broke, answered, refused, silent, later = 'b', 'a', 'r', 's', 'l'
+	const broke, answered, refused, timedOut, later = 'b', 'a', 'r', 's', 'l'
 	for name, row := range map[string]struct {
 		events string
 		probes int
 		cause  downCause
 	}{
-		"one breaks":                        {"b", 0, ""},
-		"some break, with answers between":  {"bbabbabba", 0, ""},
-		"some break, far apart":             {"bblbblbb", 0, ""},
-		"many break at once":                {"bbbbbbbb", 1, ""},
-		"many break for long":               {"bbblbbblbbb", 3, ""},
-		"many break, and one is refused":    {"bbbr", 1, downCallsBroken},
-		"one breaks, and one is refused":    {"br", 0, downCallsBroken},
-		"one breaks, one is refused later":  {"blr", 0, ""},
-		"one breaks, and one is lost":       {"bs", 0, ""},
-		"several are lost":                  {"sss", 0, downUnreachable},
-		"several are refused":               {"rrr", 0, downUnreachable},
-		"some are refused, answers between": {"rrarra", 0, ""},
+		"one broken call":                    {"b", 0, ""},
+		"broken calls, responses between":    {"bbabbabba", 0, ""},
+		"broken calls far apart":             {"bblbblbb", 0, ""},
+		"many broken calls at once":          {"bbbbbbbb", 1, ""},
+		"many broken calls over time":        {"bbblbbblbbb", 3, ""},
+		"many broken calls, one refusal":     {"bbbr", 1, downCallsBroken},
+		"one broken call, one refusal":       {"br", 0, downCallsBroken},
+		"one broken call, one later refusal": {"blr", 0, ""},
+		"one broken call, one timeout":       {"bs", 0, ""},
+		"several timeouts":                   {"sss", 0, downUnreachable},
+		"several refusals":                   {"rrr", 0, downUnreachable},
+		"refusals, responses between":        {"rrarra", 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -42,7 +42,7 @@
 					}
 				case answered:
 					known.recordAnswer()
-				case refused, silent:
+				case refused, timedOut:
 					if found, down := known.recordFailedConnection(event == refused, now); down {
 						cause = found
 					}
@@ -56,7 +56,7 @@
 	}
 }
 
-// Each end of a call says one thing of its instance.
+// Each result of a call has one kind of evidence.
 func TestEvidenceOf(t *testing.T) {
 	for code, want := range map[result.Code]evidence{
 		result.CallNotRunUnreachable: evidenceNoConnection,
@@ -74,28 +74,28 @@
 	assert.Equal(t, evidenceOf(nil), evidenceAnswer)
 }
 
-// An instance crashed when all its calls broke off and its port refuses; whether it refuses is
-// found out only once all calls broke off.
+// An instance crashed if all its calls broke off and its port refuses connections; the port is
+// probed only after all calls broke off.
 func TestNextCrashCheck(t *testing.T) {
 	for name, row := range map[string]struct {
 		seen crashEvidence
 		want crashCheck
 	}{
-		"nothing is known":                 {crashEvidence{}, crashPoll},
-		"calls go on":                      {crashEvidence{polls: 1, inFlight: 2}, crashPoll},
-		"calls go on at the last poll":     {crashEvidence{polls: maxCrashPolls, inFlight: 1}, crashExcluded},
-		"all calls broke off":              {crashEvidence{polls: 1}, crashProbe},
-		"all broke off at the last poll":   {crashEvidence{polls: maxCrashPolls}, crashProbe},
-		"another call found it":            {crashEvidence{polls: 1, inFlight: 2, crashReported: true}, crashProbe},
-		"the port refuses":                 {crashEvidence{polls: 1, probed: true, refused: true}, crashConfirmed},
-		"the port accepts":                 {crashEvidence{polls: 1, probed: true}, crashExcluded},
-		"found by another, it accepts now": {crashEvidence{polls: 1, crashReported: true, probed: true}, crashExcluded},
+		"no evidence":                         {crashEvidence{}, crashPoll},
+		"calls in flight":                     {crashEvidence{polls: 1, inFlight: 2}, crashPoll},
+		"calls in flight at the last poll":    {crashEvidence{polls: maxCrashPolls, inFlight: 1}, crashExcluded},
+		"all calls broke off":                 {crashEvidence{polls: 1}, crashProbe},
+		"all broke off at the last poll":      {crashEvidence{polls: maxCrashPolls}, crashProbe},
+		"another call found the crash":        {crashEvidence{polls: 1, inFlight: 2, crashReported: true}, crashProbe},
+		"the port refuses":                    {crashEvidence{polls: 1, probed: true, refused: true}, crashConfirmed},
+		"the port accepts":                    {crashEvidence{polls: 1, probed: true}, crashExcluded},
+		"found by another call, port accepts": {crashEvidence{polls: 1, crashReported: true, probed: true}, crashExcluded},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, nextCrashCheck(row.seen), row.want) })
 	}
 }
 
-// A call that ended without an answer lately counts as in flight, up to the bound.
+// A call that ended without a response counts as in flight for recentCallWindow, including its end.
 func TestWasInFlight(t *testing.T) {
 	now := time.Unix(1000, 0)
 	assert.Assert(t, wasInFlight(now, now))
@@ -103,7 +103,7 @@
 	assert.Assert(t, !wasInFlight(now.Add(-recentCallWindow-1), now))
 }
 
-// An instance is present, then silent, then forgotten, by the age of its newest heartbeat.
+// An instance is present, then silent, then expired, by the age of its latest heartbeat.
 func TestHeartbeatAges(t *testing.T) {
 	for age, want := range map[time.Duration][3]bool{
 		0:                     {true, false, false},
--- a/internal/requestpath/origin/quarantine_bench_test.go
+++ b/internal/requestpath/origin/quarantine_bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/lapisvane/lapisvane/internal/model/quarantine"
 )
 
-// BenchmarkNothingSuspected is what a call without a body pays while no request is suspected.
-// Where keys are hashed in any case it is 950 to 1,010 ns and 10 allocations; where they are
-// not, 89 ns and one.
+// BenchmarkNothingSuspected measures what the quarantine costs a call without a body while no
+// request is suspected: 950 to 1,010 ns and 10 allocations if its keys are hashed in any case, 89
+// ns and one allocation if they are not.
 func BenchmarkNothingSuspected(b *testing.B) {
 	origin := New(Config{Crashes: &crashRecorder{Registry: quarantine.NewRegistry(time.Now)}})
 	call := &callapi.Call{Open: &lapisv1.CallOpen{Method: "GET", Host: "shop.example", Target: "/look/a?page=3", CallerService: "desk"}}
--- a/internal/requestpath/origin/quarantine_test.go
+++ b/internal/requestpath/origin/quarantine_test.go
@@ -16,7 +16,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// A quarantined request does not reach the instance, and an answer refutes a suspicion.
+// A quarantined request is not sent to the instance, and a response clears a suspicion.
 func TestQuarantineBesideTheInstance(t *testing.T) {
 	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
@@ -33,7 +33,7 @@
 	assert.Equal(t, callapi.OutcomeOf(err), callapi.OutcomeNotRun)
 }
 
-// A short body from another daemon, which comes in pieces, is checked beside the instance too.
+// A short body that another daemon sends in pieces is checked at the instance's daemon too.
 func TestShortBodiesAreCheckedBesideTheInstance(t *testing.T) {
 	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/answer"}
@@ -54,7 +54,7 @@
 	}
 }
 
-// An answer that comes before the body refutes nothing.
+// A response that comes before the whole body was sent clears no suspicion.
 func TestEarlyAnswerRefutesNothing(t *testing.T) {
 	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/early"}
@@ -71,7 +71,7 @@
 	assert.Equal(t, crashes.Count([]fingerprint.Key{key}), 1)
 }
 
-// A trial of a quarantined request reaches the instance, and its answer refutes the crashes.
+// A trial of a quarantined request is sent to the instance, and its response clears the suspicion.
 func TestTrialReachesTheInstance(t *testing.T) {
 	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
--- a/internal/requestpath/origin/refusal_test.go
+++ b/internal/requestpath/origin/refusal_test.go
@@ -15,12 +15,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// A call that waited already when the daemon began to stop starts only if its whole time
-// is over before the daemon ends; it stays proved not to have run.
+// A call that was waiting when the daemon began to stop starts only if its deadline is before the
+// end of the daemon; otherwise its error proves that it did not run.
 func TestStoppingDaemonStartsNoWaitingCallThatOutlastsIt(t *testing.T) {
 	for lasts, code := range map[time.Duration]result.Code{
 		10 * time.Second: result.CallNotRunStopping,
-		// It is tried, and no back end answers there.
+		// The call is sent, and fails because no back end listens.
 		3 * time.Second: result.CallNotRunUnreachable,
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// A call that waited while the machine was suspended is over when its caller's time is.
+// A call that waited while the machine was suspended is refused once its timeout has passed.
 func TestCallsExpireWhileSuspended(t *testing.T) {
 	open := &lapisv1.CallOpen{DeadlineMillis: 1500}
 	for name, row := range map[string]struct {
@@ -67,7 +67,7 @@
 	assert.NilError(t, checkSuspended(&lapisv1.CallOpen{}, time.Second, time.Hour))
 }
 
-// A call that may go on after the daemon ends is refused once the daemon stops.
+// A call that may continue after the end of the daemon is refused once the daemon is stopping.
 func TestCheckShutdown(t *testing.T) {
 	came := time.Unix(1000, 0)
 	for name, row := range map[string]struct {
@@ -75,12 +75,12 @@
 		shutdownBy time.Time
 		code       result.Code
 	}{
-		"not stopping":              {time.Hour, time.Time{}, result.OK},
-		"not stopping, no deadline": {0, time.Time{}, result.OK},
-		"over just in time":         {time.Second, came.Add(time.Second), result.OK},
-		"over too late":             {time.Second, came.Add(time.Second - 1), result.CallNotRunStopping},
-		"no deadline":               {0, came.Add(time.Hour), result.CallNotRunStopping},
-		"the daemon should be over": {time.Millisecond, came.Add(-time.Hour), result.CallNotRunStopping},
+		"not stopping":                 {time.Hour, time.Time{}, result.OK},
+		"not stopping, no deadline":    {0, time.Time{}, result.OK},
+		"deadline at the shutdown":     {time.Second, came.Add(time.Second), result.OK},
+		"deadline after the shutdown":  {time.Second, came.Add(time.Second - 1), result.CallNotRunStopping},
+		"no deadline":                  {0, came.Add(time.Hour), result.CallNotRunStopping},
+		"shutdown deadline has passed": {time.Millisecond, came.Add(-time.Hour), result.CallNotRunStopping},
 	} {
 		t.Run(name, func(t *testing.T) {
 			open := &lapisv1.CallOpen{DeadlineMillis: uint32(row.lasts.Milliseconds())}
@@ -90,8 +90,8 @@
 	}
 }
 
-// An instance's own refusal is one only with the envelope's field, and tells when to come back
-// where it says so in seconds.
+// A response is a refusal by the instance only with the NotRun field of the envelope, and states a
+// retry delay only in seconds.
 func TestInstanceRefusal(t *testing.T) {
 	envelope := callapi.DefaultEnvelope
 	for name, row := range map[string]struct {
@@ -102,14 +102,14 @@
 		code       result.Code
 		after      time.Duration
 	}{
-		"overloaded":      {http.StatusServiceUnavailable, true, "2", false, result.CallNotRunShed, 2 * time.Second},
-		"too many":        {http.StatusTooManyRequests, true, "0.5", false, result.CallNotRunShed, 500 * time.Millisecond},
-		"no time":         {http.StatusServiceUnavailable, true, "", false, result.CallNotRunShed, 0},
-		"a date":          {http.StatusServiceUnavailable, true, "Fri, 31 Dec 1999 23:59:59 GMT", false, result.CallNotRunShed, 0},
-		"it may have run": {http.StatusServiceUnavailable, false, "2", false, result.OK, 0},
-		"another failure": {http.StatusInternalServerError, true, "", false, result.OK, 0},
-		"an answer":       {http.StatusOK, true, "", false, result.OK, 0},
-		"it had room":     {http.StatusServiceUnavailable, true, "2", true, result.CallNotRunShed, freeSlotRetryDelay},
+		"overloaded":            {http.StatusServiceUnavailable, true, "2", false, result.CallNotRunShed, 2 * time.Second},
+		"too many":              {http.StatusTooManyRequests, true, "0.5", false, result.CallNotRunShed, 500 * time.Millisecond},
+		"no Retry-After":        {http.StatusServiceUnavailable, true, "", false, result.CallNotRunShed, 0},
+		"Retry-After is a date": {http.StatusServiceUnavailable, true, "Fri, 31 Dec 1999 23:59:59 GMT", false, result.CallNotRunShed, 0},
+		"no NotRun field":       {http.StatusServiceUnavailable, false, "2", false, result.OK, 0},
+		"other error status":    {http.StatusInternalServerError, true, "", false, result.OK, 0},
+		"success status":        {http.StatusOK, true, "", false, result.OK, 0},
+		"free slot":             {http.StatusServiceUnavailable, true, "2", true, result.CallNotRunShed, freeSlotRetryDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := &http.Response{StatusCode: row.status, Header: http.Header{}}
@@ -128,7 +128,7 @@
 	}
 }
 
-// Every reason to drain has its code.
+// Each drain reason has its result code.
 func TestDrainRefusal(t *testing.T) {
 	for _, reason := range drainReasonPrecedence {
 		want := result.CallNotRunDraining
--- a/internal/requestpath/origin/registration_test.go
+++ b/internal/requestpath/origin/registration_test.go
@@ -14,7 +14,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// settleTime is longer than the interval in which an origin checks its instances.
+// settleTime is longer than the interval at which an origin checks its instances.
 const settleTime = time.Second
 
 // startOrigin runs an origin in a synctest bubble until stop is called.
@@ -32,18 +32,18 @@
 	return origin.Registration{Service: "desk", Instance: instance, Address: address, Slots: 2, Sequence: 1}
 }
 
-// An instance that left is dropped once nothing of it is in flight.
+// An instance that left is dropped once it has no calls in flight.
 func TestInstancesThatLeftAreDropped(t *testing.T) {
 	for name, leave := range map[string]func(*origin.Origin){
-		"says farewell": func(o *origin.Origin) { o.Withdraw("desk-1") },
+		"is withdrawn": func(o *origin.Origin) { o.Withdraw("desk-1") },
 		"drains": func(o *origin.Origin) {
 			draining := registration("desk-1", "127.0.0.1:1")
 			draining.Draining = true
 			draining.Sequence = 2
 			o.Register(draining)
 		},
-		"its address is taken":    func(o *origin.Origin) { o.Register(registration("desk-2", "127.0.0.1:1")) },
-		"its heartbeats stay out": func(*origin.Origin) { time.Sleep(2 * time.Minute) },
+		"its address is taken": func(o *origin.Origin) { o.Register(registration("desk-2", "127.0.0.1:1")) },
+		"its heartbeats stop":  func(*origin.Origin) { time.Sleep(2 * time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -72,7 +72,7 @@
 	})
 }
 
-// An instance that left stays away whatever late heartbeats say, and calls for it are refused as for
+// Delayed heartbeats do not bring back an instance that left, and calls for it are refused as for
 // one that drains.
 func TestInstanceThatLeftDoesNotComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -92,7 +92,7 @@
 	})
 }
 
-// An instance that was only silent may come back under its name.
+// An instance that was dropped because it was silent may come back under its name.
 func TestSilentInstanceComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running, stop := startOrigin(t)
@@ -112,28 +112,28 @@
 // withdraw the present one.
 func TestLateHeartbeatOfAnEarlierInstance(t *testing.T) {
 	heartbeat := func(instance string, sequence uint64) origin.Registration {
-		stated := registration(instance, "127.0.0.1:1")
-		stated.Sequence = sequence
-		return stated
+		sent := registration(instance, "127.0.0.1:1")
+		sent.Sequence = sequence
+		return sent
 	}
 	for name, row := range map[string]struct {
 		heartbeats []origin.Registration
 		ready      string
 	}{
-		"earlier one known":                    {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 1), heartbeat("old", 8), heartbeat("new", 2)}, "new"},
-		"earlier one forgotten":                {[]origin.Registration{heartbeat("new", 1), heartbeat("old", 8), heartbeat("new", 2)}, "new"},
-		"earlier one forgotten, twice late":    {[]origin.Registration{heartbeat("new", 1), heartbeat("old", 8), heartbeat("old", 9), heartbeat("new", 2)}, "new"},
-		"both in the middle of their lives":    {[]origin.Registration{heartbeat("new", 5), heartbeat("old", 8), heartbeat("new", 6)}, "new"},
-		"a later one takes over":               {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 1)}, "new"},
-		"a later one whose first beat is lost": {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 2), heartbeat("new", 3), heartbeat("new", 4)}, "new"},
-		"leaving late":                         {[]origin.Registration{heartbeat("new", 1), {Service: "desk", Instance: "old", Address: "127.0.0.1:1", Slots: 2, Sequence: 9, Draining: true}, heartbeat("new", 2)}, "new"},
+		"earlier one known":                 {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 1), heartbeat("old", 8), heartbeat("new", 2)}, "new"},
+		"earlier one forgotten":             {[]origin.Registration{heartbeat("new", 1), heartbeat("old", 8), heartbeat("new", 2)}, "new"},
+		"earlier one forgotten, twice late": {[]origin.Registration{heartbeat("new", 1), heartbeat("old", 8), heartbeat("old", 9), heartbeat("new", 2)}, "new"},
+		"neither heartbeat is the first":    {[]origin.Registration{heartbeat("new", 5), heartbeat("old", 8), heartbeat("new", 6)}, "new"},
+		"a later one takes over":            {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 1)}, "new"},
+		"a later one, first heartbeat lost": {[]origin.Registration{heartbeat("old", 7), heartbeat("new", 2), heartbeat("new", 3), heartbeat("new", 4)}, "new"},
+		"earlier one leaves, delayed":       {[]origin.Registration{heartbeat("new", 1), {Service: "desk", Instance: "old", Address: "127.0.0.1:1", Slots: 2, Sequence: 9, Draining: true}, heartbeat("new", 2)}, "new"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				running, stop := startOrigin(t)
 				defer stop()
-				for _, stated := range row.heartbeats {
-					running.Register(stated)
+				for _, sent := range row.heartbeats {
+					running.Register(sent)
 					time.Sleep(1600 * time.Millisecond)
 				}
 				ready := []string{}
@@ -148,9 +148,9 @@
 	}
 }
 
-// A daemon that is about to stop takes the calls that end before it does, so that the
-// instance beside it does not idle, and refuses the others as not run.
-func TestStoppingDaemonTakesOnlyCallsThatEndBeforeIt(t *testing.T) {
+// A daemon that is about to stop accepts the calls that end before it does, so that its instance
+// does not idle, and refuses the others as not run.
+func TestStoppingDaemonAcceptsOnlyCallsThatEndBeforeIt(t *testing.T) {
 	stopping := origin.New(origin.Config{QueueLength: 8, QueueTime: time.Second})
 	stopping.Register(registration("desk-1", "127.0.0.1:1"))
 	stopping.Drain(time.Now().Add(time.Hour))
@@ -158,7 +158,7 @@
 		lasts time.Duration
 		code  result.Code
 	}{
-		// Nothing listens at the instance's address: what is taken is not reached.
+		// No back end listens at the instance's address, so accepted calls are unreachable.
 		"short":         {time.Minute, result.CallNotRunUnreachable},
 		"too long":      {2 * time.Hour, result.CallNotRunStopping},
 		"without bound": {0, result.CallNotRunStopping},
--- a/internal/requestpath/origin/restart_test.go
+++ b/internal/requestpath/origin/restart_test.go
@@ -14,17 +14,17 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// heartbeatInterval is that of the instances in these tests.
+// heartbeatInterval is the heartbeat interval of the instances in these tests.
 const heartbeatInterval = 1500 * time.Millisecond
 
-// newHeartbeat is a heartbeat of a start of the instance desk-1, of born seconds.
+// newHeartbeat returns a heartbeat of the incarnation of desk-1 that started at born seconds.
 func newHeartbeat(born, sequence uint64) origin.Registration {
-	stated := registration("desk-1", "127.0.0.1:1")
-	stated.Born, stated.Sequence = born*1000, sequence
-	return stated
+	heartbeat := registration("desk-1", "127.0.0.1:1")
+	heartbeat.Born, heartbeat.Sequence = born*1000, sequence
+	return heartbeat
 }
 
-// newHeartbeats are so many heartbeats of a start from a sequence on.
+// newHeartbeats returns count consecutive heartbeats of one incarnation, starting at a sequence.
 func newHeartbeats(born, sequence uint64, count int) (beats []origin.Registration) {
 	for index := range count {
 		beats = append(beats, newHeartbeat(born, sequence+uint64(index)))
@@ -32,23 +32,23 @@
 	return beats
 }
 
-func withDraining(stated origin.Registration) origin.Registration {
-	stated.Draining = true
-	return stated
+func withDraining(heartbeat origin.Registration) origin.Registration {
+	heartbeat.Draining = true
+	return heartbeat
 }
 
-func withAddress(address string, stated origin.Registration) origin.Registration {
-	stated.Address = address
-	return stated
+func withAddress(address string, heartbeat origin.Registration) origin.Registration {
+	heartbeat.Address = address
+	return heartbeat
 }
 
-// withInstanceID gives a heartbeat another id.
-func withInstanceID(id string, stated origin.Registration) origin.Registration {
-	stated.Instance = id
-	return stated
+// withInstanceID returns a heartbeat with another instance ID.
+func withInstanceID(id string, heartbeat origin.Registration) origin.Registration {
+	heartbeat.Instance = id
+	return heartbeat
 }
 
-// readyNames are the instances that are announced as ready.
+// readyNames returns the names of the instances that are announced as ready.
 func readyNames(running *origin.Origin) []string {
 	names := []string{}
 	for _, endpoint := range running.Advertised() {
@@ -59,39 +59,40 @@
 	return names
 }
 
-// The failure: an instance that started again under its id counted as a late message of itself until
-// its sequence had caught up, and one that had left was refused for ten minutes.
+// The failure: heartbeats of an instance that restarted under the same ID counted as delayed ones
+// until its sequence had caught up, and after a withdrawal it was refused for ten minutes
+// (withdrawnTTL).
 func TestInstanceStartsAgainUnderItsID(t *testing.T) {
 	const first, second = "desk-1@1000", "desk-1@2000"
 	for name, row := range map[string]struct {
 		heartbeats []origin.Registration
 		ready      string
 	}{
-		"started again":                         {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 1)}, second},
-		"its first heartbeat was lost":          {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 2)}, second},
-		"at another address":                    {[]origin.Registration{newHeartbeat(1, 900), withAddress("127.0.0.1:2", newHeartbeat(2, 1))}, second},
-		"after it had left":                     {[]origin.Registration{newHeartbeat(1, 900), withDraining(newHeartbeat(1, 901)), newHeartbeat(2, 1)}, second},
-		"late heartbeats of the start before":   {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 1), newHeartbeat(1, 901), newHeartbeat(2, 2)}, second},
-		"the start before was forgotten":        {[]origin.Registration{newHeartbeat(2, 1), newHeartbeat(1, 900), newHeartbeat(2, 2)}, second},
-		"its first heartbeat is late":           {[]origin.Registration{newHeartbeat(2, 5), newHeartbeat(1, 1), newHeartbeat(2, 6)}, second},
-		"the start before is heard first":       {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 7)}, second},
-		"the start before leaves late":          {[]origin.Registration{newHeartbeat(2, 1), withDraining(newHeartbeat(1, 902)), newHeartbeat(2, 2)}, second},
-		"late and elsewhere":                    {[]origin.Registration{newHeartbeat(2, 1), withAddress("127.0.0.1:2", newHeartbeat(1, 1)), newHeartbeat(2, 2)}, second},
-		"another instance before it, late":      {[]origin.Registration{newHeartbeat(2, 1), withInstanceID("desk-0", newHeartbeat(1, 1)), newHeartbeat(2, 2)}, second},
-		"a heartbeat without start":             {[]origin.Registration{newHeartbeat(2, 5), newHeartbeat(0, 900), newHeartbeat(2, 6)}, second},
-		"starts are stated from now on":         {[]origin.Registration{newHeartbeat(0, 900), newHeartbeat(2, 1)}, second},
-		"the clock was set back":                {append([]origin.Registration{newHeartbeat(2, 900)}, newHeartbeats(1, 1, 6)...), first},
-		"set back, and the other one is heard":  {append(append([]origin.Registration{newHeartbeat(2, 900)}, newHeartbeats(1, 1, 6)...), newHeartbeat(2, 901), newHeartbeat(1, 7)), second},
-		"two starts that state the same time":   {append([]origin.Registration{newHeartbeat(1, 900)}, newHeartbeats(1, 1, 50)...), first},
-		"two starts that state none":            {append([]origin.Registration{newHeartbeat(0, 900)}, newHeartbeats(0, 1, 50)...), "desk-1"},
-		"draining, late heartbeat of the first": {[]origin.Registration{newHeartbeat(2, 1), withDraining(newHeartbeat(2, 2)), newHeartbeat(1, 900)}, ""},
+		"restarted":                                      {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 1)}, second},
+		"first heartbeat lost":                           {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 2)}, second},
+		"at another address":                             {[]origin.Registration{newHeartbeat(1, 900), withAddress("127.0.0.1:2", newHeartbeat(2, 1))}, second},
+		"after it had left":                              {[]origin.Registration{newHeartbeat(1, 900), withDraining(newHeartbeat(1, 901)), newHeartbeat(2, 1)}, second},
+		"delayed heartbeats of the earlier one":          {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 1), newHeartbeat(1, 901), newHeartbeat(2, 2)}, second},
+		"earlier one forgotten":                          {[]origin.Registration{newHeartbeat(2, 1), newHeartbeat(1, 900), newHeartbeat(2, 2)}, second},
+		"first heartbeat delayed":                        {[]origin.Registration{newHeartbeat(2, 5), newHeartbeat(1, 1), newHeartbeat(2, 6)}, second},
+		"earlier one registers first":                    {[]origin.Registration{newHeartbeat(1, 900), newHeartbeat(2, 7)}, second},
+		"earlier one leaves, delayed":                    {[]origin.Registration{newHeartbeat(2, 1), withDraining(newHeartbeat(1, 902)), newHeartbeat(2, 2)}, second},
+		"delayed, at another address":                    {[]origin.Registration{newHeartbeat(2, 1), withAddress("127.0.0.1:2", newHeartbeat(1, 1)), newHeartbeat(2, 2)}, second},
+		"another instance, delayed":                      {[]origin.Registration{newHeartbeat(2, 1), withInstanceID("desk-0", newHeartbeat(1, 1)), newHeartbeat(2, 2)}, second},
+		"heartbeat without a start time":                 {[]origin.Registration{newHeartbeat(2, 5), newHeartbeat(0, 900), newHeartbeat(2, 6)}, second},
+		"start times stated from now on":                 {[]origin.Registration{newHeartbeat(0, 900), newHeartbeat(2, 1)}, second},
+		"the clock was set back":                         {append([]origin.Registration{newHeartbeat(2, 900)}, newHeartbeats(1, 1, 6)...), first},
+		"clock set back, other one sends again":          {append(append([]origin.Registration{newHeartbeat(2, 900)}, newHeartbeats(1, 1, 6)...), newHeartbeat(2, 901), newHeartbeat(1, 7)), second},
+		"two starts with the same time":                  {append([]origin.Registration{newHeartbeat(1, 900)}, newHeartbeats(1, 1, 50)...), first},
+		"two starts without a time":                      {append([]origin.Registration{newHeartbeat(0, 900)}, newHeartbeats(0, 1, 50)...), "desk-1"},
+		"draining, delayed heartbeat of the earlier one": {[]origin.Registration{newHeartbeat(2, 1), withDraining(newHeartbeat(2, 2)), newHeartbeat(1, 900)}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				running, stop := startOrigin(t)
 				defer stop()
-				for _, stated := range row.heartbeats {
-					running.Register(stated)
+				for _, heartbeat := range row.heartbeats {
+					running.Register(heartbeat)
 					time.Sleep(heartbeatInterval)
 				}
 				ready := []string{}
@@ -104,17 +105,17 @@
 	}
 }
 
-// A withdrawal that names its start ends that one only; one that names the id ends the start that is
-// known.
-func TestWithdrawalOfAStart(t *testing.T) {
+// A withdrawal with a start time ends that incarnation only; one without ends the known incarnation
+// with the ID.
+func TestWithdrawalOfOneIncarnation(t *testing.T) {
 	for name, row := range map[string]struct {
 		withdraw func(*origin.Origin)
 		ready    []string
 	}{
-		"of the start before": {func(o *origin.Origin) { o.WithdrawStart("desk-1", 1000) }, []string{"desk-1@2000"}},
-		"of this start":       {func(o *origin.Origin) { o.WithdrawStart("desk-1", 2000) }, []string{}},
-		"of the id":           {func(o *origin.Origin) { o.WithdrawStart("desk-1", 0) }, []string{}},
-		"told by its name":    {func(o *origin.Origin) { o.Withdraw("desk-1@1000") }, []string{"desk-1@2000"}},
+		"of the earlier incarnation": {func(o *origin.Origin) { o.WithdrawStart("desk-1", 1000) }, []string{"desk-1@2000"}},
+		"of the present incarnation": {func(o *origin.Origin) { o.WithdrawStart("desk-1", 2000) }, []string{}},
+		"of the ID":                  {func(o *origin.Origin) { o.WithdrawStart("desk-1", 0) }, []string{}},
+		"by name":                    {func(o *origin.Origin) { o.Withdraw("desk-1@1000") }, []string{"desk-1@2000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -130,8 +131,8 @@
 	}
 }
 
-// A call that was sent for the start before is not run by the present one, whose daemon says so.
-func TestCallForTheStartBefore(t *testing.T) {
+// A call for an earlier incarnation is not sent to the present one; the daemon refuses it.
+func TestCallForAnEarlierIncarnationIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running, stop := startOrigin(t)
 		defer stop()
--- a/internal/requestpath/origin/revocation_test.go
+++ b/internal/requestpath/origin/revocation_test.go
@@ -16,7 +16,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// keyDigest is the digest of the key of the tests' calls.
+// keyDigest is the digest of the API key of the tests' calls.
 var keyDigest = account.DigestOf([]byte("a key"))
 
 // newAccounts returns accounts, each with one key, by name.
@@ -28,7 +28,7 @@
 	return accounts
 }
 
-// newSnapshot returns a snapshot with accounts.
+// newSnapshot returns a snapshot with the given accounts.
 func newSnapshot(t *testing.T, revision uint64, accounts *lapisv1.Accounts) *snapshot.Snapshot {
 	t.Helper()
 	configuration, err := meshconfig.Compose(meshconfig.Composition{
@@ -41,8 +41,8 @@
 	return store.Current()
 }
 
-// A key counts as revoked once a newer configuration than the one that admitted the call lacks it; an
-// older one, which may lack it because it is new, proves nothing.
+// A key counts as revoked once a newer configuration than the one that admitted the call lacks it.
+// An older one proves nothing, because the key may be newer.
 func TestRevokedKeysAreRefusedBesideTheInstance(t *testing.T) {
 	const admittedUnder = 5
 	with, without := newAccounts(map[string]account.Digest{"alpha": keyDigest}), newAccounts(nil)
@@ -52,15 +52,15 @@
 		current *snapshot.Snapshot
 		code    result.Code
 	}{
-		"in force":              {keyDigest[:], newSnapshot(t, 6, with), result.OK},
-		"revoked":               {keyDigest[:], newSnapshot(t, 6, without), result.CallUnknownKey},
-		"moved":                 {keyDigest[:], newSnapshot(t, 6, moved), result.OK},
-		"the same version":      {keyDigest[:], newSnapshot(t, admittedUnder, without), result.OK},
-		"not known here yet":    {keyDigest[:], newSnapshot(t, 4, without), result.OK},
-		"accounts are given up": {keyDigest[:], newSnapshot(t, 6, nil), result.OK},
-		"no configuration yet":  {keyDigest[:], nil, result.OK},
-		"no key was needed":     {nil, newSnapshot(t, 6, without), result.OK},
-		"no digest at all":      {keyDigest[:3], newSnapshot(t, 6, with), result.CallUnknownKey},
+		"in force":             {keyDigest[:], newSnapshot(t, 6, with), result.OK},
+		"revoked":              {keyDigest[:], newSnapshot(t, 6, without), result.CallUnknownKey},
+		"moved":                {keyDigest[:], newSnapshot(t, 6, moved), result.OK},
+		"the same version":     {keyDigest[:], newSnapshot(t, admittedUnder, without), result.OK},
+		"not known here yet":   {keyDigest[:], newSnapshot(t, 4, without), result.OK},
+		"accounts removed":     {keyDigest[:], newSnapshot(t, 6, nil), result.OK},
+		"no configuration yet": {keyDigest[:], nil, result.OK},
+		"no key was needed":    {nil, newSnapshot(t, 6, without), result.OK},
+		"malformed digest":     {keyDigest[:3], newSnapshot(t, 6, with), result.CallUnknownKey},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := checkKey(&lapisv1.CallOpen{KeyDigest: row.digest, RouteRevision: admittedUnder}, row.current)
@@ -70,15 +70,15 @@
 	}
 }
 
-// A call that waits for a slot while its key is revoked does not start, and is proved not to have run;
-// one whose key stays starts.
+// A call whose key is revoked while it waits for a slot does not start, and its error proves that
+// it did not run; a call whose key stays valid starts.
 func TestRevocationWhileACallWaits(t *testing.T) {
 	for name, row := range map[string]struct {
 		accounts *lapisv1.Accounts
 		code     result.Code
 	}{
 		"revoked": {newAccounts(nil), result.CallUnknownKey},
-		// It is tried, and no back end answers there.
+		// The call is sent, and fails because no back end listens.
 		"kept": {newAccounts(map[string]account.Digest{"alpha": keyDigest}), result.CallNotRunUnreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -111,8 +111,8 @@
 	}
 }
 
-// The instance gets the account that lapisvane states, whatever else the call's fields say, and none
-// for a call of nobody's.
+// The instance receives the account that lapisvane states, whatever the header fields of the call
+// contain, and no account for a call without one.
 func TestInstancesGetTheAccount(t *testing.T) {
 	envelope := &callapi.Envelope{Deadline: "Deadline-Ms", Account: "Mesh-Account"}
 	for _, name := range []string{"alpha", ""} {
--- a/internal/requestpath/origin/suspended_test.go
+++ b/internal/requestpath/origin/suspended_test.go
@@ -11,8 +11,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// An instance stays as cold as it said, and up, while its machine is suspended: it may have
-// stood as well. Its next heartbeat tells.
+// An instance stays cold and up while its machine is suspended, because it may have been suspended
+// as well. Its next heartbeat states whether it is.
 func TestColdSpanAndBeatsStandWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
@@ -31,8 +31,8 @@
 	})
 }
 
-// A connection that was idle while the machine was suspended was idle that long for the
-// instance, which may have closed or forgotten it.
+// The time for which the machine was suspended counts as idle time of a connection, because the
+// instance may have closed or dropped it.
 func TestConnectionsRestWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
--- a/internal/requestpath/origin/work_test.go
+++ b/internal/requestpath/origin/work_test.go
@@ -15,8 +15,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// What an instance states with an answer goes with that answer, and with what is refused after it.
-func TestStatedWorkGoesWithAnswersAndRefusals(t *testing.T) {
+// The work percentage that an instance reports is returned with its response, and with later
+// refusals.
+func TestReportedWorkIsReturnedWithResponsesAndRefusals(t *testing.T) {
 	stating := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/states" {
 			writer.Header().Set("Load", "250")
