--- a/internal/requestpath/origin/dedup.go
+++ b/internal/requestpath/origin/dedup.go
@@ -6,69 +6,70 @@
 	"time"
 )
 
-// Bounds of what is remembered about calls.
+// Limits of the deduplication.
 const (
-	// attemptMemory is how long an attempt id is remembered. It must be longer than any time
-	// in which an attempt may start, or a copy that was held up would run again.
-	attemptMemory = 2 * time.Minute
-	// keyMemory is how long a caller's own idempotency key is remembered.
-	keyMemory = 10 * time.Minute
-	// maxRemembered bounds the entries of each cache; the oldest are dropped first. It must be
-	// above the calls that come within attemptMemory, or an attempt may start twice.
-	maxRemembered = 200_000
+	// attemptTTL is how long an attempt ID is remembered. It must exceed the time within which an
+	// attempt may start, or a delayed copy would run again.
+	attemptTTL = 2 * time.Minute
+	// idempotencyKeyTTL is how long a caller's idempotency key is remembered. It must be above
+	// attemptTTL.
+	idempotencyKeyTTL = 10 * time.Minute
+	// maxDedupEntries limits the entries of each cache; the oldest are evicted first. It must
+	// exceed the number of calls that arrive within attemptTTL, or an attempt could start twice.
+	maxDedupEntries = 200_000
 )
 
-// dedupCache remembers identifiers for a time, so that nothing runs twice. It is safe for
-// concurrent use.
+// dedupCache remembers identifiers for a limited time, so that no attempt or request runs twice. It
+// is safe for concurrent use.
 type dedupCache struct {
-	lifetime time.Duration
-	now      func() time.Time
+	ttl time.Duration
+	now func() time.Time
 
 	// mutex protects everything below.
 	mutex   sync.Mutex
 	entries map[string]*list.Element
-	// order lists the entries by their expiry.
-	order *list.List
+	// byExpiry lists the entries in the order of their expiry.
+	byExpiry *list.List
 }
 
-// dedupEntry is one identifier.
+// dedupEntry is the entry of one identifier.
 type dedupEntry struct {
-	id      string
-	state   attemptState
-	expires time.Time
+	id        string
+	state     attemptState
+	expiresAt time.Time
 }
 
-// attemptState is what is known of an attempt.
+// attemptState is the known state of an attempt.
 type attemptState int
 
 const (
-	// attemptWaiting was received and not yet handed over.
+	// attemptWaiting: received and not sent to the instance yet.
 	attemptWaiting attemptState = iota
-	// attemptRefused must not be started any more.
-	attemptRefused
-	// attemptStarted was or is about to be handed to the back end.
+	// attemptFenced: fenced before its start; it must not start.
+	attemptFenced
+	// attemptStarted: sent, or about to be sent, to the instance.
 	attemptStarted
 )
 
-func newDedupCache(lifetime time.Duration, now func() time.Time) *dedupCache {
-	return &dedupCache{lifetime: lifetime, now: now, entries: map[string]*list.Element{}, order: list.New()}
+func newDedupCache(ttl time.Duration, now func() time.Time) *dedupCache {
+	return &dedupCache{ttl: ttl, now: now, entries: map[string]*list.Element{}, byExpiry: list.New()}
 }
 
-// Claim remembers id as state unless it is known; then it returns what is known.
+// Claim records id with the given state unless it is known; for a known id it returns that state.
 func (c *dedupCache) Claim(id string, state attemptState) (previous attemptState, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.now()
-	c.expire(now)
+	c.evict(now)
 	if element, ok := c.entries[id]; ok {
 		return element.Value.(*dedupEntry).state, true
 	}
-	entry := &dedupEntry{id: id, state: state, expires: now.Add(c.lifetime)}
-	c.entries[id] = c.order.PushBack(entry)
+	entry := &dedupEntry{id: id, state: state, expiresAt: now.Add(c.ttl)}
+	c.entries[id] = c.byExpiry.PushBack(entry)
 	return 0, false
 }
 
-// Start moves a waiting id to started; it reports false for any other.
+// Start changes a waiting id to started; it reports false for any other id.
 func (c *dedupCache) Start(id string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -80,21 +81,22 @@
 	return true
 }
 
-// Fence makes sure that id is not started from now on; it reports whether it was started before.
+// Fence makes sure that id does not start from now on; it reports whether it started before.
 func (c *dedupCache) Fence(id string) (started bool) {
-	if state, known := c.Claim(id, attemptRefused); !known || state == attemptRefused {
+	if state, known := c.Claim(id, attemptFenced); !known || state == attemptFenced {
 		return false
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	element, ok := c.entries[id]
 	if !ok {
-		// Forgotten meanwhile: nothing can be proved, so it counts as started.
+		// The entry has expired in the meantime. It counts as started, because nothing proves the
+		// opposite.
 		return true
 	}
 	entry := element.Value.(*dedupEntry)
 	if entry.state == attemptWaiting {
-		entry.state = attemptRefused
+		entry.state = attemptFenced
 	}
 	return entry.state == attemptStarted
 }
@@ -103,19 +105,19 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if element, ok := c.entries[id]; ok {
-		c.order.Remove(element)
+		c.byExpiry.Remove(element)
 		delete(c.entries, id)
 	}
 }
 
-// expire drops what is old or too much; the caller holds mutex.
-func (c *dedupCache) expire(now time.Time) {
-	for element := c.order.Front(); element != nil; element = c.order.Front() {
+// evict removes expired entries, and the oldest ones if there are too many; the caller holds mutex.
+func (c *dedupCache) evict(now time.Time) {
+	for element := c.byExpiry.Front(); element != nil; element = c.byExpiry.Front() {
 		entry := element.Value.(*dedupEntry)
-		if now.Before(entry.expires) && c.order.Len() < maxRemembered {
+		if now.Before(entry.expiresAt) && c.byExpiry.Len() < maxDedupEntries {
 			return
 		}
-		c.order.Remove(element)
+		c.byExpiry.Remove(element)
 		delete(c.entries, entry.id)
 	}
 }
--- a/internal/requestpath/origin/drain.go
+++ b/internal/requestpath/origin/drain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// DrainReason is why an instance takes no new work. An instance drains while there is any reason.
+// DrainReason is why an instance gets no new calls. An instance drains while any reason applies.
 type DrainReason string
 
 // Reasons to drain.
@@ -10,82 +10,85 @@
 	DrainOperator    DrainReason = "operator"
 	DrainMachineList DrainReason = "machine-list"
 	DrainStop        DrainReason = "stop"
-	// DrainEvacuated is for an instance whose zone is evacuated; it may take work again.
+	// DrainEvacuated applies while the zone is evacuated; the instance may get calls again
+	// afterwards.
 	DrainEvacuated DrainReason = "evacuated"
-	// DrainInstance is the instance's own statement that it leaves.
+	// DrainInstance applies once the instance itself has reported that it leaves.
 	DrainInstance DrainReason = "instance"
-	// DrainReplaced is for an instance whose address another one has.
+	// DrainReplaced applies to an instance whose address another instance has taken over.
 	DrainReplaced DrainReason = "replaced"
 )
 
-// drainReasons are all reasons: calls are refused with the first of those that hold. The permanent
-// ones come first, so that no caller comes back in vain.
-var drainReasons = []DrainReason{DrainReplaced, DrainInstance, DrainStop, DrainOperator, DrainMachineList, DrainEvacuated}
+// drainReasonPrecedence lists all reasons in the order in which they are reported: calls are
+// refused with the first one that applies. The permanent reasons come first, so that no caller
+// returns to an instance that does not come back.
+var drainReasonPrecedence = []DrainReason{DrainReplaced, DrainInstance, DrainStop, DrainOperator, DrainMachineList, DrainEvacuated}
 
-// Drain adds a reason to take no new work; the calls in flight go on.
+// Drain adds a reason to get no new calls; calls in flight continue.
 func (i *Instance) Drain(reason DrainReason) {
 	i.mutex.Lock()
-	i.reasons[reason] = true
+	i.drainReasons[reason] = true
 	fire(i.lifecycle, triggerDrain)
-	first, _ := i.firstReason()
+	first, _ := i.firstDrainReason()
 	i.queue.Close(drainRefusal(i.Name, first))
 	i.mutex.Unlock()
-	go i.noteIdle()
+	go i.awaitIdle()
 }
 
-func (i *Instance) noteIdle() {
+func (i *Instance) awaitIdle() {
 	<-i.queue.Idle()
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if len(i.reasons) > 0 {
+	if len(i.drainReasons) > 0 {
 		fire(i.lifecycle, triggerIdle)
 	}
 }
 
-// Resume removes a reason; without any the instance takes work again, at once if it registered and
-// is not silent.
+// Resume removes a reason. If none remains the instance gets calls again, at once if it is
+// registered and not silent.
 func (i *Instance) Resume(reason DrainReason) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if !i.reasons[reason] {
+	if !i.drainReasons[reason] {
 		return
 	}
-	delete(i.reasons, reason)
-	if left, drains := i.firstReason(); drains {
-		i.queue.Close(drainRefusal(i.Name, left))
+	delete(i.drainReasons, reason)
+	if remaining, draining := i.firstDrainReason(); draining {
+		i.queue.Close(drainRefusal(i.Name, remaining))
 		return
 	}
 	fire(i.lifecycle, triggerResume)
 	if !i.downByCalls {
-		i.catchUpLifecycle()
+		i.applyHeartbeatsDuringDrain()
 	}
 	i.downByCalls = false
 	i.queue.Reopen()
 }
 
-// firstReason returns the first of the reasons that hold; the caller holds mutex.
-func (i *Instance) firstReason() (reason DrainReason, drains bool) {
-	for _, reason := range drainReasons {
-		if i.reasons[reason] {
+// firstDrainReason returns the first reason that applies, in order of precedence; the caller holds
+// mutex.
+func (i *Instance) firstDrainReason() (reason DrainReason, draining bool) {
+	for _, reason := range drainReasonPrecedence {
+		if i.drainReasons[reason] {
 			return reason, true
 		}
 	}
 	return "", false
 }
 
-// catchUpLifecycle applies the heartbeats that came, or stayed away, while the instance
-// drained; the caller holds mutex.
-func (i *Instance) catchUpLifecycle() {
-	if !i.registered || i.lastHeartbeat.IsZero() {
+// applyHeartbeatsDuringDrain updates the state by the heartbeats that arrived, or stopped, while the
+// instance drained; the caller holds mutex.
+func (i *Instance) applyHeartbeatsDuringDrain() {
+	if !i.registered || i.lastHeartbeatAt.IsZero() {
 		return
 	}
 	fire(i.lifecycle, triggerUp)
-	if isSilent(time.Since(i.lastHeartbeat)) {
+	if isSilent(time.Since(i.lastHeartbeatAt)) {
 		fire(i.lifecycle, triggerDown)
 	}
 }
 
-// Retire drains the instance for good, as an operator asked.
+// Retire drains the instance permanently, as requested by an operator.
 func (i *Instance) Retire() {
 	i.Drain(DrainOperator)
 	i.mutex.Lock()
@@ -93,18 +96,18 @@
 	fire(i.lifecycle, triggerRetire)
 }
 
-// SetEvacuated makes all instances beside the daemon drain, those included that register
-// later, or ends that. From the return of SetEvacuated(true) on no call starts here; those
-// that run go on to their end. The callers' daemons choose other instances by themselves: this
-// guards against those that do not know the order yet.
+// SetEvacuated drains all local instances, including those that register later, or ends that drain.
+// After SetEvacuated(true) has returned no call starts here; running calls continue to their end.
+// The daemons of callers choose other instances on their own; the drain covers those that have not
+// received the evacuation order yet.
 func (o *Origin) SetEvacuated(evacuated bool) {
-	o.evacuating.Lock()
-	defer o.evacuating.Unlock()
+	o.evacuationMutex.Lock()
+	defer o.evacuationMutex.Unlock()
 	o.mutex.Lock()
-	before := o.evacuated
+	wasEvacuated := o.evacuated
 	o.evacuated = evacuated
 	o.mutex.Unlock()
-	if before == evacuated {
+	if wasEvacuated == evacuated {
 		return
 	}
 	instances := o.Instances()
@@ -113,7 +116,7 @@
 			instance.Drain(DrainEvacuated)
 			continue
 		}
-		instance.coldUntilHeartbeat()
+		instance.assumeColdUntilHeartbeat()
 		instance.Resume(DrainEvacuated)
 	}
 	o.config.Logger.Info("instances.evacuated", "evacuated", evacuated, "instances", len(instances))
--- a/internal/requestpath/origin/evacuation_test.go
+++ b/internal/requestpath/origin/evacuation_test.go
@@ -15,12 +15,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// nowhere is an address at which no back end answers.
-const nowhere = "127.0.0.1:1"
+// unreachableAddress is an address at which no back end listens.
+const unreachableAddress = "127.0.0.1:1"
 
-// running returns an origin in region r1 with one instance of two slots. It is stopped by
-// the end of the test's bubble.
-func running(t *testing.T) *Origin {
+// newRunningOrigin returns an origin in region r1 with one instance of two slots. It is stopped at
+// the end of the test's synctest bubble.
+func newRunningOrigin(t *testing.T) *Origin {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	made := New(Config{QueueLength: 8, QueueTime: 10 * time.Second, Region: "r1"})
@@ -28,16 +28,16 @@
 	go func() { defer close(done); made.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 	synctest.Wait()
-	made.Register(heartbeatOf("desk-1", 1))
+	made.Register(newHeartbeat("desk-1", 1))
 	return made
 }
 
-func heartbeatOf(instance string, sequence uint64) Registration {
-	return Registration{Service: "desk", Instance: instance, Address: nowhere, Slots: 2, Sequence: sequence}
+func newHeartbeat(instance string, sequence uint64) Registration {
+	return Registration{Service: "desk", Instance: instance, Address: unreachableAddress, Slots: 2, Sequence: sequence}
 }
 
-// call hands a call to desk-1, for the given regions, and returns how it ends.
-func call(o *Origin, attempt string, regions ...string) chan error {
+// startCall sends a call with the given allowed regions to desk-1; the channel receives its error.
+func startCall(o *Origin, attempt string, regions ...string) chan error {
 	ended := make(chan error, 1)
 	go func() {
 		open := &lapisv1.CallOpen{Service: "desk", Instance: "desk-1", AttemptId: attempt, Target: "/", Method: "GET", AllowedRegions: regions}
@@ -47,15 +47,15 @@
 	return ended
 }
 
-func instanceOf(t *testing.T, o *Origin, name string) *Instance {
+func requireInstance(t *testing.T, o *Origin, name string) *Instance {
 	t.Helper()
 	instance, ok := o.instance("desk", name)
-	assert.Assert(t, ok, "%s is forgotten", name)
+	assert.Assert(t, ok, "%s is not registered", name)
 	return instance
 }
 
-// fill takes both slots of the instance.
-func fill(t *testing.T, instance *Instance) (slots []*admission.Slot) {
+// fillSlots takes both slots of the instance.
+func fillSlots(t *testing.T, instance *Instance) (slots []*admission.Slot) {
 	t.Helper()
 	for range 2 {
 		slot, err := instance.queue.Acquire(t.Context(), admission.Request{})
@@ -70,23 +70,23 @@
 	assert.Assert(t, result.Is(err, code), "%v", err)
 }
 
-// Calls that wait when the zone is evacuated, and later ones, are refused at once; those that run go
-// on. After the end of the evacuation the instance takes work at once, without a further heartbeat.
+// Calls that wait when the zone is evacuated, and later ones, are refused at once; running calls
+// continue. After the evacuation the instance gets calls at once, without a further heartbeat.
 func TestEvacuationWithCallsWaitingAndRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
-		instance := instanceOf(t, o, "desk-1")
-		slots := fill(t, instance)
-		waiting := call(o, "waits")
+		o := newRunningOrigin(t)
+		instance := requireInstance(t, o, "desk-1")
+		slots := fillSlots(t, instance)
+		waiting := startCall(o, "waits")
 		synctest.Wait()
-		ordered, announced := time.Now(), 0
+		evacuatedAt, announced := time.Now(), 0
 		o.config.Changed = func() { announced++ }
 		o.SetEvacuated(true)
 		o.SetEvacuated(true)
-		assert.Equal(t, announced, 1, "it is announced at once, and once")
+		assert.Equal(t, announced, 1, "the evacuation is announced at once, and once only")
 		assertCode(t, <-waiting, result.CallNotRunEvacuated)
-		assertCode(t, <-call(o, "comes later"), result.CallNotRunEvacuated)
-		assert.Equal(t, time.Since(ordered), time.Duration(0))
+		assertCode(t, <-startCall(o, "comes later"), result.CallNotRunEvacuated)
+		assert.Equal(t, time.Since(evacuatedAt), time.Duration(0))
 		assert.Equal(t, o.InFlight(), 2)
 		assert.Equal(t, instance.State(), StateDraining)
 		assert.Equal(t, o.Advertised()[0].GetState(), lapisv1.Endpoint_STATE_DRAINING)
@@ -97,17 +97,17 @@
 		assert.Equal(t, instance.State(), StateDrained)
 		o.SetEvacuated(false)
 		assert.Equal(t, instance.State(), StateReady)
-		assertCode(t, <-call(o, "after"), result.CallNotRunUnreachable)
+		assertCode(t, <-startCall(o, "after"), result.CallNotRunUnreachable)
 	})
 }
 
-// An instance that registers in an evacuated zone gets nothing until that ends.
+// An instance that registers in an evacuated zone gets no calls until the evacuation ends.
 func TestInstanceThatRegistersDuringAnEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
+		o := newRunningOrigin(t)
 		o.SetEvacuated(true)
 		o.Register(Registration{Service: "desk", Instance: "desk-2", Address: "127.0.0.1:2", Slots: 2, Sequence: 1})
-		second := instanceOf(t, o, "desk-2")
+		second := requireInstance(t, o, "desk-2")
 		_, err := second.queue.Acquire(t.Context(), admission.Request{})
 		assertCode(t, err, result.CallNotRunEvacuated)
 		o.SetEvacuated(false)
@@ -115,38 +115,38 @@
 	})
 }
 
-// An instance takes work again when the last of its reasons to drain ended, in whatever
-// order; until then calls are refused with a reason that holds.
+// An instance gets calls again when the last of its drain reasons ends, in any order; until then
+// calls are refused with a reason that still applies.
 func TestTwoReasonsToDrain(t *testing.T) {
 	for name, evacuationEndsFirst := range map[string]bool{"evacuation ends first": true, "drain ends first": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := running(t)
-				instance := instanceOf(t, o, "desk-1")
+				o := newRunningOrigin(t)
+				instance := requireInstance(t, o, "desk-1")
 				instance.Drain(DrainOperator)
 				o.SetEvacuated(true)
 				if evacuationEndsFirst {
 					o.SetEvacuated(false)
-					assertCode(t, <-call(o, "drained"), result.CallNotRunDraining)
+					assertCode(t, <-startCall(o, "drained"), result.CallNotRunDraining)
 					instance.Resume(DrainOperator)
 				} else {
 					instance.Resume(DrainOperator)
-					assertCode(t, <-call(o, "evacuated"), result.CallNotRunEvacuated)
+					assertCode(t, <-startCall(o, "evacuated"), result.CallNotRunEvacuated)
 					o.SetEvacuated(false)
 				}
 				assert.Equal(t, instance.State(), StateReady)
-				assertCode(t, <-call(o, "after"), result.CallNotRunUnreachable)
+				assertCode(t, <-startCall(o, "after"), result.CallNotRunUnreachable)
 			})
 		})
 	}
 }
 
-// Calls are refused with the first reason of drainReasons, in whatever order they came: an instance
-// that left for good does not come back with the end of the evacuation.
+// Calls are refused with the first reason of drainReasonPrecedence, in whatever order the reasons
+// were added: an instance that left permanently does not come back when the evacuation ends.
 func TestCallsAreRefusedWithTheFirstReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
-		slots := fill(t, instanceOf(t, o, "desk-1"))
+		o := newRunningOrigin(t)
+		slots := fillSlots(t, requireInstance(t, o, "desk-1"))
 		defer func() {
 			for _, slot := range slots {
 				slot.Release(false)
@@ -154,43 +154,43 @@
 		}()
 		o.Withdraw("desk-1")
 		o.SetEvacuated(true)
-		assertCode(t, <-call(o, "leaves"), result.CallNotRunDraining)
+		assertCode(t, <-startCall(o, "leaves"), result.CallNotRunDraining)
 		o.SetEvacuated(false)
-		assertCode(t, <-call(o, "leaves still"), result.CallNotRunDraining)
+		assertCode(t, <-startCall(o, "leaves still"), result.CallNotRunDraining)
 	})
 }
 
-// An evacuated instance whose heartbeats come is as much the one at its address as one
-// that works: a late heartbeat of an earlier one does not end it.
+// An evacuated instance that sends heartbeats holds its address like a ready one: a delayed
+// heartbeat of an earlier instance does not withdraw it.
 func TestLateHeartbeatDuringAnEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
+		o := newRunningOrigin(t)
 		o.SetEvacuated(true)
-		o.Register(heartbeatOf("desk-0", 9))
+		o.Register(newHeartbeat("desk-0", 9))
 		for sequence := range uint64(60) {
-			o.Register(heartbeatOf("desk-1", 2+sequence))
+			o.Register(newHeartbeat("desk-1", 2+sequence))
 			time.Sleep(1500 * time.Millisecond)
 		}
 		assert.Equal(t, len(o.Withdrawn()), 0)
 		o.SetEvacuated(false)
-		assert.Equal(t, instanceOf(t, o, "desk-1").State(), StateReady)
+		assert.Equal(t, requireInstance(t, o, "desk-1").State(), StateReady)
 	})
 }
 
-// An evacuated instance that falls silent is not forgotten, and comes back with its next
-// heartbeat; one that stays silent after the evacuation counts as down and is dropped.
+// An evacuated instance that falls silent is not dropped, and comes back with its next heartbeat;
+// one that stays silent after the evacuation counts as down and is dropped.
 func TestSilentInstanceDuringAnEvacuation(t *testing.T) {
-	for name, back := range map[string]bool{"comes back": true, "stays away": false} {
+	for name, comesBack := range map[string]bool{"comes back": true, "stays away": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := running(t)
+				o := newRunningOrigin(t)
 				o.SetEvacuated(true)
 				time.Sleep(5 * time.Minute)
-				instance := instanceOf(t, o, "desk-1")
+				instance := requireInstance(t, o, "desk-1")
 				assert.Equal(t, instance.advertisedState(), lapisv1.Endpoint_STATE_DRAINING)
 				o.SetEvacuated(false)
-				if back {
-					o.Register(heartbeatOf("desk-1", 2))
+				if comesBack {
+					o.Register(newHeartbeat("desk-1", 2))
 					assert.Equal(t, instance.State(), StateReady)
 					return
 				}
@@ -202,46 +202,46 @@
 	}
 }
 
-// The daemon beside the instance refuses what may not run in its region, whatever the
-// caller's daemon believed.
+// The instance's daemon refuses calls that may not run in its region, whatever region the caller's
+// daemon assumed.
 func TestCallsRunInTheirRegionsOnly(t *testing.T) {
 	for name, row := range map[string]struct {
 		region  string
 		regions []string
 		code    result.Code
 	}{
-		"anywhere":        {"r1", nil, result.CallNotRunUnreachable},
-		"at home":         {"r1", []string{"r0", "r1"}, result.CallNotRunUnreachable},
-		"abroad":          {"r1", []string{"r2"}, result.CallNotRunRegion},
-		"nobody knows":    {"", []string{"r2", ""}, result.CallNotRunRegion},
-		"unknown, no one": {"", nil, result.CallNotRunUnreachable},
+		"no list of regions":          {"r1", nil, result.CallNotRunUnreachable},
+		"allowed region":              {"r1", []string{"r0", "r1"}, result.CallNotRunUnreachable},
+		"abroad":                      {"r1", []string{"r2"}, result.CallNotRunRegion},
+		"unknown region, with a list": {"", []string{"r2", ""}, result.CallNotRunRegion},
+		"unknown region, no list":     {"", nil, result.CallNotRunUnreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := running(t)
+				o := newRunningOrigin(t)
 				o.config.Region = row.region
-				assertCode(t, <-call(o, "a", row.regions...), row.code)
+				assertCode(t, <-startCall(o, "a", row.regions...), row.code)
 			})
 		})
 	}
 }
 
-// A call keeps the homes that it came with while it waits, whatever comes in force meanwhile.
+// A waiting call keeps the allowed regions with which it arrived when the configuration changes.
 func TestHomesChangeWhileACallWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := running(t)
-		slots := fill(t, instanceOf(t, o, "desk-1"))
-		before := call(o, "before", "r1")
-		abroad := call(o, "abroad", "r2")
+		o := newRunningOrigin(t)
+		slots := fillSlots(t, requireInstance(t, o, "desk-1"))
+		before := startCall(o, "before", "r1")
+		otherRegion := startCall(o, "abroad", "r2")
 		synctest.Wait()
 		o.Configure(&snapshot.Snapshot{Revision: 2})
-		after := call(o, "after", "r2")
+		after := startCall(o, "after", "r2")
 		synctest.Wait()
 		for _, slot := range slots {
 			slot.Release(true)
 		}
 		assertCode(t, <-before, result.CallNotRunUnreachable)
-		assertCode(t, <-abroad, result.CallNotRunRegion)
+		assertCode(t, <-otherRegion, result.CallNotRunRegion)
 		assertCode(t, <-after, result.CallNotRunRegion)
 		assert.Equal(t, o.InFlight(), 0)
 	})
--- a/internal/requestpath/origin/instance.go
+++ b/internal/requestpath/origin/instance.go
@@ -16,52 +16,53 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
-// Times and bounds of an instance.
+// Defaults and intervals of an instance.
 const (
-	// checkInterval is the time between two checks of an instance's state, which for one
-	// that does not register is a probe for a connection; well below heartbeatSilence.
+	// checkInterval is the time between two checks of an instance's state. For an instance without
+	// heartbeats a check is a connection probe. It must be well below heartbeatTimeout, so that a
+	// silent instance is detected soon.
 	checkInterval = 200 * time.Millisecond
-	// DefaultSlots and DefaultConnections hold until a configuration is known: what the
-	// users' sites state of an instance (about 6 slots and 130 connections).
+	// DefaultSlots and DefaultConnections apply until a configuration is known. They are the values
+	// that the users' sites configure for an instance (about 6 slots and 130 connections).
 	DefaultSlots       = 6
 	DefaultConnections = 130
 )
 
-// Instance is one back end beside the daemon, with its state, its queue and its connections. It is
-// safe for concurrent use.
+// Instance is one local back end with its state, its queue and its connections. It is safe for
+// concurrent use.
 type Instance struct {
 	Service string
-	// Name is that of identity.
-	Name     string
-	identity incarnation.Incarnation
-	queue    *admission.Queue
-	backend  *backend
-	started  time.Time
-	// registered is true for an instance that announced itself: its heartbeats
-	// then tell its state, and it is not probed at intervals.
+	// Name is identity.Name().
+	Name      string
+	identity  incarnation.Incarnation
+	queue     *admission.Queue
+	backend   *backend
+	startedAt time.Time
+	// registered is true for an instance that sends heartbeats. They determine its state, and it is
+	// not probed at intervals.
 	registered bool
 	logger     logr.Logger
-	// version is that of the instance's software, as its first heartbeat said.
+	// version is the version of the instance's software, as stated by its first heartbeat.
 	version string
-	// inFlight are the calls that it has.
+	// inFlight holds the calls in flight at the instance.
 	inFlight inFlightCalls
-	// anonymousPriority is the account's priority that holds for calls without an account.
+	// anonymousPriority is the account priority of calls without an account.
 	anonymousPriority atomic.Uint32
-	// work is what it states of how long work takes there.
-	work statedWork
+	// reportedWork is what the instance reports about how long work takes there.
+	reportedWork reportedWork
 
 	// mutex protects everything below.
 	mutex sync.Mutex
-	// slots, sequence and lastHeartbeat are from the newest heartbeat.
-	slots         int
-	sequence      uint64
-	lastHeartbeat time.Time
-	coldness      coldness
-	lifecycle     *stateless.StateMachine
-	reasons       map[DrainReason]bool
-	// reachability is what its calls show, and downByCalls true while the instance is down by
-	// that. It is no state of the lifecycle, because it outlasts a drain: after that the instance
-	// is announced as ready only once it is heard.
+	// slots, sequence and lastHeartbeatAt are from the latest heartbeat.
+	slots           int
+	sequence        uint64
+	lastHeartbeatAt time.Time
+	coldState       coldState
+	lifecycle       *stateless.StateMachine
+	drainReasons    map[DrainReason]bool
+	// reachability is the evidence from calls, and downByCalls is true while the instance is down
+	// because of it. downByCalls is not a state of the lifecycle, because it outlasts a drain:
+	// after the drain the instance is announced as ready only once a heartbeat has arrived.
 	reachability reachability
 	downByCalls  bool
 }
@@ -69,9 +70,9 @@
 func newInstance(service string, identity incarnation.Incarnation, address string, limits admission.Limits, connections int, envelope *callapi.Envelope) *Instance {
 	return &Instance{
 		Service: service, Name: identity.Name(), identity: identity,
-		queue:   admission.NewQueue(limits, time.Now),
-		backend: newBackend(address, identity.ID, envelope, connections),
-		started: time.Now(), lifecycle: newLifecycle(), reasons: map[DrainReason]bool{}, logger: logr.Discard(),
+		queue:     admission.NewQueue(limits, time.Now),
+		backend:   newBackend(address, identity.ID, envelope, connections),
+		startedAt: time.Now(), lifecycle: newLifecycle(), drainReasons: map[DrainReason]bool{}, logger: logr.Discard(),
 	}
 }
 
@@ -94,7 +95,7 @@
 		return lapisv1.Endpoint_STATE_GONE
 	case StateDown:
 		if i.registered {
-			// It may be back with its next heartbeat.
+			// The next heartbeat may bring it up again.
 			return lapisv1.Endpoint_STATE_SUSPECT
 		}
 		return lapisv1.Endpoint_STATE_DRAINING
@@ -103,43 +104,43 @@
 	}
 }
 
-// check probes the back end while it is starting or down; one that registered
-// is down when its heartbeats stay away.
-func (i *Instance) check(ctx context.Context) {
+// checkHealth probes an instance without heartbeats while it is starting or down, and marks an
+// instance with heartbeats as down when they stop.
+func (i *Instance) checkHealth(ctx context.Context) {
 	state := i.State()
 	if i.registered {
 		i.mutex.Lock()
-		if isSilent(time.Since(i.lastHeartbeat)) && state == StateReady {
+		if isSilent(time.Since(i.lastHeartbeatAt)) && state == StateReady {
 			i.markDown(downSilent)
 		}
 		i.mutex.Unlock()
 		return
 	}
 	if state == StateStarting || state == StateDown {
-		i.noteConnection(i.backend.connect(ctx))
+		i.recordConnection(i.backend.probe(ctx))
 	}
 }
 
-// shouldDrop reports whether the instance is to be dropped; one that does not register never is.
+// shouldDrop reports whether to drop the instance; an instance without heartbeats is never dropped.
 func (i *Instance) shouldDrop() bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if !i.registered {
 		return false
 	}
-	return shouldDrop(time.Since(i.lastHeartbeat), i.lifecycle.MustState().(State), i.reasons)
+	return shouldDrop(time.Since(i.lastHeartbeatAt), i.lifecycle.MustState().(State), i.drainReasons)
 }
 
-// watch follows the instance's state until it ended or ctx ends, and calls
-// changed after each change of what is announced.
+// watch monitors the instance until it is to be dropped or ctx ends, and calls changed after each
+// change of the announced endpoint.
 func (i *Instance) watch(ctx context.Context, changed func()) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	announced := lapisv1.Endpoint_STATE_UNSPECIFIED
 	for {
-		i.check(ctx)
-		warm := i.noteWarm()
-		i.backend.pool.closeOld(false)
+		i.checkHealth(ctx)
+		warm := i.checkWarmedUp()
+		i.backend.pool.closeExpired(false)
 		if now := i.advertisedState(); now != announced || warm {
 			announced = now
 			changed()
@@ -155,15 +156,15 @@
 	}
 }
 
-// endpoint returns what is announced of the instance.
+// endpoint returns the endpoint to announce for the instance.
 func (i *Instance) endpoint() *lapisv1.Endpoint {
 	state := i.advertisedState()
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return &lapisv1.Endpoint{
 		Service: i.Service, Instance: i.Name, Version: i.version, State: state,
-		StartedUnixMillis: i.started.UnixMilli(), Slots: uint32(i.slots),
-		ColdMillis: uint32(max(time.Until(i.coldness.until()).Milliseconds(), 0)),
+		StartedUnixMillis: i.startedAt.UnixMilli(), Slots: uint32(i.slots),
+		ColdMillis: uint32(max(time.Until(i.coldState.coldUntil()).Milliseconds(), 0)),
 	}
 }
 
@@ -186,7 +187,7 @@
 	} else {
 		i.queue.Configure(slots, service.Shares)
 	}
-	i.backend.pool.limitTo(int(service.Bundle.GetPool().GetConnectionLimit()))
+	i.backend.pool.setLimit(int(service.Bundle.GetPool().GetConnectionLimit()))
 	switch {
 	case service.Retired[i.identity.ID]:
 		i.Retire()
--- a/internal/requestpath/origin/quarantine_test.go
+++ b/internal/requestpath/origin/quarantine_test.go
@@ -16,26 +16,26 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// A quarantined request does not reach the instance, and an answer refutes a suspicion.
+// A quarantined request is not sent to the instance, and a response clears a suspicion.
 func TestQuarantineBesideTheInstance(t *testing.T) {
-	_, origin, crashes := startBesideBreaking(t)
+	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
 	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
 	crashes.Crashed("other", 1, inFlight)
 	crashes.Crashed("other", 2, inFlight)
-	assert.NilError(t, send(origin, "/answer"))
+	assert.NilError(t, sendCall(origin, "/answer"))
 	assert.Assert(t, !crashes.Suspected(line))
 	for end := range uint64(3) {
 		crashes.Crashed("other", 3+end, inFlight)
 	}
-	err := send(origin, "/answer")
+	err := sendCall(origin, "/answer")
 	assert.Assert(t, result.Is(err, result.CallNotRunQuarantined))
 	assert.Equal(t, callapi.OutcomeOf(err), callapi.OutcomeNotRun)
 }
 
-// A short body from another daemon, which comes in pieces, is checked beside the instance too.
+// A short body that another daemon sends in pieces is checked at the instance's daemon too.
 func TestShortBodiesAreCheckedBesideTheInstance(t *testing.T) {
-	_, origin, crashes := startBesideBreaking(t)
+	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/answer"}
 	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, []byte("deadly")).Whole(), Caller: "shop"}}
 	for end := range uint64(3) {
@@ -54,15 +54,15 @@
 	}
 }
 
-// An answer that comes before the body refutes nothing.
+// A response that comes before the whole body was sent clears no suspicion.
 func TestEarlyAnswerRefutesNothing(t *testing.T) {
-	_, origin, crashes := startBesideBreaking(t)
+	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodPost, Host: "a.example", Target: "/early"}
-	key := fingerprint.PartialOf(line, maxShortBody+1)
+	key := fingerprint.PartialOf(line, maxShortBodyBytes+1)
 	crashes.Crashed("other", 1, []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: []fingerprint.Key{key}, Caller: "shop"}})
 	reader, writer := io.Pipe()
 	answer, err := origin.Handle(context.Background(), &callapi.Call{Body: reader, Open: &lapisv1.CallOpen{
-		Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host, ContentLength: maxShortBody + 1,
+		Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host, ContentLength: maxShortBodyBytes + 1,
 		AttemptId: "early", CallerService: "shop",
 	}})
 	assert.NilError(t, err)
@@ -71,20 +71,20 @@
 	assert.Equal(t, crashes.Count([]fingerprint.Key{key}), 1)
 }
 
-// A trial of a quarantined request reaches the instance, and its answer refutes the crashes.
+// A trial of a quarantined request is sent to the instance, and its response clears the suspicion.
 func TestTrialReachesTheInstance(t *testing.T) {
-	_, origin, crashes := startBesideBreaking(t)
+	_, origin, crashes := newOriginWithCrashingBackend(t)
 	line := fingerprint.Line{Method: http.MethodGet, Host: "a.example", Target: "/answer"}
 	inFlight := []quarantine.InFlight{{Head: fingerprint.HeadOf(line), Keys: fingerprint.Of(line, nil).Whole(), Caller: "shop"}}
 	for end := range uint64(3) {
 		crashes.Crashed("other", end, inFlight)
 	}
-	assert.Assert(t, result.Is(send(origin, "/answer"), result.CallNotRunQuarantined))
+	assert.Assert(t, result.Is(sendCall(origin, "/answer"), result.CallNotRunQuarantined))
 	answer, err := origin.Handle(context.Background(), &callapi.Call{Open: &lapisv1.CallOpen{
 		Service: "desk", Instance: "desk-1", Method: line.Method, Target: line.Target, Host: line.Host,
 		AttemptId: "trial", CallerService: "shop", Trial: true,
 	}})
 	assert.NilError(t, err)
 	_ = answer.Body.Close()
-	assert.NilError(t, send(origin, "/answer"))
+	assert.NilError(t, sendCall(origin, "/answer"))
 }
--- a/internal/requestpath/origin/response.go
+++ b/internal/requestpath/origin/response.go
@@ -12,19 +12,19 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-func headOf(response *http.Response) *lapisv1.CallHead {
+func responseHead(response *http.Response) *lapisv1.CallHead {
 	head := &lapisv1.CallHead{Status: uint32(response.StatusCode), ContentLength: response.ContentLength}
-	head.Headers = fieldsOf(response.Header)
+	head.Headers = headerFields(response.Header)
 	for name := range response.Trailer {
 		head.Headers = append(head.Headers, &lapisv1.HeaderField{Name: "Trailer", Value: name})
 	}
 	return head
 }
 
-func fieldsOf(header http.Header) []*lapisv1.HeaderField {
+func headerFields(header http.Header) []*lapisv1.HeaderField {
 	fields := make([]*lapisv1.HeaderField, 0, len(header))
 	for name, values := range header {
-		if hopByHop[name] {
+		if hopByHopHeaders[name] {
 			continue
 		}
 		for _, value := range values {
@@ -34,14 +34,16 @@
 	return fields
 }
 
-// hopByHop names the fields of one connection only (RFC 9110, section 7.6.1), in canonical form.
-var hopByHop = map[string]bool{
+// hopByHopHeaders are the fields that apply to one connection only (RFC 9110, section 7.6.1), in
+// canonical form.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 }
 
-// keepAliveOf returns how long the back end keeps a connection after this answer, less
-// keepAliveMargin; ok is false when it does not say, or not in seconds.
+// keepAliveOf returns how long a connection may stay idle after this response: the timeout of its
+// Keep-Alive field less keepAliveMargin, but at least half of the timeout. ok is false if the field
+// states no timeout in whole seconds.
 func keepAliveOf(header http.Header) (keep time.Duration, ok bool) {
 	for _, value := range header.Values("Keep-Alive") {
 		for _, part := range strings.Split(value, ",") {
@@ -57,8 +59,8 @@
 	return 0, false
 }
 
-// retryAfterOf returns the time of a Retry-After field in seconds; 0 where there is none, or one
-// that is no number (a date), which counts as not known.
+// retryAfterOf returns the delay of a Retry-After field in seconds; 0, which means unknown, if the
+// field is missing or is not a number, such as a date.
 func retryAfterOf(header http.Header) time.Duration {
 	seconds, err := time.ParseDuration(header.Get("Retry-After") + "s")
 	if err != nil {
@@ -67,28 +69,28 @@
 	return seconds
 }
 
-// answerBody gives the slot back when the answer has been read or closed.
-type answerBody struct {
+// responseBody is a response body that releases the slot when it has been read or closed.
+type responseBody struct {
 	body io.ReadCloser
 	slot *admission.Slot
-	// broke is called when the answer breaks off.
-	broke func(error)
+	// onError is called if the response ends before it is complete.
+	onError func(error)
 }
 
-func (a *answerBody) Read(buffer []byte) (int, error) {
-	count, err := a.body.Read(buffer)
+func (b *responseBody) Read(buffer []byte) (int, error) {
+	count, err := b.body.Read(buffer)
 	if err != nil {
-		a.slot.Release(false)
+		b.slot.Release(false)
 	}
 	if err != nil && err != io.EOF {
-		err = result.Wrap(result.CallTruncated, err, "the answer broke off")
-		a.broke(err)
+		err = result.Wrap(result.CallTruncated, err, "the response ended before it was complete")
+		b.onError(err)
 	}
 	return count, err
 }
 
-func (a *answerBody) Close() error {
-	err := a.body.Close()
-	a.slot.Release(false)
+func (b *responseBody) Close() error {
+	err := b.body.Close()
+	b.slot.Release(false)
 	return err
 }
