--- a/internal/requestpath/gateway/pipeline/body.go
+++ b/internal/requestpath/gateway/pipeline/body.go
@@ -80,7 +80,7 @@
 	defer b.mutex.Unlock()
 	b.started = true
 	if b.stopped {
-		return result.Errorf(result.CallCancelled, "the request is over")
+		return result.Errorf(result.CallCancelled, "the request has ended")
 	}
 	if b.ended {
 		return io.EOF
--- a/internal/requestpath/gateway/pipeline/body_test.go
+++ b/internal/requestpath/gateway/pipeline/body_test.go
@@ -64,7 +64,7 @@
 }
 
 // The discarded part of a chunked body is bounded although its length is unknown.
-func TestEndlessRestOfABodyEndsTheConnection(t *testing.T) {
+func TestDiscardedChunkedBodyIsBounded(t *testing.T) {
 	srv := startServer(t, DefaultLimits, func(_ context.Context, exchange *Exchange) { reply(exchange, pathOf(exchange)) })
 	client := srv.dial(t)
 	client.send("POST /1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -108,7 +108,7 @@
 // A goroutine that reads a body may outlive the request, whose memory is then reused for another
 // one. Data that follows the body must be copied before that: when trailers were read later, they
 // could be those of another request.
-func TestEndOfABodyIsCopiedBeforeTheRequestIsUsedAgain(t *testing.T) {
+func TestTrailersAreCopiedBeforeTheRequestIsReused(t *testing.T) {
 	read := make(chan string, 1)
 	srv := startServer(t, Limits{}, func(_ context.Context, exchange *Exchange) {
 		if exchange.Body == nil {
@@ -159,7 +159,7 @@
 
 // The unread part of a body must never be parsed as a request, whatever the order in which the reader
 // and the handler proceed.
-func TestRestOfABodyIsNoRequest(t *testing.T) {
+func TestUnreadBodyIsNotParsedAsARequest(t *testing.T) {
 	for name, length := range map[string]int{"left": maxDiscardBytes + 1, "discarded": 2000} {
 		t.Run(name, func(t *testing.T) {
 			var smuggled atomic.Int64
--- a/internal/requestpath/gateway/pipeline/pipeline_test.go
+++ b/internal/requestpath/gateway/pipeline/pipeline_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRequestsSentAheadAreHandledAtOnceAndAnsweredInOrder(t *testing.T) {
+func TestPipelinedRequestsAreHandledConcurrentlyAndAnsweredInOrder(t *testing.T) {
 	gates := newHandlerGates()
 	srv := startServer(t, DefaultLimits, func(_ context.Context, exchange *Exchange) {
 		path := pathOf(exchange)
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestFaultBehindGoodRequestsIsAnsweredAfterThem(t *testing.T) {
+func TestInvalidRequestIsAnsweredAfterEarlierOnes(t *testing.T) {
 	for name, row := range map[string]struct {
 		behind string
 	}{
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestCallerThatAsksToCloseIsClosed(t *testing.T) {
+func TestConnectionCloseOfTheCallerIsHonored(t *testing.T) {
 	srv := startServer(t, DefaultLimits, func(_ context.Context, exchange *Exchange) { reply(exchange, pathOf(exchange)) })
 	client := srv.dial(t)
 	client.send(get("/1") + "GET /2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n" + get("/3"))
--- a/internal/requestpath/gateway/pipeline/stop_test.go
+++ b/internal/requestpath/gateway/pipeline/stop_test.go
@@ -97,7 +97,7 @@
 
 // Guards against the loss of a written answer to an upload: the process ended while the caller was
 // still sending the body, and the connection broke before the caller had read the answer.
-func TestCallerThatIsSendingIsWaitedFor(t *testing.T) {
+func TestSendingCallerCountsAsReceiving(t *testing.T) {
 	const size = 300_000
 	for name, row := range map[string]struct {
 		first, rest string
@@ -159,7 +159,7 @@
 }
 
 // A caller that has paused within a request for maxSendingPause does not count as sending.
-func TestCallerThatPausesIsNotSending(t *testing.T) {
+func TestPausedCallerDoesNotCountAsReceiving(t *testing.T) {
 	caller := &callerConn{receivedAt: time.Unix(1000, 0)}
 	sending := &connection{caller: caller, pendingInput: true}
 	assert.Assert(t, sending.isReceiving(caller.receivedAt))
