--- a/internal/requestpath/gateway/pipeline/connection.go
+++ b/internal/requestpath/gateway/pipeline/connection.go
@@ -56,8 +56,8 @@
 	droppedRequest bool
 }
 
-// maxSendingPause is the longest pause within a request after which the caller still counts as
-// sending it.
+// maxSendingPause is the pause within a request after which the caller no longer counts as sending
+// it.
 const maxSendingPause = time.Second
 
 func newConnection(server *Server, core suite.Core, conn network.Conn, caller *callerConn) *connection {
--- a/internal/requestpath/gateway/pipeline/writing.go
+++ b/internal/requestpath/gateway/pipeline/writing.go
@@ -42,7 +42,7 @@
 //
 // The connection also stays open if the answer is long, or follows a long answer that the caller may
 // still be reading: requests that the caller sends before it reads the close would be lost. Closing
-// after answers of 300 kB read at 10 Mbit/s lost 7 requests in three such stops.
+// after answers of 300 kB read at 10 Mbit/s lost 7 requests in three such days of test load.
 func (c *connection) decideClose(exchange *Exchange) {
 	if exchange.closesConnection || exchange.answerStarted || len(c.open) > 1 || c.pendingInput || !c.server.config.Stopping() {
 		return
