--- a/internal/distribution/allowance/accuracy_test.go
+++ b/internal/distribution/allowance/accuracy_test.go
@@ -10,15 +10,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// reference is what one limiter would let go that sees all calls: in no window more than the rate and
-// the burst allow.
-type reference struct {
+// idealLimiter is a single limiter that sees all calls: in any window it lets no more calls go than
+// the rate and the burst allow.
+type idealLimiter struct {
 	limit   Limit
 	times   []time.Time
 	granted int
 }
 
-func (r *reference) ask(now time.Time, window time.Duration) {
+func (r *idealLimiter) ask(now time.Time, window time.Duration) {
 	for len(r.times) > 0 && now.Sub(r.times[0]) > window {
 		r.times = r.times[1:]
 	}
@@ -28,25 +28,27 @@
 	}
 }
 
-// demands are what accounts ask, in parts of their rates.
-var demands = []float64{0.5, 0.95, 1, 1.5, 8}
+// demandFactors are the call rates of accounts, as multiples of their limits.
+var demandFactors = []float64{0.5, 0.95, 1, 1.5, 8}
 
-// accuracy is what came of one play.
+// accuracy is the result of one simulation.
 type accuracy struct {
-	over string
-	// lost is the part that was refused of what the reference lets go, by demand.
+	overshoot string
+	// lost is the fraction of the calls granted by the ideal limiter that were refused, by demand
+	// factor.
 	lost map[float64]float64
-	// messages and bytes a second are those of the mean daemon, and of the daemon with the most.
-	messages, mostMessages, bytes, mostBytes float64
+	// messages and bytes are averages per daemon and second; maxMessages and maxBytes are those of
+	// the daemon with the highest values.
+	messages, maxMessages, bytes, maxBytes float64
 }
 
-// measure plays a fleet of so many daemons with 80 accounts of skewed size, and cuts a tenth of the
-// daemons off where cutOff is true.
-func measure(daemons int, cutOff bool) accuracy {
-	const accounts, callsPerDaemon, warmUp, measured, decided = 80, 18.4, 250, 500, 25
-	p := newPlay(uint64(daemons), daemons, variant{})
-	p.delay = 4 * time.Millisecond
-	references := map[string]*reference{}
+// simulateAccounts runs a fleet with 80 accounts of skewed size. With isolate set, a tenth of the
+// daemons is partitioned from the rest after a third of the run.
+func simulateAccounts(daemons int, isolate bool) accuracy {
+	const accounts, callsPerDaemon, warmUpTicks, measuredTicks, drainTicks = 80, 18.4, 250, 500, 25
+	s := newSimulation(uint64(daemons), daemons, variant{})
+	s.maxDelay = 4 * time.Millisecond
+	references := map[string]*idealLimiter{}
 	demandOf := map[string]float64{}
 	total := 0.0
 	for account := range accounts {
@@ -54,89 +56,89 @@
 	}
 	for account := range accounts {
 		name := fmt.Sprintf("account/%d", account)
-		usual := callsPerDaemon * float64(daemons) * math.Pow(float64(account+1), -1.2) / total
-		demand := demands[account%len(demands)]
-		rate := max(1, math.Round(usual/demand))
-		p.limits[name] = Limit{Rate: rate, Burst: uint32(rate)}
-		p.load[name] = rate * demand
+		meanRate := callsPerDaemon * float64(daemons) * math.Pow(float64(account+1), -1.2) / total
+		demand := demandFactors[account%len(demandFactors)]
+		rate := max(1, math.Round(meanRate/demand))
+		s.limits[name] = Limit{Rate: rate, Burst: uint32(rate)}
+		s.load[name] = rate * demand
 		demandOf[name] = demand
-		references[name] = &reference{limit: p.limits[name]}
+		references[name] = &idealLimiter{limit: s.limits[name]}
 	}
-	for _, d := range p.daemons {
-		p.start(d)
+	for _, d := range s.daemons {
+		s.start(d)
 	}
-	load := p.load
-	p.load = map[string]float64{}
-	for range warmUp {
-		p.step()
+	load := s.load
+	s.load = map[string]float64{}
+	for range warmUpTicks {
+		s.step()
 	}
-	p.load = load
-	p.asked = func(name string) { references[name].ask(p.now, p.bounds.Window) }
-	clear(p.frames)
-	clear(p.bytes)
-	for tick := range measured {
-		if cutOff && tick == measured/3 {
-			p.cutTenth()
+	s.load = load
+	s.onCall = func(name string) { references[name].ask(s.now, s.bounds.Window) }
+	clear(s.frames)
+	clear(s.bytes)
+	for tick := range measuredTicks {
+		if isolate && tick == measuredTicks/3 {
+			s.isolateTenth()
 		}
-		p.step()
+		s.step()
 	}
-	p.load = map[string]float64{}
-	for range decided {
-		p.step()
+	s.load = map[string]float64{}
+	for range drainTicks {
+		s.step()
 	}
-	return p.accuracyAgainst(references, demandOf, measured*simulatedTick.Seconds())
+	return s.accuracyAgainst(references, demandOf, measuredTicks*simulatedTick.Seconds())
 }
 
-// cutTenth cuts a tenth of the daemons off from all others.
-func (p *play) cutTenth() {
-	for at := 0; at < len(p.daemons); at += 10 {
-		for other := range p.daemons {
+// isolateTenth partitions a tenth of the daemons from all others.
+func (s *simulation) isolateTenth() {
+	for at := 0; at < len(s.daemons); at += 10 {
+		for other := range s.daemons {
 			if other != at {
-				p.setCut(at, other, true)
+				s.setPartitioned(at, other, true)
 			}
 		}
 	}
 }
 
-func (p *play) accuracyAgainst(references map[string]*reference, demandOf map[string]float64, seconds float64) accuracy {
-	result := accuracy{over: p.overshoot, lost: map[float64]float64{}}
-	for _, demand := range demands {
+func (s *simulation) accuracyAgainst(references map[string]*idealLimiter, demandOf map[string]float64, seconds float64) accuracy {
+	result := accuracy{overshoot: s.overshoot, lost: map[float64]float64{}}
+	for _, demand := range demandFactors {
 		granted, lost := 0, 0
-		for name, known := range references {
+		for name, reference := range references {
 			if demandOf[name] == demand {
-				granted += known.granted
-				lost += max(0, known.granted-p.grantedOf[name])
+				granted += reference.granted
+				lost += max(0, reference.granted-s.grantedOf[name])
 			}
 		}
 		result.lost[demand] = float64(lost) / float64(granted)
 	}
-	for _, d := range p.daemons {
-		messages, bytes := float64(p.frames[d.name])/seconds, float64(p.bytes[d.name])/seconds
-		result.messages += messages / float64(len(p.daemons))
-		result.bytes += bytes / float64(len(p.daemons))
-		result.mostMessages, result.mostBytes = max(result.mostMessages, messages), max(result.mostBytes, bytes)
+	for _, d := range s.daemons {
+		messages, bytes := float64(s.frames[d.name])/seconds, float64(s.bytes[d.name])/seconds
+		result.messages += messages / float64(len(s.daemons))
+		result.bytes += bytes / float64(len(s.daemons))
+		result.maxMessages, result.maxBytes = max(result.maxMessages, messages), max(result.maxBytes, bytes)
 	}
 	return result
 }
 
-// Accounts within their limit are refused next to nothing while nothing is cut off, and no account goes
-// over its limit; go test -v prints the table.
+// While the network is whole, accounts lose less than 0.5 % of the calls that an ideal limiter
+// grants. In no case does an account exceed its limit. go test -v prints the table.
 func TestAccuracy(t *testing.T) {
-	const mostLost = 0.005
+	const maxLost = 0.005
 	for _, daemons := range []int{12, 76, 300} {
 		if testing.Short() && daemons > 76 {
 			continue
 		}
-		for _, cutOff := range []bool{false, true} {
-			got := measure(daemons, cutOff)
-			row := fmt.Sprintf("daemons %d, a tenth cut off %t:", daemons, cutOff)
-			for _, demand := range slices.Sorted(slices.Values(demands)) {
+		for _, isolate := range []bool{false, true} {
+			got := simulateAccounts(daemons, isolate)
+			row := fmt.Sprintf("daemons %d, a tenth partitioned %t:", daemons, isolate)
+			for _, demand := range slices.Sorted(slices.Values(demandFactors)) {
 				row += fmt.Sprintf(" lost at %.2f %.4f", demand, got.lost[demand])
 			}
-			t.Logf("%s; messages a second %.1f (most %.1f), bytes %.0f (most %.0f)", row, got.messages, got.mostMessages, got.bytes, got.mostBytes)
-			assert.Check(t, got.over == "", got.over)
+			t.Logf("%s; messages per second %.1f (max %.1f), bytes %.0f (max %.0f)", row, got.messages, got.maxMessages, got.bytes, got.maxBytes)
+			assert.Check(t, got.overshoot == "", got.overshoot)
 			for demand, lost := range got.lost {
-				assert.Check(t, cutOff || lost < mostLost, "%s demand %v lost %.4f", row, demand, lost)
+				assert.Check(t, isolate || lost < maxLost, "%s demand %v lost %.4f", row, demand, lost)
 			}
 		}
 	}
--- a/internal/distribution/allowance/answers.go
+++ b/internal/distribution/allowance/answers.go
@@ -6,118 +6,121 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// What this daemon does with the answers of owners.
+// This file handles the grants that owners return.
 
-// receive takes the answer of an owner.
-func (a *asker) receive(now time.Time, owner string, grant *lapisv1.AllowanceGrant) {
-	asked := a.channels[owner]
-	if asked == nil {
+// receive processes an owner's grant.
+func (c *client) receive(now time.Time, owner string, grant *lapisv1.AllowanceGrant) {
+	peer := c.peers[owner]
+	if peer == nil {
 		return
 	}
 	if grant.GetViewWanted() {
-		asked.stated = ""
+		peer.statedKey = ""
 	}
-	if asked.silent && asked.connected {
-		asked.silent = false
-		a.ranking.setContact(now, owner, connected)
+	if peer.unresponsive && peer.connected {
+		peer.unresponsive = false
+		c.ranking.setContact(now, owner, connected)
 	}
-	if asked.inFlight.GetSequence() != grant.GetSequence() || asked.inFlight == nil {
-		a.setAsideLate(now, owner, asked, grant)
+	if peer.inFlight.GetSequence() != grant.GetSequence() || peer.inFlight == nil {
+		c.returnLateGrant(now, owner, peer, grant)
 		return
 	}
-	asked.answered = grant.GetSequence()
-	until := asked.sentAt.Add(a.bounds.validity())
-	wanting := wantingCredit(asked.inFlight)
-	asked.inFlight = nil
+	peer.answeredSequence = grant.GetSequence()
+	expiresAt := peer.sentAt.Add(c.bounds.creditValidity())
+	requested := requestedAllowances(peer.inFlight)
+	peer.inFlight = nil
 	for _, lent := range grant.GetCredits() {
-		if held := a.holdings[lent.GetAllowance()]; held != nil && wanting[lent.GetAllowance()] {
-			a.receiveCredit(now, held, lent, credit{owner: owner, epoch: asked.epoch, calls: lent.GetCredits(), lentAt: lent.GetLentAt(), lent: asked.sentAt, until: until})
+		if local := c.allowances[lent.GetAllowance()]; local != nil && requested[lent.GetAllowance()] {
+			c.receiveCredit(now, local, lent, credit{owner: owner, epoch: peer.epoch, calls: lent.GetCredits(), lentAt: lent.GetLentAt(), requestedAt: peer.sentAt, expiresAt: expiresAt})
 		}
 	}
 }
 
-// wantingCredit returns the allowances that an ask wants credit of. Others only give some back, and the
-// answer to that says nothing of the credit that another daemon is asked for.
-func wantingCredit(ask *lapisv1.AllowanceAsk) map[string]bool {
-	wanting := map[string]bool{}
+// requestedAllowances returns the allowances for which an ask requests credit. An ask may also only
+// return credit of an allowance; the answer to that does not affect a request that is pending at
+// another daemon.
+func requestedAllowances(ask *lapisv1.AllowanceAsk) map[string]bool {
+	requested := map[string]bool{}
 	for _, need := range ask.GetNeeds() {
-		wanting[need.GetAllowance()] = need.GetCredits()+need.GetLateCredits() > 0
+		requested[need.GetAllowance()] = need.GetCredits()+need.GetLateCredits() > 0
 	}
-	return wanting
+	return requested
 }
 
-// setAsideLate gives back what came after it was waited for.
-func (a *asker) setAsideLate(now time.Time, owner string, from *channel, grant *lapisv1.AllowanceGrant) {
-	if grant.GetSequence() <= from.answered || grant.GetSequence() > a.sequence {
-		return // It came before.
+// returnLateGrant queues the credit of a grant that arrived after its timeout for return to the
+// owner.
+func (c *client) returnLateGrant(now time.Time, owner string, peer *peerState, grant *lapisv1.AllowanceGrant) {
+	if grant.GetSequence() <= peer.answeredSequence || grant.GetSequence() > c.sequence {
+		return // Duplicate, or an answer to an ask that was never sent.
 	}
-	from.answered = grant.GetSequence()
+	peer.answeredSequence = grant.GetSequence()
 	for _, lent := range grant.GetCredits() {
-		if held := a.holdings[lent.GetAllowance()]; held != nil {
-			a.setAside(now, held, credit{owner: owner, epoch: from.epoch, calls: lent.GetCredits(), lentAt: lent.GetLentAt(), lent: from.lateFrom})
+		if local := c.allowances[lent.GetAllowance()]; local != nil {
+			c.queueReturn(now, local, credit{owner: owner, epoch: peer.epoch, calls: lent.GetCredits(), lentAt: lent.GetLentAt(), requestedAt: peer.unansweredSentAt})
 		}
 	}
 }
 
-// setAside notes credits that are to be given back: those of an open connection to their owner that
-// were lent within returnTime.
-func (a *asker) setAside(now time.Time, held *holding, back credit) {
-	known := a.channels[back.owner]
-	if back.calls == 0 || known == nil || !known.connected || known.epoch != back.epoch || now.Sub(back.lent) >= returnTime {
+// queueReturn queues credit for return to its owner. It drops credit of a connection that has
+// ended, and credit requested returnTimeout or longer ago.
+func (c *client) queueReturn(now time.Time, local *localAllowance, back credit) {
+	peer := c.peers[back.owner]
+	if back.calls == 0 || peer == nil || !peer.connected || peer.epoch != back.epoch || now.Sub(back.requestedAt) >= returnTimeout {
 		return
 	}
-	before, some := held.unused[back.owner]
-	if !some || back.lentAt < before.lentAt {
-		before.lentAt = back.lentAt
+	earlier, pending := local.unused[back.owner]
+	if !pending || back.lentAt < earlier.lentAt {
+		earlier.lentAt = back.lentAt
 	}
-	before.calls += back.calls
-	held.unused[back.owner] = before
+	earlier.calls += back.calls
+	local.unused[back.owner] = earlier
 }
 
-// receiveCredit lets waiting calls go, and refuses those that the owner refused.
-func (a *asker) receiveCredit(now time.Time, held *holding, lent *lapisv1.AllowanceCredit, added credit) {
+// receiveCredit grants waiting calls with the credit received, and refuses those that the owner
+// refused.
+func (c *client) receiveCredit(now time.Time, local *localAllowance, lent *lapisv1.AllowanceCredit, added credit) {
 	if added.calls > 0 {
-		held.put(added)
+		local.put(added)
 	}
-	asked, askedLate := held.asked, held.askedLate
-	held.asked, held.askedLate = 0, 0
-	a.serveWaiting(now, held)
+	requested, requestedLate := local.requested, local.requestedLate
+	local.requested, local.requestedLate = 0, 0
+	c.serveWaiting(now, local)
 	if lent.GetNotOwner() {
-		held.askAfter = now.Add(notOwnerPause)
-		a.channels[added.owner].disagrees = true
-		if held.lentBefore == added.owner {
-			held.lentBefore = ""
+		local.notOwnerUntil = now.Add(notOwnerBackoff)
+		c.peers[added.owner].ownershipDenied = true
+		if local.lastLender == added.owner {
+			local.lastLender = ""
 		}
 		return
 	}
-	held.lentBefore = added.owner
-	if lent.GetCredits() >= asked+askedLate {
-		return // Calls that came after the ask wait for the next one.
+	local.lastLender = added.owner
+	if lent.GetCredits() >= requested+requestedLate {
+		return // Calls that arrived after the ask was sent wait for the next one.
 	}
-	held.returnAfter = time.Duration(lent.GetRetryAfterMillis()) * time.Millisecond
-	held.lateRefusedUntil = now.Add(min(held.returnAfter, refusalMemory))
-	if lent.GetCredits() < asked {
-		held.refusedUntil = held.lateRefusedUntil
+	local.retryAfter = time.Duration(lent.GetRetryAfterMillis()) * time.Millisecond
+	local.lateRefusedUntil = now.Add(min(local.retryAfter, refusalCacheTTL))
+	if lent.GetCredits() < requested {
+		local.refusedUntil = local.lateRefusedUntil
 	}
-	a.refuseWaiting(held, lent.GetCredits() < asked)
+	c.refuseWaiting(local, lent.GetCredits() < requested)
 }
 
-// refuseWaiting refuses the late calls that wait, or all.
-func (a *asker) refuseWaiting(held *holding, all bool) {
-	for _, ticket := range held.waiting {
+// refuseWaiting refuses the waiting calls that are late, or all of them.
+func (c *client) refuseWaiting(local *localAllowance, all bool) {
+	for _, ticket := range local.waiting {
 		if !ticket.decided && (all || ticket.late) {
-			a.refuse(ticket, held.returnAfter)
+			c.refuse(ticket, local.retryAfter)
 		}
 	}
-	held.dropDecided()
+	local.dropDecided()
 }
 
-// clearInFlight ends the wait for an answer.
-func (a *asker) clearInFlight(asked *channel) {
-	for _, need := range asked.inFlight.GetNeeds() {
-		if held := a.holdings[need.GetAllowance()]; held != nil && need.GetCredits()+need.GetLateCredits() > 0 {
-			held.asked, held.askedLate = 0, 0
+// clearInFlight forgets the pending ask, so that its credits can be requested again.
+func (c *client) clearInFlight(peer *peerState) {
+	for _, need := range peer.inFlight.GetNeeds() {
+		if local := c.allowances[need.GetAllowance()]; local != nil && need.GetCredits()+need.GetLateCredits() > 0 {
+			local.requested, local.requestedLate = 0, 0
 		}
 	}
-	asked.inFlight = nil
+	peer.inFlight = nil
 }
--- a/internal/distribution/allowance/asker.go
+++ b/internal/distribution/allowance/asker.go
@@ -8,33 +8,35 @@
 )
 
 const (
-	// answerPatience is how long an owner has for an answer: a few round trips between zones, and a
-	// part of a second in which its processor does other work. Calls wait no longer for credit.
-	answerPatience = 300 * time.Millisecond
-	// renewInterval is how often a vote is renewed at an owner: three times in voteLapse.
+	// answerTimeout is how long a call waits for an owner's answer. It covers a few round trips
+	// between zones and a fraction of a second in which the owner's processor is busy.
+	answerTimeout = 300 * time.Millisecond
+	// renewInterval is the interval between renewals of a vote at an owner. It fits three times
+	// into voteTTL.
 	renewInterval = 400 * time.Millisecond
-	// notOwnerPause is the time between two asks to a daemon that does not see itself as the owner:
-	// others may be about to state their views to it.
-	notOwnerPause = 100 * time.Millisecond
-	// introduceInterval is the least time between two questions to a daemon about its members.
-	introduceInterval = time.Second
-	// maxHoldings bounds the allowances that a daemon remembers.
-	maxHoldings = 16384
-	// noOwnerRetry is how long a call is told to wait where no owner answers.
-	noOwnerRetry = 500 * time.Millisecond
+	// notOwnerBackoff is the wait before asking again a daemon that does not see itself as the
+	// owner. Votes of other daemons may still be on their way to it.
+	notOwnerBackoff = 100 * time.Millisecond
+	// minIntroduceInterval is the minimum time between two requests to one daemon for its member
+	// list.
+	minIntroduceInterval = time.Second
+	// maxAllowances bounds the number of allowances that a daemon keeps state for.
+	maxAllowances = 16384
+	// noOwnerRetryAfter is the retry delay given to a call when no owner answers.
+	noOwnerRetryAfter = 500 * time.Millisecond
 )
 
-// Outcome is how a Ticket was decided.
+// Outcome is the decision on a Ticket.
 type Outcome struct {
-	// Granted lets the call go.
+	// Granted is true if the call may go.
 	Granted bool
-	// RetryAfter is when there is credit again, for a call that may not go.
+	// RetryAfter is the time until credit is expected, for a call that may not go.
 	RetryAfter time.Duration
-	// Unreachable is true where no owner answered, so that it is not known whether credit is left.
+	// Unreachable is true if no owner answered, so that it is unknown whether credit is left.
 	Unreachable bool
 }
 
-// code returns the code of a call that may not go.
+// code returns the result code of a refused call.
 func (o Outcome) code() result.Code {
 	if o.Unreachable {
 		return result.CallLimitUnknown
@@ -42,13 +44,13 @@
 	return result.CallRateLimited
 }
 
-// Ticket is one call that wants credit.
+// Ticket is the request of one call for credit.
 type Ticket struct {
 	allowance string
-	// Decided receives the outcome, once.
+	// Decided receives the outcome exactly once.
 	Decided chan Outcome
 	decided bool
-	// late calls get credit that others leave.
+	// late marks a call that can no longer be answered in time. It is served after the others.
 	late    bool
 	granted credit
 }
@@ -58,211 +60,214 @@
 	t.Decided <- outcome
 }
 
-// channel is the state of this daemon's questions to one owner.
-type channel struct {
+// peerState is the state of this daemon's requests to one daemon that may be an owner.
+type peerState struct {
 	connected bool
-	// stated is the key of the view that the owner was told, empty for none.
-	stated string
-	// renewedAt is when the owner was last told anything.
-	renewedAt time.Time
-	// epoch numbers the connections: credit of an earlier one may be of an earlier process.
+	// statedKey is the key of the view that was last sent to the peer, empty if none counts there.
+	statedKey string
+	// lastSentAt is when an ask was last sent to the peer.
+	lastSentAt time.Time
+	// epoch numbers the connections to the peer. Credit of an earlier connection may come from an
+	// earlier process.
 	epoch uint64
-	// inFlight is the ask that is not answered, nil for none, sent at sentAt.
+	// inFlight is the ask without an answer so far, nil if there is none. It was sent at sentAt.
 	inFlight *lapisv1.AllowanceAsk
 	sentAt   time.Time
-	// answered is the newest ask that was answered, and lateFrom when the newest one was sent that was
-	// not answered in time.
-	answered uint64
-	lateFrom time.Time
-	// disagrees is true once the daemon did not see itself as the owner, until it was asked for the
-	// members that it knows, at introducedAt.
-	disagrees    bool
-	introducedAt time.Time
-	// silent is true from an ask without an answer in time until the next answer.
-	silent bool
+	// answeredSequence is the sequence number of the newest answered ask. unansweredSentAt is when
+	// the newest ask was sent that timed out.
+	answeredSequence uint64
+	unansweredSentAt time.Time
+	// ownershipDenied is true after the peer answered that it is not the owner, until it is asked
+	// for its member list. introducedAt is the time of that request.
+	ownershipDenied bool
+	introducedAt    time.Time
+	// unresponsive is true after an ask timed out, until the next answer.
+	unresponsive bool
 }
 
-// asker asks owners for credit on behalf of the calls of this daemon.
-type asker struct {
-	bounds   Bounds
-	ranking  *ranking
-	holdings map[string]*holding
-	channels map[string]*channel
-	sequence uint64
-	// viewNumber is that of the view stated last.
+// client requests credit from owners for the calls of this daemon.
+type client struct {
+	bounds     Bounds
+	ranking    *ranking
+	allowances map[string]*localAllowance
+	peers      map[string]*peerState
+	sequence   uint64
+	// viewNumber is the number of the view sent last.
 	viewNumber uint64
 	revision   uint64
 	counts     Counts
 }
 
-// Counts are what happened to the calls of this daemon.
+// Counts counts the calls of this daemon by outcome.
 type Counts struct {
-	// Granted went with an owner's credit, Reserved without one; Refused found no credit, and
-	// Unreachable no owner.
+	// Granted calls used an owner's credit, Reserved calls the local reserve. Refused calls found
+	// no credit, Unreachable ones no owner.
 	Granted, Reserved, Refused, Unreachable uint64
 }
 
-func newAsker(bounds Bounds, ranking *ranking) *asker {
-	return &asker{bounds: bounds, ranking: ranking, holdings: map[string]*holding{}, channels: map[string]*channel{}}
+func newClient(bounds Bounds, ranking *ranking) *client {
+	return &client{bounds: bounds, ranking: ranking, allowances: map[string]*localAllowance{}, peers: map[string]*peerState{}}
 }
 
-// take decides on a call, or leaves its ticket undecided until an owner answers or giveUp ends it.
-func (a *asker) take(now time.Time, name string, limit Limit, revision uint64, late bool) *Ticket {
+// take decides on a call, or leaves its ticket undecided until an owner answers or giveUp is
+// called.
+func (c *client) take(now time.Time, name string, limit Limit, revision uint64, late bool) *Ticket {
 	ticket := &Ticket{allowance: name, late: late, Decided: make(chan Outcome, 1)}
-	held := a.holding(now, name)
-	if held == nil {
-		a.refuse(ticket, longestReturn)
+	local := c.localAllowance(now, name)
+	if local == nil {
+		c.refuse(ticket, maxRetryAfter)
 		return ticket
 	}
-	if revision >= a.revision {
-		a.revision = revision
-		held.limit = limit
+	if revision >= c.revision {
+		c.revision = revision
+		local.limit = limit
 	}
-	held.noteUse(now)
+	local.recordUse(now)
 	if !late {
-		if from, ok := held.spend(now); ok {
-			a.allow(ticket, from)
+		if from, ok := local.spend(now); ok {
+			c.grantCredit(ticket, from)
 			return ticket
 		}
 	}
-	if now.Before(held.refusedUntil) || late && now.Before(held.lateRefusedUntil) {
-		a.refuse(ticket, held.returnAfter)
+	if now.Before(local.refusedUntil) || late && now.Before(local.lateRefusedUntil) {
+		c.refuse(ticket, local.retryAfter)
 		return ticket
 	}
-	if !a.answers(a.lender(now, name, held)) {
-		a.takeReserve(now, ticket, held)
-		held.probe = true
+	if !c.isResponsive(c.lenderOf(now, name, local)) {
+		c.takeReserve(now, ticket, local)
+		local.probe = true
 		return ticket
 	}
-	held.waiting = append(held.waiting, ticket)
+	local.waiting = append(local.waiting, ticket)
 	return ticket
 }
 
-// lender returns the daemon to ask for credit: the owner, or the one that lent before while the owner
-// does not see itself as such. Empty for none.
-func (a *asker) lender(now time.Time, name string, held *holding) string {
-	owner := a.ranking.view(now).ownerOf(name)
-	if held.lentBefore != "" && now.Before(held.askAfter) && a.answers(held.lentBefore) {
-		return held.lentBefore
+// lenderOf returns the daemon to request credit from, empty if there is none. This is the owner, or
+// the previous lender while the owner does not yet see itself as such.
+func (c *client) lenderOf(now time.Time, name string, local *localAllowance) string {
+	owner := c.ranking.view(now).ownerOf(name)
+	if local.lastLender != "" && now.Before(local.notOwnerUntil) && c.isResponsive(local.lastLender) {
+		return local.lastLender
 	}
 	return owner
 }
 
-// answers reports whether a daemon is connected and has answered in time.
-func (a *asker) answers(node string) bool {
-	known := a.channels[node]
-	return known != nil && known.connected && !known.silent
+// isResponsive reports whether a daemon is connected and its last ask did not time out.
+func (c *client) isResponsive(node string) bool {
+	peer := c.peers[node]
+	return peer != nil && peer.connected && !peer.unresponsive
 }
 
-// holding returns what is held of an allowance, nil where there are too many.
-func (a *asker) holding(now time.Time, name string) *holding {
-	if known := a.holdings[name]; known != nil {
-		return known
+// localAllowance returns the state of an allowance, creating it if necessary. It returns nil if
+// maxAllowances are in use.
+func (c *client) localAllowance(now time.Time, name string) *localAllowance {
+	if local := c.allowances[name]; local != nil {
+		return local
 	}
-	if len(a.holdings) >= maxHoldings {
-		a.forgetIdle(now)
+	if len(c.allowances) >= maxAllowances {
+		c.forgetIdle(now)
 	}
-	if len(a.holdings) >= maxHoldings {
+	if len(c.allowances) >= maxAllowances {
 		return nil
 	}
-	added := &holding{unused: map[string]unused{}, usedAt: now}
-	a.holdings[name] = added
-	return added
+	local := &localAllowance{unused: map[string]unusedCredit{}, lastUsedAt: now}
+	c.allowances[name] = local
+	return local
 }
 
-func (a *asker) forgetIdle(now time.Time) {
-	for name, known := range a.holdings {
-		if known.idle(now, a.bounds.Window) {
-			delete(a.holdings, name)
+func (c *client) forgetIdle(now time.Time) {
+	for name, local := range c.allowances {
+		if local.isIdle(now, c.bounds.Window) {
+			delete(c.allowances, name)
 		}
 	}
 }
 
-func (a *asker) allow(ticket *Ticket, from credit) {
-	a.counts.Granted++
+func (c *client) grantCredit(ticket *Ticket, from credit) {
+	c.counts.Granted++
 	ticket.granted = from
 	ticket.decide(Outcome{Granted: true})
 }
 
-func (a *asker) refuse(ticket *Ticket, after time.Duration) {
-	a.counts.Refused++
-	ticket.decide(Outcome{RetryAfter: after})
+func (c *client) refuse(ticket *Ticket, retryAfter time.Duration) {
+	c.counts.Refused++
+	ticket.decide(Outcome{RetryAfter: retryAfter})
 }
 
-// takeReserve decides on a call without an owner.
-func (a *asker) takeReserve(now time.Time, ticket *Ticket, held *holding) {
-	members := len(a.ranking.ordered)
-	total := a.bounds.reserve()
-	settled := a.ranking.settled(now, a.bounds.Window)
-	if settled && held.reserve.take(now, total, a.ranking.reserveRank(ticket.allowance), members, a.bounds.Window) {
-		a.counts.Reserved++
+// takeReserve decides on a call from the local reserve, because no owner is reachable.
+func (c *client) takeReserve(now time.Time, ticket *Ticket, local *localAllowance) {
+	members := len(c.ranking.ordered)
+	total := c.bounds.reserveCalls()
+	membersSettled := c.ranking.membersSettled(now, c.bounds.Window)
+	if membersSettled && local.reserve.take(now, total, c.ranking.reserveRank(ticket.allowance), members, c.bounds.Window) {
+		c.counts.Reserved++
 		ticket.decide(Outcome{Granted: true})
 		return
 	}
-	a.counts.Unreachable++
-	ticket.decide(Outcome{RetryAfter: noOwnerRetry, Unreachable: true})
+	c.counts.Unreachable++
+	ticket.decide(Outcome{RetryAfter: noOwnerRetryAfter, Unreachable: true})
 }
 
-// giveUp decides on a call that has waited for answerPatience, or whose caller has left.
-func (a *asker) giveUp(now time.Time, ticket *Ticket) {
+// giveUp decides on a call that has waited for answerTimeout, or whose caller has left.
+func (c *client) giveUp(now time.Time, ticket *Ticket) {
 	if !ticket.decided {
-		a.takeReserve(now, ticket, a.holdings[ticket.allowance])
+		c.takeReserve(now, ticket, c.allowances[ticket.allowance])
 	}
 }
 
-// giveBack returns the credit of a call that did not run: to a call that waits here while it is
-// valid, else to its owner, soon enough for it to count there.
-func (a *asker) giveBack(now time.Time, ticket *Ticket) {
-	held := a.holdings[ticket.allowance]
-	if held == nil || ticket.granted.owner == "" {
+// giveBack returns the credit of a call that did not run. Credit that is still valid goes to a call
+// that waits here. The rest is queued for return to its owner.
+func (c *client) giveBack(now time.Time, ticket *Ticket) {
+	local := c.allowances[ticket.allowance]
+	if local == nil || ticket.granted.owner == "" {
 		return
 	}
 	back := ticket.granted
 	back.calls = 1
 	ticket.granted = credit{}
-	if !now.After(back.until) {
-		held.put(back)
-		a.serveWaiting(now, held)
-		from, left := held.spend(now)
+	if !now.After(back.expiresAt) {
+		local.put(back)
+		c.serveWaiting(now, local)
+		from, left := local.spend(now)
 		if !left {
 			return
 		}
 		back = from
 	}
 	back.calls = 1
-	a.setAside(now, held, back)
+	c.queueReturn(now, local, back)
 }
 
-// serveWaiting lets calls go that wait while there is credit, late ones last.
-func (a *asker) serveWaiting(now time.Time, held *holding) {
-	held.dropDecided()
+// serveWaiting grants waiting calls while there is credit, late calls last.
+func (c *client) serveWaiting(now time.Time, local *localAllowance) {
+	local.dropDecided()
 	for _, late := range []bool{false, true} {
-		for _, ticket := range held.waiting {
+		for _, ticket := range local.waiting {
 			if ticket.late != late {
 				continue
 			}
-			from, ok := held.spend(now)
+			from, ok := local.spend(now)
 			if !ok {
 				return
 			}
-			a.allow(ticket, from)
+			c.grantCredit(ticket, from)
 		}
 	}
 }
 
 // setConnected records that the connection to a daemon was opened or has ended.
-func (a *asker) setConnected(node string, connected bool) {
-	known := a.channels[node]
-	if known == nil {
-		known = &channel{}
-		a.channels[node] = known
+func (c *client) setConnected(node string, connected bool) {
+	peer := c.peers[node]
+	if peer == nil {
+		peer = &peerState{}
+		c.peers[node] = peer
 	}
-	known.connected = connected
-	known.epoch++
-	known.stated = ""
-	known.silent = false
-	a.clearInFlight(known)
-	for _, held := range a.holdings {
-		delete(held.unused, node)
+	peer.connected = connected
+	peer.epoch++
+	peer.statedKey = ""
+	peer.unresponsive = false
+	c.clearInFlight(peer)
+	for _, local := range c.allowances {
+		delete(local.unused, node)
 	}
 }
--- a/internal/distribution/allowance/asks.go
+++ b/internal/distribution/allowance/asks.go
@@ -6,108 +6,110 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// What this daemon asks of owners.
+// This file builds the asks that are sent to owners.
 
 // outgoing returns the asks that are due, by daemon.
-func (a *asker) outgoing(now time.Time) map[string]*lapisv1.AllowanceAsk {
-	needs := a.needs(now)
-	current := a.ranking.view(now)
+func (c *client) outgoing(now time.Time) map[string]*lapisv1.AllowanceAsk {
+	needs := c.needs(now)
+	current := c.ranking.view(now)
 	asks := map[string]*lapisv1.AllowanceAsk{}
-	for node, known := range a.channels {
-		if !known.connected {
+	for node, peer := range c.peers {
+		if !peer.connected {
 			continue
 		}
-		ask := &lapisv1.AllowanceAsk{Needs: needs[node], Revision: a.revision}
-		if known.stated != current.key && !known.silent {
-			known.stated = current.key
-			a.viewNumber++
-			ask.View = &lapisv1.AllowanceView{Owners: current.owners, Number: a.viewNumber}
+		ask := &lapisv1.AllowanceAsk{Needs: needs[node], Revision: c.revision}
+		if peer.statedKey != current.key && !peer.unresponsive {
+			peer.statedKey = current.key
+			c.viewNumber++
+			ask.View = &lapisv1.AllowanceView{Owners: current.owners, Number: c.viewNumber}
 		}
 		if len(ask.GetNeeds()) > 0 {
-			a.sequence++
-			ask.Sequence = a.sequence
-			known.inFlight, known.sentAt = ask, now
-			a.noteAsked(node, ask)
+			c.sequence++
+			ask.Sequence = c.sequence
+			peer.inFlight, peer.sentAt = ask, now
+			c.recordSent(node, ask)
 		}
-		ask.Renew = !known.silent
-		renew := ask.GetRenew() && now.Sub(known.renewedAt) >= renewInterval
+		ask.Renew = !peer.unresponsive
+		renew := ask.GetRenew() && now.Sub(peer.lastSentAt) >= renewInterval
 		if renew || ask.GetView() != nil || len(ask.GetNeeds()) > 0 {
-			known.renewedAt = now
+			peer.lastSentAt = now
 			asks[node] = ask
 		}
 	}
 	return asks
 }
 
-// needs returns what to ask each owner for that has no ask in flight.
-func (a *asker) needs(now time.Time) map[string][]*lapisv1.AllowanceNeed {
+// needs returns the needs to send, by daemon. A daemon with an ask in flight gets no further one
+// until that is answered or times out.
+func (c *client) needs(now time.Time) map[string][]*lapisv1.AllowanceNeed {
 	needs := map[string][]*lapisv1.AllowanceNeed{}
-	for name, held := range a.holdings {
-		held.dropDecided()
-		for _, expired := range held.dropExpired(now) {
-			a.setAside(now, held, expired)
+	for name, local := range c.allowances {
+		local.dropDecided()
+		for _, expired := range local.dropExpired(now) {
+			c.queueReturn(now, local, expired)
 		}
-		if len(held.waiting) == 0 && len(held.unused) == 0 && !held.probe {
+		if len(local.waiting) == 0 && len(local.unused) == 0 && !local.probe {
 			continue
 		}
-		owner := a.lender(now, name, held)
-		a.needsOf(now, name, held, owner, owner, needs)
-		for earlier := range held.unused {
+		owner := c.lenderOf(now, name, local)
+		c.addNeeds(now, name, local, owner, owner, needs)
+		for earlier := range local.unused {
 			if earlier != owner {
-				a.needsOf(now, name, held, earlier, owner, needs)
+				c.addNeeds(now, name, local, earlier, owner, needs)
 			}
 		}
 	}
 	return needs
 }
 
-// needsOf adds what an allowance needs of one daemon; only its owner is asked for credit.
-func (a *asker) needsOf(now time.Time, name string, held *holding, node, owner string, needs map[string][]*lapisv1.AllowanceNeed) {
-	known := a.channels[node]
-	if known == nil || !known.connected {
-		delete(held.unused, node)
+// addNeeds adds the needs of an allowance at one daemon. Credit is requested from the owner only;
+// other daemons only get credit back.
+func (c *client) addNeeds(now time.Time, name string, local *localAllowance, node, owner string, needs map[string][]*lapisv1.AllowanceNeed) {
+	peer := c.peers[node]
+	if peer == nil || !peer.connected {
+		delete(local.unused, node)
 		return
 	}
-	if known.inFlight != nil {
-		if now.Sub(known.sentAt) < answerPatience {
+	if peer.inFlight != nil {
+		if now.Sub(peer.sentAt) < answerTimeout {
 			return
 		}
-		a.markSilent(now, node, known)
+		c.markUnresponsive(now, node, peer)
 	}
-	ask := node == owner && (node == held.lentBefore || !now.Before(held.askAfter))
-	if need := held.need(name, node, a.bounds.validity(), ask); need != nil {
+	ask := node == owner && (node == local.lastLender || !now.Before(local.notOwnerUntil))
+	if need := local.need(name, node, c.bounds.creditValidity(), ask); need != nil {
 		needs[node] = append(needs[node], need)
 	}
 }
 
-// introduce reports whether a daemon is to be asked now for the members that it knows.
-func (a *asker) introduce(now time.Time, node string) bool {
-	known := a.channels[node]
-	if !known.disagrees || now.Sub(known.introducedAt) < introduceInterval {
+// shouldIntroduce reports whether to ask a daemon for its member list now.
+func (c *client) shouldIntroduce(now time.Time, node string) bool {
+	peer := c.peers[node]
+	if !peer.ownershipDenied || now.Sub(peer.introducedAt) < minIntroduceInterval {
 		return false
 	}
-	known.disagrees, known.introducedAt = false, now
+	peer.ownershipDenied, peer.introducedAt = false, now
 	return true
 }
 
-// markSilent records that an owner has not answered in time. Its vote is not renewed, so that this
-// daemon may vote for another one later.
-func (a *asker) markSilent(now time.Time, node string, known *channel) {
-	known.lateFrom = known.sentAt
-	known.silent = true
-	known.stated = ""
-	a.ranking.setContact(now, node, lost)
-	a.clearInFlight(known)
+// markUnresponsive records that an ask timed out. The vote at that daemon is no longer renewed, so
+// that this daemon can vote for another owner once it has expired.
+func (c *client) markUnresponsive(now time.Time, node string, peer *peerState) {
+	peer.unansweredSentAt = peer.sentAt
+	peer.unresponsive = true
+	peer.statedKey = ""
+	c.ranking.setContact(now, node, lost)
+	c.clearInFlight(peer)
 }
 
-// noteAsked records what an ask carries.
-func (a *asker) noteAsked(node string, ask *lapisv1.AllowanceAsk) {
+// recordSent updates the allowances for an ask that is being sent.
+func (c *client) recordSent(node string, ask *lapisv1.AllowanceAsk) {
 	for _, need := range ask.GetNeeds() {
-		held := a.holdings[need.GetAllowance()]
-		delete(held.unused, node)
+		local := c.allowances[need.GetAllowance()]
+		delete(local.unused, node)
 		if need.GetCredits()+need.GetLateCredits() > 0 {
-			held.asked, held.askedLate = need.GetCredits(), need.GetLateCredits()
-			held.probe = false
+			local.requested, local.requestedLate = need.GetCredits(), need.GetLateCredits()
+			local.probe = false
 		}
 	}
 }
--- a/internal/distribution/allowance/bucket_test.go
+++ b/internal/distribution/allowance/bucket_test.go
@@ -11,7 +11,7 @@
 
 var testBounds = Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 
-// A window that begins with a full bucket lets go what is allowed at the most, and more than the rate and the
+// A window that starts with a full bucket lends no more than maxLent, and at least the rate and the
 // burst.
 func TestBucketLendsWhatAWindowAllows(t *testing.T) {
 	for _, limit := range []Limit{{Rate: 1, Burst: 1}, {Rate: 150, Burst: 150}, {Rate: 2, Burst: 200}, {Rate: 40}} {
@@ -20,34 +20,35 @@
 		now := start.Add(time.Minute)
 		lent := 0.0
 		for end := now.Add(testBounds.Window); now.Before(end); now = now.Add(time.Millisecond) {
-			b.settle(now, testBounds)
+			b.refill(now, testBounds)
 			lent += float64(b.lend(now, 1000, 0))
 		}
-		assert.Assert(t, lent <= testBounds.lent(limit), "%v: %v lent", limit, lent)
+		assert.Assert(t, lent <= testBounds.maxLent(limit), "%v: %v lent", limit, lent)
 		assert.Assert(t, lent >= limit.Rate*5+float64(limit.Burst), "%v: %v lent", limit, lent)
 	}
 }
 
-// Credit that comes back counts only as far as the bucket could have held it: one that was full in between
-// had no place for it. A bucket that forgets how full it was takes it.
+// Returned credit is dropped if the bucket has been full since it was lent, because it could not
+// have held that credit. The second case clears the recorded peaks and shows that the credit is
+// then accepted.
 func TestReturnsGiveNoMoreThanTheBucketCouldHold(t *testing.T) {
 	for name, row := range map[string]struct {
 		forget, wantBack bool
-	}{"as it is": {}, "peaks are forgotten": {forget: true, wantBack: true}} {
+	}{"peaks are kept": {}, "peaks are cleared": {forget: true, wantBack: true}} {
 		t.Run(name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
 			b := newBucket(Limit{Rate: 10, Burst: 10}, 1, testBounds, 1, start)
 			lentAt := start.Add(time.Minute)
-			b.settle(lentAt, testBounds)
+			b.refill(lentAt, testBounds)
 			assert.Equal(t, b.lend(lentAt, 10, 0), uint32(10))
 			now := lentAt
 			for range 18 {
 				now = now.Add(100 * time.Millisecond)
-				b.settle(now, testBounds)
+				b.refill(now, testBounds)
 			}
-			assert.Assert(t, b.lend(now, 1000, 0) >= 10, "it is full again")
+			assert.Assert(t, b.lend(now, 1000, 0) >= 10, "the bucket is not full again")
 			if row.forget {
-				b.burstful.peaks, b.sustained.peaks = [peakSlots]float64{}, [peakSlots]float64{}
+				b.burstBucket.peaks, b.sustainedBucket.peaks = [peakSlotCount]float64{}, [peakSlotCount]float64{}
 			}
 			b.takeBack(10, lentAt)
 			assert.Equal(t, b.level() >= 1, row.wantBack, "%v", b.level())
@@ -55,44 +56,46 @@
 	}
 }
 
-// A lower limit takes credit away beyond its burst, at once; one of an older configuration changes nothing.
+// A lower limit removes credit above its burst at once. A limit of an older configuration changes
+// nothing.
 func TestLimitsChangeWithTheConfiguration(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := newBucket(Limit{Rate: 100, Burst: 100}, 5, testBounds, 1, start)
 	now := start.Add(time.Minute)
-	b.settle(now, testBounds)
+	b.refill(now, testBounds)
 	b.setLimit(Limit{Rate: 1, Burst: 1}, 6, testBounds)
-	assert.Assert(t, b.level() <= 1+headroomShare*testBounds.Slack)
+	assert.Assert(t, b.level() <= 1+burstHeadroomSlackShare*testBounds.Slack)
 	b.setLimit(Limit{Rate: 100, Burst: 100}, 5, testBounds)
 	assert.Equal(t, b.limit, Limit{Rate: 1, Burst: 1})
 }
 
-// Refused callers return one after the other, and not later than they wait.
+// Retry times of refused callers increase, and never exceed maxRetryAfter.
 func TestRefusedCallersReturnInOrder(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := newBucket(Limit{Rate: 50}, 1, testBounds, 1, start)
-	first := b.returnAfter(start, 1)
-	second := b.returnAfter(start, 1)
+	first := b.retryAfter(start, 1)
+	second := b.retryAfter(start, 1)
 	assert.Assert(t, first > 0 && second > first)
-	assert.Assert(t, b.returnAfter(start, 10000) <= longestReturn)
-	assert.Assert(t, b.returnAfter(start, 1) <= longestReturn)
+	assert.Assert(t, b.retryAfter(start, 10000) <= maxRetryAfter)
+	assert.Assert(t, b.retryAfter(start, 1) <= maxRetryAfter)
 }
 
-// The shares of owners that different daemons vote for add up to one at most.
+// The shares of owners with different voters add up to at most one.
 func TestOwnersShareTheRate(t *testing.T) {
 	for first := 0; first <= 100; first++ {
 		for second := 0; first+second <= 100; second++ {
 			third := 100 - first - second
-			sum := lendingShare(float64(first)/100) + lendingShare(float64(second)/100) + lendingShare(float64(third)/100)
+			sum := rateShareOf(float64(first)/100) + rateShareOf(float64(second)/100) + rateShareOf(float64(third)/100)
 			assert.Assert(t, sum <= 1+1e-9, "%d %d %d", first, second, third)
 		}
 	}
 }
 
-// A process that has ended gives back nothing: its successor's bucket is another one.
+// Credit lent over a connection that has ended is not returned: the owner's process may have
+// restarted with a new bucket.
 func TestCreditOfAnEarlierConnectionIsNotGivenBack(t *testing.T) {
 	now := time.Unix(1000, 0)
-	a := newAsker(testBounds, newRanking("self", now))
+	a := newClient(testBounds, newRanking("self", now))
 	a.setConnected("self", true)
 	ticket := a.take(now, "account/a", Limit{Rate: 1}, 1, false)
 	ask := a.outgoing(now)["self"]
@@ -101,5 +104,5 @@
 	a.setConnected("self", false)
 	a.setConnected("self", true)
 	a.giveBack(now.Add(time.Second), ticket)
-	assert.Equal(t, len(a.holdings["account/a"].unused), 0)
+	assert.Equal(t, len(a.allowances["account/a"].unused), 0)
 }
--- a/internal/distribution/allowance/doc.go
+++ b/internal/distribution/allowance/doc.go
@@ -1,26 +1,26 @@
-// Package allowance keeps limits that all daemons share: so many calls a second of an account,
-// and so many at once above that, wherever its callers ask.
+// Package allowance implements distributed rate limiting: limits on the call rate and the burst of
+// an account that hold over all daemons together.
 //
-// What it is for. Each allowance has one owner among the daemons, which keeps its token bucket
-// (bucket.go). The others ask it for credit when a call wants to go (asker.go), several calls in
-// one message where they wait together. A daemon that reaches no owner has a small reserve
-// (reserve.go). docs/design/0028 weighs other ways.
+// Design. Each allowance has one owner among the daemons, which keeps its token bucket (bucket.go).
+// The other daemons request credit from it when a call arrives (asker.go), with one message for
+// several waiting calls. A daemon that reaches no owner has a small local reserve (reserve.go).
+// docs/design/0028 compares alternatives.
 //
-// Terms. An allowance is a limit by name; credit is the right to let one call go; a view is the
-// list of the daemons that may own allowances, as one daemon sees them (ranking.go); a vote is
-// the view that a daemon stated to an owner (votes.go).
+// Terms. An allowance is a named limit. Credit is the right to let one call go. A view is the list
+// of the daemons that may own allowances, as one daemon sees it (ranking.go). A vote is the view
+// that a daemon has sent to an owner (votes.go).
 //
-// What it owns. Part, this daemon's share of it all, in memory only and without goroutines, clocks
-// or a network: times and messages are passed in. Service puts a lock around it, lets calls wait
-// and sends what Part hands out.
+// State. Participant is one daemon's part in the protocol. It is kept in memory only and uses no
+// goroutines, clocks or network: times and messages are passed in. Service adds a lock, lets calls
+// wait, and sends the messages that Participant returns.
 //
-// What it relies on. Messages of one connection arrive in order and at most once, and the end of
-// a connection follows what was sent on it; times are those of boottime, since credit ages while a
-// machine is suspended. Nothing is compared between the clocks of two daemons.
+// Assumptions. Messages of one connection arrive in order and at most once, and the end of a
+// connection arrives after everything sent on it. Times come from boottime, since credit ages while
+// a machine is suspended. Clocks of different daemons are never compared.
 //
-// What must hold. In no window are more calls let go than Bounds allow, summed over all daemons.
-// In parts: an owner lends a bucket that holds at most the burst and fills at the limit's rate, and
-// starts empty; it fills in proportion to the daemons that see its owner in it, each of which sees
-// one owner at a time (votes.go); credit is spent soon after it was lent, or not at all; the
-// reserves of all daemons together stay within a part of the slack and overshoot.
+// Invariants. In any window, all daemons together let no more calls go than Bounds allows. This
+// follows from these rules: an owner's bucket starts empty, holds at most the burst and fills at
+// the limit's rate; the rate is scaled by the fraction of daemons that see this owner in their
+// view, and each daemon states one view at a time (votes.go); credit expires soon after it was
+// lent; the reserves of all daemons together stay within a part of the slack and overshoot.
 package allowance
--- a/internal/distribution/allowance/holding.go
+++ b/internal/distribution/allowance/holding.go
@@ -8,118 +8,118 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// useMemory is the time over which it is forgotten how often calls of an allowance came.
-const useMemory = time.Second
+// useDecayTime is the time constant of the exponential decay of recentUse.
+const useDecayTime = time.Second
 
-// refusalMemory bounds how long an owner's word that nothing is left is believed. It bounds the
-// asks for an account that asks far more than it may.
-const refusalMemory = 50 * time.Millisecond
+// refusalCacheTTL is the maximum time for which an owner's refusal is reused for further calls. It
+// bounds the rate of asks for an account far above its limit.
+const refusalCacheTTL = 50 * time.Millisecond
 
-// credit is what an owner lent.
+// credit is a number of credits that an owner lent.
 type credit struct {
 	owner string
-	// epoch numbers the connection to the owner.
+	// epoch is the number of the connection to the owner.
 	epoch uint64
 	calls uint32
-	// lentAt is the owner's word for when it lent.
+	// lentAt is the owner's own time stamp of the loan, in nanoseconds since the owner started.
 	lentAt uint64
-	// lent is when it was asked for, until the time until which it may be spent.
-	lent, until time.Time
+	// requestedAt is when the credit was requested. It may be spent until expiresAt.
+	requestedAt, expiresAt time.Time
 }
 
-// unused is credit of an owner that is to be given back.
-type unused struct {
+// unusedCredit is credit of one owner that is to be returned.
+type unusedCredit struct {
 	calls uint32
-	// lentAt is that of the earliest.
+	// lentAt is the earliest time stamp among the loans.
 	lentAt uint64
 }
 
-// holding is what this daemon has and needs of an allowance.
-type holding struct {
+// localAllowance is the state of one allowance at this daemon: credit, waiting calls and refusals.
+type localAllowance struct {
 	limit Limit
-	// credits are those lent and not spent, the oldest first.
+	// credits are lent and not yet spent, ordered by expiry.
 	credits []credit
-	// waiting are calls without credit, the oldest first; asked is the number of credits asked for
-	// and not answered.
-	waiting []*Ticket
-	asked   uint32
-	// askedLate is the number of those for late calls.
-	askedLate uint32
-	// refusedUntil is the time until which the owner has nothing left, askAfter that until which the
-	// daemon asked does not see itself as the owner.
-	refusedUntil, askAfter time.Time
-	// lateRefusedUntil is the time until which it has nothing left for late calls.
+	// waiting are the calls without credit, oldest first. requested is the number of credits
+	// requested for them and not yet answered.
+	waiting   []*Ticket
+	requested uint32
+	// requestedLate is the number of credits requested for late calls.
+	requestedLate uint32
+	// refusedUntil is the time until which calls are refused without asking the owner.
+	// notOwnerUntil is the time until which a daemon that denied ownership is not asked again.
+	refusedUntil, notOwnerUntil time.Time
+	// lateRefusedUntil is refusedUntil for late calls.
 	lateRefusedUntil time.Time
-	// returnAfter is when refused callers may return, by the owner's last word.
-	returnAfter time.Duration
-	// lentBefore is the daemon that lent last, empty once it does not see itself as the owner.
-	lentBefore string
-	// probe asks for credit although no call waits, to see whether a silent owner is back.
+	// retryAfter is the retry delay for refused callers, from the owner's last answer.
+	retryAfter time.Duration
+	// lastLender is the daemon that lent last, empty once it denies ownership.
+	lastLender string
+	// probe requests credit although no call waits, to find out whether an unresponsive owner is
+	// back.
 	probe bool
-	// unused are credits to be given back, by owner.
-	unused map[string]unused
-	// recentUse is the number of calls lately, forgotten over useMemory.
-	recentUse float64
-	usedAt    time.Time
-	reserve   reserve
+	// unused is the credit to be returned, by owner.
+	unused map[string]unusedCredit
+	// recentUse is the number of recent calls, with exponential decay over useDecayTime.
+	recentUse  float64
+	lastUsedAt time.Time
+	reserve    reserve
 }
 
 // spend takes one credit that is still valid.
-func (h *holding) spend(now time.Time) (from credit, ok bool) {
-	for at := range h.credits {
-		if now.After(h.credits[at].until) {
+func (l *localAllowance) spend(now time.Time) (from credit, ok bool) {
+	for at := range l.credits {
+		if now.After(l.credits[at].expiresAt) {
 			continue
 		}
-		from = h.credits[at]
-		h.credits[at].calls--
-		if h.credits[at].calls == 0 {
-			h.credits = slices.Delete(h.credits, at, at+1)
+		from = l.credits[at]
+		l.credits[at].calls--
+		if l.credits[at].calls == 0 {
+			l.credits = slices.Delete(l.credits, at, at+1)
 		}
 		return from, true
 	}
 	return credit{}, false
 }
 
-// dropExpired takes away and returns the credits that may not be spent any more.
-func (h *holding) dropExpired(now time.Time) (expired []credit) {
-	for len(h.credits) > 0 && now.After(h.credits[0].until) {
-		expired = append(expired, h.credits[0])
-		h.credits = h.credits[1:]
+// dropExpired removes and returns the credits that have expired.
+func (l *localAllowance) dropExpired(now time.Time) (expired []credit) {
+	for len(l.credits) > 0 && now.After(l.credits[0].expiresAt) {
+		expired = append(expired, l.credits[0])
+		l.credits = l.credits[1:]
 	}
 	return expired
 }
 
-// put adds credits in the order in which they end.
-func (h *holding) put(added credit) {
-	at, _ := slices.BinarySearchFunc(h.credits, added, func(a, b credit) int { return a.until.Compare(b.until) })
-	h.credits = slices.Insert(h.credits, at, added)
+// put inserts credits in the order of their expiry.
+func (l *localAllowance) put(added credit) {
+	at, _ := slices.BinarySearchFunc(l.credits, added, func(a, b credit) int { return a.expiresAt.Compare(b.expiresAt) })
+	l.credits = slices.Insert(l.credits, at, added)
 }
 
-func (h *holding) noteUse(now time.Time) {
-	passed := now.Sub(h.usedAt).Seconds()
-	h.recentUse = h.recentUse*math.Exp(-passed/useMemory.Seconds()) + 1
-	h.usedAt = now
+func (l *localAllowance) recordUse(now time.Time) {
+	passed := now.Sub(l.lastUsedAt).Seconds()
+	l.recentUse = l.recentUse*math.Exp(-passed/useDecayTime.Seconds()) + 1
+	l.lastUsedAt = now
 }
 
-// wanted returns how many credits to ask for calls that can be in time: one for each that waits,
-// and as many as will be used while they are valid.
-func (h *holding) wanted(validity time.Duration) uint32 {
-	if len(h.waiting) == 0 {
-		if h.probe {
+// creditsWanted returns how many credits to request for calls that are not late: one for each that
+// waits, and as many as the recent call rate will use during creditValidity.
+func (l *localAllowance) creditsWanted(creditValidity time.Duration) uint32 {
+	if len(l.waiting) == 0 {
+		if l.probe {
 			return 1
 		}
 		return 0
 	}
-	inTime := uint32(len(h.waiting)) - h.waitingLate()
+	inTime := uint32(len(l.waiting)) - l.lateWaitingCount()
 	if inTime == 0 {
 		return 0
 	}
-	return inTime + uint32(h.recentUse/useMemory.Seconds()*validity.Seconds())
+	return inTime + uint32(l.recentUse/useDecayTime.Seconds()*creditValidity.Seconds())
 }
 
-// waitingLate returns the number of late calls that wait.
-func (h *holding) waitingLate() (count uint32) {
-	for _, ticket := range h.waiting {
+func (l *localAllowance) lateWaitingCount() (count uint32) {
+	for _, ticket := range l.waiting {
 		if ticket.late {
 			count++
 		}
@@ -127,16 +127,16 @@
 	return count
 }
 
-// dropDecided forgets calls that wait no longer.
-func (h *holding) dropDecided() {
-	h.waiting = slices.DeleteFunc(h.waiting, func(ticket *Ticket) bool { return ticket.decided })
+// dropDecided removes calls that no longer wait.
+func (l *localAllowance) dropDecided() {
+	l.waiting = slices.DeleteFunc(l.waiting, func(ticket *Ticket) bool { return ticket.decided })
 }
 
-// need returns what to ask an owner for, nil for nothing.
-func (h *holding) need(name, owner string, validity time.Duration, ask bool) *lapisv1.AllowanceNeed {
-	need := &lapisv1.AllowanceNeed{Allowance: name, Returned: h.unused[owner].calls, ReturnedLentAt: h.unused[owner].lentAt, PerSecond: h.limit.Rate, Burst: h.limit.Burst}
-	if ask && h.asked+h.askedLate == 0 {
-		need.Credits, need.LateCredits = h.wanted(validity), h.waitingLate()
+// need returns the need to send to an owner, nil if there is none.
+func (l *localAllowance) need(name, owner string, creditValidity time.Duration, ask bool) *lapisv1.AllowanceNeed {
+	need := &lapisv1.AllowanceNeed{Allowance: name, Returned: l.unused[owner].calls, ReturnedLentAt: l.unused[owner].lentAt, PerSecond: l.limit.Rate, Burst: l.limit.Burst}
+	if ask && l.requested+l.requestedLate == 0 {
+		need.Credits, need.LateCredits = l.creditsWanted(creditValidity), l.lateWaitingCount()
 	}
 	if need.Credits+need.LateCredits == 0 && need.Returned == 0 {
 		return nil
@@ -144,7 +144,7 @@
 	return need
 }
 
-// idle reports whether nothing is lost by forgetting the holding.
-func (h *holding) idle(now time.Time, window time.Duration) bool {
-	return len(h.waiting) == 0 && h.asked+h.askedLate == 0 && len(h.credits) == 0 && len(h.unused) == 0 && now.Sub(h.usedAt) > window
+// isIdle reports whether the state can be dropped without losing anything.
+func (l *localAllowance) isIdle(now time.Time, window time.Duration) bool {
+	return len(l.waiting) == 0 && l.requested+l.requestedLate == 0 && len(l.credits) == 0 && len(l.unused) == 0 && now.Sub(l.lastUsedAt) > window
 }
--- a/internal/distribution/allowance/model_test.go
+++ b/internal/distribution/allowance/model_test.go
@@ -8,111 +8,112 @@
 	"pgregory.net/rapid"
 )
 
-// fault is what befalls the fleet for a time.
+// fault is a temporary failure in the simulated fleet.
 type fault int
 
 const (
 	killOne fault = iota
 	killMany
 	killAll
-	cutOne
-	cutHalf
-	cutPair
-	freezeOne
-	faults
+	isolateOne
+	partitionHalf
+	partitionPair
+	pauseOne
+	faultCount
 )
 
-// strike brings a fault about; what it cut is healed when heal is called.
-func (p *play) strike(kind fault) (heal func()) {
-	one := p.random.IntN(len(p.daemons))
-	back := time.Duration(200+p.random.IntN(3000)) * time.Millisecond
-	var cut [][2]int
+// injectFault starts a fault. heal ends the partitions that it created.
+func (s *simulation) injectFault(kind fault) (heal func()) {
+	one := s.random.IntN(len(s.daemons))
+	back := time.Duration(200+s.random.IntN(3000)) * time.Millisecond
+	var pairs [][2]int
 	switch kind {
 	case killOne:
-		p.kill(p.daemons[one], back)
+		s.kill(s.daemons[one], back)
 	case killMany, killAll:
-		for _, d := range p.daemons {
-			if kind == killAll || p.random.IntN(2) == 0 {
-				p.kill(d, back)
+		for _, d := range s.daemons {
+			if kind == killAll || s.random.IntN(2) == 0 {
+				s.kill(d, back)
 			}
 		}
-	case cutOne:
-		for other := range p.daemons {
+	case isolateOne:
+		for other := range s.daemons {
 			if other != one {
-				cut = append(cut, [2]int{one, other})
+				pairs = append(pairs, [2]int{one, other})
 			}
 		}
-	case cutHalf:
-		for a := range p.daemons {
+	case partitionHalf:
+		for a := range s.daemons {
 			for b := range a {
 				if (a < one) != (b < one) {
-					cut = append(cut, [2]int{a, b})
+					pairs = append(pairs, [2]int{a, b})
 				}
 			}
 		}
-	case cutPair:
-		cut = append(cut, [2]int{one, (one + 1) % len(p.daemons)})
-	case freezeOne:
-		p.daemons[one].frozen = true
-		p.daemons[one].thawsAt = p.now.Add(back)
+	case partitionPair:
+		pairs = append(pairs, [2]int{one, (one + 1) % len(s.daemons)})
+	case pauseOne:
+		s.daemons[one].paused = true
+		s.daemons[one].resumesAt = s.now.Add(back)
 	}
-	for _, pair := range cut {
-		p.setCut(pair[0], pair[1], true)
+	for _, pair := range pairs {
+		s.setPartitioned(pair[0], pair[1], true)
 	}
 	return func() {
-		for _, pair := range cut {
-			p.setCut(pair[0], pair[1], false)
+		for _, pair := range pairs {
+			s.setPartitioned(pair[0], pair[1], false)
 		}
 	}
 }
 
-// playFaults plays a fleet with faults and far more calls than may go, some of them late where
-// lateCalls is true, and returns it.
-func playFaults(seed uint64, variant variant, lateCalls bool) *play {
-	p := newPlay(seed, 3+int(seed%7), variant)
-	p.lateCalls = lateCalls
-	p.limits["large"] = Limit{Rate: 60, Burst: 60}
-	p.limits["small"] = Limit{Rate: 3, Burst: 3}
-	p.limits["bursty"] = Limit{Rate: 5, Burst: 100}
-	for _, d := range p.daemons {
-		if d.index < 2 || p.random.IntN(3) > 0 {
-			p.start(d)
-		} else { // It joins later.
-			d.startsAt = p.now.Add(time.Duration(p.random.IntN(18000)) * time.Millisecond)
+// simulateFaults runs a fleet with faults and a load far above the limits, and returns the
+// simulation. With lateCalls set, some calls are late.
+func simulateFaults(seed uint64, variant variant, lateCalls bool) *simulation {
+	s := newSimulation(seed, 3+int(seed%7), variant)
+	s.lateCalls = lateCalls
+	s.limits["large"] = Limit{Rate: 60, Burst: 60}
+	s.limits["small"] = Limit{Rate: 3, Burst: 3}
+	s.limits["bursty"] = Limit{Rate: 5, Burst: 100}
+	for _, d := range s.daemons {
+		if d.index < 2 || s.random.IntN(3) > 0 {
+			s.start(d)
+		} else { // Joins later.
+			d.startsAt = s.now.Add(time.Duration(s.random.IntN(18000)) * time.Millisecond)
 		}
 	}
 	heal := func() {}
-	nextFault := 50 + p.random.IntN(200)
+	nextFault := 50 + s.random.IntN(200)
 	for tick := range 1000 {
 		if tick%50 == 0 {
 			if tick%200 == 0 {
-				p.notRunShare = []float64{0, 0, 0.3, 0.9}[p.random.IntN(4)]
+				s.notRunShare = []float64{0, 0, 0.3, 0.9}[s.random.IntN(4)]
 			}
-			for _, name := range sortedNames(p.limits) {
-				p.load[name] = p.limits[name].Rate * []float64{0, 1, 3, 9}[p.random.IntN(4)]
+			for _, name := range sortedNames(s.limits) {
+				s.load[name] = s.limits[name].Rate * []float64{0, 1, 3, 9}[s.random.IntN(4)]
 			}
 		}
 		if tick == nextFault {
 			heal()
-			heal = p.strike(fault(p.random.IntN(int(faults))))
-			nextFault += 10 + p.random.IntN(250)
+			heal = s.injectFault(fault(s.random.IntN(int(faultCount))))
+			nextFault += 10 + s.random.IntN(250)
 		}
-		p.step()
+		s.step()
 	}
-	return p
+	return s
 }
 
-// In no window do more calls run than the bounds allow, whatever ends, is cut off, stands still or
-// comes late.
+// In any window, no more calls run than the bounds allow while daemons restart, are partitioned,
+// stand still or join late.
 func TestLimitsHoldThroughFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := playFaults(rapid.Uint64().Draw(t, "seed"), variant{}, rapid.Bool().Draw(t, "late"))
-		assert.Equal(t, p.overshoot, "")
+		s := simulateFaults(rapid.Uint64().Draw(t, "seed"), variant{}, rapid.Bool().Draw(t, "late"))
+		assert.Equal(t, s.overshoot, "")
 	})
 }
 
-// Two daemons are owners for long, since the others disagree: together they save up one burst.
+// Two daemons own the same allowances for a long time because the others disagree. Together they
+// may save up only one burst.
 func TestLimitsHoldWhileOwnersDisagree(t *testing.T) {
-	const seed = 0x703aad775302ab2 // It fails where each owner holds the whole burst.
-	assert.Equal(t, playFaults(seed, variant{}, false).overshoot, "")
+	const seed = 0x703aad775302ab2 // Fails if each owner holds the whole burst.
+	assert.Equal(t, simulateFaults(seed, variant{}, false).overshoot, "")
 }
--- a/internal/distribution/allowance/owner.go
+++ b/internal/distribution/allowance/owner.go
@@ -6,128 +6,132 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// maxBuckets bounds the allowances that an owner remembers; further ones get no credit.
+// maxBuckets bounds the number of allowances that an owner keeps buckets for. Further allowances
+// get no credit.
 const maxBuckets = 16384
 
-// lapseCheck is the interval in which lapsed votes are looked for; it adds to voteLapse.
-const lapseCheck = 100 * time.Millisecond
+// voteExpiryInterval is the interval at which expired votes are looked for. It adds to voteTTL.
+const voteExpiryInterval = 100 * time.Millisecond
 
 // owner lends credit of the allowances that this daemon owns.
 type owner struct {
 	self   string
 	bounds Bounds
-	// started is what the times of lending count from.
+	// started is the origin of the time stamps of loans.
 	started time.Time
 	votes   *votes
 	buckets map[string]*bucket
-	// sequences are the newest asks of each open link, so that an ask counts once.
-	sequences map[Link]uint64
-	// viewNumbers are those of the newest views stated on each open link.
-	viewNumbers map[Link]uint64
-	checkedAt   time.Time
-	// leading is the view of most voters, whole while they are enough to lend the whole rate.
-	// It has been both since leadingSince: an allowance that is asked for the first time could have
-	// been lent by another owner until then.
-	leading      string
-	whole        bool
-	leadingSince time.Time
+	// lastSequences holds the newest sequence number per open link, so that a repeated ask counts
+	// once.
+	lastSequences map[Link]uint64
+	// lastViewNumbers holds the number of the newest view per open link.
+	lastViewNumbers map[Link]uint64
+	expiryCheckedAt time.Time
+	// leadingKey is the key of the view with the largest number of voters. leadingFullRate is true
+	// while these are enough to lend the full rate. Both have held since leadingSince; before that,
+	// another owner could have lent credit of an allowance that is new here.
+	leadingKey      string
+	leadingFullRate bool
+	leadingSince    time.Time
 }
 
 func newOwner(self string, bounds Bounds, now time.Time) *owner {
 	return &owner{
-		self: self, bounds: bounds, started: now, votes: newVotes(), buckets: map[string]*bucket{}, sequences: map[Link]uint64{}, viewNumbers: map[Link]uint64{},
-		checkedAt: now, leadingSince: now,
+		self: self, bounds: bounds, started: now, votes: newVotes(), buckets: map[string]*bucket{}, lastSequences: map[Link]uint64{}, lastViewNumbers: map[Link]uint64{},
+		expiryCheckedAt: now, leadingSince: now,
 	}
 }
 
-// change lets all buckets fill until at, changes the votes, and applies what follows from it.
-func (o *owner) change(at time.Time, apply func()) {
-	for _, known := range o.buckets {
-		known.settle(at, o.bounds)
+// applyChange refills all buckets up to at, applies a change to the votes, and updates the shares
+// of the buckets.
+func (o *owner) applyChange(at time.Time, apply func()) {
+	for _, b := range o.buckets {
+		b.refill(at, o.bounds)
 	}
 	apply()
-	leading, whole := o.votes.leading()
-	if !whole || !o.whole || leading != o.leading {
-		o.leading, o.whole, o.leadingSince = leading, whole, at
+	leadingKey, fullRate := o.votes.leading()
+	if !fullRate || !o.leadingFullRate || leadingKey != o.leadingKey {
+		o.leadingKey, o.leadingFullRate, o.leadingSince = leadingKey, fullRate, at
 	}
-	for name, known := range o.buckets {
-		known.setShare(at, o.votes.share(o.self, name), o.bounds)
+	for name, b := range o.buckets {
+		b.setShare(at, o.votes.share(o.self, name), o.bounds)
 	}
 }
 
-// join records a new link from another daemon.
-func (o *owner) join(link Link) { o.sequences[link] = 0 }
+// openLink records a new link from another daemon.
+func (o *owner) openLink(link Link) { o.lastSequences[link] = 0 }
 
 func (o *owner) setMembers(now time.Time, members int) {
 	if members != o.votes.members {
-		o.dropLapsed(now)
-		o.change(now, func() { o.votes.members = members })
+		o.dropExpiredVotes(now)
+		o.applyChange(now, func() { o.votes.members = members })
 	}
 }
 
-func (o *owner) state(now time.Time, node string, link Link, stated view) {
-	o.dropLapsed(now)
-	if known := o.votes.byNode[node]; known != nil && known.view.key == stated.key {
-		known.link, known.heard = link, now
+func (o *owner) recordView(now time.Time, node string, link Link, stated view) {
+	o.dropExpiredVotes(now)
+	if vote := o.votes.byNode[node]; vote != nil && vote.view.key == stated.key {
+		vote.link, vote.renewedAt = link, now
 		return
 	}
-	o.change(now, func() { o.votes.state(now, node, link, stated) })
+	o.applyChange(now, func() { o.votes.recordView(now, node, link, stated) })
 }
 
-func (o *owner) hear(now time.Time, node string, link Link) { o.votes.hear(now, node, link) }
+func (o *owner) renewVote(now time.Time, node string, link Link) { o.votes.renewVote(now, node, link) }
 
-func (o *owner) leave(now time.Time, node string, link Link) {
-	delete(o.sequences, link)
-	delete(o.viewNumbers, link)
-	if known := o.votes.byNode[node]; known == nil || known.link != link {
+func (o *owner) closeLink(now time.Time, node string, link Link) {
+	delete(o.lastSequences, link)
+	delete(o.lastViewNumbers, link)
+	if vote := o.votes.byNode[node]; vote == nil || vote.link != link {
 		return
 	}
-	o.dropLapsed(now)
-	o.change(now, func() { o.votes.leave(node, link) })
+	o.dropExpiredVotes(now)
+	o.applyChange(now, func() { o.votes.closeLink(node, link) })
 }
 
-// dropLapsed takes away votes that lapsed, as of the time at which they did.
-func (o *owner) dropLapsed(now time.Time) {
-	o.checkedAt = now
-	nodes, since := o.votes.lapsed(now)
+// dropExpiredVotes removes expired votes, as of the time at which the first of them expired.
+func (o *owner) dropExpiredVotes(now time.Time) {
+	o.expiryCheckedAt = now
+	nodes, since := o.votes.expired(now)
 	if len(nodes) == 0 {
 		return
 	}
-	o.change(since, func() {
+	o.applyChange(since, func() {
 		for _, node := range nodes {
 			o.votes.remove(node)
 		}
 	})
 }
 
-// isNewest reports whether a view is the newest one that was stated on a link so far, and notes it:
-// messages may overtake each other on their way to the link.
-func (o *owner) isNewest(link Link, number uint64) bool {
-	if number <= o.viewNumbers[link] {
+// acceptNewerView reports whether a view is newer than all views received on a link so far, and
+// records its number. Messages may overtake each other before they are written to the link.
+func (o *owner) acceptNewerView(link Link, number uint64) bool {
+	if number <= o.lastViewNumbers[link] {
 		return false
 	}
-	o.viewNumbers[link] = number
+	o.lastViewNumbers[link] = number
 	return true
 }
 
-// askForView answers an ask that only renews a vote, nil while the vote counts. A daemon without calls
-// would otherwise not learn that its vote lapsed, and never vote again.
-func (o *owner) askForView(node string, ask *lapisv1.AllowanceAsk) *lapisv1.AllowanceGrant {
+// requestView returns a grant that asks for the view of a daemon whose vote does not count, nil if
+// it counts. A daemon without calls would otherwise not learn that its vote expired, and never vote
+// again.
+func (o *owner) requestView(node string, ask *lapisv1.AllowanceAsk) *lapisv1.AllowanceGrant {
 	if !ask.GetRenew() || o.votes.byNode[node] != nil {
 		return nil
 	}
 	return &lapisv1.AllowanceGrant{ViewWanted: true}
 }
 
-// grant answers an ask of a daemon, nil for one that was answered before or whose link has ended.
+// grant answers an ask. It returns nil for an ask that was answered before or whose link has ended.
 func (o *owner) grant(now time.Time, node string, link Link, ask *lapisv1.AllowanceAsk) *lapisv1.AllowanceGrant {
-	newest, open := o.sequences[link]
+	newest, open := o.lastSequences[link]
 	if !open || ask.GetSequence() <= newest {
 		return nil
 	}
-	o.sequences[link] = ask.GetSequence()
-	if now.Sub(o.checkedAt) >= lapseCheck {
-		o.dropLapsed(now)
+	o.lastSequences[link] = ask.GetSequence()
+	if now.Sub(o.expiryCheckedAt) >= voteExpiryInterval {
+		o.dropExpiredVotes(now)
 	}
 	grant := &lapisv1.AllowanceGrant{Sequence: ask.GetSequence(), ViewWanted: o.votes.byNode[node] == nil}
 	for _, need := range ask.GetNeeds() {
@@ -136,41 +140,42 @@
 	return grant
 }
 
-// lend serves one need.
+// lend answers one need of an ask.
 func (o *owner) lend(now time.Time, need *lapisv1.AllowanceNeed, revision uint64) *lapisv1.AllowanceCredit {
-	credit := &lapisv1.AllowanceCredit{Allowance: need.GetAllowance()}
-	known := o.bucketOf(now, need, revision)
-	if known == nil || known.share == 0 {
-		credit.NotOwner = true
-		credit.RetryAfterMillis = uint32(abandonAfter.Milliseconds())
-		return credit
-	}
-	known.settle(now, o.bounds)
-	known.setLimit(limitOf(need), revision, o.bounds)
+	response := &lapisv1.AllowanceCredit{Allowance: need.GetAllowance()}
+	b := o.bucketOf(now, need, revision)
+	if b == nil || b.share == 0 {
+		response.NotOwner = true
+		response.RetryAfterMillis = uint32(ownerReplaceTimeout.Milliseconds())
+		return response
+	}
+	b.refill(now, o.bounds)
+	b.setLimit(limitOf(need), revision, o.bounds)
 	if need.GetReturned() > 0 {
-		known.takeBack(need.GetReturned(), o.started.Add(time.Duration(need.GetReturnedLentAt())))
+		b.takeBack(need.GetReturned(), o.started.Add(time.Duration(need.GetReturnedLentAt())))
 	}
-	credit.LentAt = uint64(now.Sub(o.started))
-	credit.Credits = known.lend(now, need.GetCredits(), need.GetLateCredits())
-	if wanted := need.GetCredits() + need.GetLateCredits(); credit.GetCredits() < wanted {
-		refused := wanted - credit.GetCredits()
-		credit.RetryAfterMillis = uint32(known.returnAfter(now, refused).Milliseconds()) + 1
+	response.LentAt = uint64(now.Sub(o.started))
+	response.Credits = b.lend(now, need.GetCredits(), need.GetLateCredits())
+	if wanted := need.GetCredits() + need.GetLateCredits(); response.GetCredits() < wanted {
+		refused := wanted - response.GetCredits()
+		response.RetryAfterMillis = uint32(b.retryAfter(now, refused).Milliseconds()) + 1
 	}
-	return credit
+	return response
 }
 
-// bucketOf returns the bucket of what is needed, a new one where there is none.
+// bucketOf returns the bucket of the needed allowance, creating it if necessary. It returns nil if
+// there are too many.
 func (o *owner) bucketOf(now time.Time, need *lapisv1.AllowanceNeed, revision uint64) *bucket {
 	name := need.GetAllowance()
-	if known := o.buckets[name]; known != nil {
-		return known
+	if b := o.buckets[name]; b != nil {
+		return b
 	}
 	if len(o.buckets) >= maxBuckets || need.GetPerSecond() <= 0 {
 		return nil
 	}
-	added := newBucket(limitOf(need), revision, o.bounds, o.votes.share(o.self, name), o.leadingSince)
-	o.buckets[name] = added
-	return added
+	b := newBucket(limitOf(need), revision, o.bounds, o.votes.share(o.self, name), o.leadingSince)
+	o.buckets[name] = b
+	return b
 }
 
 func limitOf(need *lapisv1.AllowanceNeed) Limit {
--- a/internal/distribution/allowance/ranking.go
+++ b/internal/distribution/allowance/ranking.go
@@ -8,30 +8,32 @@
 	"github.com/lapisvane/lapisvane/internal/shared/rendezvous"
 )
 
-// ownerCount is the number of daemons that own allowances. All daemons keep a connection to
-// each of them; with several, the questions of a fleet and the loss of an owner concern a part of
-// the allowances.
+// ownerCount is the number of daemons that own allowances. All daemons keep a connection to each of
+// them. Several owners divide the load of asks, and the loss of one concerns only a part of the
+// allowances.
 const ownerCount = 4
 
-// spareCount is the number of daemons that are next in order and connected to as well, so that
-// the loss of an owner finds the connection to the next one open.
+// spareCount is the number of daemons next in order to which connections are kept as well, so that
+// the successor of a lost owner is already connected.
 const spareCount = 1
 
-// maxMembers bounds the daemons that are remembered.
+// maxMembers bounds the number of known daemons.
 const maxMembers = 32768
 
-// ownersKey ranks daemons as owners, the same way everywhere.
+// ownersKey is the rendezvous hashing key that ranks daemons as owners, the same on all daemons.
 const ownersKey = "owners of allowances"
 
-// abandonAfter is how long a daemon that is out of reach keeps its place as an owner, after its
-// connection was lost, it did not answer, or this daemon started without reaching it. The vote there
-// has lapsed by then (voteLapse), so that this daemon may vote for another owner.
-const abandonAfter = 1500 * time.Millisecond
+// ownerReplaceTimeout is how long an unreachable daemon keeps its place as an owner. It counts from
+// the loss of the connection, from an ask that timed out, or, for a daemon that was never reached,
+// from when it became a candidate. It must be longer than voteTTL, so that this daemon's vote there
+// has expired before it votes for another owner.
+const ownerReplaceTimeout = 1500 * time.Millisecond
 
-// viewInterval is how often a view is made anew, since waits end by themselves.
-const viewInterval = 100 * time.Millisecond
+// viewRefreshInterval is the interval at which the view is recomputed, since replacement timeouts
+// expire without an event.
+const viewRefreshInterval = 100 * time.Millisecond
 
-// contact is what is known of the connection to a daemon that may be an owner.
+// contact is the connection state of a daemon that may be an owner.
 type contact int
 
 const (
@@ -43,36 +45,37 @@
 	ended
 )
 
-// member is another daemon, or this one.
+// member is a known daemon, this one included.
 type member struct {
 	node    string
 	score   uint64
 	contact contact
-	// since is when contact came about; zero while an untried one is no candidate.
-	since time.Time
+	// contactSince is when contact last changed. It is zero for an untried daemon that is not yet a
+	// candidate.
+	contactSince time.Time
 }
 
-// abandoned reports whether others take the daemon's place as an owner.
-func (m *member) abandoned(now time.Time) bool {
+// isReplaced reports whether another daemon takes this one's place as an owner.
+func (m *member) isReplaced(now time.Time) bool {
 	switch m.contact {
 	case connected:
 		return false
 	case ended:
 		return true
 	default:
-		return !m.since.IsZero() && now.Sub(m.since) >= abandonAfter
+		return !m.contactSince.IsZero() && now.Sub(m.contactSince) >= ownerReplaceTimeout
 	}
 }
 
-// ranking is the order of the daemons as owners.
+// ranking orders the known daemons by their preference as owners.
 type ranking struct {
 	self string
-	// ordered holds all members known, the first choice first.
+	// ordered holds all known members, the most preferred first.
 	ordered []*member
 	byNode  map[string]*member
-	// grownAt is when a member was last added.
-	grownAt time.Time
-	// current is the view as of currentAt; stale is true since what it rests on has changed.
+	// lastMemberAddedAt is when a member was last added.
+	lastMemberAddedAt time.Time
+	// current is the view computed at currentAt. stale is true after its inputs changed.
 	current   view
 	currentAt time.Time
 	stale     bool
@@ -85,18 +88,18 @@
 	return r
 }
 
-// add records daemons that are not known yet. None is ever taken away: that a daemon is gone
-// for good looks like a cut.
+// add records new daemons. Members are never removed, because a daemon that is gone for good cannot
+// be distinguished from one behind a network partition.
 func (r *ranking) add(now time.Time, nodes ...string) {
 	for _, node := range nodes {
 		if r.byNode[node] != nil || len(r.ordered) >= maxMembers {
 			continue
 		}
-		added := &member{node: node, score: rendezvous.Score(ownersKey, node)}
-		r.byNode[node] = added
-		at, _ := slices.BinarySearchFunc(r.ordered, added, compareMembers)
-		r.ordered = slices.Insert(r.ordered, at, added)
-		r.grownAt = now
+		m := &member{node: node, score: rendezvous.Score(ownersKey, node)}
+		r.byNode[node] = m
+		at, _ := slices.BinarySearchFunc(r.ordered, m, compareMembers)
+		r.ordered = slices.Insert(r.ordered, at, m)
+		r.lastMemberAddedAt = now
 		r.stale = true
 	}
 }
@@ -105,43 +108,43 @@
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.node, b.node))
 }
 
-// setContact records how a daemon can be reached. One whose process has ended stays so until it
-// is connected again.
+// setContact records the connection state of a daemon. A daemon whose process has ended keeps that
+// state until it is connected again.
 func (r *ranking) setContact(now time.Time, node string, state contact) {
-	known := r.byNode[node]
-	if known == nil || known.contact == state || (known.contact == ended && state == lost) {
+	m := r.byNode[node]
+	if m == nil || m.contact == state || (m.contact == ended && state == lost) {
 		return
 	}
-	if known.contact == untried && state == lost {
+	if m.contact == untried && state == lost {
 		return
 	}
-	known.contact, known.since = state, now
+	m.contact, m.contactSince = state, now
 	r.stale = true
 }
 
-// candidates returns the daemons to keep connections to: the owners and the spare ones, and those
-// that are abandoned but would come before.
+// candidates returns the daemons to keep connections to: the owners, the spare ones, and replaced
+// daemons that rank before them.
 func (r *ranking) candidates(now time.Time) []string {
 	var nodes []string
 	present := 0
-	for _, known := range r.ordered {
+	for _, m := range r.ordered {
 		if present == ownerCount+spareCount {
 			break
 		}
-		if known.contact == untried && known.since.IsZero() {
-			known.since = now
+		if m.contact == untried && m.contactSince.IsZero() {
+			m.contactSince = now
 		}
-		if !known.abandoned(now) {
+		if !m.isReplaced(now) {
 			present++
 		}
-		nodes = append(nodes, known.node)
+		nodes = append(nodes, m.node)
 	}
 	return nodes
 }
 
-// view returns the owners.
+// view returns the current owners.
 func (r *ranking) view(now time.Time) view {
-	if r.stale || now.Sub(r.currentAt) >= viewInterval {
+	if r.stale || now.Sub(r.currentAt) >= viewRefreshInterval {
 		r.current, r.currentAt, r.stale = r.newView(now), now, false
 	}
 	return r.current
@@ -150,7 +153,7 @@
 func (r *ranking) newView(now time.Time) view {
 	var owners []string
 	for _, node := range r.candidates(now) {
-		if len(owners) < ownerCount && !r.byNode[node].abandoned(now) {
+		if len(owners) < ownerCount && !r.byNode[node].isReplaced(now) {
 			owners = append(owners, node)
 		}
 	}
--- a/internal/distribution/allowance/record.go
+++ b/internal/distribution/allowance/record.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// calmAfter is how long nothing must be refused for a time of refusals to be over.
-const calmAfter = 5 * time.Second
+// refusalQuietPeriod is the time without a refusal after which a series of refusals is over.
+const refusalQuietPeriod = 5 * time.Second
 
-// record is what an owner lent and refused of an allowance, for operators.
-type record struct {
+// usageRecord counts the credits that an owner lent and refused of one allowance, for logs and
+// metrics.
+type usageRecord struct {
 	lent, refused, returned uint64
-	// refusing is true from the first refusal until calmAfter passed without one.
-	refusing    bool
-	since, last time.Time
-	// refusedBefore is the count when refusing began.
-	refusedBefore uint64
-	// told is true once operators were told that refusing began.
-	told bool
+	// refusing is true from the first refusal until refusalQuietPeriod has passed without one.
+	refusing                     bool
+	refusingSince, lastRefusedAt time.Time
+	// refusedAtStart is the value of refused when the current series began.
+	refusedAtStart uint64
+	// logged is true after the start of the current series was logged.
+	logged bool
 }
 
-func (r *record) note(now time.Time, lent, refused uint32) {
+func (r *usageRecord) recordResult(now time.Time, lent, refused uint32) {
 	r.lent += uint64(lent)
 	if refused == 0 {
 		return
 	}
 	if !r.refusing {
-		r.refusing, r.since, r.refusedBefore = true, now, r.refused
+		r.refusing, r.refusingSince, r.refusedAtStart = true, now, r.refused
 	}
 	r.refused += uint64(refused)
-	r.last = now
+	r.lastRefusedAt = now
 }
 
-// calm reports that a time of refusals has ended; it does so once.
-func (r *record) calm(now time.Time) bool {
-	if !r.refusing || now.Sub(r.last) < calmAfter {
+// endRefusing ends a series of refusals after refusalQuietPeriod. It returns true once per series.
+func (r *usageRecord) endRefusing(now time.Time) bool {
+	if !r.refusing || now.Sub(r.lastRefusedAt) < refusalQuietPeriod {
 		return false
 	}
 	r.refusing = false
--- a/internal/distribution/allowance/report.go
+++ b/internal/distribution/allowance/report.go
@@ -6,82 +6,83 @@
 	"github.com/go-logr/logr"
 )
 
-// Report is what operators see of a daemon's part.
+// Report is a daemon's state as shown in its metrics.
 type Report struct {
-	// Counts are those of the calls of this daemon.
+	// Counts counts the calls of this daemon by outcome.
 	Counts Counts
-	// Owned are the allowances that were asked of this daemon, by name.
+	// Owned holds the allowances that other daemons requested credit of here, by name.
 	Owned map[string]Owned
-	// Voters is the number of daemons that stated their views to this one.
+	// Voters is the number of daemons whose votes count here.
 	Voters int
 }
 
-// Owned is an allowance at its owner.
+// Owned is the state of an allowance at its owner.
 type Owned struct {
 	Limit Limit
-	// Lent, Refused and Returned count credits since this daemon started.
+	// Lent, Refused and Returned are numbers of credits since this daemon started.
 	Lent, Refused, Returned uint64
-	// Left is the credit that may be lent now.
+	// Left is the credit that can be lent now.
 	Left float64
-	// Share is the part of the rate that this daemon may lend.
+	// Share is the fraction of the rate that this daemon may lend.
 	Share float64
 }
 
-func (p *Part) report(now time.Time) Report {
-	report := Report{Counts: p.asker.counts, Owned: map[string]Owned{}, Voters: len(p.owner.votes.byNode)}
-	for name, known := range p.owner.buckets {
-		known.settle(now, p.owner.bounds)
+func (p *Participant) report(now time.Time) Report {
+	report := Report{Counts: p.client.counts, Owned: map[string]Owned{}, Voters: len(p.owner.votes.byNode)}
+	for name, b := range p.owner.buckets {
+		b.refill(now, p.owner.bounds)
 		report.Owned[name] = Owned{
-			Limit: known.limit, Lent: known.record.lent, Refused: known.record.refused,
-			Returned: known.record.returned, Left: max(0, known.level()), Share: known.share,
+			Limit: b.limit, Lent: b.usage.lent, Refused: b.usage.refused,
+			Returned: b.usage.returned, Left: max(0, b.level()), Share: b.share,
 		}
 	}
 	return report
 }
 
-// maxRefusalLines bounds the lines about refusals in a lineInterval; the metrics count all.
+// maxRefusalLines bounds the log lines about refusals per logInterval. The metrics count all
+// refusals.
 const (
 	maxRefusalLines = 20
-	lineInterval    = time.Second
+	logInterval     = time.Second
 )
 
-// lines tells operators of changes.
-type lines struct {
+// changeLogger logs changes of the owners and of refusals.
+type changeLogger struct {
 	owners string
-	// began is when the interval of written began.
-	began   time.Time
-	written int
+	// intervalStart is the start of the interval that written counts in.
+	intervalStart time.Time
+	written       int
 }
 
-// write writes a line for each change since it was last called.
-func (l *lines) write(now time.Time, part *Part, logger logr.Logger) {
-	if current := part.ranking.view(now); current.key != l.owners {
+// logChanges logs the changes since its last call.
+func (l *changeLogger) logChanges(now time.Time, participant *Participant, logger logr.Logger) {
+	if current := participant.ranking.view(now); current.key != l.owners {
 		l.owners = current.key
-		logger.Info("allowance.owners", "owners", current.owners, "voters", len(part.owner.votes.byNode), "members", part.owner.votes.members)
+		logger.Info("allowance.owners", "owners", current.owners, "voters", len(participant.owner.votes.byNode), "members", participant.owner.votes.members)
 	}
-	if now.Sub(l.began) >= lineInterval {
-		l.began, l.written = now, 0
+	if now.Sub(l.intervalStart) >= logInterval {
+		l.intervalStart, l.written = now, 0
 	}
-	for name, known := range part.owner.buckets {
+	for name, b := range participant.owner.buckets {
 		if l.written >= maxRefusalLines {
 			return
 		}
-		l.writeRefusal(now, name, known, logger)
+		l.logRefusals(now, name, b, logger)
 	}
 }
 
-// writeRefusal writes a line where refusals of an allowance began or ended.
-func (l *lines) writeRefusal(now time.Time, name string, known *bucket, logger logr.Logger) {
-	refused := &known.record
+// logRefusals logs the start or end of a series of refusals.
+func (l *changeLogger) logRefusals(now time.Time, name string, b *bucket, logger logr.Logger) {
+	usage := &b.usage
 	switch {
-	case refused.calm(now):
-		refused.told = false
-		logger.Info("allowance.refusing_ended", "allowance", name, "refused", refused.refused-refused.refusedBefore,
-			"lasted_ms", refused.last.Sub(refused.since).Milliseconds())
-	case refused.refusing && !refused.told:
-		refused.told = true
-		logger.Info("allowance.refusing_began", "allowance", name, "per_second", known.limit.Rate, "burst", known.limit.Burst,
-			"share", known.share, "lent", refused.lent)
+	case usage.endRefusing(now):
+		usage.logged = false
+		logger.Info("allowance.refusing_ended", "allowance", name, "refused", usage.refused-usage.refusedAtStart,
+			"lasted_ms", usage.lastRefusedAt.Sub(usage.refusingSince).Milliseconds())
+	case usage.refusing && !usage.logged:
+		usage.logged = true
+		logger.Info("allowance.refusing_began", "allowance", name, "per_second", b.limit.Rate, "burst", b.limit.Burst,
+			"share", b.share, "lent", usage.lent)
 	default:
 		return
 	}
--- a/internal/distribution/allowance/reserve.go
+++ b/internal/distribution/allowance/reserve.go
@@ -6,39 +6,39 @@
 	"github.com/lapisvane/lapisvane/internal/shared/rendezvous"
 )
 
-// reserveSuffix ranks daemons for the reserve of an allowance apart from its owners.
+// reserveSuffix makes the ranking for the reserve of an allowance differ from that of its owners.
 const reserveSuffix = "/reserve"
 
-// reserve is what this daemon lets go of an allowance while it reaches no owner. All daemons divide
-// the same few calls among themselves: each takes those of its own rank.
+// reserve limits the calls that this daemon lets go while it reaches no owner. A fixed number of
+// calls per window is divided among all daemons by rank.
 type reserve struct {
-	// spent are the times of the calls let go within the window.
-	spent []time.Time
+	// grantedAt are the times of the calls granted within the window.
+	grantedAt []time.Time
 }
 
-// take lets one call go if the daemon's part of total calls in a window allows it.
+// take grants one call if this daemon's part of total calls per window is not used up.
 func (r *reserve) take(now time.Time, total, rank, members int, window time.Duration) bool {
-	kept := r.spent[:0]
-	for _, at := range r.spent {
+	recent := r.grantedAt[:0]
+	for _, at := range r.grantedAt {
 		if now.Sub(at) <= window {
-			kept = append(kept, at)
+			recent = append(recent, at)
 		}
 	}
-	r.spent = kept
-	if len(r.spent) >= reservePart(total, rank, members) {
+	r.grantedAt = recent
+	if len(r.grantedAt) >= reserveQuota(total, rank, members) {
 		return false
 	}
-	r.spent = append(r.spent, now)
+	r.grantedAt = append(r.grantedAt, now)
 	return true
 }
 
-// reservePart returns how many of total calls the daemon of a rank, from 0, may let go.
-func reservePart(total, rank, members int) int {
-	part := total / members
+// reserveQuota returns how many of total calls the daemon with a rank, counted from 0, may let go.
+func reserveQuota(total, rank, members int) int {
+	quota := total / members
 	if rank < total%members {
-		part++
+		quota++
 	}
-	return part
+	return quota
 }
 
 // reserveRank returns the rank of this daemon for the reserve of an allowance.
@@ -46,16 +46,16 @@
 	key := allowance + reserveSuffix
 	own := rendezvous.Score(key, r.self)
 	rank := 0
-	for _, known := range r.ordered {
-		if known.node != r.self && rendezvous.Score(key, known.node) > own {
+	for _, m := range r.ordered {
+		if m.node != r.self && rendezvous.Score(key, m.node) > own {
 			rank++
 		}
 	}
 	return rank
 }
 
-// settled reports whether the members have been known for a window: a daemon that has just started
-// knows too few of them, and may have spent its part before.
-func (r *ranking) settled(now time.Time, window time.Duration) bool {
-	return now.Sub(r.grownAt) > window
+// membersSettled reports whether no member was added for a window. A daemon that has just started
+// does not know all members yet, and may have used its part before the restart.
+func (r *ranking) membersSettled(now time.Time, window time.Duration) bool {
+	return now.Sub(r.lastMemberAddedAt) > window
 }
--- a/internal/distribution/allowance/scaffold_test.go
+++ b/internal/distribution/allowance/scaffold_test.go
@@ -11,52 +11,55 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// What the simulated fleet does as the real one: connections that are silent for silence end, and
-// machines refuse connections for processes that are gone.
+// Properties that the simulated fleet shares with a real one: a connection ends after
+// simulatedSilence without a frame, and the host of a stopped process refuses connections.
 const (
 	simulatedTick    = 20 * time.Millisecond
 	simulatedSilence = 2500 * time.Millisecond
-	// longestDelay bounds how long a frame takes where nothing is cut.
-	longestDelay = 60 * time.Millisecond
+	// maxFrameDelay is the default of simulation.maxDelay.
+	maxFrameDelay = 60 * time.Millisecond
 )
 
-// play is one simulated time of a fleet, drawn from a seed.
-type play struct {
+// simulation is a run of a simulated fleet, determined by a seed.
+type simulation struct {
 	random  *rand.Rand
 	now     time.Time
 	daemons []*simulatedDaemon
-	// cut are the pairs that do not reach one another.
-	cut    map[[2]int]bool
-	bounds Bounds
-	// limits are those of the allowances by name, load the asks a second of all daemons.
+	// partitioned holds the pairs of daemons that cannot reach each other.
+	partitioned map[[2]int]bool
+	bounds      Bounds
+	// limits are the limits by allowance. load is the rate of calls per second over all daemons, by
+	// allowance.
 	limits map[string]Limit
 	load   map[string]float64
-	// ran are the times at which calls ran, by allowance.
-	ran                           map[string][]time.Time
+	// ranAt are the times of the calls that ran within the last window, by allowance.
+	ranAt                         map[string][]time.Time
 	granted, refused, unreachable int
-	// frames and bytes count what was received, by daemon.
+	// frames and bytes count the traffic received, by daemon.
 	frames, bytes map[string]int
 	grantedOf     map[string]int
-	// indexes are the places of the daemons by name.
+	// indexes maps names of daemons to their indexes in daemons.
 	indexes map[string]int
-	// delay is how long a frame takes at most where nothing is cut.
-	delay time.Duration
-	// asked is called with each call that wants credit.
-	asked func(name string)
-	// lateCalls has every fourth call that waits be late.
+	// maxDelay is the maximum time a frame takes outside of partitions.
+	maxDelay time.Duration
+	// onCall is called for each call that requests credit.
+	onCall func(name string)
+	// lateCalls makes a part of the calls late: those made while three, seven, eleven and so on
+	// calls wait.
 	lateCalls bool
-	// notRunShare of the calls that may go do not run, and are given back after a while.
-	notRunShare float64
-	backs       []pendingReturn
-	variant     variant
-	overshoot   string
+	// notRunShare is the fraction of the granted calls that do not run. Their credit is given back
+	// after a random delay.
+	notRunShare    float64
+	pendingReturns []pendingReturn
+	variant        variant
+	overshoot      string
 }
 
 type pendingReturn struct {
-	at     time.Time
-	daemon *simulatedDaemon
-	life   int
-	ticket *Ticket
+	at         time.Time
+	daemon     *simulatedDaemon
+	generation int
+	ticket     *Ticket
 }
 
 type waitingCall struct {
@@ -65,18 +68,18 @@
 }
 
 type simulatedDaemon struct {
-	index int
-	name  string
-	part  *Part
-	// life counts the starts of its process.
-	life          int
-	alive, frozen bool
-	knows         map[string]time.Time
+	index       int
+	name        string
+	participant *Participant
+	// generation counts the starts of the daemon's process.
+	generation    int
+	alive, paused bool
+	learnsAt      map[string]time.Time
 	outbound      map[int]*simulatedLink
 	inbound       []*simulatedLink
 	waiting       []waitingCall
 	startsAt      time.Time
-	thawsAt       time.Time
+	resumesAt     time.Time
 }
 
 // simulatedLink is a connection that one daemon opened to another.
@@ -84,7 +87,7 @@
 	client, server         *simulatedDaemon
 	clientOpen, serverOpen bool
 	toServer, toClient     []simulatedFrame
-	// clientHeard and serverHeard are when each side last heard the other.
+	// clientHeard and serverHeard are the times at which each side last received anything.
 	clientHeard, serverHeard time.Time
 }
 
@@ -95,128 +98,131 @@
 	end   bool
 }
 
-// variant breaks a rule of the package; the zero one breaks none.
+// variant changes the package's behavior for a test. The zero value changes nothing.
 type variant struct {
 	name string
-	// before is called with each daemon before it does anything in a tick, started with one that
-	// has just started.
-	before  func(*Part, time.Time)
-	started func(*Part)
-	// returnRan gives back credit of calls that ran.
-	returnRan bool
+	// before is called for each daemon at the start of its tick, started for each daemon that has
+	// just started.
+	before  func(*Participant, time.Time)
+	started func(*Participant)
+	// returnAfterRun also gives back the credit of calls that ran.
+	returnAfterRun bool
 }
 
-func newPlay(seed uint64, daemons int, variant variant) *play {
-	p := &play{
-		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), cut: map[[2]int]bool{},
+func newSimulation(seed uint64, daemons int, variant variant) *simulation {
+	s := &simulation{
+		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), partitioned: map[[2]int]bool{},
 		bounds: Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20},
-		limits: map[string]Limit{}, load: map[string]float64{}, ran: map[string][]time.Time{}, variant: variant,
-		frames: map[string]int{}, bytes: map[string]int{}, grantedOf: map[string]int{}, indexes: map[string]int{}, delay: longestDelay,
+		limits: map[string]Limit{}, load: map[string]float64{}, ranAt: map[string][]time.Time{}, variant: variant,
+		frames: map[string]int{}, bytes: map[string]int{}, grantedOf: map[string]int{}, indexes: map[string]int{}, maxDelay: maxFrameDelay,
 	}
 	for index := range daemons {
 		name := fmt.Sprintf("daemon-%d", index)
-		p.daemons = append(p.daemons, &simulatedDaemon{index: index, name: name})
-		p.indexes[name] = index
+		s.daemons = append(s.daemons, &simulatedDaemon{index: index, name: name})
+		s.indexes[name] = index
 	}
-	return p
+	return s
 }
 
-// start starts a daemon's process, which knows nothing but learns of the others soon.
-func (p *play) start(d *simulatedDaemon) {
-	d.life++
-	d.alive, d.frozen = true, false
-	d.part = NewPart(d.name, p.bounds, p.now)
+// start starts the process of a daemon. It knows no other daemon at first and learns of them within
+// 400 ms.
+func (s *simulation) start(d *simulatedDaemon) {
+	d.generation++
+	d.alive, d.paused = true, false
+	d.participant = NewParticipant(d.name, s.bounds, s.now)
 	d.inbound = nil
-	d.outbound, d.waiting, d.knows = map[int]*simulatedLink{}, nil, map[string]time.Time{}
-	for _, other := range p.daemons {
-		if other == d || other.life == 0 {
+	d.outbound, d.waiting, d.learnsAt = map[int]*simulatedLink{}, nil, map[string]time.Time{}
+	for _, other := range s.daemons {
+		if other == d || other.generation == 0 {
 			continue
 		}
-		d.knows[other.name] = p.now.Add(time.Duration(p.random.IntN(400)) * time.Millisecond)
-		if d.life == 1 && other.alive {
-			other.knows[d.name] = p.now.Add(time.Duration(p.random.IntN(400)) * time.Millisecond)
+		d.learnsAt[other.name] = s.now.Add(time.Duration(s.random.IntN(400)) * time.Millisecond)
+		if d.generation == 1 && other.alive {
+			other.learnsAt[d.name] = s.now.Add(time.Duration(s.random.IntN(400)) * time.Millisecond)
 		}
 	}
-	if p.variant.started != nil {
-		p.variant.started(d.part)
+	if s.variant.started != nil {
+		s.variant.started(d.participant)
 	}
 }
 
-// kill ends a daemon's process.
-func (p *play) kill(d *simulatedDaemon, restart time.Duration) {
+// kill ends the process of a daemon.
+func (s *simulation) kill(d *simulatedDaemon, restart time.Duration) {
 	if !d.alive {
 		return
 	}
 	d.alive = false
-	d.startsAt = p.now.Add(restart)
+	d.startsAt = s.now.Add(restart)
 	for _, at := range sortedKeys(d.outbound) {
 		link := d.outbound[at]
 		link.clientOpen = false
-		link.toServer = append(link.toServer, p.frame(link.toServer, simulatedFrame{end: true}))
+		link.toServer = append(link.toServer, s.frame(link.toServer, simulatedFrame{end: true}))
 	}
 	for _, link := range d.inbound {
 		link.serverOpen = false
-		link.toClient = append(link.toClient, p.frame(link.toClient, simulatedFrame{end: true}))
+		link.toClient = append(link.toClient, s.frame(link.toClient, simulatedFrame{end: true}))
 	}
 	d.waiting = nil
 }
 
-func (p *play) isCut(a, b *simulatedDaemon) bool { return p.cut[[2]int{a.index, b.index}] }
+func (s *simulation) isPartitioned(a, b *simulatedDaemon) bool {
+	return s.partitioned[[2]int{a.index, b.index}]
+}
 
-func (p *play) setCut(a, b int, cut bool) {
-	p.cut[[2]int{a, b}], p.cut[[2]int{b, a}] = cut, cut
+func (s *simulation) setPartitioned(a, b int, partitioned bool) {
+	s.partitioned[[2]int{a, b}], s.partitioned[[2]int{b, a}] = partitioned, partitioned
 }
 
-// frame gives a frame its time of arrival, after those before it.
-func (p *play) frame(queue []simulatedFrame, frame simulatedFrame) simulatedFrame {
-	frame.at = p.now.Add(time.Millisecond + time.Duration(p.random.Int64N(int64(p.delay))))
+// frame sets the arrival time of a frame, no earlier than that of the frames before it.
+func (s *simulation) frame(queue []simulatedFrame, frame simulatedFrame) simulatedFrame {
+	frame.at = s.now.Add(time.Millisecond + time.Duration(s.random.Int64N(int64(s.maxDelay))))
 	if len(queue) > 0 && queue[len(queue)-1].at.After(frame.at) {
 		frame.at = queue[len(queue)-1].at
 	}
 	return frame
 }
 
-// step lets a tick pass.
-func (p *play) step() {
-	p.now = p.now.Add(simulatedTick)
-	for _, d := range p.daemons {
+// step advances the simulation by one tick.
+func (s *simulation) step() {
+	s.now = s.now.Add(simulatedTick)
+	for _, d := range s.daemons {
 		switch {
-		case !d.alive && !d.startsAt.IsZero() && !p.now.Before(d.startsAt):
-			p.start(d)
-		case d.frozen && !p.now.Before(d.thawsAt):
-			d.frozen = false
+		case !d.alive && !d.startsAt.IsZero() && !s.now.Before(d.startsAt):
+			s.start(d)
+		case d.paused && !s.now.Before(d.resumesAt):
+			d.paused = false
 		}
 	}
-	for _, at := range p.random.Perm(len(p.daemons)) {
-		if d := p.daemons[at]; d.alive && !d.frozen {
-			p.run(d)
+	for _, at := range s.random.Perm(len(s.daemons)) {
+		if d := s.daemons[at]; d.alive && !d.paused {
+			s.run(d)
 		}
 	}
-	p.giveBack()
+	s.giveBack()
 }
 
-// run lets a daemon do what is due.
-func (p *play) run(d *simulatedDaemon) {
-	for name, at := range d.knows {
-		if !p.now.Before(at) {
-			d.part.Members(p.now, []string{name})
-			delete(d.knows, name)
+// run performs one tick of a daemon.
+func (s *simulation) run(d *simulatedDaemon) {
+	for name, at := range d.learnsAt {
+		if !s.now.Before(at) {
+			d.participant.Members(s.now, []string{name})
+			delete(d.learnsAt, name)
 		}
 	}
-	if p.variant.before != nil {
-		p.variant.before(d.part, p.now)
+	if s.variant.before != nil {
+		s.variant.before(d.participant, s.now)
 	}
-	p.maintain(d)
+	s.openConnections(d)
 	d.inbound = slices.DeleteFunc(d.inbound, func(link *simulatedLink) bool { return !link.serverOpen })
 	for _, link := range d.inbound {
-		p.receiveAsServer(link)
+		s.receiveAsServer(link)
 	}
 	for _, at := range sortedKeys(d.outbound) {
-		p.receiveAsClient(d.outbound[at])
+		s.receiveAsClient(d.outbound[at])
 	}
-	p.call(d)
-	p.send(d)
-	p.decide(d)
+	s.call(d)
+	s.send(d)
+	s.decide(d)
 }
 
 func sortedKeys(links map[int]*simulatedLink) []int {
@@ -228,116 +234,116 @@
 	return keys
 }
 
-// maintain opens the connections that the daemon wants.
-func (p *play) maintain(d *simulatedDaemon) {
-	for _, name := range d.part.Candidates(p.now) {
-		at := p.indexes[name]
-		other := p.daemons[at]
-		if other == d || d.outbound[at] != nil || p.isCut(d, other) {
+// openConnections opens the connections to the daemon's candidates.
+func (s *simulation) openConnections(d *simulatedDaemon) {
+	for _, name := range d.participant.Candidates(s.now) {
+		at := s.indexes[name]
+		other := s.daemons[at]
+		if other == d || d.outbound[at] != nil || s.isPartitioned(d, other) {
 			continue
 		}
 		switch {
 		case !other.alive:
-			d.part.Lost(p.now, name, true)
-		case !other.frozen:
-			link := &simulatedLink{client: d, server: other, clientOpen: true, serverOpen: true, clientHeard: p.now, serverHeard: p.now}
+			d.participant.Lost(s.now, name, true)
+		case !other.paused:
+			link := &simulatedLink{client: d, server: other, clientOpen: true, serverOpen: true, clientHeard: s.now, serverHeard: s.now}
 			d.outbound[at] = link
 			other.inbound = append(other.inbound, link)
-			other.part.Joined(link)
-			d.part.Connected(p.now, name)
+			other.participant.Joined(link)
+			d.participant.Connected(s.now, name)
 		}
 	}
 }
 
-// receiveAsServer reads what came from the daemon that opened a connection.
-func (p *play) receiveAsServer(link *simulatedLink) {
+// receiveAsServer processes the frames from the daemon that opened a connection.
+func (s *simulation) receiveAsServer(link *simulatedLink) {
 	if !link.serverOpen {
 		return
 	}
-	if !p.isCut(link.client, link.server) && link.clientOpen && !link.client.frozen {
-		link.serverHeard = p.now
+	if !s.isPartitioned(link.client, link.server) && link.clientOpen && !link.client.paused {
+		link.serverHeard = s.now
 	}
-	for len(link.toServer) > 0 && !p.now.Before(link.toServer[0].at) && !p.isCut(link.client, link.server) {
+	for len(link.toServer) > 0 && !s.now.Before(link.toServer[0].at) && !s.isPartitioned(link.client, link.server) {
 		frame := link.toServer[0]
 		link.toServer = link.toServer[1:]
 		if frame.end {
-			p.closeServer(link)
+			s.closeServer(link)
 			return
 		}
-		p.frames[link.server.name]++
-		p.bytes[link.server.name] += proto.Size(frame.ask)
-		if grant := link.server.part.ReceiveAsk(p.now, link.client.name, link, frame.ask); grant != nil {
-			link.toClient = append(link.toClient, p.frame(link.toClient, simulatedFrame{grant: grant}))
+		s.frames[link.server.name]++
+		s.bytes[link.server.name] += proto.Size(frame.ask)
+		if grant := link.server.participant.ReceiveAsk(s.now, link.client.name, link, frame.ask); grant != nil {
+			link.toClient = append(link.toClient, s.frame(link.toClient, simulatedFrame{grant: grant}))
 		}
 	}
-	if p.now.Sub(link.serverHeard) >= simulatedSilence {
-		p.closeServer(link)
+	if s.now.Sub(link.serverHeard) >= simulatedSilence {
+		s.closeServer(link)
 	}
 }
 
-func (p *play) closeServer(link *simulatedLink) {
+func (s *simulation) closeServer(link *simulatedLink) {
 	link.serverOpen = false
-	link.server.part.Left(p.now, link.client.name, link)
-	link.toClient = append(link.toClient, p.frame(link.toClient, simulatedFrame{end: true}))
+	link.server.participant.Left(s.now, link.client.name, link)
+	link.toClient = append(link.toClient, s.frame(link.toClient, simulatedFrame{end: true}))
 }
 
-// receiveAsClient reads what came from the daemon to which a connection was opened.
-func (p *play) receiveAsClient(link *simulatedLink) {
-	if !p.isCut(link.client, link.server) && link.serverOpen && !link.server.frozen {
-		link.clientHeard = p.now
+// receiveAsClient processes the frames from the daemon to which a connection was opened.
+func (s *simulation) receiveAsClient(link *simulatedLink) {
+	if !s.isPartitioned(link.client, link.server) && link.serverOpen && !link.server.paused {
+		link.clientHeard = s.now
 	}
-	for len(link.toClient) > 0 && !p.now.Before(link.toClient[0].at) && !p.isCut(link.client, link.server) {
+	for len(link.toClient) > 0 && !s.now.Before(link.toClient[0].at) && !s.isPartitioned(link.client, link.server) {
 		frame := link.toClient[0]
 		link.toClient = link.toClient[1:]
 		if frame.end {
-			p.closeClient(link)
+			s.closeClient(link)
 			return
 		}
-		p.frames[link.client.name]++
-		p.bytes[link.client.name] += proto.Size(frame.grant)
-		link.client.part.ReceiveGrant(p.now, link.server.name, frame.grant)
+		s.frames[link.client.name]++
+		s.bytes[link.client.name] += proto.Size(frame.grant)
+		link.client.participant.ReceiveGrant(s.now, link.server.name, frame.grant)
 	}
-	if p.now.Sub(link.clientHeard) >= simulatedSilence {
-		p.closeClient(link)
+	if s.now.Sub(link.clientHeard) >= simulatedSilence {
+		s.closeClient(link)
 	}
 }
 
-func (p *play) closeClient(link *simulatedLink) {
+func (s *simulation) closeClient(link *simulatedLink) {
 	link.clientOpen = false
 	delete(link.client.outbound, link.server.index)
-	link.client.part.Lost(p.now, link.server.name, false)
-	if link.serverOpen && !p.isCut(link.client, link.server) {
+	link.client.participant.Lost(s.now, link.server.name, false)
+	if link.serverOpen && !s.isPartitioned(link.client, link.server) {
 		link.serverOpen = false
-		link.server.part.Left(p.now, link.client.name, link)
+		link.server.participant.Left(s.now, link.client.name, link)
 	}
 }
 
-// send sends what the daemon has to say.
-func (p *play) send(d *simulatedDaemon) {
-	for _, message := range d.part.Outgoing(p.now) {
-		link := d.outbound[p.indexes[message.To]]
+// send sends the daemon's outgoing messages.
+func (s *simulation) send(d *simulatedDaemon) {
+	for _, message := range d.participant.Outgoing(s.now) {
+		link := d.outbound[s.indexes[message.To]]
 		if link == nil {
 			continue
 		}
-		for range 1 + p.random.IntN(2) { // An ask may come twice.
-			link.toServer = append(link.toServer, p.frame(link.toServer, simulatedFrame{ask: message.Ask}))
+		for range 1 + s.random.IntN(2) { // An ask may be duplicated.
+			link.toServer = append(link.toServer, s.frame(link.toServer, simulatedFrame{ask: message.Ask}))
 		}
 	}
 }
 
-// call lets callers ask.
-func (p *play) call(d *simulatedDaemon) {
-	for _, name := range sortedNames(p.limits) {
-		calls := p.load[name] * simulatedTick.Seconds() / float64(len(p.daemons))
+// call makes the calls of one tick.
+func (s *simulation) call(d *simulatedDaemon) {
+	for _, name := range sortedNames(s.limits) {
+		calls := s.load[name] * simulatedTick.Seconds() / float64(len(s.daemons))
 		count := int(calls)
-		if p.random.Float64() < calls-float64(count) {
+		if s.random.Float64() < calls-float64(count) {
 			count++
 		}
 		for range count {
-			if p.asked != nil {
-				p.asked(name)
+			if s.onCall != nil {
+				s.onCall(name)
 			}
-			d.waiting = append(d.waiting, waitingCall{d.part.Take(p.now, name, p.limits[name], 1, p.lateCalls && len(d.waiting)%4 == 3), p.now})
+			d.waiting = append(d.waiting, waitingCall{d.participant.Take(s.now, name, s.limits[name], 1, s.lateCalls && len(d.waiting)%4 == 3), s.now})
 		}
 	}
 }
@@ -351,15 +357,15 @@
 	return names
 }
 
-// decide lets the calls go whose outcome is known.
-func (p *play) decide(d *simulatedDaemon) {
+// decide finishes the calls whose outcome is known.
+func (s *simulation) decide(d *simulatedDaemon) {
 	d.waiting = slices.DeleteFunc(d.waiting, func(call waitingCall) bool {
-		if p.now.Sub(call.since) >= answerPatience {
-			d.part.GiveUp(p.now, call.ticket)
+		if s.now.Sub(call.since) >= answerTimeout {
+			d.participant.GiveUp(s.now, call.ticket)
 		}
 		select {
 		case outcome := <-call.ticket.Decided:
-			p.finish(d, call.ticket, outcome)
+			s.finish(d, call.ticket, outcome)
 			return true
 		default:
 			return false
@@ -367,46 +373,46 @@
 	})
 }
 
-func (p *play) finish(d *simulatedDaemon, ticket *Ticket, outcome Outcome) {
+func (s *simulation) finish(d *simulatedDaemon, ticket *Ticket, outcome Outcome) {
 	switch {
 	case outcome.Unreachable:
-		p.unreachable++
+		s.unreachable++
 	case !outcome.Granted:
-		p.refused++
-	case p.random.Float64() < p.notRunShare:
-		after := time.Duration(p.random.Int64N(int64(3 * time.Second)))
-		p.backs = append(p.backs, pendingReturn{at: p.now.Add(after), daemon: d, life: d.life, ticket: ticket})
+		s.refused++
+	case s.random.Float64() < s.notRunShare:
+		after := time.Duration(s.random.Int64N(int64(3 * time.Second)))
+		s.pendingReturns = append(s.pendingReturns, pendingReturn{at: s.now.Add(after), daemon: d, generation: d.generation, ticket: ticket})
 	default:
-		p.granted++
-		p.grantedOf[ticket.allowance]++
-		p.note(ticket.allowance)
-		if p.variant.returnRan {
-			d.part.GiveBack(p.now, ticket)
+		s.granted++
+		s.grantedOf[ticket.allowance]++
+		s.recordCall(ticket.allowance)
+		if s.variant.returnAfterRun {
+			d.participant.GiveBack(s.now, ticket)
 		}
 	}
 }
 
 // giveBack returns the credit of calls that did not run.
-func (p *play) giveBack() {
-	p.backs = slices.DeleteFunc(p.backs, func(back pendingReturn) bool {
-		if p.now.Before(back.at) {
+func (s *simulation) giveBack() {
+	s.pendingReturns = slices.DeleteFunc(s.pendingReturns, func(back pendingReturn) bool {
+		if s.now.Before(back.at) {
 			return false
 		}
-		if back.daemon.alive && back.daemon.life == back.life && !back.daemon.frozen {
-			back.daemon.part.GiveBack(p.now, back.ticket)
+		if back.daemon.alive && back.daemon.generation == back.generation && !back.daemon.paused {
+			back.daemon.participant.GiveBack(s.now, back.ticket)
 		}
 		return true
 	})
 }
 
-// note records a call that runs, and whether it is one too many.
-func (p *play) note(name string) {
-	times := append(p.ran[name], p.now)
-	for len(times) > 0 && p.now.Sub(times[0]) > p.bounds.Window {
+// recordCall records a call that ran, and the first violation of a bound.
+func (s *simulation) recordCall(name string) {
+	times := append(s.ranAt[name], s.now)
+	for len(times) > 0 && s.now.Sub(times[0]) > s.bounds.Window {
 		times = times[1:]
 	}
-	p.ran[name] = times
-	if most := p.bounds.allowed(p.limits[name]); float64(len(times)) > most && p.overshoot == "" {
-		p.overshoot = fmt.Sprintf("%s: %d calls in a window that allows %.1f, at %v", name, len(times), most, p.now.Sub(time.Unix(1000, 0)))
+	s.ranAt[name] = times
+	if maxAllowed := s.bounds.maxCalls(s.limits[name]); float64(len(times)) > maxAllowed && s.overshoot == "" {
+		s.overshoot = fmt.Sprintf("%s: %d calls in a window that allows %.1f, at %v", name, len(times), maxAllowed, s.now.Sub(time.Unix(1000, 0)))
 	}
 }
--- a/internal/distribution/allowance/tokenbucket.go
+++ b/internal/distribution/allowance/tokenbucket.go
@@ -6,69 +6,70 @@
 )
 
 const (
-	// returnTime is how long after it was lent credit may come back. It covers a call's wait for
-	// a slot; credit of calls that are refused later than that is lost.
-	returnTime = 2 * time.Second
-	// peakSlots is the number of slots in which peaks are kept; together they are longer than
-	// returnTime and the time that the return takes to arrive.
-	peakSlots = 48
-	peakSlot  = 50 * time.Millisecond
+	// returnTimeout is the maximum time after the loan at which credit can be returned. It covers a
+	// call's wait for a slot. Credit of calls that are refused later than that is lost.
+	returnTimeout = 2 * time.Second
+	// peakSlotCount is the number of slots for which peaks are kept. Together the slots must be
+	// longer than returnTimeout plus the time a returned credit takes to arrive.
+	peakSlotCount    = 48
+	peakSlotDuration = 50 * time.Millisecond
 )
 
-// tokenBucket holds credit up to a capacity. Its level is negative where another bucket let more go.
+// tokenBucket holds credit up to a capacity. Its level is negative after another bucket allowed a
+// loan that this one did not cover.
 //
-// Credit that comes back makes the bucket what it would be had that credit never been lent. What
-// it could not have held then is dropped: peaks are the highest levels of the last slots, and no
-// return may lift one above the capacity since the credit was lent.
+// Returned credit restores the level that the bucket would have if the credit had never been lent.
+// Credit that the bucket could not have held is dropped: peaks are the highest levels in the last
+// slots, and a return may not raise any peak since the loan above the capacity.
 type tokenBucket struct {
 	capacity, level float64
-	peaks           [peakSlots]float64
-	// slotStarted is when the slot of peaks[0] began.
+	peaks           [peakSlotCount]float64
+	// slotStarted is the start of the slot of peaks[0].
 	slotStarted time.Time
 }
 
-// newTokenBucket returns an empty bucket.
 func newTokenBucket(now time.Time) tokenBucket { return tokenBucket{slotStarted: now} }
 
 // fill adds the credit gained until now.
 func (t *tokenBucket) fill(now time.Time, credit float64) {
-	t.turnSlots(now)
+	t.advanceSlots(now)
 	t.level = min(t.capacity, t.level+credit)
 	t.peaks[0] = max(t.peaks[0], t.level)
 }
 
-func (t *tokenBucket) turnSlots(now time.Time) {
-	turns := int(now.Sub(t.slotStarted) / peakSlot)
-	if turns <= 0 {
+func (t *tokenBucket) advanceSlots(now time.Time) {
+	elapsedSlots := int(now.Sub(t.slotStarted) / peakSlotDuration)
+	if elapsedSlots <= 0 {
 		return
 	}
-	t.slotStarted = t.slotStarted.Add(time.Duration(turns) * peakSlot)
-	turns = min(turns, peakSlots)
-	copy(t.peaks[turns:], t.peaks[:peakSlots-turns])
-	for slot := range turns {
+	t.slotStarted = t.slotStarted.Add(time.Duration(elapsedSlots) * peakSlotDuration)
+	elapsedSlots = min(elapsedSlots, peakSlotCount)
+	copy(t.peaks[elapsedSlots:], t.peaks[:peakSlotCount-elapsedSlots])
+	for slot := range elapsedSlots {
 		t.peaks[slot] = t.level
 	}
 }
 
-// takeBack adds credit that was lent at a time and not used. It is dropped where the peaks do not go
-// back that far.
+// takeBack returns unused credit that was lent at lentAt. It is dropped if the loan is older than
+// the recorded peaks.
 func (t *tokenBucket) takeBack(credits float64, lentAt time.Time) {
 	slots := 1
 	if before := t.slotStarted.Sub(lentAt); before > 0 {
-		slots += int((before + peakSlot - 1) / peakSlot)
+		slots += int((before + peakSlotDuration - 1) / peakSlotDuration)
 	}
-	if slots > peakSlots {
+	if slots > peakSlotCount {
 		return
 	}
 	highest := max(t.level, slices.Max(t.peaks[:slots]))
-	back := max(0, min(credits, t.capacity-highest))
-	t.level += back
+	credited := max(0, min(credits, t.capacity-highest))
+	t.level += credited
 	for slot := range slots {
-		t.peaks[slot] += back
+		t.peaks[slot] += credited
 	}
 }
 
-// empty takes all credit away, also what may still come back.
+// empty removes all credit. The peaks are set to the capacity, so that credit lent before is not
+// accepted back.
 func (t *tokenBucket) empty() {
 	t.level = min(t.level, 0)
 	for slot := range t.peaks {
@@ -76,7 +77,6 @@
 	}
 }
 
-// resize changes the capacity.
 func (t *tokenBucket) resize(capacity float64) {
 	t.capacity = capacity
 	t.level = min(t.level, capacity)
--- a/internal/distribution/allowance/variants_test.go
+++ b/internal/distribution/allowance/variants_test.go
@@ -7,67 +7,68 @@
 	"gotest.tools/v3/assert"
 )
 
-// eachBucket calls change with all buckets of a part.
-func eachBucket(part *Part, change func(*bucket)) {
-	for _, known := range part.owner.buckets {
-		change(known)
+// eachBucket calls change with each bucket of a participant.
+func eachBucket(participant *Participant, change func(*bucket)) {
+	for _, b := range participant.owner.buckets {
+		change(b)
 	}
 }
 
-// brokenVariants break one rule of the package each.
+// brokenVariants each break one rule of the package.
 var brokenVariants = []variant{
-	{name: "a new owner starts with full buckets", before: func(part *Part, now time.Time) {
-		eachBucket(part, func(b *bucket) {
-			if now.Sub(b.since) < simulatedTick*2 && b.share > 0 {
-				b.burstful.level = b.burstful.capacity
+	{name: "a new owner starts with full buckets", before: func(participant *Participant, now time.Time) {
+		eachBucket(participant, func(b *bucket) {
+			if now.Sub(b.soleOwnerSince) < simulatedTick*2 && b.share > 0 {
+				b.burstBucket.level = b.burstBucket.capacity
 			}
 		})
 	}},
-	{name: "an owner lends all whoever votes for it", before: func(part *Part, _ time.Time) {
-		eachBucket(part, func(b *bucket) { b.share = 1 })
+	{name: "an owner lends the full rate regardless of votes", before: func(participant *Participant, _ time.Time) {
+		eachBucket(participant, func(b *bucket) { b.share = 1 })
 	}},
-	{name: "credit is spent long after it was lent", started: func(part *Part) {
-		part.asker.bounds.Overshoot = 10
+	{name: "credit is spent long after it was lent", started: func(participant *Participant) {
+		participant.client.bounds.Overshoot = 10
 	}},
-	{name: "calls that ran are given back", returnRan: true},
-	{name: "each daemon spends the whole reserve, also when it has just started", before: func(part *Part, now time.Time) {
-		part.ranking.grownAt = now.Add(-time.Hour)
-		for name, held := range part.asker.holdings {
-			for len(held.waiting) > 0 && part.ranking.view(now).ownerOf(name) != "" && held.reserve.take(now, part.asker.bounds.reserve(), 0, 1, part.asker.bounds.Window) {
-				ticket := held.waiting[0]
-				held.waiting = held.waiting[1:]
+	{name: "credit of calls that ran is given back", returnAfterRun: true},
+	{name: "each daemon spends the whole reserve, even right after its start", before: func(participant *Participant, now time.Time) {
+		participant.ranking.lastMemberAddedAt = now.Add(-time.Hour)
+		for name, local := range participant.client.allowances {
+			for len(local.waiting) > 0 && participant.ranking.view(now).ownerOf(name) != "" && local.reserve.take(now, participant.client.bounds.reserveCalls(), 0, 1, participant.client.bounds.Window) {
+				ticket := local.waiting[0]
+				local.waiting = local.waiting[1:]
 				if !ticket.decided {
 					ticket.decide(Outcome{Granted: true})
 				}
 			}
 		}
 	}},
-	{name: "an earlier owner keeps what it had", before: func(part *Part, now time.Time) {
-		eachBucket(part, func(b *bucket) {
+	{name: "a former owner keeps its credit", before: func(participant *Participant, now time.Time) {
+		eachBucket(participant, func(b *bucket) {
 			if b.share == 0 {
 				b.share = 0.01
-				b.burstful.capacity = float64(b.limit.Burst) + headroomShare*part.owner.bounds.Slack
-				b.burstful.level = b.burstful.capacity
+				b.burstBucket.capacity = float64(b.limit.Burst) + burstHeadroomSlackShare*participant.owner.bounds.Slack
+				b.burstBucket.level = b.burstBucket.capacity
 			}
 		})
 	}},
-	{name: "a member counts as two voters", before: func(part *Part, _ time.Time) {
-		part.owner.votes.members = max(1, len(part.ranking.ordered)/2)
+	{name: "each vote counts twice", before: func(participant *Participant, _ time.Time) {
+		participant.owner.votes.members = max(1, len(participant.ranking.ordered)/2)
 	}},
 }
 
-// The model finds each rule that is broken: the rules are needed, and the model sees it.
+// Each broken rule leads to a violated bound in the simulation. This shows that the rule is
+// necessary and that the simulation detects violations.
 func TestModelCatchesBrokenVariants(t *testing.T) {
-	const mostSeeds = 200
+	const maxSeeds = 200
 	for _, broken := range brokenVariants {
 		t.Run(broken.name, func(t *testing.T) {
-			for seed := range uint64(mostSeeds) {
-				if p := playFaults(seed, broken, false); p.overshoot != "" {
-					t.Logf("seed %d: %s", seed, p.overshoot)
+			for seed := range uint64(maxSeeds) {
+				if s := simulateFaults(seed, broken, false); s.overshoot != "" {
+					t.Logf("seed %d: %s", seed, s.overshoot)
 					return
 				}
 			}
-			assert.Assert(t, false, "not caught with %d seeds", mostSeeds)
+			assert.Assert(t, false, "not detected with %d seeds", maxSeeds)
 		})
 	}
 }
--- a/internal/distribution/allowance/view.go
+++ b/internal/distribution/allowance/view.go
@@ -7,10 +7,10 @@
 	"github.com/lapisvane/lapisvane/internal/shared/rendezvous"
 )
 
-// view is the owners as one daemon sees them. It is immutable.
+// view is the list of owners as one daemon sees it. It is immutable.
 type view struct {
 	owners []string
-	// key is the same for equal views.
+	// key is equal for equal views.
 	key string
 }
 
@@ -20,12 +20,12 @@
 	return view{owners: sorted, key: strings.Join(sorted, "\n")}
 }
 
-// ownerOf returns the owner of an allowance, empty where the view has none.
+// ownerOf returns the owner of an allowance, empty if the view has no owners.
 func (v view) ownerOf(allowance string) string {
-	owner, most := "", uint64(0)
+	owner, highest := "", uint64(0)
 	for _, node := range v.owners {
-		if score := rendezvous.Score(allowance, node); owner == "" || score > most {
-			owner, most = node, score
+		if score := rendezvous.Score(allowance, node); owner == "" || score > highest {
+			owner, highest = node, score
 		}
 	}
 	return owner
--- a/internal/distribution/allowance/votes.go
+++ b/internal/distribution/allowance/votes.go
@@ -2,50 +2,49 @@
 
 import "time"
 
-// voteLapse is how long a vote counts after it was last renewed. It must be below abandonAfter, by more
-// than a message takes and votes are looked at (lapseCheck).
-const voteLapse = 1200 * time.Millisecond
-
-// Where wholeShare of the daemons or more see a daemon as the owner, it lends the whole rate, where
-// noneShare or fewer do nothing, and in between that part of the rate. Several owners at the same
-// time then lend no more than one: beside one with wholeShare no other has more than noneShare. A third
-// of the daemons may be gone without loss; with more gone, what is left lends its part, since those that
-// are gone may be cut off and lend theirs.
+// voteTTL is how long a vote counts after its last renewal. It must be shorter than
+// ownerReplaceTimeout by more than the transit time of a message plus voteExpiryInterval.
+const voteTTL = 1200 * time.Millisecond
+
+// An owner lends the full rate if at least fullRateVoteShare of the daemons vote for it, nothing if
+// at most zeroRateVoteShare do, and in between its fraction of the votes. Several owners at the
+// same time then lend at most the full rate together: beside one with fullRateVoteShare, no other
+// has more than zeroRateVoteShare. Up to a third of the daemons may be gone without loss. If more
+// are gone, the rest lends only its fraction, since the others may be partitioned and lend theirs.
 const (
-	wholeShare = 2.0 / 3
-	noneShare  = 1.0 / 3
+	fullRateVoteShare = 2.0 / 3
+	zeroRateVoteShare = 1.0 / 3
 )
 
-// lendingShare returns the part of the rate that an owner lends which a part of the daemons sees as
-// the owner.
-func lendingShare(voters float64) float64 {
+// rateShareOf returns the fraction of the rate that an owner with a fraction of the votes may lend.
+func rateShareOf(voteShare float64) float64 {
 	switch {
-	case voters >= wholeShare:
+	case voteShare >= fullRateVoteShare:
 		return 1
-	case voters <= noneShare:
+	case voteShare <= zeroRateVoteShare:
 		return 0
 	default:
-		return voters
+		return voteShare
 	}
 }
 
-// Link stands for one connection from another daemon; it only has to be comparable.
+// Link identifies one connection from another daemon. It only has to be comparable.
 type Link any
 
 // vote is the view that a daemon stated.
 type vote struct {
-	link  Link
-	view  view
-	heard time.Time
+	link      Link
+	view      view
+	renewedAt time.Time
 }
 
-// votes are the views of the daemons as they stated them here. Each daemon states one view at a
-// time, so that the voters of two owners of an allowance are different daemons.
+// votes holds the views that daemons stated to this one. Each daemon states one view at a time, so
+// that two owners of an allowance have disjoint voters.
 type votes struct {
 	byNode map[string]*vote
-	// counts are the numbers of voters by the key of their view.
+	// counts holds the number of voters by the key of their view.
 	counts map[string]*viewCount
-	// members is the number of daemons known.
+	// members is the number of known daemons.
 	members int
 }
 
@@ -58,10 +57,10 @@
 	return &votes{byNode: map[string]*vote{}, counts: map[string]*viewCount{}, members: 1}
 }
 
-// state records a view that a daemon stated on a link.
-func (v *votes) state(now time.Time, node string, link Link, stated view) {
+// recordView records the view that a daemon stated on a link.
+func (v *votes) recordView(now time.Time, node string, link Link, stated view) {
 	v.remove(node)
-	v.byNode[node] = &vote{link: link, view: stated, heard: now}
+	v.byNode[node] = &vote{link: link, view: stated, renewedAt: now}
 	count := v.counts[stated.key]
 	if count == nil {
 		count = &viewCount{view: stated}
@@ -70,50 +69,50 @@
 	count.voters++
 }
 
-// hear records a sign of life on a link. One that comes after the vote lapsed does not
-// revive it: the daemon may have voted elsewhere meanwhile.
-func (v *votes) hear(now time.Time, node string, link Link) {
-	known := v.byNode[node]
-	if known != nil && known.link == link && now.Sub(known.heard) < voteLapse {
-		known.heard = now
+// renewVote extends the vote of a daemon that was heard on a link. An expired vote is not revived,
+// since the daemon may have voted for another owner meanwhile.
+func (v *votes) renewVote(now time.Time, node string, link Link) {
+	vote := v.byNode[node]
+	if vote != nil && vote.link == link && now.Sub(vote.renewedAt) < voteTTL {
+		vote.renewedAt = now
 	}
 }
 
-// leave records the end of a link.
-func (v *votes) leave(node string, link Link) {
-	if known := v.byNode[node]; known != nil && known.link == link {
+// closeLink removes the vote that came over a link.
+func (v *votes) closeLink(node string, link Link) {
+	if vote := v.byNode[node]; vote != nil && vote.link == link {
 		v.remove(node)
 	}
 }
 
 func (v *votes) remove(node string) {
-	known := v.byNode[node]
-	if known == nil {
+	vote := v.byNode[node]
+	if vote == nil {
 		return
 	}
 	delete(v.byNode, node)
-	count := v.counts[known.view.key]
+	count := v.counts[vote.view.key]
 	count.voters--
 	if count.voters == 0 {
-		delete(v.counts, known.view.key)
+		delete(v.counts, vote.view.key)
 	}
 }
 
-// lapsed returns the daemons whose vote no longer counts, with the time since which it does not.
-func (v *votes) lapsed(now time.Time) (nodes []string, since time.Time) {
-	for node, known := range v.byNode {
-		if now.Sub(known.heard) < voteLapse {
+// expired returns the daemons whose votes have expired, and when the first of them did.
+func (v *votes) expired(now time.Time) (nodes []string, since time.Time) {
+	for node, vote := range v.byNode {
+		if now.Sub(vote.renewedAt) < voteTTL {
 			continue
 		}
 		nodes = append(nodes, node)
-		if at := known.heard.Add(voteLapse); since.IsZero() || at.Before(since) {
+		if at := vote.renewedAt.Add(voteTTL); since.IsZero() || at.Before(since) {
 			since = at
 		}
 	}
 	return nodes, since
 }
 
-// share returns the part of the rate of an allowance that node may lend.
+// share returns the fraction of the rate of an allowance that node may lend.
 func (v *votes) share(node, allowance string) float64 {
 	voters := 0
 	for _, count := range v.counts {
@@ -121,22 +120,22 @@
 			voters += count.voters
 		}
 	}
-	return lendingShare(v.part(voters))
+	return rateShareOf(v.voteShare(voters))
 }
 
-// leading returns the view of most voters, and whether its owners lend their whole rates, so that
-// no others lend anything.
-func (v *votes) leading() (key string, whole bool) {
-	most := 0
-	for known, count := range v.counts {
-		if count.voters > most || (count.voters == most && known < key) {
-			key, most = known, count.voters
+// leading returns the view with the largest number of voters, and whether its owners may lend their
+// full rates. In that case no other owners lend anything.
+func (v *votes) leading() (key string, fullRate bool) {
+	highest := 0
+	for candidate, count := range v.counts {
+		if count.voters > highest || (count.voters == highest && candidate < key) {
+			key, highest = candidate, count.voters
 		}
 	}
-	return key, lendingShare(v.part(most)) == 1
+	return key, rateShareOf(v.voteShare(highest)) == 1
 }
 
-// part returns which part of the daemons so many voters are.
-func (v *votes) part(voters int) float64 {
+// voteShare returns the fraction of the daemons that a number of voters makes up.
+func (v *votes) voteShare(voters int) float64 {
 	return float64(voters) / float64(max(v.members, len(v.byNode)))
 }
