--- a/internal/distribution/membership/bounds_test.go
+++ b/internal/distribution/membership/bounds_test.go
@@ -8,17 +8,17 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
 )
 
-// TestBoundsOfMembershipFitTogether holds the relations between the constants of the
-// rules and the seats of a zone.
+// TestBoundsOfMembershipFitTogether checks the required relations between the constants of this
+// package, the seats per zone and the fan-out.
 func TestBoundsOfMembershipFitTogether(t *testing.T) {
-	assert.Assert(t, failurePenalty/2 > RefuseJoin(JoinFull, 1).RetryAfter, "a daemon that answers waits for longer than one that does not")
-	assert.Assert(t, penalty(1) == failurePenalty && penalty(1000) == maxPenalty, "the waits do not grow to their bound")
+	assert.Assert(t, initialPenalty/2 > RefuseJoin(JoinFull, 1).RetryAfter, "a daemon that refused is avoided for longer than one that failed to answer")
+	assert.Assert(t, penalty(1) == initialPenalty && penalty(1000) == maxPenalty, "the penalties do not grow to maxPenalty")
 	for _, profile := range []tunables.Distribution{tunables.Convergence(), tunables.Bytes()} {
 		seats := profile.SeatsPerZone
-		assert.Assert(t, patience > seats, "a child is accepted before it asked each reader of its zone")
-		assert.Assert(t, remoteAfter > seats, "the readers of a zone that restart together send its daemons to other zones")
-		assert.Assert(t, firstWindow > seats, "one dead machine keeps the seats of a zone vacant for a round")
-		assert.Assert(t, maxKnown > 2*MaxReferrals+seats+maxForeignReaders, "a welcome names more daemons than are remembered")
-		assert.Assert(t, profile.Fanout <= ForeignExtra, "the readers of one zone have no room for the children of the readers that another one lost")
+		assert.Assert(t, maxRefusalsBeforeAccept > seats, "a child is accepted before it has asked each reader of its zone")
+		assert.Assert(t, detachedBeforeRemote > seats, "simultaneous restarts of the readers of a zone send its daemons to other zones")
+		assert.Assert(t, initialSeatWindow > seats, "one dead machine keeps a seat of the zone vacant for a round")
+		assert.Assert(t, maxCandidates > 2*MaxReferrals+seats+maxForeignReaders, "a welcome names more daemons than are remembered")
+		assert.Assert(t, profile.Fanout <= ForeignExtra, "the readers of one zone have no room for the children of another zone that lost its readers")
 	}
 }
--- a/internal/distribution/membership/candidates_test.go
+++ b/internal/distribution/membership/candidates_test.go
@@ -29,13 +29,13 @@
 	assert.Equal(t, choice.Address, "local")
 	candidates.Postponed("local", time.Second, now)
 	_, ok = candidates.Next(now)
-	assert.Assert(t, !ok, "one refusal is no reason to leave the zone")
+	assert.Assert(t, !ok, "another zone is tried after a single refusal")
 	for range 3 {
 		candidates.Detached()
 	}
 	choice, ok = candidates.Next(now)
 	assert.Assert(t, ok)
-	assert.Equal(t, choice.Address, "near", "the own region comes first")
+	assert.Equal(t, choice.Address, "near", "the own region is not tried first")
 	candidates.Failed("near", now)
 	choice, _ = candidates.Next(now)
 	assert.Equal(t, choice.Address, "far")
@@ -85,21 +85,21 @@
 	assert.Assert(t, membership.MayTakeSeat(2, 0) && !membership.MayTakeSeat(3, 0) && membership.MayTakeSeat(3, 1))
 }
 
-// TestDaemonsThatNameEachOtherAreNotAskedInACircle lets two daemons refuse and
-// name each other, and counts how often they are asked within a second.
+// TestDaemonsThatNameEachOtherAreNotAskedInACircle lets two daemons refuse a child and name each
+// other, and checks that the child tries them at most 8 times in a second.
 func TestDaemonsThatNameEachOtherAreNotAskedInACircle(t *testing.T) {
 	candidates := newCandidates("a")
-	other := map[string]string{"a": "b", "b": "a"}
-	asked := 0
+	peerOf := map[string]string{"a": "b", "b": "a"}
+	attempts := 0
 	for step := range 1000 {
 		at := now.Add(time.Duration(step) * time.Millisecond)
 		choice, ok := candidates.Next(at)
 		if !ok {
 			continue
 		}
-		asked++
-		candidates.Redirect([]*lapisv1.PeerAddress{{Address: other[choice.Address], Zone: "z1"}}, at)
+		attempts++
+		candidates.Redirect([]*lapisv1.PeerAddress{{Address: peerOf[choice.Address], Zone: "z1"}}, at)
 		candidates.Postponed(choice.Address, 300*time.Millisecond, at)
 	}
-	assert.Assert(t, asked <= 8, "asked %d times", asked)
+	assert.Assert(t, attempts <= 8, "%d attempts", attempts)
 }
--- a/internal/distribution/membership/doc.go
+++ b/internal/distribution/membership/doc.go
@@ -1,13 +1,13 @@
-// Package membership holds the rules by which daemons form the distribution tree: whom a daemon
-// asks to become its parent (Candidates), whom a parent accepts and what it answers to the
-// others (DecideJoin, RefuseJoin, Redirects), when a daemon without a parent asks the object API
-// (SourceBackoff), and who becomes a reader (Rank, MayTakeSeat, BestReader).
+// Package membership implements the rules by which daemons form the distribution tree: which daemon
+// to ask to become the parent (Candidates), which children a parent accepts and how it answers the
+// others (DecideJoin, RefuseJoin, Redirects), when a daemon without a parent queries the object API
+// (SourceBackoff), and which daemon becomes a reader (Rank, MayTakeSeat, BestReader).
 //
-// It owns what one daemon remembers of others (Candidates) and its waits (SourceBackoff); it has
-// no goroutines, connections or files. The clock and the randomness are passed in. It relies on
-// package tree to call it under the node's lock and to carry out what it decides.
+// The package keeps a daemon's memory of other daemons (Candidates) and its waits (SourceBackoff).
+// It has no goroutines, connections or files; the clock and randomness are passed in. Package tree
+// calls it under the node's lock and carries out its decisions.
 //
-// What must hold: all daemons with the same machine list rank it alike; a daemon that is
-// refused by all readers is accepted by someone in the end; no rule lets a loop or a
-// tree deeper than its bound arise.
+// Invariants: all daemons with the same machine list compute the same ranks; a daemon that all
+// readers refuse is eventually accepted by another daemon; no rule permits a loop or a tree deeper
+// than its bound.
 package membership
--- a/internal/distribution/membership/join.go
+++ b/internal/distribution/membership/join.go
@@ -11,87 +11,85 @@
 // JoinVerdict is the decision on a joining child.
 type JoinVerdict int
 
-// Verdicts.
+// Possible verdicts.
 const (
 	// JoinAccepted accepts the child.
 	JoinAccepted JoinVerdict = iota
 	// JoinDetached refuses because the parent has no path to a reader or is shutting down.
 	JoinDetached
-	// JoinLoop refuses because the child is above the parent.
+	// JoinLoop refuses because the child is an ancestor of the parent.
 	JoinLoop
-	// JoinTooDeep refuses because the tree would exceed its depth.
+	// JoinTooDeep refuses because the tree would exceed its maximum depth.
 	JoinTooDeep
 	// JoinForeign refuses a child of another zone, which only readers with room accept.
 	JoinForeign
 	// JoinReadersFirst refuses a child that should ask the zone's readers first.
 	JoinReadersFirst
-	// JoinFull refuses because the parent has enough children.
+	// JoinFull refuses because the parent has reached its maximum number of children.
 	JoinFull
-	// JoinTooFast refuses because the parent admits no more children at this moment.
-	// DecideJoin does not return it: the caller's rate limiter decides.
+	// JoinTooFast refuses because the parent's join rate is exceeded. DecideJoin does not return
+	// it: the caller's rate limiter decides.
 	JoinTooFast
 )
 
 const (
-	// ForeignExtra is the number of children of other zones that a reader accepts beyond
-	// its fan-out. A zone that lost both readers had up to 48 daemons directly below
-	// them, and the six other readers of four zones had room for 8 each. With this value,
-	// and a first query of the object API after 1 s instead of 3 s, two restarts of 30% of
-	// 400 daemons took 622 to 1138 ms instead of 4312 and 3124 ms (all daemons on one
-	// machine of 8 cores). No other value was measured.
+	// ForeignExtra is the number of children of other zones that a reader accepts beyond its
+	// fan-out. A zone that lost both readers had up to 48 daemons directly below them, while the
+	// six other readers of four zones had room for 8 each. With this value, and a first query of
+	// the object API after 1 s instead of 3 s, two restarts of 30% of 400 daemons took 622 and 1138
+	// ms instead of 4312 and 3124 ms (all daemons on one machine of 8 cores).
 	ForeignExtra = 24
-	// patience is the number of refusals after which a child is accepted without having been sent
-	// by another daemon: the readers are likely out of its reach. It must be larger than the
-	// readers of a zone (2), so that each of them is asked first.
-	patience = 6
+	// maxRefusalsBeforeAccept is the number of refusals after which a parent accepts a child that
+	// was not redirected to it, because the readers are probably unreachable for that child. It
+	// must be larger than the number of readers of a zone (2), so that each of them is asked first.
+	maxRefusalsBeforeAccept = 6
 )
 
-// Parent is what DecideJoin needs to know of the daemon that a child wants to join.
+// Parent describes the daemon that a child asks to join.
 type Parent struct {
 	Zone string
 	// Reader is true while it holds a seat.
 	Reader bool
 	// Stopping is true after a planned stop began.
 	Stopping bool
-	// Path is the names from the root to the daemon, itself included; empty when it has
-	// no path to a reader. It is as old as the last heartbeat of its own parent.
+	// Path is the list of node names from the root to the daemon, including itself. It is empty if
+	// there is no path to a reader. It is as old as the last heartbeat from the daemon's own
+	// parent.
 	Path []string
-	// Children is the number of children connected now.
+	// Children is the number of connected children.
 	Children int
-	// KnowsReaders is true when the daemon can name readers of its zone.
+	// KnowsReaders is true if the daemon can name readers of its zone.
 	KnowsReaders bool
-	// Fanout is the largest number of children, MaxDepth the largest number of levels
-	// below a reader.
+	// Fanout is the maximum number of children, MaxDepth the maximum number of levels below a
+	// reader.
 	Fanout, MaxDepth int
 }
 
-// Joiner is a daemon that wants to join, as its Hello describes it.
+// Joiner is a daemon that asks to join, as described by its Hello.
 type Joiner struct {
 	Node, Zone string
 	// Depth is the number of levels below it.
 	Depth int
-	// Known is true when it is a child already and reconnects.
+	// Known is true if it is already a child and reconnects.
 	Known bool
-	// Redirected is true when another daemon named the parent.
+	// Redirected is true if another daemon named the parent.
 	Redirected bool
-	// Refusals counts the daemons that did not accept it since its last parent.
+	// Refusals is the number of attempts that failed or were refused since its last parent.
 	Refusals int
 }
 
-// DecideJoin returns the verdict on joiner. The conditions are looked at in this
-// order, and the first that holds decides:
+// DecideJoin returns the verdict on joiner. The first condition that holds decides:
 //
 //  1. A parent that is stopping or has no path to a reader has nothing to pass on.
 //  2. A joiner on the parent's path would close a loop.
-//  3. The depth stays bounded, because each level adds to the convergence time.
-//  4. A joiner of another zone is accepted by readers only, and by them up to
-//     ForeignExtra beyond the fan-out, so that a change crosses zones once.
-//  5. A joiner of the own zone asks the readers first, so that the tree fills from the
-//     top: after a restart of many daemons 9 levels became 6, and the p99 of the
-//     convergence time went from 235 to 133 ms (506 daemons in 19 zones on one machine
-//     of 8 cores).
-//  6. A full parent refuses. One that the joiner belongs to already does not, so that
-//     a short loss of the connection moves nobody.
+//  3. The depth is bounded, because each level adds to the convergence time.
+//  4. A joiner of another zone is accepted by readers only, up to ForeignExtra beyond the fan-out,
+//     so that a change crosses zones once.
+//  5. A joiner of the own zone asks the readers first, so that the tree fills from the top. After a
+//     restart of many daemons this reduced 9 levels to 6, and the p99 of the convergence time from
+//     235 to 133 ms (506 daemons in 19 zones on one machine of 8 cores).
+//  6. A full parent refuses new children. A child that reconnects is accepted, so that a short loss
+//     of the connection does not move it.
 func DecideJoin(parent Parent, joiner Joiner) JoinVerdict {
 	local := joiner.Zone == parent.Zone
 	switch {
@@ -105,7 +103,7 @@
 		return JoinForeign
 	case !local && !joiner.Known && parent.Children >= parent.Fanout+ForeignExtra:
 		return JoinForeign
-	case local && mustAskReadersFirst(parent, joiner):
+	case local && shouldAskReadersFirst(parent, joiner):
 		return JoinReadersFirst
 	case local && !joiner.Known && parent.Children >= parent.Fanout:
 		return JoinFull
@@ -114,27 +112,27 @@
 	}
 }
 
-func mustAskReadersFirst(parent Parent, joiner Joiner) bool {
-	if parent.Reader || joiner.Redirected || joiner.Known || joiner.Refusals >= patience {
+func shouldAskReadersFirst(parent Parent, joiner Joiner) bool {
+	if parent.Reader || joiner.Redirected || joiner.Known || joiner.Refusals >= maxRefusalsBeforeAccept {
 		return false
 	}
 	return parent.KnowsReaders
 }
 
-// Child is a child to which others may be sent or that may become a reader. Only
-// children with an address, which others can connect to, are passed to the rules.
+// Child is a child to which others may be redirected or that may become a reader. Only children
+// with an address that others can connect to are passed to the rules.
 type Child struct {
 	Node, Zone string
-	// Expected is the number of nodes of its subtree, those on their way to it included.
+	// Expected is the number of nodes in its subtree, including those that were redirected to it.
 	Expected uint32
-	// NoSeat is true when its settings keep it from becoming a reader.
+	// NoSeat is true if its settings prevent it from becoming a reader.
 	NoSeat bool
-	// Offered is true while an offer of a seat has not been sent yet.
+	// Offered is true while an offer of a seat is queued for it.
 	Offered bool
 }
 
-// Redirects returns the indices of at most limit children to which a joining daemon of zone
-// should go, those with the smallest subtree first, so that the tree stays even.
+// Redirects returns the indices of at most limit children to which a joining daemon of zone should
+// be redirected. Those with the smallest subtrees come first, so that the tree stays balanced.
 func Redirects(children []Child, zone, joining string, limit int) []int {
 	var indices []int
 	for index, child := range children {
@@ -149,48 +147,48 @@
 }
 
 const (
-	// refusalRetry is the shortest time after which a refused child should come back; the longest
-	// is twice that. A child tries other daemons meanwhile.
-	refusalRetry = 300 * time.Millisecond
-	// detachedRetry is the time after which a child should ask again a parent without a path to a
-	// reader. It must be shorter than the detached grace, in which such a parent mostly finds a new
-	// one.
+	// minRefusalRetry is the minimum time after which a refused child should ask the same parent
+	// again. The maximum is twice that. The child tries other daemons meanwhile.
+	minRefusalRetry = 300 * time.Millisecond
+	// detachedRetry is the time after which a child should ask a parent without a path to a reader
+	// again. It must be shorter than the detached grace, within which such a parent usually finds a
+	// new parent.
 	detachedRetry = 500 * time.Millisecond
-	// MaxReferrals is the number of children that a refusal names; a welcome names twice as many
+	// MaxReferrals is the number of children that a refusal names. A welcome names twice as many
 	// daemons.
 	MaxReferrals = 4
 )
 
-// Referral is whom a refusal names as parents to try instead.
+// Referral states which daemons a refusal names as parents to try instead.
 type Referral int
 
-// Referrals.
+// Possible referrals.
 const (
 	// ReferToNobody names no daemon.
 	ReferToNobody Referral = iota
 	// ReferToZoneReaders names the readers of the refusing daemon's zone.
 	ReferToZoneReaders
-	// ReferToReaders names the readers of that zone and some of others.
+	// ReferToReaders names the readers of that zone and some of other zones.
 	ReferToReaders
 	// ReferToChildren names the children with the smallest subtrees.
 	ReferToChildren
 )
 
-// JoinRefusal is the answer to a joining child that was not accepted.
+// JoinRefusal is the answer to a joining child that is not accepted.
 type JoinRefusal struct {
 	Code   result.Code
 	Reason string
-	// RetryAfter is when the child may ask the same daemon again.
+	// RetryAfter is the delay before the child may ask the same daemon again.
 	RetryAfter time.Duration
 	Referral   Referral
 }
 
-// RefuseJoin returns the answer that belongs to a verdict other than JoinAccepted.
-// random, in [0, 1), spreads the return of children that were refused together.
+// RefuseJoin returns the answer for a verdict other than JoinAccepted. random, in [0, 1), spreads
+// the retries of children that were refused at the same time.
 func RefuseJoin(verdict JoinVerdict, random float64) JoinRefusal {
 	refusal := JoinRefusal{
 		Code:       result.DistributionParentFull,
-		RetryAfter: refusalRetry + time.Duration(random*float64(refusalRetry)),
+		RetryAfter: minRefusalRetry + time.Duration(random*float64(minRefusalRetry)),
 	}
 	switch verdict {
 	case JoinDetached:
--- a/internal/distribution/membership/join_test.go
+++ b/internal/distribution/membership/join_test.go
@@ -25,32 +25,32 @@
 		name   string
 		parent membership.Parent
 		child  membership.Joiner
-		expect membership.JoinVerdict
+		want   membership.JoinVerdict
 	}{
 		{"redirected child", relay, child, membership.JoinAccepted},
-		{"stranger goes to the readers first", relay, membership.Joiner{Node: "c", Zone: "z"}, membership.JoinReadersFirst},
-		{"stranger after many refusals", relay, membership.Joiner{Node: "c", Zone: "z", Refusals: 6}, membership.JoinAccepted},
-		{"stranger where no reader is known", with(relay, func(p *membership.Parent) { p.KnowsReaders = false }), membership.Joiner{Node: "c", Zone: "z"}, membership.JoinAccepted},
-		{"reader takes strangers", reader, membership.Joiner{Node: "c", Zone: "z"}, membership.JoinAccepted},
+		{"unredirected child goes to the readers first", relay, membership.Joiner{Node: "c", Zone: "z"}, membership.JoinReadersFirst},
+		{"unredirected child after many refusals", relay, membership.Joiner{Node: "c", Zone: "z", Refusals: 6}, membership.JoinAccepted},
+		{"unredirected child, no reader known", with(relay, func(p *membership.Parent) { p.KnowsReaders = false }), membership.Joiner{Node: "c", Zone: "z"}, membership.JoinAccepted},
+		{"reader accepts unredirected child", reader, membership.Joiner{Node: "c", Zone: "z"}, membership.JoinAccepted},
 		{"no path to a reader", with(relay, func(p *membership.Parent) { p.Path = nil }), child, membership.JoinDetached},
 		{"shutting down", with(relay, func(p *membership.Parent) { p.Stopping = true }), child, membership.JoinDetached},
-		{"child is above", relay, membership.Joiner{Node: "r", Zone: "z", Redirected: true}, membership.JoinLoop},
+		{"child is an ancestor", relay, membership.Joiner{Node: "r", Zone: "z", Redirected: true}, membership.JoinLoop},
 		{"too deep", relay, membership.Joiner{Node: "c", Zone: "z", Depth: 3, Redirected: true}, membership.JoinTooDeep},
 		{"full", with(relay, func(p *membership.Parent) { p.Children = 2 }), child, membership.JoinFull},
-		{"full but known", with(relay, func(p *membership.Parent) { p.Children = 2 }), membership.Joiner{Node: "c", Zone: "z", Known: true}, membership.JoinAccepted},
-		{"other zone at a relay", relay, membership.Joiner{Node: "c", Zone: "y", Redirected: true}, membership.JoinForeign},
-		{"other zone at a reader beyond its fan-out", with(reader, func(p *membership.Parent) { p.Children = 5 }), membership.Joiner{Node: "c", Zone: "y"}, membership.JoinAccepted},
-		{"other zone at a reader far beyond", with(reader, func(p *membership.Parent) { p.Children = 2 + membership.ForeignExtra }), membership.Joiner{Node: "c", Zone: "y"}, membership.JoinForeign},
+		{"full, child reconnects", with(relay, func(p *membership.Parent) { p.Children = 2 }), membership.Joiner{Node: "c", Zone: "z", Known: true}, membership.JoinAccepted},
+		{"other zone, not a reader", relay, membership.Joiner{Node: "c", Zone: "y", Redirected: true}, membership.JoinForeign},
+		{"other zone, reader beyond its fan-out", with(reader, func(p *membership.Parent) { p.Children = 5 }), membership.Joiner{Node: "c", Zone: "y"}, membership.JoinAccepted},
+		{"other zone, reader beyond ForeignExtra", with(reader, func(p *membership.Parent) { p.Children = 2 + membership.ForeignExtra }), membership.Joiner{Node: "c", Zone: "y"}, membership.JoinForeign},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, membership.DecideJoin(test.parent, test.child), test.expect)
+			assert.Equal(t, membership.DecideJoin(test.parent, test.child), test.want)
 		})
 	}
 }
 
-// TestNobodyIsRefusedForDepthForEver checks that a daemon that disconnects its deeper
-// children fits under any reader with room.
+// TestNobodyIsRefusedForDepthForEver checks that a daemon refused because of its depth fits under
+// any reader with room after it has disconnected its deeper children.
 func TestNobodyIsRefusedForDepthForEver(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		maxDepth := rapid.IntRange(2, 10).Draw(rt, "max depth")
@@ -75,11 +75,11 @@
 
 func TestEachVerdictHasItsRefusal(t *testing.T) {
 	cases := []struct {
-		verdict  membership.JoinVerdict
-		code     result.Code
-		referral membership.Referral
-		shortest time.Duration
-		longest  time.Duration
+		verdict       membership.JoinVerdict
+		code          result.Code
+		referral      membership.Referral
+		minRetryAfter time.Duration
+		maxRetryAfter time.Duration
 	}{
 		{membership.JoinDetached, result.DistributionDetached, membership.ReferToNobody, 500 * time.Millisecond, 500 * time.Millisecond},
 		{membership.JoinLoop, result.DistributionLoop, membership.ReferToNobody, 300 * time.Millisecond, 600 * time.Millisecond},
@@ -93,14 +93,14 @@
 		refusal := membership.RefuseJoin(test.verdict, 0)
 		assert.Equal(t, refusal.Code, test.code)
 		assert.Equal(t, refusal.Referral, test.referral)
-		assert.Equal(t, refusal.RetryAfter, test.shortest)
-		assert.Equal(t, membership.RefuseJoin(test.verdict, 1).RetryAfter, test.longest)
+		assert.Equal(t, refusal.RetryAfter, test.minRetryAfter)
+		assert.Equal(t, membership.RefuseJoin(test.verdict, 1).RetryAfter, test.maxRetryAfter)
 		assert.Assert(t, refusal.Reason != "")
 	}
 }
 
-// A child waits for a parent without a path to a reader for the detached grace; one that
-// asks such a parent must be able to ask again within it.
+// A child waits for the detached grace for a parent without a path to a reader. The retry delay
+// must be shorter, so that a child that asked such a parent can ask again within the grace.
 func TestRetryAtADetachedParentLiesWithinTheGrace(t *testing.T) {
 	for _, profile := range []tunables.Distribution{tunables.Convergence(), tunables.Bytes()} {
 		retry := membership.RefuseJoin(membership.JoinDetached, 1).RetryAfter
--- a/internal/distribution/membership/readers_test.go
+++ b/internal/distribution/membership/readers_test.go
@@ -16,21 +16,21 @@
 	cases := []struct {
 		name     string
 		children []membership.Child
-		expect   int
+		want     int
 		found    bool
 	}{
 		{"no children", nil, 0, false},
 		{"largest subtree", []membership.Child{{Node: "a", Zone: "z", Expected: 1}, {Node: "b", Zone: "z", Expected: 3}, {Node: "c", Zone: "z", Expected: 2}}, 1, true},
-		{"smaller name among equals", []membership.Child{{Node: "b", Zone: "z", Expected: 3}, {Node: "a", Zone: "z", Expected: 3}}, 1, true},
-		{"not of another zone", []membership.Child{{Node: "a", Zone: "y", Expected: 9}, {Node: "b", Zone: "z", Expected: 1}}, 1, true},
-		{"not without a seat", []membership.Child{{Node: "a", Zone: "z", Expected: 9, NoSeat: true}, {Node: "b", Zone: "z", Expected: 1}}, 1, true},
-		{"not one with an offer", []membership.Child{{Node: "a", Zone: "z", Expected: 9, Offered: true}}, 0, false},
+		{"smaller name on a tie", []membership.Child{{Node: "b", Zone: "z", Expected: 3}, {Node: "a", Zone: "z", Expected: 3}}, 1, true},
+		{"other zone left out", []membership.Child{{Node: "a", Zone: "y", Expected: 9}, {Node: "b", Zone: "z", Expected: 1}}, 1, true},
+		{"child without seats left out", []membership.Child{{Node: "a", Zone: "z", Expected: 9, NoSeat: true}, {Node: "b", Zone: "z", Expected: 1}}, 1, true},
+		{"child with an offer left out", []membership.Child{{Node: "a", Zone: "z", Expected: 9, Offered: true}}, 0, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			index, found := membership.BestReader(test.children, "z")
 			assert.Equal(t, found, test.found)
-			assert.Equal(t, index, test.expect)
+			assert.Equal(t, index, test.want)
 		})
 	}
 }
@@ -48,12 +48,12 @@
 			}
 		}
 		named := membership.ReadersToName(readers, "z1", "r1", rand.Shuffle)
-		assert.Equal(rt, len(named), own+min(len(readers)-own, 4), "all of the zone and at most four others")
-		distance := 0
+		assert.Equal(rt, len(named), own+min(len(readers)-own, 4), "want all of the zone and at most four others")
+		previous := 0
 		for index, reader := range named {
-			now := map[string]int{"z1": 0, "z2": 1, "z3": 2}[reader.GetZone()]
-			assert.Assert(rt, now >= distance, "%d of %v", index, named)
-			distance = now
+			distance := map[string]int{"z1": 0, "z2": 1, "z3": 2}[reader.GetZone()]
+			assert.Assert(rt, distance >= previous, "%d of %v", index, named)
+			previous = distance
 		}
 	})
 }
--- a/internal/distribution/membership/source_backoff.go
+++ b/internal/distribution/membership/source_backoff.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// SourceBackoff says when a daemon without a parent may ask the object API who the readers of
-// its zone are. The first query waits a random time up to a bound, because a lost parent may
-// have had many children and a whole site may start at once; each later one waits twice as long
-// as the one before, up to another bound. It is not safe for concurrent use.
+// SourceBackoff schedules the object API queries by which a daemon without a parent finds the
+// readers of its zone. The first query is due after a random time up to a bound, because a lost
+// parent may have had many children and a whole site may start at once. Each later wait is twice
+// the previous one, up to another bound. It is not safe for concurrent use.
 type SourceBackoff struct {
 	rounds        int
-	wait, longest time.Duration
-	next          time.Time
+	wait, maxWait time.Duration
+	nextQuery     time.Time
 }
 
-// NewSourceBackoff returns the state of a daemon that starts at now or was a child until
-// now. first bounds the wait before the first query; shortest and longest bound the
-// waits after that. random is in [0, 1).
-func NewSourceBackoff(first, shortest, longest time.Duration, now time.Time, random float64) SourceBackoff {
-	return SourceBackoff{wait: shortest, longest: longest, next: now.Add(time.Duration(random * float64(first+1)))}
+// NewSourceBackoff returns the state of a daemon that has just started or lost its parent at now.
+// first bounds the wait before the first query. The mean of the later waits starts at twice minWait
+// and doubles up to maxWait. random is in [0, 1).
+func NewSourceBackoff(first, minWait, maxWait time.Duration, now time.Time, random float64) SourceBackoff {
+	return SourceBackoff{wait: minWait, maxWait: maxWait, nextQuery: now.Add(time.Duration(random * float64(first+1)))}
 }
 
-// Due reports whether the object API may be queried at now.
-func (b *SourceBackoff) Due(now time.Time) bool { return !now.Before(b.next) }
+// Due reports whether a query is due at now.
+func (b *SourceBackoff) Due(now time.Time) bool { return !now.Before(b.nextQuery) }
 
-// Rounds returns the number of queries.
+// Rounds returns the number of queries so far.
 func (b *SourceBackoff) Rounds() int { return b.rounds }
 
-// Queried records a query at now. The next one is due after half to one and a half times
-// the wait; random, in [0, 1), says where between.
+// Queried records a query at now. The next one is due after 0.5 to 1.5 times the wait, depending on
+// random, which is in [0, 1).
 func (b *SourceBackoff) Queried(now time.Time, random float64) {
 	b.rounds++
-	b.wait = min(2*b.wait, b.longest)
-	b.next = now.Add(b.wait/2 + time.Duration(random*float64(b.wait)))
+	b.wait = min(2*b.wait, b.maxWait)
+	b.nextQuery = now.Add(b.wait/2 + time.Duration(random*float64(b.wait)))
 }
--- a/internal/distribution/membership/source_backoff_test.go
+++ b/internal/distribution/membership/source_backoff_test.go
@@ -26,21 +26,21 @@
 		first := nextQuery(&backoff, now)
 		assert.Assert(rt, first <= time.Second+time.Millisecond)
 		at := now.Add(first)
-		middle := 100 * time.Millisecond
+		expectedWait := 100 * time.Millisecond
 		for round := 1; round <= 8; round++ {
 			backoff.Queried(at, random)
 			assert.Equal(rt, backoff.Rounds(), round)
 			wait := nextQuery(&backoff, at)
-			assert.Assert(rt, wait >= middle/2 && wait <= middle*3/2+time.Millisecond, "round %d waits %s", round, wait)
+			assert.Assert(rt, wait >= expectedWait/2 && wait <= expectedWait*3/2+time.Millisecond, "round %d waits %s", round, wait)
 			at = at.Add(wait)
-			middle = min(2*middle, 2*time.Second)
+			expectedWait = min(2*expectedWait, 2*time.Second)
 		}
 	})
 }
 
 func TestFirstQueryWaitsARandomPartOfItsBound(t *testing.T) {
 	backoff := membership.NewSourceBackoff(time.Second, 50*time.Millisecond, 2*time.Second, now, 0)
-	assert.Assert(t, backoff.Due(now), "a daemon may query at once")
+	assert.Assert(t, backoff.Due(now), "the first query is not due at once for random 0")
 	backoff = membership.NewSourceBackoff(time.Second, 50*time.Millisecond, 2*time.Second, now, 0.5)
 	assert.Assert(t, !backoff.Due(now.Add(499*time.Millisecond)) && backoff.Due(now.Add(501*time.Millisecond)))
 }
