--- a/internal/distribution/fleet/address.go
+++ b/internal/distribution/fleet/address.go
@@ -7,73 +7,73 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// The rule of where a daemon is. An address belongs to the daemon that answers there.
-// Statements about a daemon's address are believed in this order: its own greeting, the
-// directory (seconds old), other daemons' introductions (of any age). Inputs are the
-// statement, its kind, and whether the daemon is connected.
+// This file decides which address a daemon has. An address belongs to the daemon that answers
+// there. Statements about a daemon's address have this order of precedence: its own greeting, the
+// directory (seconds old), introductions by other daemons (of any age). The decision depends on the
+// statement, its source, and whether the daemon is connected.
 
-// recordHello records the greeting of a daemon that connects to this one, and returns its
-// peer, nil for one that is not remembered; the caller holds mutex.
+// recordHello records the greeting of a daemon that connects to this one. It returns the daemon's
+// peer, nil if the daemon is not recorded. The caller holds mutex.
 func (f *Fleet) recordHello(member Member) *peer {
-	known := f.findOrAddPeer(member)
-	if known == nil {
+	peer := f.findOrAddPeer(member)
+	if peer == nil {
 		return nil
 	}
-	known.listed = nil
-	known.displacedAt = time.Time{}
-	f.move(known, member)
-	return known
+	peer.listedMember = nil
+	peer.displacedAt = time.Time{}
+	f.updateMember(peer, member)
+	return peer
 }
 
-// recordDirectoryEntry records an entry of the directory. While the daemon is connected at
-// another address, that is where it is; the entry counts once that connection ends.
+// recordDirectoryEntry records an entry of the directory. While the daemon is connected at another
+// address, the entry is kept aside until that connection ends.
 func (f *Fleet) recordDirectoryEntry(member Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	known := f.findOrAddPeer(member)
+	peer := f.findOrAddPeer(member)
 	switch {
-	case known == nil:
-	case known.connected && known.Member != member:
-		known.listed = &member
+	case peer == nil:
+	case peer.connected && peer.Member != member:
+		peer.listedMember = &member
 	default:
-		known.listed = nil
-		f.move(known, member)
+		peer.listedMember = nil
+		f.updateMember(peer, member)
 	}
 }
 
-// recordIntroduced records what another daemon says of a third one. It may be older than
-// what is known here, so that it counts only for a daemon that is not known yet.
+// recordIntroduced records a daemon named by another one. The information may be outdated, so it is
+// used only for a daemon that is not known yet.
 func (f *Fleet) recordIntroduced(member Member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.findOrAddPeer(member)
 }
 
-// move records where a daemon is; the caller holds mutex.
-func (f *Fleet) move(known *peer, member Member) {
-	if known.Member == member {
+// updateMember replaces a peer's member data; the caller holds mutex.
+func (f *Fleet) updateMember(peer *peer, member Member) {
+	if peer.Member == member {
 		return
 	}
-	known.Member = member
-	known.displacedAt = time.Time{}
-	signal(known.dialNow)
+	peer.Member = member
+	peer.displacedAt = time.Time{}
+	signal(peer.dialNow)
 	signal(f.reviewLinks)
 }
 
-// moveAsListed applies what the directory said while the connection that has now
-// ended was open; Fleet.mutex is held.
-func (p *peer) moveAsListed() {
-	if p.listed == nil {
+// applyListedMember applies the directory entry that was kept aside while the connection was open;
+// Fleet.mutex is held.
+func (p *peer) applyListedMember() {
+	if p.listedMember == nil {
 		return
 	}
-	p.Member = *p.listed
-	p.listed = nil
+	p.Member = *p.listedMember
+	p.listedMember = nil
 	p.displacedAt = time.Time{}
 }
 
-// displace records that another daemon answers at a peer's address, so that the peer has
-// ended or moved: its instances are forgotten, and it is not dialed there.
-func (f *Fleet) displace(peer *peer, other *callmux.OtherDaemonError) {
+// markDisplaced records that another daemon answers at a peer's address. The peer has ended or
+// moved, so its instances are dropped and it is not dialed there.
+func (f *Fleet) markDisplaced(peer *peer, other *callmux.OtherDaemonError) {
 	f.mutex.Lock()
 	if peer.Address == other.Address {
 		peer.displacedAt = boottime.Now()
@@ -86,8 +86,8 @@
 	signal(f.reviewLinks)
 }
 
-// displaced reports whether another daemon was found at the address within
-// displacedRecheck; Fleet.mutex is held.
-func (p *peer) displaced(now time.Time) bool {
-	return !p.displacedAt.IsZero() && now.Sub(p.displacedAt) < displacedRecheck
+// isDisplaced reports whether another daemon was found at the peer's address within
+// displacedRetryInterval; Fleet.mutex is held.
+func (p *peer) isDisplaced(now time.Time) bool {
+	return !p.displacedAt.IsZero() && now.Sub(p.displacedAt) < displacedRetryInterval
 }
--- a/internal/distribution/fleet/allowances.go
+++ b/internal/distribution/fleet/allowances.go
@@ -10,8 +10,8 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// Allowances keeps limits that daemons share. Its methods do not wait; package allowance says what
-// they do.
+// Allowances enforces rate limits that daemons share; see package allowance. Its methods do not
+// block.
 type Allowances interface {
 	Candidates() []string
 	Members(nodes []string)
@@ -23,8 +23,8 @@
 	ReceiveGrant(node string, grant *lapisv1.AllowanceGrant)
 }
 
-// SendAllowance sends a message to a daemon on the link that this daemon opened. Without one the
-// message is dropped: its sender asks again.
+// SendAllowance sends a message on the link that this daemon opened to the recipient. Without such
+// a link the message is dropped, and its sender asks again.
 func (f *Fleet) SendAllowance(message allowance.Message) {
 	f.mutex.Lock()
 	peer := f.peers[message.To]
@@ -40,8 +40,8 @@
 	}
 }
 
-// addAllowanceOwners adds the owners of allowances to the daemons that are chosen for calls; the
-// caller holds mutex.
+// addAllowanceOwners adds the owners of allowances to the daemons chosen for calls; the caller
+// holds mutex.
 func (f *Fleet) addAllowanceOwners(chosen map[string]bool) {
 	if f.config.Allowances == nil {
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-// allowanceMember records a daemon that became known; the caller holds mutex.
+// allowanceMember reports a newly known daemon to Allowances; the caller holds mutex.
 func (f *Fleet) allowanceMember(node string) {
 	if f.config.Allowances != nil {
 		f.config.Allowances.Members([]string{node})
@@ -68,23 +68,23 @@
 	}
 }
 
-// allowanceConnected records a link that this daemon opened; the caller holds mutex, so that the end
-// of an earlier link is not recorded after it.
+// allowanceConnected reports a link that this daemon opened. The caller holds mutex, so that the
+// end of an earlier link is not reported after it.
 func (f *Fleet) allowanceConnected(node string) {
 	if f.config.Allowances != nil {
 		f.config.Allowances.Connected(node)
 	}
 }
 
-// allowanceLost records the end of a link that this daemon opened; the caller holds mutex.
+// allowanceLost reports the end of a link that this daemon opened; the caller holds mutex.
 func (f *Fleet) allowanceLost(node string) {
 	if f.config.Allowances != nil {
 		f.config.Allowances.Lost(node, false)
 	}
 }
 
-// allowanceUnreachable records that a daemon could not be dialed. Where its machine refuses the
-// connection, or another daemon answers, its process has ended.
+// allowanceUnreachable reports a daemon whose process has ended: its host refused the connection,
+// or another daemon answered at its address.
 func (f *Fleet) allowanceUnreachable(peer *peer, err error) {
 	if f.config.Allowances == nil || !processEnded(err) {
 		return
@@ -96,28 +96,28 @@
 	signal(f.reviewLinks)
 }
 
-// processEnded reports whether the error of a dial proves that the process is gone.
+// processEnded reports whether a dial error proves that the process has ended.
 func processEnded(err error) bool {
 	var other *callmux.OtherDaemonError
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &other)
 }
 
-// allowanceJoined records a link that another daemon opened.
+// allowanceJoined reports a link that another daemon opened.
 func (f *Fleet) allowanceJoined(inbound *inboundLink) {
 	if f.config.Allowances != nil {
 		f.config.Allowances.Joined(inbound)
 	}
 }
 
-// allowanceLeft records the end of a link that another daemon opened.
+// allowanceLeft reports the end of a link that another daemon opened.
 func (f *Fleet) allowanceLeft(inbound *inboundLink) {
 	if f.config.Allowances != nil {
 		f.config.Allowances.Left(inbound.node, inbound)
 	}
 }
 
-// serveAllowanceAsk answers another daemon. Sending may wait for the network, and this is called
-// where the frames of the link are read.
+// serveAllowanceAsk answers an ask of another daemon. The answer is sent on a separate goroutine,
+// because sending may block and the caller reads the link's frames.
 func (f *Fleet) serveAllowanceAsk(inbound *inboundLink, ask *lapisv1.AllowanceAsk) {
 	if f.config.Allowances == nil {
 		return
--- a/internal/distribution/fleet/allowances_test.go
+++ b/internal/distribution/fleet/allowances_test.go
@@ -15,52 +15,52 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// lender is a daemon with its part in the allowances.
-type lender struct {
+// allowanceDaemon is a daemon with its rate limiting service.
+type allowanceDaemon struct {
 	fleet   atomic.Pointer[Fleet]
 	service *allowance.Service
 }
 
-// send drops what is sent before the daemon has started.
-func (l *lender) send(message allowance.Message) {
+// send drops messages that are sent before the daemon has started.
+func (l *allowanceDaemon) send(message allowance.Message) {
 	if fleet := l.fleet.Load(); fleet != nil {
 		fleet.SendAllowance(message)
 	}
 }
 
-// playLenders starts daemons that keep limits together, waits until they know each other and
-// runs test.
-func playLenders(t *testing.T, count int, test func(ctx context.Context, lenders []*lender)) {
-	playDaemons(t, nil, func(_ *memoryNetwork, start func(Member, ...func(*Config)) *Fleet) {
+// runAllowanceDaemons starts daemons that share limits, waits until they know each other and runs
+// test.
+func runAllowanceDaemons(t *testing.T, count int, test func(ctx context.Context, daemons []*allowanceDaemon)) {
+	runDaemons(t, nil, func(_ *memoryNetwork, start func(Member, ...func(*Config)) *Fleet) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		var lenders []*lender
+		var daemons []*allowanceDaemon
 		for index := range count {
-			added := &lender{}
+			daemon := &allowanceDaemon{}
 			member := memberAt(fmt.Sprintf("%c-%d", 'A'+index, index), fmt.Sprintf("x:%d", index))
-			added.service = allowance.New(allowance.Config{
+			daemon.service = allowance.New(allowance.Config{
 				Self: member.Node, Bounds: allowance.Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20},
-				Send:   added.send,
+				Send:   daemon.send,
 				Random: func() float64 { return 0.5 }, Logger: logr.Discard(),
 			})
-			added.fleet.Store(start(member, func(config *Config) { config.Allowances = added.service }))
-			go added.service.Run(ctx)
-			lenders = append(lenders, added)
+			daemon.fleet.Store(start(member, func(config *Config) { config.Allowances = daemon.service }))
+			go daemon.service.Run(ctx)
+			daemons = append(daemons, daemon)
 		}
 		time.Sleep(20 * time.Second)
-		test(ctx, lenders)
+		test(ctx, daemons)
 	})
 }
 
-// Calls at any daemon share one limit, over the connections of the fleet; what is refused says when to
-// return.
+// Calls at any daemon share one limit over the connections of the fleet. Refused calls get a retry
+// delay.
 func TestDaemonsShareALimit(t *testing.T) {
-	playLenders(t, 12, func(ctx context.Context, lenders []*lender) {
+	runAllowanceDaemons(t, 12, func(ctx context.Context, daemons []*allowanceDaemon) {
 		limit := allowance.Limit{Rate: 1, Burst: 24}
 		granted := 0
 		for round := range 10 {
-			for _, lender := range lenders {
-				_, err := lender.service.Take(ctx, "account/a", limit, 1, false)
+			for _, daemon := range daemons {
+				_, err := daemon.service.Take(ctx, "account/a", limit, 1, false)
 				if err == nil {
 					granted++
 					continue
@@ -75,16 +75,17 @@
 	})
 }
 
-// Credit of calls that did not run serves others, where the bucket was not full lately.
+// Returned credit of calls that did not run can be used again, at other daemons as well, since the
+// bucket was not full recently.
 func TestCreditComesBackToTheOwner(t *testing.T) {
-	playLenders(t, 6, func(ctx context.Context, lenders []*lender) {
+	runAllowanceDaemons(t, 6, func(ctx context.Context, daemons []*allowanceDaemon) {
 		limit := allowance.Limit{Rate: 2, Burst: 40}
 		for round, err := 0, error(nil); err == nil; round++ {
-			_, err = lenders[round%6].service.Take(ctx, "account/a", limit, 1, false)
+			_, err = daemons[round%6].service.Take(ctx, "account/a", limit, 1, false)
 		}
 		time.Sleep(5 * time.Second)
 		for round := range 100 {
-			giveBack, err := lenders[round%6].service.Take(ctx, "account/a", limit, 1, false)
+			giveBack, err := daemons[round%6].service.Take(ctx, "account/a", limit, 1, false)
 			assert.NilError(t, err, "round %d", round)
 			giveBack()
 			time.Sleep(10 * time.Millisecond)
@@ -92,7 +93,7 @@
 	})
 }
 
-// A daemon that is linked to because it owns allowances gets no calls for that.
+// A daemon that is linked to only because it owns allowances gets no calls.
 func TestOwnersOfAllowancesGetNoMoreCalls(t *testing.T) {
 	owner := peerIn("owner", "a", 1)
 	owner.stopMaintaining, owner.allowanceOnly = func() {}, true
--- a/internal/distribution/fleet/catchup.go
+++ b/internal/distribution/fleet/catchup.go
@@ -14,8 +14,7 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// catchUp asks other daemons for a configuration that is newer than the one in force here,
-// until ctx ends.
+// catchUp requests newer configurations from other daemons until ctx ends.
 func (f *Fleet) catchUp(ctx context.Context) {
 	for {
 		select {
@@ -27,36 +26,36 @@
 	}
 }
 
-// catchUpOnce asks one daemon after the other until none is known to be ahead. Before it
-// first asks a daemon of another zone it waits up to zoneWait for its own zone to have the
-// version, unless it has no configuration at all.
+// catchUpOnce asks one daemon after another until none is known to have a newer configuration.
+// Before it first asks a daemon of another zone, it waits up to maxZoneWait for the own zone to get
+// the version, unless this daemon has no configuration at all.
 func (f *Fleet) catchUpOnce(ctx context.Context) {
 	asked := map[string]bool{}
-	mayWait := f.revision() > 0
+	canWait := f.revision() > 0
 	for ctx.Err() == nil {
-		peer, link := f.nextToAsk(asked)
+		peer, link := f.nextHolder(asked)
 		if peer == nil {
 			return
 		}
-		if mayWait && peer.Zone != f.config.Self.Zone {
-			mayWait = false
-			if !f.awaitConfiguration(ctx, time.Duration(float64(zoneWait)*f.config.Random())) {
+		if canWait && peer.Zone != f.config.Self.Zone {
+			canWait = false
+			if !f.awaitConfiguration(ctx, time.Duration(float64(maxZoneWait)*f.config.Random())) {
 				return
 			}
 			continue
 		}
 		asked[peer.Node] = true
 		f.requestConfiguration(peer, link)
-		if !f.awaitConfiguration(ctx, answerWait) {
+		if !f.awaitConfiguration(ctx, answerTimeout) {
 			return
 		}
 	}
 }
 
-// awaitConfiguration waits until a configuration comes, longest at most; it reports false
-// when ctx ended.
-func (f *Fleet) awaitConfiguration(ctx context.Context, longest time.Duration) bool {
-	timer := time.NewTimer(longest)
+// awaitConfiguration waits until a configuration arrives or timeout has passed. It returns false if
+// ctx ended.
+func (f *Fleet) awaitConfiguration(ctx context.Context, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -71,7 +70,7 @@
 	f.config.Logger.Info("fleet.configuration_asked", "member", peer.Node, "above", above)
 	request := &lapisv1.ConfigurationRequest{Above: above}
 	frame := &lapisv1.CallFrame{Body: &lapisv1.CallFrame_ConfigurationRequest{ConfigurationRequest: request}}
-	// In the background: another daemon is asked when no answer comes.
+	// Sent in the background. If no answer comes, another daemon is asked.
 	f.running.Go(func() {
 		if err := link.Send(frame); err != nil {
 			f.config.Logger.Info("fleet.configuration_request_lost", "member", peer.Node, "error", err)
@@ -79,24 +78,24 @@
 	})
 }
 
-// holder is a daemon that has a newer configuration than this one.
+// holder is a daemon with a newer configuration than this one.
 type holder struct {
 	tier     locality.Tier
 	revision uint64
-	// tieBreak is random, so that equal holders are asked evenly.
+	// tieBreak is random, so that requests are spread over equal holders.
 	tieBreak float64
 }
 
-// before reports whether a holder is asked before another one: the nearer tier first,
-// because bytes over borders have a price, then the newer revision, then at random.
-func (h holder) before(other holder) bool {
+// isPreferredTo reports whether a holder is asked before another one: the nearer tier first,
+// because traffic between zones and regions is billed, then the newer revision, then at random.
+func (h holder) isPreferredTo(other holder) bool {
 	return cmp.Or(cmp.Compare(h.tier, other.tier), cmp.Compare(other.revision, h.revision), cmp.Compare(other.tieBreak, h.tieBreak)) < 0
 }
 
-// nextToAsk returns the daemon to ask for the configuration, nil when there is none. It must
-// be connected and answering, have a newer revision in force than this daemon, and not be
-// in asked; among these holder.before decides.
-func (f *Fleet) nextToAsk(asked map[string]bool) (*peer, callmux.Link) {
+// nextHolder returns the daemon to ask for the configuration, nil if there is none. It must be
+// connected and answering, have a newer revision than this daemon, and not be in asked. Among
+// several, holder.isPreferredTo decides.
+func (f *Fleet) nextHolder(asked map[string]bool) (*peer, callmux.Link) {
 	above := f.revision()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -106,9 +105,9 @@
 		if !peer.connected || peer.stalled || peer.revision <= above || asked[peer.Node] {
 			continue
 		}
-		found := holder{tier: f.config.Self.tierOf(peer.Member), revision: peer.revision, tieBreak: f.config.Random()}
-		if best == nil || found.before(bestHolder) {
-			best, bestHolder = peer, found
+		current := holder{tier: f.config.Self.tierOf(peer.Member), revision: peer.revision, tieBreak: f.config.Random()}
+		if best == nil || current.isPreferredTo(bestHolder) {
+			best, bestHolder = peer, current
 		}
 	}
 	if best == nil {
@@ -122,8 +121,8 @@
 	signal(f.configurationArrived)
 }
 
-// receiveDeflatedConfiguration logs and drops a configuration that cannot be read; the next
-// daemon is asked after answerWait.
+// receiveDeflatedConfiguration decodes a configuration. One that cannot be decoded is logged and
+// dropped; the next daemon is asked after answerTimeout.
 func (f *Fleet) receiveDeflatedConfiguration(peer *peer, deflated []byte) {
 	content, err := wire.Inflate(deflated)
 	configuration := &lapisv1.Configuration{}
@@ -137,16 +136,16 @@
 	f.receiveConfiguration(configuration)
 }
 
-// encodedConfiguration is a configuration as it is sent, encoded once for all daemons that
-// ask for it. It is safe for concurrent use.
+// encodedConfiguration caches the encoded form of a configuration for all daemons that request it.
+// It is safe for concurrent use.
 type encodedConfiguration struct {
-	// mutex protects the rest and is held while a frame is encoded.
+	// mutex protects the fields below and is held while a frame is encoded.
 	mutex    sync.Mutex
 	revision uint64
 	frame    *lapisv1.CallFrame
 }
 
-func (e *encodedConfiguration) frameFor(configuration *lapisv1.Configuration) (*lapisv1.CallFrame, error) {
+func (e *encodedConfiguration) encodedFrame(configuration *lapisv1.Configuration) (*lapisv1.CallFrame, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.frame != nil && e.revision == configuration.GetRevision() {
@@ -165,15 +164,15 @@
 	return e.frame, nil
 }
 
-// serveConfiguration sends the configuration in force if it is newer than above. It does
-// not wait, because its caller reads the link's frames.
+// serveConfiguration sends the configuration in force if its revision is newer than above. It does
+// not block, because its caller reads the link's frames.
 func (f *Fleet) serveConfiguration(link callmux.Link, above uint64) {
 	configuration := f.config.InForce()
 	if configuration.GetRevision() <= above {
 		return
 	}
 	go func() {
-		frame, err := f.encoded.frameFor(configuration)
+		frame, err := f.encoded.encodedFrame(configuration)
 		if err != nil {
 			f.config.Logger.Error(err, "fleet.configuration_not_sent", "revision", configuration.GetRevision())
 			return
--- a/internal/distribution/fleet/catchup_test.go
+++ b/internal/distribution/fleet/catchup_test.go
@@ -8,47 +8,47 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// The configuration is asked of the own zone first, there of the newest, and never of
-// one that is not ahead, out of reach, silent, or was asked before.
+// The configuration is requested from the own zone first, and there from the daemon with the
+// newest. Daemons that are not ahead, disconnected, stalled or asked before are left out.
 func TestWhoIsAskedForTheConfiguration(t *testing.T) {
 	lost := peerIn("lost", "a", 9)
 	lost.connected = false
 	stalled := peerIn("stalled", "a", 9)
 	stalled.stalled = true
-	behind := newTestFleet(5, lost, stalled, peerIn("same", "a", 5), peerIn("near", "a", 6), peerIn("newer", "a", 7), peerIn("far", "b", 8))
+	fleet := newTestFleet(5, lost, stalled, peerIn("same", "a", 5), peerIn("near", "a", 6), peerIn("newer", "a", 7), peerIn("far", "b", 8))
 	asked := map[string]bool{}
 	for _, want := range []string{"newer", "near", "far"} {
-		member, _ := behind.nextToAsk(asked)
+		member, _ := fleet.nextHolder(asked)
 		assert.Assert(t, member != nil, "expected %s", want)
 		assert.Equal(t, member.Node, want)
 		asked[member.Node] = true
 	}
-	member, _ := behind.nextToAsk(asked)
+	member, _ := fleet.nextHolder(asked)
 	assert.Assert(t, member == nil)
 }
 
-// A daemon of the own region is asked before one of another, whatever that has.
+// A daemon of the own region is asked before one of another region with a newer configuration.
 func TestOwnRegionIsAskedFirst(t *testing.T) {
 	foreign, unknown, home := peerIn("foreign", "c", 9), peerIn("unknown", "d", 6), peerIn("home", "b", 7)
 	foreign.Region, home.Region = "r2", "r1"
-	behind := newTestFleet(5, foreign, unknown, home, peerIn("near", "a", 6))
-	behind.config.Self.Region = "r1"
+	fleet := newTestFleet(5, foreign, unknown, home, peerIn("near", "a", 6))
+	fleet.config.Self.Region = "r1"
 	asked := map[string]bool{}
 	for _, want := range []string{"near", "home", "unknown", "foreign"} {
-		member, _ := behind.nextToAsk(asked)
+		member, _ := fleet.nextHolder(asked)
 		assert.Assert(t, member != nil, "expected %s", want)
 		assert.Equal(t, member.Node, want)
 		asked[member.Node] = true
 	}
 }
 
-// A version is made ready once for all that ask for it, and reads back as it was.
+// A configuration is encoded once for all requests, and decodes to the original.
 func TestOutgoingConfigurationIsMadeOnce(t *testing.T) {
 	sent := &encodedConfiguration{}
 	configuration := &lapisv1.Configuration{Revision: 3, Bundles: []*lapisv1.EncodedBundle{{Service: "desk", Content: []byte("routes")}}}
-	first, err := sent.frameFor(configuration)
+	first, err := sent.encodedFrame(configuration)
 	assert.NilError(t, err)
-	second, err := sent.frameFor(configuration)
+	second, err := sent.encodedFrame(configuration)
 	assert.NilError(t, err)
 	assert.Assert(t, first == second)
 
--- a/internal/distribution/fleet/directory.go
+++ b/internal/distribution/fleet/directory.go
@@ -8,35 +8,35 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Member is a daemon as others reach it.
+// Member identifies a daemon and states where it can be reached.
 type Member struct {
-	// Node is the daemon's name, one in the fleet.
+	// Node is the daemon's name, unique in the fleet.
 	Node string
-	// Address is where it accepts the connections of other daemons, as host:port.
+	// Address is the host:port at which it accepts connections from other daemons.
 	Address string
 	Zone    string
-	// Region is empty where it is not known.
+	// Region is empty if it is unknown.
 	Region string
-	// Service is that of the machine, empty when there is none.
+	// Service is the service on the daemon's machine, empty if there is none.
 	Service string
 }
 
 func (m Member) place() locality.Place { return locality.Place{Zone: m.Zone, Region: m.Region} }
 
-// tierOf returns how far another member is.
+// tierOf returns the distance tier of another member.
 func (m Member) tierOf(other Member) locality.Tier { return m.place().TierOf(other.place()) }
 
-// Directory is where daemons find each other. After any error the call is made again,
-// because it may or may not have had an effect.
+// Directory is the registry in which daemons find each other. Calls are repeated after any error,
+// because a failed call may have taken effect.
 type Directory interface {
-	// Publish makes a member known; doing it twice does no harm.
+	// Publish adds a member. It is idempotent.
 	Publish(ctx context.Context, member Member) error
-	// Members returns the members known. The answer may be some seconds old.
+	// Members returns the published members. The result may be some seconds old.
 	Members(ctx context.Context) ([]Member, error)
 }
 
-// followDirectory lists the other daemons, and publishes this one unless its entry is correct,
-// until ctx ends.
+// followDirectory lists the members periodically, and publishes this daemon if its entry is missing
+// or wrong, until ctx ends.
 func (f *Fleet) followDirectory(ctx context.Context) {
 	schedule := newListSchedule()
 	published := false
@@ -49,7 +49,7 @@
 		listed = listed || err == nil
 		if err == nil && !found && !published {
 			err = f.config.Directory.Publish(ctx, f.config.Self)
-			schedule.publishedNow()
+			schedule.recordPublication()
 		}
 		var wait time.Duration
 		if err != nil {
@@ -68,9 +68,9 @@
 	}
 }
 
-// DirectoryReturned reports that entries written to the directory lately may be gone. This daemon
-// writes its own again when it next lists the directory, unless it is there: all daemons do so
-// within directoryInterval and its jitter, and not at once.
+// DirectoryReturned reports that recent directory entries may be lost. At its next list, this
+// daemon publishes its entry again if it is missing. Daemons thus write within directoryInterval
+// plus jitter instead of all at once.
 func (f *Fleet) DirectoryReturned() { f.entryLost.Store(true) }
 
 // listDirectory records the listed members and reports whether this daemon's entry is correct.
@@ -89,43 +89,44 @@
 	return found, nil
 }
 
-// listSchedule is the rule of when the directory is listed again. Inputs: whether the last
-// call failed, whether this daemon has just been published, and the number of daemons known.
-// After a failure the wait doubles from directoryRetryMin to directoryRetryMax. After a
-// publication it doubles from relistMin, because lists are stale and daemons that start at
-// the same time are missing from them. Otherwise, and at the longest, it is directoryInterval,
-// or intervalPerMember for each daemon known where that is longer.
+// listSchedule decides when to list the directory again. It depends on whether the last call
+// failed, whether this daemon was just published, and the number of known daemons. After a failure
+// the wait doubles from directoryRetryMin to directoryRetryMax. After a publication it doubles from
+// relistMin, because lists are stale and lack daemons that start at the same time. Otherwise, and
+// at most, it is directoryInterval, or intervalPerMember times the number of known daemons if that
+// is longer.
 type listSchedule struct {
-	// retry is the wait after the next failure, relist the wait after the next success
-	// unless it is longer than the regular one.
-	retry, relist time.Duration
+	// retryWait is the wait after the next failure. relistWait is the wait after the next success,
+	// unless the regular interval is shorter.
+	retryWait, relistWait time.Duration
 }
 
 func newListSchedule() *listSchedule {
-	return &listSchedule{retry: directoryRetryMin, relist: directoryInterval}
+	return &listSchedule{retryWait: directoryRetryMin, relistWait: directoryInterval}
 }
 
-// publishedNow records that this daemon was written to the directory, or may have been.
-func (s *listSchedule) publishedNow() { s.relist = relistMin }
+// recordPublication records that this daemon was written to the directory, or may have been.
+func (s *listSchedule) recordPublication() { s.relistWait = relistMin }
 
 func (s *listSchedule) afterFailure() time.Duration {
-	wait := s.retry
-	s.retry = min(2*s.retry, directoryRetryMax)
+	wait := s.retryWait
+	s.retryWait = min(2*s.retryWait, directoryRetryMax)
 	return wait
 }
 
-// afterSuccess returns the wait after a list, with so many other daemons known.
+// afterSuccess returns the wait after a successful list. known is the number of other daemons
+// known.
 func (s *listSchedule) afterSuccess(known int) time.Duration {
-	s.retry = directoryRetryMin
-	wait := min(s.relist, max(directoryInterval, time.Duration(known)*intervalPerMember))
-	s.relist = min(2*s.relist, maxListInterval)
+	s.retryWait = directoryRetryMin
+	wait := min(s.relistWait, max(directoryInterval, time.Duration(known)*intervalPerMember))
+	s.relistWait = min(2*s.relistWait, maxListInterval)
 	return wait
 }
 
-// jitterParts is the inverse of the largest part that jitter adds.
-const jitterParts = 4
+// jitterDivisor is the inverse of the maximum jitter as a fraction of the wait.
+const jitterDivisor = 4
 
-// jitter lengthens a wait at random, so that daemons that started together get out of step.
+// jitter extends a wait at random, so that daemons that started together do not stay in step.
 func (f *Fleet) jitter(wait time.Duration) time.Duration {
-	return wait + time.Duration(f.config.Random()*float64(wait)/jitterParts)
+	return wait + time.Duration(f.config.Random()*float64(wait)/jitterDivisor)
 }
--- a/internal/distribution/fleet/directory_test.go
+++ b/internal/distribution/fleet/directory_test.go
@@ -12,35 +12,35 @@
 	"gotest.tools/v3/assert"
 )
 
-// visit lets a daemon follow directory until test returns.
-func visit(t *testing.T, directory *scriptedDirectory, test func(self Member, visitor *Fleet)) {
+// followScriptedDirectory lets a daemon follow directory until test returns.
+func followScriptedDirectory(t *testing.T, directory *scriptedDirectory, test func(self Member, daemon *Fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		self := Member{Node: "self", Address: "10.0.0.1:1", Zone: "a", Service: "desk"}
 		ctx, cancel := context.WithCancel(context.Background())
-		visitor := New(Config{Self: self, Directory: directory, Random: func() float64 { return 0 }, Logger: logr.Discard()})
+		daemon := New(Config{Self: self, Directory: directory, Random: func() float64 { return 0 }, Logger: logr.Discard()})
 		var running sync.WaitGroup
-		running.Go(func() { visitor.followDirectory(ctx) })
-		test(self, visitor)
+		running.Go(func() { daemon.followDirectory(ctx) })
+		test(self, daemon)
 		cancel()
 		running.Wait()
 	})
 }
 
-// A daemon that starts again under its name and address costs one list.
+// A daemon that restarts under its name and address lists the directory once and writes nothing.
 func TestStartOfAKnownDaemonCostsOneList(t *testing.T) {
 	self := Member{Node: "self", Address: "10.0.0.1:1", Zone: "a", Service: "desk"}
 	directory := &scriptedDirectory{published: map[Member]time.Time{self: {}, {Node: "other", Address: "10.0.0.2:1"}: {}}}
-	visit(t, directory, func(_ Member, visitor *Fleet) {
+	followScriptedDirectory(t, directory, func(_ Member, daemon *Fleet) {
 		time.Sleep(10 * time.Second)
 		lists, writes := directory.calls()
 		assert.Equal(t, lists, 1)
 		assert.Equal(t, writes, 0)
-		assert.Equal(t, visitor.Known(), 1)
+		assert.Equal(t, daemon.Known(), 1)
 	})
 }
 
-// One that is not known, or known at another address, is written once, and lists
-// again soon: who started at the same time is missing from old answers.
+// A daemon that is unknown, or known at another address, is written once. It lists again soon,
+// because daemons that start at the same time are missing from stale lists.
 func TestNewDaemonIsPublishedAndListsAgain(t *testing.T) {
 	for name, before := range map[string]Member{
 		"unknown":         {Node: "other", Address: "10.0.0.2:1"},
@@ -48,26 +48,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			directory := &scriptedDirectory{lag: 2 * time.Second, published: map[Member]time.Time{before: {}}}
-			visit(t, directory, func(self Member, visitor *Fleet) {
+			followScriptedDirectory(t, directory, func(self Member, daemon *Fleet) {
 				twin := Member{Node: "twin", Address: "10.0.0.3:1"}
 				assert.NilError(t, directory.Publish(t.Context(), twin))
 				time.Sleep(6 * time.Second)
 				lists, writes := directory.calls()
-				assert.Equal(t, writes, 2, "the twin's and the daemon's own")
-				assert.Equal(t, lists, 5, "at once, after 0.25, 0.75, 1.75 and 3.75 s")
-				visitor.mutex.Lock()
-				defer visitor.mutex.Unlock()
-				assert.Assert(t, visitor.peers["twin"] != nil)
-				assert.Assert(t, visitor.peers[self.Node] == nil)
+				assert.Equal(t, writes, 2, "want one write by the twin and one by the daemon")
+				assert.Equal(t, lists, 5, "want lists at 0, 0.25, 0.75, 1.75 and 3.75 s")
+				daemon.mutex.Lock()
+				defer daemon.mutex.Unlock()
+				assert.Assert(t, daemon.peers["twin"] != nil)
+				assert.Assert(t, daemon.peers[self.Node] == nil)
 			})
 		})
 	}
 }
 
-// Through an outage the directory is asked in growing intervals.
+// During an outage the directory is called at growing intervals.
 func TestDirectoryIsAskedWithoutHasteThroughAnOutage(t *testing.T) {
 	directory := &scriptedDirectory{down: true, published: map[Member]time.Time{}}
-	visit(t, directory, func(self Member, _ *Fleet) {
+	followScriptedDirectory(t, directory, func(self Member, _ *Fleet) {
 		time.Sleep(10 * time.Second)
 		lists, writes := directory.calls()
 		assert.Assert(t, lists >= 6 && lists <= 10, "%d lists", lists)
@@ -84,11 +84,11 @@
 	})
 }
 
-// The wait between two lists stays at its longest however long the daemon runs. It grew
-// until the number that holds it overflowed: the daemon then listed the
-// directory without any wait, 10 minutes after its start.
+// The wait between two lists stays at its maximum however long the daemon runs. An unbounded
+// doubling overflowed the duration, so that the daemon listed the directory without any wait 10
+// minutes after its start.
 func TestDirectoryIsListedSeldomByALongRunningDaemon(t *testing.T) {
-	for name, schedule := range map[string]*listSchedule{"listed at its start": newListSchedule(), "published": {relist: relistMin}} {
+	for name, schedule := range map[string]*listSchedule{"listed at start": newListSchedule(), "published": {relistWait: relistMin}} {
 		t.Run(name, func(t *testing.T) {
 			for range 10 {
 				schedule.afterSuccess(12)
--- a/internal/distribution/fleet/endpoints.go
+++ b/internal/distribution/fleet/endpoints.go
@@ -10,8 +10,8 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// SetLocalEndpoints replaces the instances beside this daemon and announces them to the
-// daemons that opened a link. It keeps endpoints and fills in their daemon.
+// SetLocalEndpoints replaces the instances on this machine and announces them on all inbound links.
+// It keeps the slice and fills in the daemon's data.
 func (f *Fleet) SetLocalEndpoints(endpoints []*lapisv1.Endpoint) {
 	withdrawn := f.config.Withdrawn()
 	f.mutex.Lock()
@@ -27,7 +27,7 @@
 	signal(f.reportDue)
 }
 
-// Endpoints returns the known instances of a service, in order of their names.
+// Endpoints returns the known instances of a service, ordered by name.
 func (f *Fleet) Endpoints(service string) []*lapisv1.Endpoint {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -41,7 +41,7 @@
 	f.send(link, &lapisv1.CallFrame{Body: &lapisv1.CallFrame_Announcement{Announcement: announcement}})
 }
 
-// announcement returns this daemon's own; the caller holds mutex.
+// announcement returns this daemon's announcement; the caller holds mutex.
 func (f *Fleet) announcement() *lapisv1.Announcement {
 	self := f.config.Self
 	return &lapisv1.Announcement{
@@ -50,8 +50,8 @@
 	}
 }
 
-// recordAnnouncement records another daemon's announcement, which came on the link of
-// that generation. One that came late on an earlier link is dropped.
+// recordAnnouncement records another daemon's announcement that arrived on the link with the given
+// generation. A late announcement from an earlier link is dropped.
 func (f *Fleet) recordAnnouncement(peer *peer, generation uint64, announcement *lapisv1.Announcement) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -59,7 +59,7 @@
 		return
 	}
 	if region := announcement.GetRegion(); region != "" && region != peer.Region {
-		// An entry of the directory may lack the region.
+		// Directory entries may lack the region.
 		peer.Region = region
 		signal(f.reviewLinks)
 	}
@@ -81,16 +81,16 @@
 	endpoint.Incarnation = incarnation
 }
 
-// endpoints returns all known instances by service, in order of instance; the
-// caller holds mutex. Those of a daemon that was never chosen for a link, that is linked to for
-// allowances only, or whose link has been lost for endpointsForgottenAfter, are left out.
+// endpoints returns all known instances by service, ordered by instance name; the caller holds
+// mutex. It leaves out instances of daemons that are not chosen for a link, that are linked to only
+// because they own allowances, or whose link has been lost for longer than endpointTTL.
 func (f *Fleet) endpoints() map[string][]*lapisv1.Endpoint {
 	services := map[string][]*lapisv1.Endpoint{}
 	for _, endpoint := range f.local {
 		services[endpoint.GetService()] = append(services[endpoint.GetService()], endpoint)
 	}
 	for _, peer := range f.peers {
-		if peer.stopMaintaining == nil || peer.allowanceOnly || (!peer.connected && boottime.Since(peer.lostAt) > endpointsForgottenAfter) {
+		if peer.stopMaintaining == nil || peer.allowanceOnly || (!peer.connected && boottime.Since(peer.lostAt) > endpointTTL) {
 			continue
 		}
 		for _, endpoint := range peer.announcement.GetEndpoints() {
@@ -105,8 +105,8 @@
 	return services
 }
 
-// withReachability returns an endpoint as this daemon can use it: a ready one whose daemon
-// is out of reach or does not answer is suspect.
+// withReachability returns an endpoint with the state in which this daemon can use it: a ready
+// instance is suspect while its daemon is disconnected or does not answer.
 func (p *peer) withReachability(endpoint *lapisv1.Endpoint) *lapisv1.Endpoint {
 	if (p.connected && !p.stalled) || endpoint.GetState() != lapisv1.Endpoint_STATE_READY {
 		return endpoint
@@ -127,15 +127,15 @@
 		case <-f.reportDue:
 		}
 		endpoints, count := f.reportable()
-		for service, known := range endpoints {
-			f.config.Observer.Endpoints(service, known)
+		for service, instances := range endpoints {
+			f.config.Observer.Endpoints(service, instances)
 		}
 		f.config.Observer.Members(count)
 	}
 }
 
-// reportable returns the instances by service, with an empty list for a service that was
-// reported before and has none now, and the number of daemons.
+// reportable returns the instances by service and the number of daemons. A service that was
+// reported before and has no instances now gets an empty list.
 func (f *Fleet) reportable() (endpoints map[string][]*lapisv1.Endpoint, members int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/distribution/fleet/fleet.go
+++ b/internal/distribution/fleet/fleet.go
@@ -14,82 +14,81 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// Observer is notified of what the fleet learns. Its methods are called without a lock
-// held and, but for Endpoints and Members, from several goroutines at the same time.
+// Observer receives what the fleet learns from other daemons. Its methods are called without locks
+// held. All except Endpoints and Members may be called concurrently.
 type Observer interface {
-	// Endpoints gives all instances known of a service. It is never called
-	// twice at the same time.
+	// Endpoints passes all known instances of a service. It is not called concurrently.
 	Endpoints(service string, endpoints []*lapisv1.Endpoint)
-	// Members gives the number of daemons, this one included.
+	// Members passes the number of daemons, including this one.
 	Members(count int)
-	// Offer brings a configuration that another daemon has in force.
+	// Offer passes a configuration that another daemon has in force.
 	Offer(configuration *lapisv1.Configuration)
-	// OfferOrders brings the operators' orders that another daemon follows.
+	// OfferOrders passes the operators' orders that another daemon follows.
 	OfferOrders(set *orders.Set, from string)
-	// OfferSuspects brings another daemon's records of suspects.
+	// OfferSuspects passes another daemon's suspect records.
 	OfferSuspects(records []quarantine.Record, from string)
-	// Withdraw names an instance beside this daemon that left for good while an earlier
-	// incarnation of the daemon ran.
+	// Withdraw names an instance on this machine that left for good during an earlier incarnation
+	// of this daemon.
 	Withdraw(instance string)
 }
 
-// Config configures a Fleet.
 type Config struct {
 	Self Member
 	// Incarnation distinguishes this process from earlier ones of the same name.
 	Incarnation uint64
 	Directory   Directory
-	// Calls keeps the connections; its Maintained must be set.
+	// Calls manages the connections. Its Maintained field must be set.
 	Calls    *callmux.Client
 	Observer Observer
-	// InForce returns the configuration in force, nil before the first.
+	// InForce returns the configuration in force, nil before the first one.
 	InForce func() *lapisv1.Configuration
-	// Orders are the operators' orders in force; nil where operators give none.
+	// Orders holds the operators' orders in force. It is nil if operators give no orders here.
 	Orders *orders.Current
-	// Rollouts receives what others say of roll-outs; nil where operators order none.
+	// Rollouts receives rollout messages of other daemons. It is nil if operators order no rollouts
+	// here.
 	Rollouts RolloutObserver
-	// Suspects returns all records of suspects; nil where they are not exchanged.
+	// Suspects returns all suspect records. It is nil if they are not exchanged.
 	Suspects func() []quarantine.Record
-	// Allowances keeps limits that daemons share; nil where there are none.
+	// Allowances enforces rate limits that daemons share. It is nil if there are none.
 	Allowances Allowances
-	// Freshness is how recently configuration and orders were confirmed to be the newest.
+	// Freshness tracks when configuration and orders were last confirmed as the newest.
 	Freshness *configsource.Freshness
-	// Withdrawn returns the instances beside this daemon that left for good.
+	// Withdrawn returns the instances on this machine that left for good.
 	Withdrawn func() []string
 	// Random returns numbers between 0 and 1.
 	Random func() float64
 	Logger logr.Logger
 }
 
-// Fleet is this daemon's knowledge of all others and its links to some of them. It is safe
-// for concurrent use; Run may be called once.
+// Fleet holds the known daemons and the links to some of them. It is safe for concurrent use. Run
+// may be called once.
 type Fleet struct {
-	// entryLost is true when this daemon's entry in the directory may be gone.
+	// entryLost is true if this daemon's directory entry may have been lost.
 	entryLost atomic.Bool
 	config    Config
 	running   sync.WaitGroup
-	// reportDue wakes report, reviewLinks maintainLinks, and catchUpDue catchUp.
+	// reportDue wakes report, reviewLinks wakes maintainLinks, and catchUpDue wakes catchUp.
 	reportDue   chan struct{}
 	reviewLinks chan struct{}
 	catchUpDue  chan struct{}
-	// configurationArrived ends catchUp's wait for the answer of the daemon that it asked.
+	// configurationArrived ends catchUp's wait for an answer.
 	configurationArrived chan struct{}
-	// encoded is the configuration in force as it is sent to others.
+	// encoded caches the encoded configuration in force.
 	encoded encodedConfiguration
 
-	// mutex protects everything below and the fields of peers and inbound links.
+	// mutex protects the fields below and the fields of peers and inbound links.
 	mutex   sync.Mutex
 	peers   map[string]*peer
 	inbound map[*inboundLink]bool
 	local   []*lapisv1.Endpoint
 	// withdrawn are the local instances that left for good.
 	withdrawn []string
-	// rankings choose further daemons that are linked to, firstRanked of each.
-	rankings    []Ranking
-	firstRanked int
-	// alsoLinked are daemons that are linked to by their names.
-	alsoLinked []string
-	// services are those reported to the observer before.
+	// rankings select further daemons to link to, linksPerRanking from each ranking.
+	rankings        []Ranking
+	linksPerRanking int
+	// additionalNodes are the names of further daemons to link to.
+	additionalNodes []string
+	// services are the services reported to the observer so far.
 	services map[string]bool
 }
 
@@ -105,7 +104,7 @@
 	}
 }
 
-// Run keeps in touch with the other daemons until ctx ends, and waits for its goroutines.
+// Run maintains the links to other daemons until ctx ends, and waits for its goroutines.
 func (f *Fleet) Run(ctx context.Context) {
 	f.running.Go(func() { f.followDirectory(ctx) })
 	f.running.Go(func() { f.report(ctx) })
@@ -115,10 +114,10 @@
 	f.running.Wait()
 }
 
-// revision returns the revision of the configuration in force, 0 before the first.
+// revision returns the revision of the configuration in force, 0 before the first one.
 func (f *Fleet) revision() uint64 { return f.config.InForce().GetRevision() }
 
-// signal wakes the goroutine that waits on channel, without waiting itself.
+// signal wakes the goroutine that waits on channel, without blocking.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/distribution/fleet/heartbeat.go
+++ b/internal/distribution/fleet/heartbeat.go
@@ -8,9 +8,9 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// recordHeartbeat records what another daemon has in force and how recently that was
-// confirmed; peer is nil for one that is not remembered. A confirmation that makes this
-// daemon fresher is passed on.
+// recordHeartbeat records which revisions another daemon has in force and when they were confirmed
+// as the newest. peer is nil for a daemon that is not recorded. If the confirmation is newer than
+// this daemon's, it is forwarded.
 func (f *Fleet) recordHeartbeat(peer *peer, heartbeat callmux.Heartbeat) {
 	if peer != nil {
 		f.mutex.Lock()
@@ -23,31 +23,31 @@
 	}
 }
 
-// SendHeartbeats sends what is in force here and how fresh it is, ahead of the regular
-// heartbeats, to all linked daemons that lack a version, or whose last statement is older
-// than what is confirmed here by more than earlyHeartbeatGain. It does not wait.
+// SendHeartbeats sends the revisions in force and their confirmation ahead of the regular
+// heartbeats. It sends to linked daemons that lack a version, or whose last stated confirmation is
+// older than this daemon's by more than minConfirmationGain. It does not block.
 func (f *Fleet) SendHeartbeats() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, peer := range f.peers {
 		if peer.connected {
-			peer.link.HeartbeatEarly(f.earlyHeartbeatGain(peer.place()))
+			peer.link.HeartbeatEarly(f.minConfirmationGain(peer.place()))
 		}
 	}
 	for inbound := range f.inbound {
-		inbound.link.HeartbeatEarly(f.earlyHeartbeatGain(inbound.place))
+		inbound.link.HeartbeatEarly(f.minConfirmationGain(inbound.place))
 	}
 }
 
-// earlyHeartbeatGain returns by how much a confirmation must be newer than what a daemon at
-// a place stated to be sent there ahead of the next regular heartbeat.
-func (f *Fleet) earlyHeartbeatGain(there locality.Place) time.Duration {
+// minConfirmationGain returns by how much a confirmation must be newer than the one that a daemon
+// at a place stated last, to be sent there ahead of the next regular heartbeat.
+func (f *Fleet) minConfirmationGain(there locality.Place) time.Duration {
 	switch f.config.Self.place().TierOf(there) {
 	case locality.OwnZone:
-		return zoneGain
+		return minGainInZone
 	case locality.OwnRegion:
-		return regionGain
+		return minGainInRegion
 	default:
-		return otherRegionGain
+		return minGainAcrossRegions
 	}
 }
--- a/internal/distribution/fleet/heartbeat_test.go
+++ b/internal/distribution/fleet/heartbeat_test.go
@@ -10,41 +10,41 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// A heartbeat with a newer version wakes the catching up; its confirmation does not
-// make the older version here look fresh.
+// A heartbeat with a newer revision starts a configuration request. Its confirmation does not apply
+// to the older version in force here.
 func TestHeartbeatOfANewerVersion(t *testing.T) {
 	ahead := peerIn("ahead", "a", 0)
-	behind := newTestFleet(5, ahead)
-	behind.config.Freshness.Advance(5)
-	behind.recordHeartbeat(ahead, callmux.Heartbeat{Revision: 6, Confirmed: ahead.lostAt.AddDate(2000, 0, 0)})
+	fleet := newTestFleet(5, ahead)
+	fleet.config.Freshness.Advance(5)
+	fleet.recordHeartbeat(ahead, callmux.Heartbeat{Revision: 6, Confirmed: ahead.lostAt.AddDate(2000, 0, 0)})
 	assert.Equal(t, ahead.revision, uint64(6))
-	assert.Equal(t, len(behind.catchUpDue), 1)
-	assert.Assert(t, behind.config.Freshness.Confirmed().IsZero())
-	behind.config.Freshness.Advance(6)
-	assert.Assert(t, !behind.config.Freshness.Confirmed().IsZero())
+	assert.Equal(t, len(fleet.catchUpDue), 1)
+	assert.Assert(t, fleet.config.Freshness.Confirmed().IsZero())
+	fleet.config.Freshness.Advance(6)
+	assert.Assert(t, !fleet.config.Freshness.Confirmed().IsZero())
 }
 
-// A heartbeat that states newer orders, whose frame has not come, does not make what
-// is in force here look fresh.
+// A heartbeat that states newer orders, before the orders themselves arrive, does not confirm the
+// orders in force here.
 func TestHeartbeatOfNewerOrders(t *testing.T) {
 	ahead := peerIn("ahead", "a", 0)
-	behind := newTestFleet(5, ahead)
-	behind.config.Freshness.WithOrders = true
-	behind.config.Freshness.Advance(5)
-	behind.config.Freshness.AdvanceOrders(7)
-	behind.recordHeartbeat(ahead, callmux.Heartbeat{Revision: 5, Orders: 9, Confirmed: time.Now()})
-	assert.Assert(t, behind.config.Freshness.Confirmed().IsZero())
-	behind.config.Freshness.AdvanceOrders(9)
-	assert.Assert(t, !behind.config.Freshness.Confirmed().IsZero())
+	fleet := newTestFleet(5, ahead)
+	fleet.config.Freshness.WithOrders = true
+	fleet.config.Freshness.Advance(5)
+	fleet.config.Freshness.AdvanceOrders(7)
+	fleet.recordHeartbeat(ahead, callmux.Heartbeat{Revision: 5, Orders: 9, Confirmed: time.Now()})
+	assert.Assert(t, fleet.config.Freshness.Confirmed().IsZero())
+	fleet.config.Freshness.AdvanceOrders(9)
+	assert.Assert(t, !fleet.config.Freshness.Confirmed().IsZero())
 }
 
-// Within a zone a confirmation is sent at once; over its border it waits for the
-// regular heartbeats, and over that of a region for longer.
+// Within a zone a confirmation is sent at once. Across zones it waits for the regular heartbeats,
+// and across regions for longer.
 func TestConfirmationsCrossZonesSeldom(t *testing.T) {
-	teller := newTestFleet(5)
-	teller.config.Self.Region = "r1"
-	assert.Assert(t, teller.earlyHeartbeatGain(locality.Place{Zone: "a", Region: "r1"}) < time.Second)
-	assert.Assert(t, teller.earlyHeartbeatGain(locality.Place{Zone: "b", Region: "r1"}) > time.Second)
-	assert.Equal(t, teller.earlyHeartbeatGain(locality.Place{Zone: "b", Region: ""}), teller.earlyHeartbeatGain(locality.Place{Zone: "b", Region: "r1"}))
-	assert.Assert(t, teller.earlyHeartbeatGain(locality.Place{Zone: "c", Region: "r2"}) > teller.earlyHeartbeatGain(locality.Place{Zone: "b", Region: "r1"}))
+	fleet := newTestFleet(5)
+	fleet.config.Self.Region = "r1"
+	assert.Assert(t, fleet.minConfirmationGain(locality.Place{Zone: "a", Region: "r1"}) < time.Second)
+	assert.Assert(t, fleet.minConfirmationGain(locality.Place{Zone: "b", Region: "r1"}) > time.Second)
+	assert.Equal(t, fleet.minConfirmationGain(locality.Place{Zone: "b", Region: ""}), fleet.minConfirmationGain(locality.Place{Zone: "b", Region: "r1"}))
+	assert.Assert(t, fleet.minConfirmationGain(locality.Place{Zone: "c", Region: "r2"}) > fleet.minConfirmationGain(locality.Place{Zone: "b", Region: "r1"}))
 }
--- a/internal/distribution/fleet/inbound.go
+++ b/internal/distribution/fleet/inbound.go
@@ -6,20 +6,20 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// inboundLink is a link that another daemon opened; this daemon's instances are announced on it.
+// inboundLink is a link that another daemon opened. This daemon announces its instances on it.
 type inboundLink struct {
 	link callmux.Link
-	// node and place are those of the daemon that opened the link.
+	// node and place identify the daemon that opened the link.
 	node  string
 	place locality.Place
-	// announcementChanged and ordersChanged ask for these to be sent.
+	// announcementChanged and ordersChanged request that these be sent.
 	announcementChanged, ordersChanged chan struct{}
 	pendingSuspects                    pendingSuspects
 	pendingRollouts                    pendingRollouts
 }
 
-// Accepted starts to serve a link that another daemon opened, and returns what receives its
-// frames; callmux.Server calls it.
+// Accepted starts to serve a link that another daemon opened and returns the handlers for its
+// frames. callmux.Server calls it.
 func (f *Fleet) Accepted(hello *lapisv1.Hello, link callmux.Link) callmux.Control {
 	dialer := Member{Node: hello.GetNode(), Address: hello.GetAddress(), Zone: hello.GetZone(), Region: hello.GetRegion(), Service: hello.GetService()}
 	inbound := &inboundLink{
@@ -42,15 +42,16 @@
 	}
 }
 
-// serveInbound sends on an inbound link what its daemon may lack, now and when it changes,
-// until the link ends. peer is nil for a daemon that is not remembered.
+// serveInbound sends orders, suspect records, rollout messages and this daemon's announcement on an
+// inbound link, first in full and then on each change, until the link ends. peer is nil for a
+// daemon that is not recorded.
 func (f *Fleet) serveInbound(inbound *inboundLink, peer *peer) {
 	defer func() {
 		f.mutex.Lock()
 		delete(f.inbound, inbound)
 		f.mutex.Unlock()
 		f.allowanceLeft(inbound)
-		f.unlinked(inbound.node)
+		f.notifyUnlinked(inbound.node)
 	}()
 	if peer != nil {
 		f.sendWithdrawn(peer, inbound.link)
@@ -74,7 +75,7 @@
 	}
 }
 
-// receiveInbound handles a frame on a link that another daemon opened.
+// receiveInbound handles a frame received on an inbound link.
 func (f *Fleet) receiveInbound(inbound *inboundLink, frame *lapisv1.CallFrame) {
 	switch body := frame.GetBody().(type) {
 	case *lapisv1.CallFrame_Introduction:
--- a/internal/distribution/fleet/introduction.go
+++ b/internal/distribution/fleet/introduction.go
@@ -14,8 +14,8 @@
 	return &lapisv1.CallFrame{Body: &lapisv1.CallFrame_Introduction{Introduction: introduction}}
 }
 
-// sendWithdrawn names to a daemon those of its own instances that it said left for good. It
-// keeps this in memory only and may have restarted since.
+// sendWithdrawn sends a daemon the list of its own instances that it once reported as gone for
+// good. It keeps that list in memory only and may have restarted since.
 func (f *Fleet) sendWithdrawn(peer *peer, link callmux.Link) {
 	f.mutex.Lock()
 	withdrawn := slices.Sorted(maps.Keys(peer.withdrawn))
@@ -25,15 +25,15 @@
 	}
 }
 
-// requestIntroduction asks any daemon in reach to name the others, because the
-// directory is out of reach.
+// requestIntroduction asks a connected daemon to name the others, because the directory is
+// unreachable.
 func (f *Fleet) requestIntroduction() {
 	if link, found := f.anyLink(); found {
 		f.send(link, introductionFrame(&lapisv1.Introduction{Wanted: true}))
 	}
 }
 
-// anyLink returns an open link, one that this daemon opened where there is one.
+// anyLink returns an open link, preferably an outbound one.
 func (f *Fleet) anyLink() (link callmux.Link, found bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -48,8 +48,8 @@
 	return callmux.Link{}, false
 }
 
-// recordIntroduction records what another daemon says of others and of the instances that
-// left beside this one, and answers over link where it asks.
+// recordIntroduction records the members that another daemon names, and the withdrawn instances of
+// this machine. It answers over link if an introduction is requested.
 func (f *Fleet) recordIntroduction(introduction *lapisv1.Introduction, link callmux.Link) {
 	for _, member := range introduction.GetMembers() {
 		f.recordIntroduced(Member{
@@ -64,8 +64,8 @@
 	}
 }
 
-// introduction names the daemons that may be in reach. This daemon itself is known to the
-// other side by its greeting.
+// introduction names the daemons that may be reachable. This daemon is left out, because the other
+// side knows it by its greeting.
 func (f *Fleet) introduction() *lapisv1.Introduction {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -81,12 +81,12 @@
 	return introduction
 }
 
-// introducible reports whether a daemon is named to others: not while another one answers
-// at its address, and not once a wanted link to it has been lost for
-// endpointsForgottenAfter; Fleet.mutex is held.
+// introducible reports whether to name a daemon to others. It excludes daemons whose address
+// another one answers at, and chosen daemons whose link has been lost for endpointTTL or longer.
+// Fleet.mutex is held.
 func (p *peer) introducible(now time.Time) bool {
-	if p.displaced(now) {
+	if p.isDisplaced(now) {
 		return false
 	}
-	return p.stopMaintaining == nil || p.connected || now.Sub(p.lostAt) < endpointsForgottenAfter
+	return p.stopMaintaining == nil || p.connected || now.Sub(p.lostAt) < endpointTTL
 }
--- a/internal/distribution/fleet/link.go
+++ b/internal/distribution/fleet/link.go
@@ -22,14 +22,14 @@
 		if err == nil {
 			opened := boottime.Now()
 			f.serveOutbound(ctx, peer, link)
-			if boottime.Since(opened) >= stableAfter {
+			if boottime.Since(opened) >= minStableDuration {
 				wait = reconnectMin
 				continue
 			}
 		}
 		var other *callmux.OtherDaemonError
 		if errors.As(err, &other) {
-			f.displace(peer, other)
+			f.markDisplaced(peer, other)
 		}
 		f.allowanceUnreachable(peer, err)
 		if !f.waitToDial(ctx, peer, f.jitter(wait)) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// waitToDial waits until the peer may be dialed again; it reports false when ctx ended.
+// waitToDial waits until the peer may be dialed again. It returns false if ctx ended.
 func (f *Fleet) waitToDial(ctx context.Context, peer *peer, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -47,15 +47,15 @@
 	case <-timer.C:
 		return true
 	case <-peer.dialNow:
-		// A peer that has just connected to this daemon is there.
+		// The peer has just connected to this daemon, so it is running.
 		return sleep.For(ctx, reconnectMin)
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// connect dials a peer and records the open link. Errors: those of callmux.Client.Connect,
-// among them *callmux.OtherDaemonError where another daemon answers at the address.
+// connect dials a peer and records the open link. It returns the errors of callmux.Client.Connect,
+// including *callmux.OtherDaemonError if another daemon answers at the address.
 func (f *Fleet) connect(ctx context.Context, peer *peer) (callmux.Link, error) {
 	f.mutex.Lock()
 	node, address := peer.Node, peer.Address
@@ -83,9 +83,9 @@
 	return link, nil
 }
 
-// recordOpen records a link to a peer of an incarnation; Fleet.mutex is held.
+// recordOpen records an open link to the given incarnation of the peer; Fleet.mutex is held.
 func (p *peer) recordOpen(link callmux.Link, incarnation uint64) {
-	if p.announcement.GetIncarnation() != incarnation { // the peer was restarted
+	if p.announcement.GetIncarnation() != incarnation { // The peer was restarted.
 		p.announcement = nil
 		p.revision = 0
 	}
@@ -95,12 +95,12 @@
 	p.link = link
 }
 
-// serveOutbound sends on a link that this daemon opened what the peer may lack, now and when
-// it changes, until the link ends.
+// serveOutbound sends withdrawn instances, orders, suspect records and rollout messages on an
+// outbound link, first in full and then on each change, until the link ends.
 func (f *Fleet) serveOutbound(ctx context.Context, peer *peer, link callmux.Link) {
-	defer f.lost(peer, link)
+	defer f.recordLost(peer, link)
 	stop := context.AfterFunc(ctx, func() {
-		link.Close(result.Errorf(result.CallUnknownOutcome, "the connection is not wanted any more"))
+		link.Close(result.Errorf(result.CallUnknownOutcome, "the connection is no longer needed"))
 	})
 	defer stop()
 	f.sendWithdrawn(peer, link)
@@ -123,13 +123,13 @@
 	}
 }
 
-// send sends a frame on a link. Its error is dropped: it means that the link has ended, which
-// link.Closed reports to whoever serves it, and the next link begins with all that is sent here.
+// send sends a frame on a link. An error means that the link has ended; it is dropped, because
+// link.Closed reports the end, and everything sent here is sent again when the next link opens.
 func (f *Fleet) send(link callmux.Link, frame proto.Message) { _ = link.Send(frame) }
 
-// lost records that a link to a peer ended. Another one may be open already, where the peer
-// was dropped and chosen again at once.
-func (f *Fleet) lost(peer *peer, link callmux.Link) {
+// recordLost records that a link to a peer ended. It ignores a link that has been replaced, which
+// happens when the peer was dropped and chosen again at once.
+func (f *Fleet) recordLost(peer *peer, link callmux.Link) {
 	f.mutex.Lock()
 	if peer.link != link {
 		f.mutex.Unlock()
@@ -137,16 +137,16 @@
 	}
 	peer.connected = false
 	peer.lostAt = boottime.Now()
-	peer.moveAsListed()
+	peer.applyListedMember()
 	f.allowanceLost(peer.Node)
 	f.mutex.Unlock()
 	f.config.Logger.Info("fleet.lost", "member", peer.Node)
-	f.unlinked(peer.Node)
+	f.notifyUnlinked(peer.Node)
 	signal(f.reportDue)
 	signal(f.reviewLinks)
 }
 
-// receiveOutbound handles a frame on a link that this daemon opened.
+// receiveOutbound handles a frame received on an outbound link.
 func (f *Fleet) receiveOutbound(peer *peer, generation uint64, frame *lapisv1.CallFrame) {
 	switch body := frame.GetBody().(type) {
 	case *lapisv1.CallFrame_Announcement:
@@ -173,7 +173,7 @@
 
 // maintainLinks keeps links to the chosen daemons until ctx ends.
 func (f *Fleet) maintainLinks(ctx context.Context) {
-	ticker := time.NewTicker(reviewInterval)
+	ticker := time.NewTicker(maxReviewInterval)
 	defer ticker.Stop()
 	for {
 		f.reconcileLinks(ctx)
@@ -186,8 +186,8 @@
 	}
 }
 
-// reconcileLinks starts a goroutine for each chosen daemon that has none, and ends that of
-// a daemon that is not chosen any more once no call uses its link.
+// reconcileLinks starts a goroutine for each chosen daemon that has none. It stops the goroutine of
+// a daemon that is no longer chosen once no call uses its link.
 func (f *Fleet) reconcileLinks(ctx context.Context) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -196,9 +196,9 @@
 	f.addFirstRanked(chosen, candidates)
 	f.addAllowanceOwners(chosen)
 	for node, peer := range f.peers {
-		// Active is called only where its answer matters.
+		// Active is only called for daemons that are not chosen, where its result matters.
 		idle := !chosen[node] && (!peer.connected || peer.link.Active() == 0)
-		switch linkActionFor(chosen[node], peer.stopMaintaining != nil, idle) {
+		switch decideLinkAction(chosen[node], peer.stopMaintaining != nil, idle) {
 		case startLink:
 			linkCtx, stop := context.WithCancel(ctx)
 			peer.stopMaintaining = stop
@@ -212,12 +212,12 @@
 	}
 }
 
-// candidates returns the daemons that may be linked to: all that are known but those at
-// whose address another one was found lately; the caller holds mutex.
+// candidates returns the daemons that may be linked to: all known daemons that are not displaced.
+// The caller holds mutex.
 func (f *Fleet) candidates(now time.Time) []candidate {
 	candidates := make([]candidate, 0, len(f.peers))
 	for _, peer := range f.peers {
-		if !peer.displaced(now) {
+		if !peer.isDisplaced(now) {
 			candidates = append(candidates, candidate{
 				Member: peer.Member, unreachable: peer.unreachable(now), evacuated: f.evacuated(peer.Zone),
 			})
--- a/internal/distribution/fleet/linkchoice.go
+++ b/internal/distribution/fleet/linkchoice.go
@@ -10,73 +10,73 @@
 	"github.com/lapisvane/lapisvane/internal/shared/rendezvous"
 )
 
-// The rule of which daemons a daemon links to.
+// This file decides which daemons a daemon links to.
 //
-// Inputs: this daemon and all others that it knows, each with zone, region and service (as
-// old as its last greeting, directory entry or announcement), whether its link is missing
-// for too long (seconds, see unreachable) and whether its zone is evacuated (by the orders
-// in force here).
+// Inputs: this daemon and all other known daemons, each with zone, region and service (as old as
+// its last greeting, directory entry or announcement); whether its link has been missing for too
+// long (seconds, see unreachable); and whether its zone is evacuated (by the orders in force here).
 //
-// Order: each service for itself; in it the own zone, then the own region, then all other
-// regions together up to linksPerService, then regionLinks in each other region; within
-// each of these by a hash of both names. An unreachable daemon is linked to and does not
-// count, so that the next one in order is linked to beside it and it is tried on. The whole
-// is done once more without the daemons of evacuated zones, and both choices are joined.
+// Order: services are handled separately. Within a service, daemons are chosen from the own zone,
+// then the own region, then all other regions, up to linksPerService; then linksPerOtherRegion in
+// each other region. Within each of these groups a hash of both names decides. An unreachable
+// daemon stays chosen, so that it is still dialed, but does not count; the next one in order is
+// chosen in addition. The choice is repeated without the daemons of evacuated zones, and the
+// results are combined.
 //
-// Reason: the number of links, and with it the bytes of gossip, must not grow with the
-// fleet, and one daemon that comes or goes must move few links. With every daemon linked
-// to every other the bytes between zones grew with the square of the fleet: priced in units of
-// the score of a simulated day (1 is the best), 1.7 at 100 machines and 35 at 300.
+// Reason: the number of links, and the gossip traffic with it, must not grow with the fleet, and
+// the arrival or loss of one daemon must move few links. With links between all daemons, the
+// traffic between zones grew with the square of the fleet size: its cost, in units of the score of
+// a simulated day (1 is the best), was 1.7 at 100 machines and 35 at 300.
 const (
-	// linksPerService is the number of daemons of one service.
+	// linksPerService is the number of daemons to link to for each service.
 	linksPerService = 8
-	// localLinks is how many of them are of the own zone, as far as there are any; the others
-	// are for the time when the own zone is lost or full. It must be
-	// smaller than linksPerService.
-	localLinks = linksPerService * 3 / 4
-	// regionLinks is the number of daemons of one service in each other region, as far as there are
-	// any: a call may have its home there, and one of them may be lost. It must be at least 2, and
-	// smaller than linksPerService.
-	regionLinks = 2
+	// localLinksPerService is how many of linksPerService are in the own zone, if it has as many.
+	// The others are needed when the own zone is lost or full. It must be smaller than
+	// linksPerService.
+	localLinksPerService = linksPerService * 3 / 4
+	// linksPerOtherRegion is the number of daemons of a service to link to in each other region, if
+	// it has as many, since the home of a call may be there. It must be at least 2, because one of
+	// them may be lost, and smaller than linksPerService.
+	linksPerOtherRegion = 2
 )
 
 // candidate is a daemon that may be linked to.
 type candidate struct {
 	Member
-	// unreachable daemons do not count; others are linked to beside them.
+	// unreachable daemons do not count towards the number of links; others are chosen in addition.
 	unreachable bool
-	// evacuated ones have instances that get no calls.
+	// evacuated daemons have instances that get no calls.
 	evacuated bool
 }
 
-// chooseLinks returns the names of the daemons that self links to. Where zones are evacuated
-// these are the usual ones, so that their links are open when the orders are withdrawn, and
-// those chosen as if the evacuated ones did not exist.
+// chooseLinks returns the names of the daemons that self links to. If zones are evacuated, it
+// combines the usual choice, so that those links are open when the orders are withdrawn, with the
+// choice made without the evacuated daemons.
 func chooseLinks(self Member, candidates []candidate) map[string]bool {
-	chosen := chooseFrom(self, candidates)
+	chosen := chooseFromAll(self, candidates)
 	callable := slices.DeleteFunc(slices.Clone(candidates), func(member candidate) bool { return member.evacuated })
 	if len(callable) < len(candidates) {
-		maps.Copy(chosen, chooseFrom(self, callable))
+		maps.Copy(chosen, chooseFromAll(self, callable))
 	}
 	return chosen
 }
 
-func chooseFrom(self Member, candidates []candidate) map[string]bool {
+func chooseFromAll(self Member, candidates []candidate) map[string]bool {
 	services := map[string][]candidate{}
-	for _, known := range candidates {
-		services[known.Service] = append(services[known.Service], known)
+	for _, member := range candidates {
+		services[member.Service] = append(services[member.Service], member)
 	}
 	chosen := map[string]bool{}
 	for _, members := range services {
-		chooseOfService(chosen, self, members)
+		chooseForService(chosen, self, members)
 	}
 	return chosen
 }
 
-// chooseOfService chooses the daemons of one service: those of the own region up to
-// linksPerService, less regionLinks where there are other regions, and regionLinks of each
-// of those. A lack in the own region is made up from the others.
-func chooseOfService(chosen map[string]bool, self Member, members []candidate) {
+// chooseForService chooses the daemons of one service: up to linksPerService in the own region,
+// minus linksPerOtherRegion if there are other regions, plus linksPerOtherRegion in each other
+// region. If the own region has too few, more are chosen in the others.
+func chooseForService(chosen map[string]bool, self Member, members []candidate) {
 	var tiers [locality.OtherRegion + 1][]candidate
 	regions := map[string][]candidate{}
 	for _, member := range members {
@@ -86,18 +86,18 @@
 			regions[member.Region] = append(regions[member.Region], member)
 		}
 	}
-	near := linksPerService - min(regionLinks, countReachable(tiers[locality.OtherRegion]))
-	local := near * localLinks / linksPerService
-	linked := addHighestRanked(chosen, self, tiers[locality.OwnZone], max(local, near-countReachable(tiers[locality.OwnRegion])))
-	linked += addHighestRanked(chosen, self, tiers[locality.OwnRegion], near-linked)
-	addHighestRanked(chosen, self, tiers[locality.OtherRegion], linksPerService-linked)
+	nearCount := linksPerService - min(linksPerOtherRegion, countReachable(tiers[locality.OtherRegion]))
+	localCount := nearCount * localLinksPerService / linksPerService
+	linkedCount := addHighestRanked(chosen, self, tiers[locality.OwnZone], max(localCount, nearCount-countReachable(tiers[locality.OwnRegion])))
+	linkedCount += addHighestRanked(chosen, self, tiers[locality.OwnRegion], nearCount-linkedCount)
+	addHighestRanked(chosen, self, tiers[locality.OtherRegion], linksPerService-linkedCount)
 	for _, region := range regions {
-		addHighestRanked(chosen, self, region, regionLinks)
+		addHighestRanked(chosen, self, region, linksPerOtherRegion)
 	}
 }
 
-// addHighestRanked adds the reachable members that rank first up to count, and the unreachable
-// ones that rank before the last of them. It returns the number of reachable ones added.
+// addHighestRanked adds the count highest ranked reachable members, and the unreachable ones that
+// rank before the last of them. It returns the number of reachable members added.
 func addHighestRanked(chosen map[string]bool, self Member, members []candidate, count int) (reachable int) {
 	slices.SortFunc(members, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(rank(self, a.Member), rank(self, b.Member)), cmp.Compare(a.Node, b.Node))
@@ -114,8 +114,8 @@
 	return reachable
 }
 
-// rank is a hash of both names, so that the links of a fleet are spread evenly and few of
-// them change when a daemon comes or goes.
+// rank returns a hash of both names, so that links are spread evenly over the fleet and few of them
+// change when a daemon comes or goes.
 func rank(self, member Member) uint64 { return rendezvous.Score(self.Node, member.Node) }
 
 func countReachable(members []candidate) int {
@@ -136,9 +136,9 @@
 	endLink
 )
 
-// linkActionFor returns what is to be done about the link to a daemon. One that is not chosen
-// any more keeps its link until no call uses it (idle), beside that of its replacement.
-func linkActionFor(chosen, maintained, idle bool) linkAction {
+// decideLinkAction returns what to do about the link to a daemon. A daemon that is no longer chosen
+// keeps its link next to that of its replacement, until no call uses it (idle).
+func decideLinkAction(chosen, maintained, idle bool) linkAction {
 	switch {
 	case chosen && !maintained:
 		return startLink
@@ -149,12 +149,12 @@
 	}
 }
 
-// unreachable reports whether another daemon is to be linked to beside the peer; it is evaluated
-// with Fleet.mutex held. Conditions, in this order: another daemon answered at its address; it
-// is not chosen, or its link is open; its link was lost since it was chosen, and that is longer
-// ago than lostLinkReplacedAfter; it never opened within unansweredDialReplacedAfter. Daemons
-// that are not chosen must not count as unreachable: with that, the search for a replacement
-// linked to all daemons of a test with 200 (199 links; 16 without it).
+// unreachable reports whether another daemon is to be linked to in addition to the peer;
+// Fleet.mutex is held. The first condition that applies decides: another daemon answered at the
+// peer's address (true); the peer is not chosen, or its link is open (false); its link was lost
+// since it was chosen, longer ago than lostLinkReplaceTimeout; its link has not opened within
+// dialReplaceTimeout. Daemons that are not chosen must not count as unreachable: otherwise the
+// search for replacements linked to all daemons in a test with 200 (199 links instead of 16).
 func (p *peer) unreachable(now time.Time) bool {
 	switch {
 	case !p.displacedAt.IsZero():
@@ -162,8 +162,8 @@
 	case p.stopMaintaining == nil || p.connected:
 		return false
 	case p.lostAt.After(p.maintainedSince):
-		return now.Sub(p.lostAt) > lostLinkReplacedAfter
+		return now.Sub(p.lostAt) > lostLinkReplaceTimeout
 	default:
-		return now.Sub(p.maintainedSince) > unansweredDialReplacedAfter
+		return now.Sub(p.maintainedSince) > dialReplaceTimeout
 	}
 }
--- a/internal/distribution/fleet/linkchoice_test.go
+++ b/internal/distribution/fleet/linkchoice_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// site returns daemons of two services in some zones.
-func site(zones, perZone int) []candidate {
+// siteCandidates returns daemons of two services in several zones.
+func siteCandidates(zones, perZone int) []candidate {
 	var candidates []candidate
 	for zone := range zones {
 		for index := range perZone {
@@ -23,96 +23,96 @@
 }
 
 func TestSmallSiteIsConnectedWhole(t *testing.T) {
-	candidates := site(4, 3)
-	chosen := chooseFrom(Member{Node: "self", Zone: "zone-0"}, candidates)
+	candidates := siteCandidates(4, 3)
+	chosen := chooseFromAll(Member{Node: "self", Zone: "zone-0"}, candidates)
 	assert.Equal(t, len(chosen), len(candidates))
 }
 
 func TestConnectionsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, perZone := range []int{10, 100, 1000} {
-		candidates := site(4, perZone)
-		chosen := chooseFrom(candidates[0].Member, candidates)
-		assert.Equal(t, len(chosen), 2*linksPerService, "%d daemons a zone", perZone)
+		candidates := siteCandidates(4, perZone)
+		chosen := chooseFromAll(candidates[0].Member, candidates)
+		assert.Equal(t, len(chosen), 2*linksPerService, "%d daemons per zone", perZone)
 	}
 }
 
-// Whatever is out of reach, a daemon is connected to as many reachable ones as it
-// may be, and to the own zone first.
+// Whichever daemons are unreachable, a daemon is connected to as many reachable ones as exist, up
+// to linksPerService.
 func TestUnreachableDaemonsAreReplaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		candidates := site(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "daemons"))
-		reachableOnes := map[string]int{}
+		candidates := siteCandidates(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 30).Draw(t, "daemons"))
+		reachable := map[string]int{}
 		for index := range candidates {
 			candidates[index].unreachable = rapid.Bool().Draw(t, "unreachable")
 			if !candidates[index].unreachable {
-				reachableOnes[candidates[index].Service]++
+				reachable[candidates[index].Service]++
 			}
 		}
-		chosen := chooseFrom(Member{Node: "self", Zone: "zone-0"}, candidates)
-		taken := map[string]int{}
+		chosen := chooseFromAll(Member{Node: "self", Zone: "zone-0"}, candidates)
+		linked := map[string]int{}
 		for _, member := range candidates {
 			if chosen[member.Node] && !member.unreachable {
-				taken[member.Service]++
+				linked[member.Service]++
 			}
 		}
-		for service, count := range reachableOnes {
-			assert.Assert(t, taken[service] >= min(count, linksPerService), "%s: %d of %d reachable daemons are connected", service, taken[service], count)
+		for service, count := range reachable {
+			assert.Assert(t, linked[service] >= min(count, linksPerService), "%s: %d of %d reachable daemons are connected", service, linked[service], count)
 		}
 	})
 }
 
 func TestDaemonsAreChosenEvenly(t *testing.T) {
-	candidates := site(4, 50)
+	candidates := siteCandidates(4, 50)
 	chosenBy := map[string]int{}
 	for _, member := range candidates {
-		for node := range chooseFrom(member.Member, candidates) {
+		for node := range chooseFromAll(member.Member, candidates) {
 			chosenBy[node]++
 		}
 	}
 	for _, member := range candidates {
 		count := chosenBy[member.Node]
-		assert.Assert(t, count >= 2 && count <= 4*2*linksPerService, "%s is chosen by %d", member.Node, count)
+		assert.Assert(t, count >= 2 && count <= 4*2*linksPerService, "%s is chosen by %d daemons", member.Node, count)
 	}
 }
 
-// simulatedLinks is a site of peers of which some are dead, with the keeping of
-// connections as reconcileLinks does it, second by second.
-type simulatedLinks struct {
+// simulatedMaintenance simulates reconcileLinks in steps of one second, for peers of which some are
+// dead.
+type simulatedMaintenance struct {
 	self  Member
 	peers []*peer
 	dead  map[string]bool
 	now   time.Time
 }
 
-// review starts and ends the keeping of connections, and connects whom it can.
-// It returns how many are kept.
-func (s *simulatedLinks) review() (kept int) {
+// review starts and ends the maintenance of links, and connects the peers that are alive. It
+// returns the number of links maintained.
+func (s *simulatedMaintenance) review() (maintained int) {
 	var candidates []candidate
-	for _, known := range s.peers {
-		candidates = append(candidates, candidate{Member: known.Member, unreachable: known.unreachable(s.now)})
+	for _, peer := range s.peers {
+		candidates = append(candidates, candidate{Member: peer.Member, unreachable: peer.unreachable(s.now)})
 	}
-	chosen := chooseFrom(s.self, candidates)
-	for _, known := range s.peers {
-		switch linkActionFor(chosen[known.Node], known.stopMaintaining != nil, true) {
+	chosen := chooseFromAll(s.self, candidates)
+	for _, peer := range s.peers {
+		switch decideLinkAction(chosen[peer.Node], peer.stopMaintaining != nil, true) {
 		case startLink:
-			known.stopMaintaining = func() {}
-			known.maintainedSince = s.now
+			peer.stopMaintaining = func() {}
+			peer.maintainedSince = s.now
 		case endLink:
-			known.stopMaintaining = nil
-			known.lostAt = s.now
+			peer.stopMaintaining = nil
+			peer.lostAt = s.now
 		case keepLink:
 		}
-		known.connected = known.stopMaintaining != nil && !s.dead[known.Node]
-		if known.stopMaintaining != nil {
-			kept++
+		peer.connected = peer.stopMaintaining != nil && !s.dead[peer.Node]
+		if peer.stopMaintaining != nil {
+			maintained++
 		}
 	}
 	s.now = s.now.Add(time.Second)
-	return kept
+	return maintained
 }
 
-// A link is started for a chosen daemon and ended once a daemon that is not chosen has no call
-// on it.
+// A link is started for a chosen daemon, and ended once the daemon is not chosen and no call uses
+// the link.
 func TestLinksFollowTheChoice(t *testing.T) {
 	for _, row := range []struct {
 		chosen, maintained, idle bool
@@ -125,45 +125,45 @@
 		{false, true, true, endLink},
 		{false, false, true, keepLink},
 	} {
-		assert.Equal(t, linkActionFor(row.chosen, row.maintained, row.idle), row.want, "%+v", row)
+		assert.Equal(t, decideLinkAction(row.chosen, row.maintained, row.idle), row.want, "%+v", row)
 	}
 }
 
-// One daemon that dies is replaced by one. Those that were not wanted had counted as unreachable
-// because they were not connected, so that a daemon connected to all others of the service to
-// find one, and again after each loss: to 47 of 72, three times in ten seconds.
+// Each lost daemon is replaced by one other daemon. Daemons that were not chosen must not count as
+// unreachable because they are not connected: a daemon then linked to all others of the service
+// while it searched for a replacement (47 of 72, three times in ten seconds).
 func TestOneLossIsReplacedByOne(t *testing.T) {
-	candidates := site(4, 50)
-	s := &simulatedLinks{self: candidates[0].Member, dead: map[string]bool{}, now: time.Unix(1000, 0)}
-	for _, known := range candidates[1:] {
-		s.peers = append(s.peers, &peer{Member: known.Member, lostAt: s.now})
+	candidates := siteCandidates(4, 50)
+	s := &simulatedMaintenance{self: candidates[0].Member, dead: map[string]bool{}, now: time.Unix(1000, 0)}
+	for _, member := range candidates[1:] {
+		s.peers = append(s.peers, &peer{Member: member.Member, lostAt: s.now})
 	}
 	for range 10 {
 		assert.Equal(t, s.review(), 2*linksPerService)
 	}
 	killed := 0
-	for _, known := range s.peers {
-		if known.connected && killed < 3 {
-			s.dead[known.Node] = true
-			known.connected, known.lostAt = false, s.now
+	for _, member := range s.peers {
+		if member.connected && killed < 3 {
+			s.dead[member.Node] = true
+			member.connected, member.lostAt = false, s.now
 			killed++
 		}
 	}
 	for range 20 {
-		kept := s.review()
-		assert.Assert(t, kept <= 2*linksPerService+killed, "%d connections are kept", kept)
+		maintained := s.review()
+		assert.Assert(t, maintained <= 2*linksPerService+killed, "%d links are maintained", maintained)
 	}
 	connected := 0
-	for _, known := range s.peers {
-		if known.connected {
+	for _, member := range s.peers {
+		if member.connected {
 			connected++
 		}
 	}
 	assert.Equal(t, connected, 2*linksPerService)
 }
 
-// A daemon in an evacuated zone has as many links to instances that may be called as one
-// elsewhere, and keeps those that it will need again.
+// A daemon in an evacuated zone has as many links to daemons that get calls as any other daemon,
+// and keeps the links that it needs after the evacuation.
 func TestEvacuatedDaemonsAreReplacedAndKept(t *testing.T) {
 	var candidates []candidate
 	for index := range 30 {
@@ -172,7 +172,7 @@
 	}
 	self := Member{Node: "self", Zone: "zone-0"}
 	before := chooseLinks(self, candidates)
-	assert.DeepEqual(t, before, chooseFrom(self, candidates))
+	assert.DeepEqual(t, before, chooseFromAll(self, candidates))
 	for index := range candidates {
 		candidates[index].evacuated = candidates[index].Zone == "zone-0"
 	}
@@ -182,7 +182,7 @@
 		if after[member.Node] && !member.evacuated {
 			callable++
 		}
-		assert.Assert(t, after[member.Node] || !before[member.Node], "the link to %s is given up", member.Node)
+		assert.Assert(t, after[member.Node] || !before[member.Node], "the link to %s is ended", member.Node)
 	}
 	assert.Equal(t, callable, linksPerService)
 }
--- a/internal/distribution/fleet/memory_network_test.go
+++ b/internal/distribution/fleet/memory_network_test.go
@@ -7,11 +7,12 @@
 	"sync"
 )
 
-// memoryNetwork connects daemons of one test without sockets, so that time may be virtual.
+// memoryNetwork connects the daemons of a test without sockets, so that the test can use virtual
+// time.
 type memoryNetwork struct {
-	// mutex protects the rest.
+	// mutex protects the fields below.
 	mutex sync.Mutex
-	// accepting are the listeners, dials the numbers of dials, each by address.
+	// accepting holds the listeners, and dials the number of dials, by address.
 	accepting map[string]chan net.Conn
 	dials     map[string]int
 }
@@ -21,12 +22,12 @@
 	n.dials[address]++
 	accepting := n.accepting[address]
 	n.mutex.Unlock()
-	if n.dialed() > mostDials {
+	if n.dialed() > maxDials {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	if accepting == nil {
-		return nil, fmt.Errorf("nobody listens at %s", address)
+		return nil, fmt.Errorf("no listener at %s", address)
 	}
 	near, far := net.Pipe()
 	select {
@@ -55,9 +56,9 @@
 	return total
 }
 
-// mostDials bounds the dials of a test: beyond it none succeeds, so that a storm of
-// them ends in a failure and not in a test that lasts for ever.
-const mostDials = 5000
+// maxDials bounds the number of dials in a test. Further dials block until their context ends, so
+// that a dial storm fails the test instead of running for ever.
+const maxDials = 5000
 
 type memoryListener struct {
 	accepting chan net.Conn
--- a/internal/distribution/fleet/peer.go
+++ b/internal/distribution/fleet/peer.go
@@ -10,48 +10,47 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// maxMembers bounds the daemons that are remembered, so that a directory full of junk
-// cannot use up the memory. It must be larger than any fleet.
+// maxMembers bounds the number of recorded daemons, so that invalid directory entries cannot
+// exhaust the memory. It must be larger than any fleet.
 const maxMembers = 32768
 
-// peer is what is known of another daemon; Fleet.mutex protects its fields.
+// peer is the record of another daemon; Fleet.mutex protects its fields.
 //
-// Its state is not a state machine, because three parties change it independently: the
-// choice of links (stopMaintaining), the link's goroutine (connected, displacedAt) and the
-// watch for stalled links (stalled).
+// It has no single state machine, because three parties change it independently: the link choice
+// (stopMaintaining), the link's goroutine (connected, displacedAt) and the detection of stalled
+// links (stalled).
 type peer struct {
 	Member
-	// stopMaintaining ends the goroutine that keeps a link to the peer; nil while the peer
-	// is not chosen. maintainedSince is when that goroutine was started.
+	// stopMaintaining ends the goroutine that keeps a link to the peer. It is nil while the peer is
+	// not chosen. maintainedSince is when that goroutine was started.
 	stopMaintaining context.CancelFunc
 	maintainedSince time.Time
-	// link is the outbound link, open while connected is true. stalled is true while the
-	// peer does not answer on it.
+	// link is the outbound link, open while connected is true. stalled is true while the peer does
+	// not answer on it.
 	link               callmux.Link
 	connected, stalled bool
-	// generation numbers the dials; an announcement that arrives late on an earlier link is
-	// dropped.
+	// generation counts the dials. An announcement that arrives late on an earlier link is dropped.
 	generation uint64
-	// lostAt is when the last link ended or, before the first, when the peer became known.
+	// lostAt is when the last link ended or, before the first link, when the peer became known.
 	lostAt       time.Time
 	announcement *lapisv1.Announcement
-	// revision is the newest revision of the configuration that the peer said it has in force.
+	// revision is the newest configuration revision that the peer stated to have in force.
 	revision uint64
-	// dialNow asks for a link to be dialed at once, ordersChanged for the orders to be
-	// sent on the open one.
+	// dialNow requests an immediate dial, ordersChanged that the orders be sent on the open link.
 	dialNow, ordersChanged chan struct{}
 	pendingSuspects        pendingSuspects
 	pendingRollouts        pendingRollouts
-	// displacedAt is when another daemon was found at the address, zero while none was.
+	// displacedAt is when another daemon was found at the peer's address, zero if none was.
 	displacedAt time.Time
-	// listed is the directory's entry where it differs from the address at which the peer is
-	// connected, else nil.
-	listed *Member
-	// withdrawn are the peer's instances that it said left for good, in any incarnation,
-	// with the time when it last said so.
+	// listedMember is the directory's entry if it differs from the member data of the open
+	// connection, else nil.
+	listedMember *Member
+	// withdrawn holds the instances that the peer, in any incarnation, reported as gone for good,
+	// with the time of the last report.
 	withdrawn map[string]time.Time
-	// allowanceOnly is true while the peer is chosen because it owns allowances, and not for calls:
-	// else all daemons would send calls to the instances beside the few owners.
+	// allowanceOnly is true while the peer is chosen only because it owns allowances. Its instances
+	// then get no calls from here; otherwise all daemons would send calls to the instances of the
+	// few owners.
 	allowanceOnly bool
 }
 
@@ -62,8 +61,8 @@
 	}
 }
 
-// findOrAddPeer returns the peer of a member's name, a new one if it was not known; nil for
-// an entry that names no daemon, this daemon, or an earlier owner of this daemon's address,
+// findOrAddPeer returns the peer with a member's name, adding it if necessary. It returns nil for
+// an entry without a name or address, for this daemon, for a former owner of this daemon's address,
 // and for a new name beyond maxMembers. The caller holds mutex.
 func (f *Fleet) findOrAddPeer(member Member) *peer {
 	if member.Node == "" || member.Address == "" {
@@ -72,19 +71,19 @@
 	if member.Node == f.config.Self.Node || member.Address == f.config.Self.Address {
 		return nil
 	}
-	if known, ok := f.peers[member.Node]; ok {
-		return known
+	if peer, ok := f.peers[member.Node]; ok {
+		return peer
 	}
 	if len(f.peers) >= maxMembers {
 		return nil
 	}
-	known := newPeer(boottime.Now())
-	f.peers[member.Node] = known
+	peer := newPeer(boottime.Now())
+	f.peers[member.Node] = peer
 	f.config.Logger.V(1).Info("fleet.member_known", "member", member.Node, "address", member.Address, "zone", member.Zone)
 	signal(f.reportDue)
-	f.move(known, member)
+	f.updateMember(peer, member)
 	f.allowanceMember(member.Node)
-	return known
+	return peer
 }
 
 // Connected returns the number of daemons that calls can be sent to.
@@ -100,14 +99,14 @@
 	return count
 }
 
-// Known returns the number of other daemons known.
+// Known returns the number of other known daemons.
 func (f *Fleet) Known() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return len(f.peers)
 }
 
-// ZoneKnown reports whether a daemon of a zone is known, this one included.
+// ZoneKnown reports whether any known daemon, including this one, is in a zone.
 func (f *Fleet) ZoneKnown(zone string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -119,8 +118,8 @@
 	return f.config.Self.Zone == zone
 }
 
-// Stalled records that the daemon at an address stopped answering on its open link
-// (stalled is true) or answers again.
+// Stalled records that the daemon at an address stopped answering on its open link (stalled is
+// true) or answers again.
 func (f *Fleet) Stalled(address string, stalled bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -134,16 +133,16 @@
 	}
 }
 
-// recordWithdrawn records which instances a peer says left for good, and forgets those
-// that it has not named for withdrawnMemory; Fleet.mutex is held.
+// recordWithdrawn records the instances that a peer reports as gone for good, and drops those that
+// it has not reported for withdrawnTTL; Fleet.mutex is held.
 func (p *peer) recordWithdrawn(instances []string, now time.Time) {
 	for _, instance := range instances {
 		p.withdrawn[instance] = now
 	}
-	maps.DeleteFunc(p.withdrawn, func(_ string, said time.Time) bool { return now.Sub(said) > withdrawnMemory })
+	maps.DeleteFunc(p.withdrawn, func(_ string, lastNamedAt time.Time) bool { return now.Sub(lastNamedAt) > withdrawnTTL })
 }
 
-// recordRevision records what a daemon has in force; the caller holds mutex.
+// recordRevision records a revision that a daemon has in force; the caller holds mutex.
 func (f *Fleet) recordRevision(peer *peer, revision uint64) {
 	peer.revision = max(peer.revision, revision)
 	if revision > f.revision() {
--- a/internal/distribution/fleet/rollouts.go
+++ b/internal/distribution/fleet/rollouts.go
@@ -9,26 +9,26 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// RolloutObserver receives what other daemons say of roll-outs. Its methods are called without a
-// lock held.
+// RolloutObserver receives the rollout messages of other daemons. Its methods are called without
+// locks held.
 type RolloutObserver interface {
-	// Word brings what another daemon tells of itself.
+	// Word passes what another daemon states about itself.
 	Word(word *lapisv1.RolloutWord)
-	// Report brings what another daemon has seen.
+	// Report passes what another daemon observed.
 	Report(report *lapisv1.RolloutReport)
-	// Unlinked says that the last link with a daemon ended.
+	// Unlinked reports that the last link with a daemon ended.
 	Unlinked(node string)
 }
 
-// Ranking orders daemons by their names; the lowest number goes first.
+// Ranking maps names of daemons to ranks. The lowest number ranks first.
 type Ranking func(node string) uint64
 
-// pendingRollouts is what waits to be sent of roll-outs on one link: of each service the newest
-// word and report. Fleet.mutex protects its maps.
+// pendingRollouts holds the rollout messages to be sent on one link: the newest word and report of
+// each service. Fleet.mutex protects its maps.
 type pendingRollouts struct {
 	words   map[string]*lapisv1.RolloutWord
 	reports map[string]*lapisv1.RolloutReport
-	// wake asks for them to be sent.
+	// wake requests that they be sent.
 	wake chan struct{}
 }
 
@@ -36,13 +36,13 @@
 	return pendingRollouts{words: map[string]*lapisv1.RolloutWord{}, reports: map[string]*lapisv1.RolloutReport{}, wake: make(chan struct{}, 1)}
 }
 
-// clear drops what was for an earlier link; Fleet.mutex is held.
+// clear drops the messages queued for an earlier link; Fleet.mutex is held.
 func (p *pendingRollouts) clear() {
 	clear(p.words)
 	clear(p.reports)
 }
 
-// takeRollouts returns the frames that wait.
+// takeRollouts removes and returns the queued frames.
 func (f *Fleet) takeRollouts(pending *pendingRollouts) []*lapisv1.CallFrame {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -63,8 +63,9 @@
 	}
 }
 
-// pendingByNode returns what waits on one link with each daemon in touch; the caller holds mutex.
-func (f *Fleet) pendingByNode() map[string]*pendingRollouts {
+// pendingRolloutsByNode returns the queue of one link for each linked daemon; the caller holds
+// mutex.
+func (f *Fleet) pendingRolloutsByNode() map[string]*pendingRollouts {
 	pending := make(map[string]*pendingRollouts, len(f.inbound))
 	for inbound := range f.inbound {
 		pending[inbound.node] = &inbound.pendingRollouts
@@ -77,11 +78,12 @@
 	return pending
 }
 
-// SpreadWord tells a word to daemons in touch, to all of them where nodes is nil. It does not wait.
+// SpreadWord queues a word for the linked daemons among nodes, or for all linked daemons if nodes
+// is nil. It does not block.
 func (f *Fleet) SpreadWord(word *lapisv1.RolloutWord, nodes []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for node, pending := range f.pendingByNode() {
+	for node, pending := range f.pendingRolloutsByNode() {
 		if nodes == nil || slices.Contains(nodes, node) {
 			pending.words[word.GetService()] = word
 			signal(pending.wake)
@@ -89,43 +91,43 @@
 	}
 }
 
-// TellReport tells a report to one daemon, if it is in touch. It does not wait.
+// TellReport queues a report for one daemon if it is linked. It does not block.
 func (f *Fleet) TellReport(node string, report *lapisv1.RolloutReport) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if pending := f.pendingByNode()[node]; pending != nil {
+	if pending := f.pendingRolloutsByNode()[node]; pending != nil {
 		pending.reports[report.GetService()] = report
 		signal(pending.wake)
 	}
 }
 
-// InTouch returns the names of the daemons that a link is open with, and this one's.
+// InTouch returns the names of the linked daemons and of this one.
 func (f *Fleet) InTouch() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	names := []string{f.config.Self.Node}
-	for node := range f.pendingByNode() {
+	for node := range f.pendingRolloutsByNode() {
 		names = append(names, node)
 	}
 	return names
 }
 
-// Running returns the number of daemons that may be running, this one included: all that are known
-// but those at whose address another one was found. A daemon that is out of reach counts.
+// Running returns the number of daemons that may be running, including this one: all known daemons
+// that are not displaced. Unreachable daemons count.
 func (f *Fleet) Running() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	running := 1
 	now := boottime.Now()
 	for _, peer := range f.peers {
-		if !peer.displaced(now) {
+		if !peer.isDisplaced(now) {
 			running++
 		}
 	}
 	return running
 }
 
-// Serving returns the number of daemons known on whose machine a service runs.
+// Serving returns the number of known daemons, including this one, on whose machine a service runs.
 func (f *Fleet) Serving(service string) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -141,24 +143,24 @@
 	return serving
 }
 
-// LinkToFirst makes this daemon keep a link to the reachable daemons that rank first, count of each
-// ranking, and to those named also, beside those that its calls need. Each daemon that ranks first is
-// then in touch with all.
-func (f *Fleet) LinkToFirst(rankings []Ranking, count int, also []string) {
+// LinkToFirst sets further daemons to link to, besides those needed for calls: the first count
+// reachable daemons of each ranking, and additionalNodes. If all daemons do so, the daemons that
+// rank first are linked to the whole fleet.
+func (f *Fleet) LinkToFirst(rankings []Ranking, count int, additionalNodes []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.rankings, f.firstRanked, f.alsoLinked = rankings, count, also
+	f.rankings, f.linksPerRanking, f.additionalNodes = rankings, count, additionalNodes
 	signal(f.reviewLinks)
 }
 
-// addFirstRanked adds the daemons of LinkToFirst to those that are linked to. Of daemons that are not
-// reachable, those that rank before the last one are added beside them. The caller holds mutex.
+// addFirstRanked adds the daemons set by LinkToFirst to those chosen. Unreachable daemons that rank
+// before the last reachable one are added as well. The caller holds mutex.
 func (f *Fleet) addFirstRanked(chosen map[string]bool, candidates []candidate) {
 	if len(f.rankings) == 0 {
 		return
 	}
 	for _, member := range candidates {
-		if slices.Contains(f.alsoLinked, member.Node) {
+		if slices.Contains(f.additionalNodes, member.Node) {
 			chosen[member.Node] = true
 		}
 	}
@@ -169,7 +171,7 @@
 		})
 		reachable := 0
 		for _, member := range ranked {
-			if reachable >= f.firstRanked {
+			if reachable >= f.linksPerRanking {
 				break
 			}
 			if member.Node != f.config.Self.Node {
@@ -182,31 +184,32 @@
 	}
 }
 
-// unlinked tells the observer when the last link with a daemon has ended.
-func (f *Fleet) unlinked(node string) {
+// notifyUnlinked notifies the observer if no link with a daemon is left.
+func (f *Fleet) notifyUnlinked(node string) {
 	if f.config.Rollouts == nil {
 		return
 	}
 	f.mutex.Lock()
-	linked := f.pendingByNode()[node] != nil
+	linked := f.pendingRolloutsByNode()[node] != nil
 	f.mutex.Unlock()
 	if !linked {
 		f.config.Rollouts.Unlinked(node)
 	}
 }
 
-// receiveRollout passes on what a daemon says of roll-outs. It may speak only for itself.
-func (f *Fleet) receiveRollout(from string, frame *lapisv1.CallFrame) {
+// receiveRollout passes a rollout message to the observer. It drops messages about a daemon other
+// than the sender.
+func (f *Fleet) receiveRollout(sender string, frame *lapisv1.CallFrame) {
 	if f.config.Rollouts == nil {
 		return
 	}
 	switch body := frame.GetBody().(type) {
 	case *lapisv1.CallFrame_RolloutWord:
-		if body.RolloutWord.GetNode() == from {
+		if body.RolloutWord.GetNode() == sender {
 			f.config.Rollouts.Word(body.RolloutWord)
 		}
 	case *lapisv1.CallFrame_RolloutReport:
-		if body.RolloutReport.GetNode() == from {
+		if body.RolloutReport.GetNode() == sender {
 			f.config.Rollouts.Report(body.RolloutReport)
 		}
 	}
--- a/internal/distribution/fleet/scaffold_test.go
+++ b/internal/distribution/fleet/scaffold_test.go
@@ -31,8 +31,8 @@
 
 func (noInstances) Fence(string) bool { return false }
 
-// daemonAt runs a daemon's part in the fleet at the member's address until ctx ends,
-// with its configuration as adjust leaves it.
+// daemonAt runs a daemon of the fleet at the member's address until ctx ends. adjust changes its
+// configuration.
 func daemonAt(ctx context.Context, running *sync.WaitGroup, network *memoryNetwork, self Member, directory Directory, adjust ...func(*Config)) *Fleet {
 	incarnation := uint64(len(self.Node)) + uint64(self.Node[0])<<8
 	timing := callmux.Timing{KeepAlive: time.Second, Silence: 2500 * time.Millisecond, Write: time.Second}
@@ -67,7 +67,7 @@
 	return Member{Node: node, Address: address, Zone: "a", Service: "desk"}
 }
 
-// connectedTo returns whom a daemon can send calls to.
+// connectedTo returns the daemons that a daemon can send calls to, with their addresses.
 func connectedTo(daemon *Fleet) map[string]string {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
@@ -80,25 +80,24 @@
 	return connected
 }
 
-// newTestFleet returns a daemon in zone a that has a revision in force, and what it
-// knows of others.
+// newTestFleet returns a fleet of a daemon in zone a with a revision in force and the given peers.
 func newTestFleet(revision uint64, members ...*peer) *Fleet {
-	behind := New(Config{
+	fleet := New(Config{
 		Self: Member{Node: "self", Zone: "a"}, Random: func() float64 { return 0.5 }, Logger: logr.Discard(),
 		InForce:   func() *lapisv1.Configuration { return &lapisv1.Configuration{Revision: revision} },
 		Freshness: &configsource.Freshness{},
 	})
 	for _, member := range members {
-		behind.peers[member.Node] = member
+		fleet.peers[member.Node] = member
 	}
-	return behind
+	return fleet
 }
 
 func peerIn(node, zone string, revision uint64) *peer {
 	return &peer{Member: Member{Node: node, Zone: zone}, connected: true, revision: revision}
 }
 
-// offerFunc is an observer that only takes configurations.
+// offerFunc is an observer that only receives configurations.
 type offerFunc func(*lapisv1.Configuration)
 
 func (f offerFunc) Offer(configuration *lapisv1.Configuration) { f(configuration) }
@@ -113,11 +112,11 @@
 
 func (offerFunc) OfferOrders(*orders.Set, string) {}
 
-// scriptedDirectory is a directory whose answers are old by lag.
+// scriptedDirectory is a directory whose results are delayed by lag.
 type scriptedDirectory struct {
 	lag time.Duration
 
-	// mutex protects the rest.
+	// mutex protects the fields below.
 	mutex     sync.Mutex
 	down      bool
 	published map[Member]time.Time
@@ -152,7 +151,7 @@
 	return members, nil
 }
 
-// calls returns the numbers of lists and of writes.
+// calls returns the number of lists and of writes.
 func (d *scriptedDirectory) calls() (lists, writes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -161,9 +160,9 @@
 
 var errDirectoryDown = errors.New("the directory is down")
 
-// playDaemons runs test with a directory, a network, and a function that starts a daemon on
-// both; the daemons end with it.
-func playDaemons(t *testing.T, entries []Member, test func(network *memoryNetwork, start func(Member, ...func(*Config)) *Fleet)) {
+// runDaemons runs test with a directory, a network, and a function that starts a daemon on both.
+// The daemons end when test returns.
+func runDaemons(t *testing.T, entries []Member, test func(network *memoryNetwork, start func(Member, ...func(*Config)) *Fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		directory := &scriptedDirectory{published: map[Member]time.Time{}}
@@ -177,7 +176,7 @@
 		})
 		cancel()
 		running.Wait()
-		// Greetings that nobody read end by their own time.
+		// Waits for unanswered greetings to time out.
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/distribution/fleet/spread.go
+++ b/internal/distribution/fleet/spread.go
@@ -7,18 +7,17 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// maxPendingSuspects bounds the records that wait to be sent on one link; beyond it, all known ones
-// are sent instead. It must be smaller than the 4096 suspects that a quarantine registry holds, or
-// it would save nothing.
+// maxPendingSuspects bounds the records queued on one link. Beyond it, all known records are sent
+// instead. It must be smaller than the 4096 suspects that a quarantine registry holds; otherwise
+// the bound would save nothing.
 const maxPendingSuspects = 1024
 
-// pendingSuspects are the records of suspects that wait to be sent on one link; Fleet.mutex
-// protects them.
+// pendingSuspects holds the suspect records to be sent on one link; Fleet.mutex protects it.
 type pendingSuspects struct {
 	records []quarantine.Record
-	// all is true where all known records are to be sent.
+	// all is true if all known records are to be sent.
 	all bool
-	// wake asks for them to be sent.
+	// wake requests that they be sent.
 	wake chan struct{}
 }
 
@@ -34,8 +33,8 @@
 	signal(p.wake)
 }
 
-// SpreadSuspects has records that changed here sent once to each linked daemon but from,
-// which sent them; from is empty for a crash found by this daemon. It does not wait.
+// SpreadSuspects queues changed records once for each linked daemon except from, which sent them.
+// from is empty for a crash found by this daemon. It does not block.
 func (f *Fleet) SpreadSuspects(records []quarantine.Record, from string) {
 	if len(records) == 0 {
 		return
@@ -80,7 +79,7 @@
 	}
 }
 
-// SpreadOrders has the orders in force sent on all links. It does not wait.
+// SpreadOrders sends the orders in force on all links. It does not block.
 func (f *Fleet) SpreadOrders() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -111,8 +110,8 @@
 	f.send(link, &lapisv1.CallFrame{Body: &lapisv1.CallFrame_Orders{Orders: message}})
 }
 
-// receiveOrders passes another daemon's orders to the observer, unless operators give none
-// here or they name no revision.
+// receiveOrders passes another daemon's orders to the observer. They are ignored if operators give
+// no orders here or the message has no revision.
 func (f *Fleet) receiveOrders(from string, message *lapisv1.Orders) {
 	if f.config.Orders == nil || message.GetRevision() == 0 {
 		return
--- a/internal/distribution/fleet/suspension_test.go
+++ b/internal/distribution/fleet/suspension_test.go
@@ -11,8 +11,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// What is known of a daemon out of reach lapses also while this machine is suspended: its
-// instances went on living and leaving.
+// The timeouts for an unreachable daemon also run while this machine is suspended, because the
+// daemon's instances may come and go meanwhile.
 func TestLapsesGoOnWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
@@ -20,12 +20,12 @@
 		lost := peerIn("lost", "a", 5)
 		lost.connected, lost.lostAt, lost.stopMaintaining = false, boottime.Now(), func() {}
 		lost.announcement = &lapisv1.Announcement{Endpoints: []*lapisv1.Endpoint{{Service: "desk", Instance: "i-1"}}}
-		known := newTestFleet(5, lost)
+		fleet := newTestFleet(5, lost)
 		time.Sleep(time.Second)
-		assert.Equal(t, len(known.Endpoints("desk")), 1)
-		gap = endpointsForgottenAfter
+		assert.Equal(t, len(fleet.Endpoints("desk")), 1)
+		gap = endpointTTL
 		time.Sleep(time.Second)
-		assert.Equal(t, len(known.Endpoints("desk")), 0)
+		assert.Equal(t, len(fleet.Endpoints("desk")), 0)
 		assert.Assert(t, lost.unreachable(boottime.Now()))
 	})
 }
