--- a/internal/distribution/seat/lease.go
+++ b/internal/distribution/seat/lease.go
@@ -7,19 +7,19 @@
 	"github.com/qmuntal/stateless"
 )
 
-// State is the state of a daemon with regard to one seat.
+// State is the state of a daemon's lease of one seat.
 type State string
 
 // States of a lease.
 const (
-	// StateIdle holds no seat.
+	// StateIdle: the daemon holds no seat.
 	StateIdle State = "idle"
-	// StateHolding holds the seat; the lease has not lapsed.
+	// StateHolding: the daemon holds the seat and the lease has not expired.
 	StateHolding State = "holding"
-	// StateSuspended could not renew in time. It still serves its children but
-	// writes nothing until a renewal succeeds.
+	// StateSuspended: the daemon did not renew in time. It still serves its children, but writes
+	// nothing until a renewal succeeds.
 	StateSuspended State = "suspended"
-	// StateLost was taken over by another daemon.
+	// StateLost: another daemon took the seat over.
 	StateLost State = "lost"
 )
 
@@ -34,16 +34,16 @@
 )
 
 const (
-	// renewalsPerLease is how often a holder renews within the length of its lease, so that two
-	// renewals in a row may fail. It is at least 2.
+	// renewalsPerLease is the number of renewals within the duration of a lease, so that two
+	// renewals in a row may fail. It must be at least 2.
 	renewalsPerLease = 3
-	// renewalJitter is the part of the interval by which renewals are spread, so that the holders
-	// of a site do not all write at the same moment.
+	// renewalJitter is the maximum random reduction of the renewal interval, as a fraction of it,
+	// so that the holders of a site do not all write at the same time.
 	renewalJitter = 0.1
 )
 
-// RenewAfter returns the wait before the next renewal of a lease of the given length:
-// at most a third of it. random is in [0, 1).
+// RenewAfter returns the wait before the next renewal of a lease of the given duration, at most a
+// third of it. random is in [0, 1).
 func RenewAfter(lease time.Duration, random float64) time.Duration {
 	interval := lease / renewalsPerLease
 	return interval - time.Duration((1-random)*renewalJitter*float64(interval))
@@ -53,13 +53,13 @@
 type Lease struct {
 	machine  *stateless.StateMachine
 	duration time.Duration
-	// deadline is when the lease lapses on this machine's clock.
+	// deadline is when the lease expires on this machine's clock.
 	deadline time.Time
-	// version is the object's version of the last renewal; it fences writes.
+	// version is the object's version at the last renewal. Writes name it as a fencing token.
 	version int64
 }
 
-// NewLease returns an idle lease of the given length.
+// NewLease returns an idle lease of the given duration.
 func NewLease(duration time.Duration) *Lease {
 	machine := stateless.NewStateMachine(StateIdle)
 	machine.Configure(StateIdle).
@@ -81,8 +81,8 @@
 	return &Lease{machine: machine, duration: duration}
 }
 
-// State returns the state at now; a lease whose deadline passed unnoticed, as
-// after a pause, is suspended first.
+// State returns the state at now. A lease whose deadline has passed, for example during a pause, is
+// suspended first.
 func (l *Lease) State(now time.Time) State {
 	if l.current() == StateHolding && !now.Before(l.deadline) {
 		l.fire(triggerLapsed)
@@ -92,12 +92,12 @@
 
 func (l *Lease) current() State { return l.machine.MustState().(State) }
 
-// fire moves the machine. Its error is dropped because there is none: every trigger is
-// permitted or ignored in every state in which it can come, and transitions have no
-// actions that could fail.
+// fire triggers a transition of the state machine. The error is ignored, because it cannot occur:
+// every trigger is permitted or ignored in each state in which it can come, and transitions have no
+// actions.
 func (l *Lease) fire(event trigger) { _ = l.machine.FireCtx(context.Background(), event) }
 
-// Acquired records that the write sent at sentAt took the seat with version.
+// Acquired records that the write sent at sentAt acquired the seat with version.
 func (l *Lease) Acquired(sentAt time.Time, version int64) {
 	l.fire(triggerAcquired)
 	l.deadline = sentAt.Add(l.duration)
@@ -117,14 +117,14 @@
 // Taken records that another daemon holds the seat.
 func (l *Lease) Taken() { l.fire(triggerTaken) }
 
-// Released records that the seat was given back.
+// Released records that this daemon released the seat.
 func (l *Lease) Released() { l.fire(triggerReleased) }
 
-// MayWrite reports whether the holder may write to the platform at now, and
-// the version that its write must name.
+// MayWrite reports whether the holder may write to the platform at now, and the version that its
+// write must name.
 func (l *Lease) MayWrite(now time.Time) (version int64, ok bool) {
 	return l.version, l.State(now) == StateHolding
 }
 
-// Version returns the version of the last renewal.
+// Version returns the object's version at the last renewal.
 func (l *Lease) Version() int64 { return l.version }
--- a/internal/distribution/seat/seat_test.go
+++ b/internal/distribution/seat/seat_test.go
@@ -12,22 +12,22 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/seat"
 )
 
-const length = 6 * time.Second
+const leaseDuration = 6 * time.Second
 
 var start = time.Unix(1000, 0)
 
 func TestLeaseLifecycle(t *testing.T) {
 	cases := []struct {
-		name   string
-		steps  func(l *seat.Lease)
-		at     time.Duration
-		expect seat.State
-		write  bool
+		name     string
+		steps    func(l *seat.Lease)
+		at       time.Duration
+		want     seat.State
+		mayWrite bool
 	}{
-		{"never taken", func(*seat.Lease) {}, 0, seat.StateIdle, false},
-		{"taken", func(l *seat.Lease) { l.Acquired(start, 1) }, length - 1, seat.StateHolding, true},
-		{"not renewed in time", func(l *seat.Lease) { l.Acquired(start, 1) }, length, seat.StateSuspended, false},
-		{"paused past the lease and woken", func(l *seat.Lease) { l.Acquired(start, 1) }, time.Hour, seat.StateSuspended, false},
+		{"never acquired", func(*seat.Lease) {}, 0, seat.StateIdle, false},
+		{"acquired", func(l *seat.Lease) { l.Acquired(start, 1) }, leaseDuration - 1, seat.StateHolding, true},
+		{"not renewed in time", func(l *seat.Lease) { l.Acquired(start, 1) }, leaseDuration, seat.StateSuspended, false},
+		{"resumed after a pause longer than the lease", func(l *seat.Lease) { l.Acquired(start, 1) }, time.Hour, seat.StateSuspended, false},
 		{"renewed", func(l *seat.Lease) { l.Acquired(start, 1); l.Renewed(start.Add(4*time.Second), 2) }, 9 * time.Second, seat.StateHolding, true},
 		{"renewed after an outage", func(l *seat.Lease) {
 			l.Acquired(start, 1)
@@ -44,16 +44,16 @@
 			l.Taken()
 			l.Renewed(start.Add(time.Second), 2)
 		}, time.Second, seat.StateLost, false},
-		{"given back", func(l *seat.Lease) { l.Acquired(start, 1); l.Released() }, time.Second, seat.StateIdle, false},
+		{"released", func(l *seat.Lease) { l.Acquired(start, 1); l.Released() }, time.Second, seat.StateIdle, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			lease := seat.NewLease(length)
+			lease := seat.NewLease(leaseDuration)
 			test.steps(lease)
 			now := start.Add(test.at)
-			assert.Equal(t, lease.State(now), test.expect)
-			_, write := lease.MayWrite(now)
-			assert.Equal(t, write, test.write)
+			assert.Equal(t, lease.State(now), test.want)
+			_, mayWrite := lease.MayWrite(now)
+			assert.Equal(t, mayWrite, test.mayWrite)
 		})
 	}
 }
@@ -64,22 +64,22 @@
 }
 
 func TestVacancyIsSilenceOnTheObserversClock(t *testing.T) {
-	table := seat.NewTable(length)
+	table := seat.NewTable(leaseDuration)
 	key := seat.Key("z", 0)
 	vacant := func(at time.Duration) int { return len(table.Vacancies("z", "", 1, start.Add(at))) }
-	assert.Equal(t, vacant(0), 1, "a seat never written is vacant")
+	assert.Equal(t, vacant(0), 1, "a seat that was never written is not vacant")
 	assert.NilError(t, table.Observe(object(key, "a", 5), start))
-	assert.Equal(t, vacant(length), 0)
-	assert.Equal(t, vacant(length+1), 1)
-	assert.NilError(t, table.Observe(object(key, "a", 5), start.Add(length)))
-	assert.Equal(t, vacant(length+1), 1, "the same version is no renewal")
-	assert.NilError(t, table.Observe(object(key, "a", 6), start.Add(length)))
-	assert.Equal(t, vacant(length+1), 0)
-	assert.NilError(t, table.Observe(object(key, "b", 4), start.Add(length)))
-	assert.Equal(t, table.KnownHolders(key)[0].Peer.GetNode(), "a", "a crossed older version is ignored")
+	assert.Equal(t, vacant(leaseDuration), 0)
+	assert.Equal(t, vacant(leaseDuration+1), 1)
+	assert.NilError(t, table.Observe(object(key, "a", 5), start.Add(leaseDuration)))
+	assert.Equal(t, vacant(leaseDuration+1), 1, "the same version counts as a renewal")
+	assert.NilError(t, table.Observe(object(key, "a", 6), start.Add(leaseDuration)))
+	assert.Equal(t, vacant(leaseDuration+1), 0)
+	assert.NilError(t, table.Observe(object(key, "b", 4), start.Add(leaseDuration)))
+	assert.Equal(t, table.KnownHolders(key)[0].Peer.GetNode(), "a", "an older version is not ignored")
 	table.Resume(start.Add(time.Hour))
-	assert.Equal(t, vacant(time.Hour+length), 0, "silence during an outage proves nothing")
-	assert.Equal(t, len(table.Vacancies("z", "a", 1, start.Add(time.Hour))), 1, "a replaced holder may take its own seat back")
+	assert.Equal(t, vacant(time.Hour+leaseDuration), 0, "a seat not renewed during an outage counts as vacant")
+	assert.Equal(t, len(table.Vacancies("z", "a", 1, start.Add(time.Hour))), 1, "a restarted holder may not take its own seat")
 	assert.NilError(t, table.Observe(object(key, "", 9), start.Add(time.Hour)))
-	assert.Equal(t, vacant(time.Hour), 1, "a seat given back is vacant at once")
+	assert.Equal(t, vacant(time.Hour), 1, "a released seat is not vacant at once")
 }
