--- a/internal/distribution/endpoint/refute_test.go
+++ b/internal/distribution/endpoint/refute_test.go
@@ -24,15 +24,15 @@
 		state, own  lapisv1.Endpoint_State
 		refute      bool
 	}{
-		{"suspected", "here", 5, "i", suspect, ready, true},
-		{"taken as gone", "here", 5, "i", gone, ready, true},
-		{"suspected while draining", "here", 5, "i", suspect, draining, true},
-		{"announced as gone by an earlier process", "here", 4, "i", gone, ready, true},
+		{"suspect", "here", 5, "i", suspect, ready, true},
+		{"gone", "here", 5, "i", gone, ready, true},
+		{"suspect while draining", "here", 5, "i", suspect, draining, true},
+		{"gone, stated by an earlier process", "here", 4, "i", gone, ready, true},
 		{"drained by a reader", "here", 5, "i", draining, ready, false},
 		{"gone on both sides", "here", 5, "i", gone, gone, false},
-		{"of another daemon", "there", 5, "i", suspect, ready, false},
-		{"of a newer process here", "here", 6, "i", gone, ready, false},
-		{"of an instance that is not here", "here", 5, "j", suspect, ready, false},
+		{"another daemon", "there", 5, "i", suspect, ready, false},
+		{"a newer process on this machine", "here", 6, "i", gone, ready, false},
+		{"an instance that is not on this machine", "here", 5, "j", suspect, ready, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/distribution/endpoint/registry.go
+++ b/internal/distribution/endpoint/registry.go
@@ -1,14 +1,14 @@
-// Package endpoint keeps what a daemon knows of back-end instances. Statements of the daemon
-// beside an instance, its owner, are ordered by that daemon's incarnation and sequence
-// number; another daemon may only suspect an instance or mark it as draining, which the
-// owner refutes with a newer statement.
+// Package endpoint keeps a daemon's registry of backend instances. Statements of the daemon on an
+// instance's machine, its owner, are ordered by that daemon's incarnation and sequence number.
+// Other daemons may only mark an instance as suspect or draining, which the owner can refute with a
+// newer statement.
 //
-// It owns one daemon's registry, in memory; no goroutines, connections or files. It relies
-// on package tree to call it under the node's lock and to pass on what changed.
+// The package keeps one daemon's registry in memory. It has no goroutines, connections or files.
+// Package tree calls it under the node's lock and forwards the changes.
 //
-// What must hold: merging is commutative and idempotent, so that statements may come late,
-// twice or crossed; an entry is replaced and never changed in place; every change has a
-// number of its own, from which a link computes what its peer lacks.
+// Invariants: merging is commutative and idempotent, so that statements may arrive late, repeatedly
+// or out of order; a stored endpoint is replaced and never modified in place; every change has its
+// own number, by which a link determines what its peer lacks.
 package endpoint
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Key names one instance.
+// Key identifies an instance.
 type Key struct {
 	Service  string
 	Instance string
@@ -30,38 +30,38 @@
 	return Key{Service: endpoint.GetService(), Instance: endpoint.GetInstance()}
 }
 
-// Entry is one endpoint with what this daemon knows of its statement.
+// Entry is an endpoint with the origin and the time of its last statement.
 type Entry struct {
 	Endpoint *lapisv1.Endpoint
 	// Change is the registry's change number at the entry's last change.
 	Change uint64
-	// Via is the child through which the entry came; empty when it came from
-	// above or from another reader.
+	// Via is the child through which the entry came. It is empty if the entry came from the parent
+	// or another reader.
 	Via string
 	// ChangedAt is the local time of the last change.
 	ChangedAt time.Time
 }
 
-// viaObserver marks an entry whose state this daemon itself changed, so that the change
-// is sent to the parent like a statement from the own subtree. No node has this name.
-const viaObserver = "."
+// viaLocalChange is the Via of an entry whose state this daemon changed itself. The change is sent
+// to the parent like a statement from this daemon's subtree. No node has this name.
+const viaLocalChange = "."
 
-// Registry holds endpoints. It is not safe for concurrent use. Entries are
-// replaced, never changed in place, so that readers may keep them.
+// Registry holds endpoints. It is not safe for concurrent use. Endpoints are replaced, never
+// modified in place, so that readers may keep them.
 type Registry struct {
 	change  uint64
 	entries map[Key]Entry
-	// serviceChange gives the change number of each service's last change.
-	serviceChange map[string]uint64
-	byService     map[string]map[string]struct{}
+	// lastServiceChange is the number of the last change by service.
+	lastServiceChange map[string]uint64
+	byService         map[string]map[string]struct{}
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
 	return &Registry{
-		entries:       map[Key]Entry{},
-		serviceChange: map[string]uint64{},
-		byService:     map[string]map[string]struct{}{},
+		entries:           map[Key]Entry{},
+		lastServiceChange: map[string]uint64{},
+		byService:         map[string]map[string]struct{}{},
 	}
 }
 
@@ -69,12 +69,12 @@
 func (r *Registry) Change() uint64 { return r.change }
 
 // ServiceChange returns the number of the last change in a service.
-func (r *Registry) ServiceChange(service string) uint64 { return r.serviceChange[service] }
+func (r *Registry) ServiceChange(service string) uint64 { return r.lastServiceChange[service] }
 
-// Newer reports whether statement a supersedes statement b about the same instance. It
-// looks at the incarnation first, then the sequence number, then the state. States rank
-// as in the enumeration, so that draining, suspect and gone, in this order, supersede the
-// owner's statement of the same sequence.
+// Newer reports whether statement a supersedes statement b about the same instance. It compares the
+// incarnation first, then the sequence number, then the state. States are ordered as in the
+// enumeration: draining, suspect and gone, in this order, supersede the owner's statement with the
+// same sequence number.
 func Newer(a, b *lapisv1.Endpoint) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
@@ -85,16 +85,16 @@
 	return a.GetState() > b.GetState()
 }
 
-// Merge applies a statement that came through child via, "" for none, and reports whether
-// it superseded what was known. An equal statement that came through another child updates
-// Via, because that child is the one whose loss matters.
+// Merge applies a statement received through child via ("" if it came from elsewhere) and reports
+// whether it superseded the current one. An equal statement that came through another child updates
+// Via, because the loss of that child now affects the entry.
 func (r *Registry) Merge(endpoint *lapisv1.Endpoint, via string, now time.Time) bool {
 	key := KeyOf(endpoint)
-	present, known := r.entries[key]
-	if known && !Newer(endpoint, present.Endpoint) {
-		if via != "" && present.Via != via && !Newer(present.Endpoint, endpoint) {
-			present.Via = via
-			r.put(key, present)
+	current, known := r.entries[key]
+	if known && !Newer(endpoint, current.Endpoint) {
+		if via != "" && current.Via != via && !Newer(current.Endpoint, endpoint) {
+			current.Via = via
+			r.put(key, current)
 		}
 		return false
 	}
@@ -106,7 +106,7 @@
 	r.change++
 	entry.Change = r.change
 	r.entries[key] = entry
-	r.serviceChange[key.Service] = r.change
+	r.lastServiceChange[key.Service] = r.change
 	instances, ok := r.byService[key.Service]
 	if !ok {
 		instances = map[string]struct{}{}
@@ -115,17 +115,17 @@
 	instances[key.Instance] = struct{}{}
 }
 
-func (r *Registry) drop(key Key) {
+func (r *Registry) remove(key Key) {
 	delete(r.entries, key)
 	delete(r.byService[key.Service], key.Instance)
 	if len(r.byService[key.Service]) == 0 {
 		delete(r.byService, key.Service)
 	}
 	r.change++
-	r.serviceChange[key.Service] = r.change
+	r.lastServiceChange[key.Service] = r.change
 }
 
-// Service returns the endpoints of a service in order of instance.
+// Service returns the endpoints of a service, ordered by instance.
 func (r *Registry) Service(service string) []*lapisv1.Endpoint {
 	instances := slices.Sorted(maps.Keys(r.byService[service]))
 	endpoints := make([]*lapisv1.Endpoint, 0, len(instances))
@@ -135,13 +135,13 @@
 	return endpoints
 }
 
-// Services returns the services with any endpoint, in order.
+// Services returns the services with at least one endpoint, in order.
 func (r *Registry) Services() []string { return slices.Sorted(maps.Keys(r.byService)) }
 
 // ServicesSince returns the services that changed after change, in order.
 func (r *Registry) ServicesSince(change uint64) []string {
 	var services []string
-	for service, changed := range r.serviceChange {
+	for service, changed := range r.lastServiceChange {
 		if changed > change {
 			services = append(services, service)
 		}
@@ -155,7 +155,7 @@
 
 // ServiceSince returns the endpoints of service that changed after change.
 func (r *Registry) ServiceSince(service string, change uint64) []*lapisv1.Endpoint {
-	if r.serviceChange[service] <= change {
+	if r.lastServiceChange[service] <= change {
 		return nil
 	}
 	var endpoints []*lapisv1.Endpoint
@@ -167,8 +167,8 @@
 	return endpoints
 }
 
-// BelowSince returns the endpoints that came through children or belong to
-// self and changed after change.
+// BelowSince returns the endpoints of this daemon's subtree that changed after change: those that
+// came through children, were changed by this daemon, or belong to self.
 func (r *Registry) BelowSince(self string, change uint64) []*lapisv1.Endpoint {
 	if r.change <= change {
 		return nil
@@ -182,26 +182,25 @@
 	return endpoints
 }
 
-// SetComplete makes endpoints the complete set of service as the parent knows it: entries
-// that are neither in it nor come from the own subtree are dropped.
+// SetComplete removes the endpoints of service that are neither in endpoints, the parent's complete
+// set, nor from this daemon's subtree.
 func (r *Registry) SetComplete(service, self string, endpoints []*lapisv1.Endpoint) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, endpoint := range endpoints {
 		if endpoint.GetService() == service {
-			named[endpoint.GetInstance()] = true
+			listed[endpoint.GetInstance()] = true
 		}
 	}
 	for instance := range maps.Clone(r.byService[service]) {
 		entry := r.entries[Key{service, instance}]
 		fromBelow := entry.Via != "" || entry.Endpoint.GetNode() == self
-		if !named[instance] && !fromBelow {
-			r.drop(Key{service, instance})
+		if !listed[instance] && !fromBelow {
+			r.remove(Key{service, instance})
 		}
 	}
 }
 
-// ChildLost returns the keys of the entries that came through child and marks them as no
-// longer coming from the own subtree.
+// ChildLost returns the keys of the entries that came through child, and clears their Via.
 func (r *Registry) ChildLost(child string) []Key {
 	var lost []Key
 	for key, entry := range r.entries {
@@ -214,9 +213,9 @@
 	return lost
 }
 
-// Suspect marks the entry as suspect and reports whether it did. It does not when the
-// entry came through a child again, when a newer statement than that of incarnation and
-// sequence arrived, or when it is suspect or gone already.
+// Suspect marks an entry as suspect and reports whether it did. It does nothing if the entry came
+// through a child again, if a statement newer than the given incarnation and sequence number
+// arrived, or if the entry is already suspect or gone.
 func (r *Registry) Suspect(key Key, incarnation, sequence uint64, now time.Time) bool {
 	entry, ok := r.entries[key]
 	if !ok || entry.Via != "" || entry.Endpoint.GetIncarnation() != incarnation || entry.Endpoint.GetSequence() != sequence {
@@ -225,39 +224,39 @@
 	if isDown(entry.Endpoint) {
 		return false
 	}
-	r.put(key, Entry{Endpoint: withState(entry.Endpoint, lapisv1.Endpoint_STATE_SUSPECT), Via: viaObserver, ChangedAt: now})
+	r.put(key, Entry{Endpoint: withState(entry.Endpoint, lapisv1.Endpoint_STATE_SUSPECT), Via: viaLocalChange, ChangedAt: now})
 	return true
 }
 
-// Drain marks a ready endpoint as draining on behalf of the machine list,
-// unless a newer statement came since. It reports whether it did.
+// Drain marks a ready endpoint as draining because of the machine list, and reports whether it did.
+// It does nothing if the statement is no longer the current one.
 func (r *Registry) Drain(statement *lapisv1.Endpoint, now time.Time) bool {
 	key := KeyOf(statement)
 	entry, ok := r.entries[key]
 	if !ok || entry.Endpoint != statement {
 		return false
 	}
-	r.put(key, Entry{Endpoint: withState(statement, lapisv1.Endpoint_STATE_DRAINING), Via: viaObserver, ChangedAt: now})
+	r.put(key, Entry{Endpoint: withState(statement, lapisv1.Endpoint_STATE_DRAINING), Via: viaLocalChange, ChangedAt: now})
 	return true
 }
 
-// Get returns the endpoint of key; ok is false when it is not known.
+// Get returns the endpoint of key. ok is false if it is unknown.
 func (r *Registry) Get(key Key) (endpoint *lapisv1.Endpoint, ok bool) {
 	entry, ok := r.entries[key]
 	return entry.Endpoint, ok
 }
 
-// Expire drops entries that have been suspect or gone since before deadline and reports
-// how many. Until then a late statement about them is recognised as old.
+// Expire removes entries that have been suspect or gone since before deadline, and returns their
+// number. Until then, a late statement about such an instance is recognized as outdated.
 func (r *Registry) Expire(deadline time.Time) int {
-	count := 0
+	removed := 0
 	for key, entry := range r.entries {
 		if isDown(entry.Endpoint) && entry.ChangedAt.Before(deadline) {
-			r.drop(key)
-			count++
+			r.remove(key)
+			removed++
 		}
 	}
-	return count
+	return removed
 }
 
 func withState(endpoint *lapisv1.Endpoint, state lapisv1.Endpoint_State) *lapisv1.Endpoint {
@@ -269,14 +268,15 @@
 	}
 }
 
-// MustRefute reports whether a received statement is wrong about an instance beside this
-// daemon, which must then announce its own instances again. node and incarnation are this
-// daemon's, local the instances beside it with the states that it announces. In this order:
+// MustRefute reports whether a received statement about an instance on this machine is wrong, so
+// that this daemon must announce its own instances again. node and incarnation are this daemon's;
+// local holds its instances with the states that it announces. The rules are:
 //
-//  1. A statement about an instance of another daemon is not this daemon's to refute.
-//  2. One of a newer process on this machine holds: this process is the one that ends.
-//  3. One that says suspect or gone of an instance that is there is refuted. A drain is
-//     not: it may come from a reader that knows that the machine is leaving.
+//  1. A statement about an instance of another daemon is never refuted.
+//  2. A statement of a newer process on this machine is not refuted, because this process is the one
+//     that ends.
+//  3. A statement that a running instance is suspect or gone is refuted. A drain is not, because it
+//     may come from a reader that knows that the machine is leaving.
 func MustRefute(statement *lapisv1.Endpoint, node string, incarnation uint64, local []*lapisv1.Endpoint) bool {
 	if statement.GetNode() != node || statement.GetIncarnation() > incarnation {
 		return false
--- a/internal/distribution/endpoint/registry_test.go
+++ b/internal/distribution/endpoint/registry_test.go
@@ -25,15 +25,15 @@
 			state := lapisv1.Endpoint_State(rapid.IntRange(1, 4).Draw(rt, "state"))
 			return statement(rapid.Uint64Range(1, 3).Draw(rt, "incarnation"), rapid.Uint64Range(1, 4).Draw(rt, "sequence"), state)
 		}), 1, 12).Draw(rt, "statements")
-		one, two := endpoint.NewRegistry(), endpoint.NewRegistry()
+		registry1, registry2 := endpoint.NewRegistry(), endpoint.NewRegistry()
 		for _, merged := range statements {
-			one.Merge(merged, "", now)
+			registry1.Merge(merged, "", now)
 		}
 		for _, merged := range rapid.Permutation(append(statements, statements...)).Draw(rt, "order") {
-			two.Merge(merged, "", now)
+			registry2.Merge(merged, "", now)
 		}
-		first, _ := one.Get(endpoint.Key{Service: "s", Instance: "i"})
-		second, _ := two.Get(endpoint.Key{Service: "s", Instance: "i"})
+		first, _ := registry1.Get(endpoint.Key{Service: "s", Instance: "i"})
+		second, _ := registry2.Get(endpoint.Key{Service: "s", Instance: "i"})
 		assert.Assert(rt, proto.Equal(first, second))
 	})
 }
@@ -46,11 +46,11 @@
 	assert.Assert(t, registry.Suspect(lost[0], 1, 1, now))
 	suspected, _ := registry.Get(lost[0])
 	assert.Equal(t, suspected.GetRegion(), "r1")
-	assert.Equal(t, len(registry.BelowSince("other", 0)), 1, "suspicion is passed upward")
+	assert.Equal(t, len(registry.BelowSince("other", 0)), 1, "the suspicion is not sent to the parent")
 	assert.Assert(t, registry.Merge(statement(1, 2, lapisv1.Endpoint_STATE_READY), "", now))
-	assert.Assert(t, !registry.Suspect(lost[0], 1, 1, now), "a late suspicion of an older statement")
-	held, _ := registry.Get(lost[0])
-	assert.Equal(t, held.GetState(), lapisv1.Endpoint_STATE_READY)
+	assert.Assert(t, !registry.Suspect(lost[0], 1, 1, now), "a late suspicion of an older statement is applied")
+	current, _ := registry.Get(lost[0])
+	assert.Equal(t, current.GetState(), lapisv1.Endpoint_STATE_READY)
 }
 
 func TestSuspicionWaitsForADaemonThatMoved(t *testing.T) {
