--- a/internal/distribution/tree/child.go
+++ b/internal/distribution/tree/child.go
@@ -9,7 +9,7 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// childSession is one child of this node. Node.mutex protects its fields.
+// childSession is the state of the connection from one child. Node.mutex protects its fields.
 type childSession struct {
 	peerLink
 	node    string
@@ -18,33 +18,33 @@
 	// noSeat is true when the child must not become a reader.
 	noSeat bool
 
-	// interest is what the child subscribed to under subscriptionVersion;
-	// added is the part that it does not hold yet.
+	// interest is the interest that the child subscribed to with subscriptionVersion; addedInterest
+	// is the part whose bundles the child does not hold yet.
 	interest            holdings.Interest
 	subscriptionVersion uint64
-	added               holdings.Interest
+	addedInterest       holdings.Interest
 	// subscriptionDirty is true until an update reflects subscriptionVersion.
 	subscriptionDirty bool
-	// sentRevision is the revision the child has after all updates sent.
+	// sentRevision is the revision that the child holds once it has applied all updates sent.
 	sentRevision uint64
-	// fresh services need their complete endpoint set.
-	fresh holdings.Interest
-	// sentChange is the registry change up to which endpoints were sent.
+	// pendingComplete is the set of services whose complete endpoint set must still be sent.
+	pendingComplete holdings.Interest
+	// sentChange is the registry change number up to which endpoints were sent.
 	sentChange uint64
-	// pathDirty is true when the child must get the path and the readers again.
+	// pathDirty is true when the path and the readers must be sent to the child again.
 	pathDirty bool
-	// expel is true when the child must join another parent.
-	expel bool
-	// homeReaders are the readers of its own zone to which an expelled child of
-	// another zone should go.
-	homeReaders  []*lapisv1.PeerAddress
-	offer        *lapisv1.SeatOffer
-	floorReplies []*lapisv1.FloorReply
+	// evict is true when the child must join another parent.
+	evict bool
+	// homeZoneReaders are the readers of the child's own zone, to which an evicted child of another
+	// zone is redirected.
+	homeZoneReaders []*lapisv1.PeerAddress
+	offer           *lapisv1.SeatOffer
+	floorReplies    []*lapisv1.FloorReply
 	// report is the child's last status report, nil before the first.
 	report *lapisv1.StatusReport
-	// expected is the number of nodes in its subtree, those redirected to it
-	// included until its next report.
-	expected uint32
+	// expectedNodes is the number of nodes in the child's subtree, including nodes that were
+	// redirected to the child since its last report.
+	expectedNodes uint32
 }
 
 func newChildSession(common peerLink, hello *lapisv1.Hello) *childSession {
@@ -52,16 +52,16 @@
 	return &childSession{
 		peerLink: common,
 		node:     hello.GetNode(), address: hello.GetAddress(), zone: hello.GetZone(), noSeat: hello.GetNoSeat(),
-		interest: interest, fresh: interest,
+		interest: interest, pendingComplete: interest,
 		subscriptionVersion: hello.GetSubscription().GetVersion(),
 		subscriptionDirty:   true,
 		sentRevision:        hello.GetAppliedRevision(),
-		expected:            max(hello.GetSubtreeNodes(), 1),
+		expectedNodes:       max(hello.GetSubtreeNodes(), 1),
 	}
 }
 
-// ServeChild serves a connection whose Hello asked to become a child. It returns
-// when the connection ends.
+// ServeChild serves a connection whose Hello requests to become a child. It returns when the
+// connection ends.
 func (n *Node) ServeChild(ctx context.Context, conn *wire.Conn, hello *lapisv1.Hello) error {
 	ctx, common := newPeerLink(ctx)
 	defer common.close()
@@ -78,12 +78,12 @@
 	}
 	return n.exchange(ctx, common, conn, linkProtocol{
 		interval: n.config.heartbeat(),
-		next:     func(occasion sendOccasion) outgoing { return n.pendingForChild(session, occasion) },
+		next:     func(event sendEvent) outgoing { return n.pendingChildFrames(session, event) },
 		handle:   func(frame *lapisv1.ControlFrame) error { return n.handleFromChild(session, frame) },
 	})
 }
 
-// dropChild removes a session and starts to suspect the endpoints that came through it.
+// dropChild removes a session and schedules the suspicion of the endpoints received through it.
 func (n *Node) dropChild(session *childSession) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -92,7 +92,7 @@
 		return
 	}
 	delete(n.children, session.node)
-	n.suspectLater(session.node)
+	n.scheduleSuspicion(session.node)
 }
 
 func (n *Node) handleFromChild(session *childSession, frame *lapisv1.ControlFrame) error {
@@ -103,11 +103,11 @@
 		n.resubscribe(session, body.Subscription)
 	case *lapisv1.ControlFrame_Status:
 		session.report = body.Status
-		session.expected = max(body.Status.GetNodes(), 1)
+		session.expectedNodes = max(body.Status.GetNodes(), 1)
 	case *lapisv1.ControlFrame_Endpoints:
 		n.mergeEndpoints(body.Endpoints.GetEndpoints(), session.node)
 	case *lapisv1.ControlFrame_FloorRequest:
-		n.requestFloorFor(session, body.FloorRequest.GetId())
+		n.requestChildFloor(session, body.FloorRequest.GetId())
 	case *lapisv1.ControlFrame_Heartbeat:
 	default:
 		return result.Errorf(result.ProtocolUnexpected, "frame %T from a child", body)
@@ -122,11 +122,11 @@
 	session.subscriptionVersion = subscription.GetVersion()
 	session.subscriptionDirty = true
 	added := session.interest.Minus(previous)
-	session.added = session.added.Union(added)
-	session.fresh = session.fresh.Union(added)
+	session.addedInterest = session.addedInterest.Union(added)
+	session.pendingComplete = session.pendingComplete.Union(added)
 	if subscription.GetResync() {
 		session.sentRevision = 0
 	}
-	n.widen(session.interest)
+	n.widenInterest(session.interest)
 	session.signal()
 }
--- a/internal/distribution/tree/child_admission.go
+++ b/internal/distribution/tree/child_admission.go
@@ -7,7 +7,7 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/membership"
 )
 
-// admit decides on a Hello and registers the session when it is accepted.
+// admit decides whether to accept the child and registers the session of an accepted child.
 func (n *Node) admit(session *childSession, hello *lapisv1.Hello) (*lapisv1.Refusal, *lapisv1.Welcome) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -20,24 +20,24 @@
 	}
 	n.children[session.node] = session
 	n.counts.joinsServed++
-	n.widen(session.interest)
+	n.widenInterest(session.interest)
 	session.signal()
 	return nil, &lapisv1.Welcome{
 		Node: n.config.Node, Incarnation: n.config.Incarnation,
-		Path: n.path, Alternatives: n.alternatives(session.node), Readers: n.knownReaders(),
+		Path: n.path, Alternatives: n.alternativeParents(session.node), Readers: n.knownReaders(),
 	}
 }
 
-// refuseChild returns the answer to a child that is not accepted, nil to one that
-// is; the caller holds mutex. The rate of admissions is looked at last, so that
-// only children that would be accepted use it up.
+// refuseChild returns the refusal for a child that is not accepted, nil for one that is accepted;
+// the caller holds mutex. The admission rate limit is checked last, so that only children that are
+// otherwise acceptable consume it.
 func (n *Node) refuseChild(session *childSession, hello *lapisv1.Hello) *lapisv1.Refusal {
 	verdict := membership.DecideJoin(n.asParent(), membership.Joiner{
 		Node: session.node, Zone: session.zone, Depth: int(hello.GetSubtreeDepth()), Known: n.children[session.node] != nil,
 		Redirected: hello.GetRedirected(), Refusals: int(hello.GetRefusals()),
 	})
 	if verdict == membership.JoinAccepted {
-		if n.joins.Allow() {
+		if n.joinLimiter.Allow() {
 			return nil
 		}
 		verdict = membership.JoinTooFast
@@ -50,7 +50,7 @@
 	}
 }
 
-// referrals names the daemons to which a refused child should go; the caller holds mutex.
+// referrals returns the daemons to which a refused child is redirected; the caller holds mutex.
 func (n *Node) referrals(referral membership.Referral, session *childSession) []*lapisv1.PeerAddress {
 	switch referral {
 	case membership.ReferToZoneReaders:
@@ -64,7 +64,8 @@
 	}
 }
 
-// asParent returns this node as DecideJoin sees it; the caller holds mutex.
+// asParent returns the input that membership.DecideJoin needs about this node; the caller holds
+// mutex.
 func (n *Node) asParent() membership.Parent {
 	return membership.Parent{
 		Zone: n.config.Zone, Reader: n.reader, Stopping: n.stopping, Path: n.path,
@@ -73,25 +74,26 @@
 	}
 }
 
-// expelDeepChildren makes the children that have children of their own join another parent,
-// from the top, so that this node fits under a parent again. The caller holds mutex.
-func (n *Node) expelDeepChildren() {
+// evictDeepChildren makes the children that have children of their own join another parent, so that
+// the subtree of this node becomes shallow enough to be accepted by a parent. The caller holds
+// mutex.
+func (n *Node) evictDeepChildren() {
 	for _, child := range n.children {
 		if child.report.GetDepth() > 0 {
-			child.expel = true
+			child.evict = true
 			child.signal()
 		}
 	}
 }
 
-// reachableChildren returns the children that other daemons can connect to, and the
-// same children as the rules of membership see them; the caller holds mutex.
+// reachableChildren returns the children that other daemons can connect to, and the same children
+// in the form that package membership needs; the caller holds mutex.
 func (n *Node) reachableChildren() (sessions []*childSession, children []membership.Child) {
 	for _, child := range n.children {
 		if child.address != "" {
 			sessions = append(sessions, child)
 			children = append(children, membership.Child{
-				Node: child.node, Zone: child.zone, Expected: child.expected,
+				Node: child.node, Zone: child.zone, Expected: child.expectedNodes,
 				NoSeat: child.noSeat, Offered: child.offer != nil,
 			})
 		}
@@ -99,24 +101,25 @@
 	return sessions, children
 }
 
-// redirects names the children with the smallest subtrees and counts the joining subtree towards
-// the first of them, so that children that join together are spread; the caller holds mutex.
+// redirects returns the children with the smallest subtrees and adds the size of the joining
+// subtree to the first of them, so that children that join at the same time are spread; the caller
+// holds mutex.
 func (n *Node) redirects(joiner *childSession) []*lapisv1.PeerAddress {
 	sessions, children := n.reachableChildren()
 	var peers []*lapisv1.PeerAddress
 	for position, index := range membership.Redirects(children, joiner.zone, joiner.node, membership.MaxReferrals) {
 		child := sessions[index]
 		if position == 0 {
-			child.expected += joiner.expected
+			child.expectedNodes += joiner.expectedNodes
 		}
-		peers = append(peers, n.addressOf(child))
+		peers = append(peers, n.childPeerAddress(child))
 	}
 	return peers
 }
 
-// alternatives names daemons that may serve a child later: the readers of the
-// zone and some of the other children; the caller holds mutex.
-func (n *Node) alternatives(except string) []*lapisv1.PeerAddress {
+// alternativeParents returns daemons that can serve a child when this node is lost: readers and
+// some of the other children. The caller holds mutex.
+func (n *Node) alternativeParents(except string) []*lapisv1.PeerAddress {
 	var peers []*lapisv1.PeerAddress
 	for _, holder := range n.knownReaders() {
 		if len(peers) < membership.MaxReferrals && holder.GetNode() != except {
@@ -128,13 +131,13 @@
 			break
 		}
 		if child.node != except && child.address != "" {
-			peers = append(peers, n.addressOf(child))
+			peers = append(peers, n.childPeerAddress(child))
 		}
 	}
 	return peers
 }
 
-// addressOf returns how a child is named to other daemons.
-func (n *Node) addressOf(child *childSession) *lapisv1.PeerAddress {
+// childPeerAddress returns the address of a child in the form that is sent to other daemons.
+func (n *Node) childPeerAddress(child *childSession) *lapisv1.PeerAddress {
 	return &lapisv1.PeerAddress{Node: child.node, Address: child.address, Zone: child.zone, Region: n.config.Region}
 }
--- a/internal/distribution/tree/cluster_test.go
+++ b/internal/distribution/tree/cluster_test.go
@@ -25,11 +25,11 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// settled bounds how long a cluster may take to reach a stated condition; it
-// is generous because it only ends a test that would fail anyway.
-const settled = 40 * time.Second
+// convergenceTimeout limits the time that a cluster may take to reach an expected state. It is
+// generous, because it only ends tests that fail.
+const convergenceTimeout = 40 * time.Second
 
-// recorder keeps the versions that a node put in force.
+// recorder records the versions that a node put in force.
 type recorder struct {
 	mutex   sync.Mutex
 	applied []tree.Applied
@@ -65,15 +65,15 @@
 	<-m.done
 }
 
-// cluster is a platform stand-in with nodes around it.
+// cluster is a platform stub with the nodes that use it.
 type cluster struct {
 	t        *testing.T
 	stub     *objectapistub.Server
 	store    *objectapi.Client
 	tunables tunables.Distribution
 	members  map[string]*member
-	// retired are members that were killed; their histories still count.
-	retired []*member
+	// killed holds the members that were killed; checkHistories still checks their histories.
+	killed  []*member
 	started uint64
 	seeds   []string
 }
@@ -105,17 +105,17 @@
 	return c
 }
 
-// start runs a node; a node of the same name that was killed is replaced by a
-// new process that knows nothing.
+// start runs a node. A node with the name of a killed one replaces it as a new process without
+// state.
 func (c *cluster) start(name, zone string, services ...string) *member {
 	c.t.Helper()
 	return c.startWith(name, zone, false, services...)
 }
 
-// zoneOf spreads members over two zones.
+// zoneOf distributes the members over two zones.
 func (c *cluster) zoneOf(index int) string { return fmt.Sprintf("z%d", index%2) }
 
-// serveFake accepts connections of children and hands them to handler.
+// serveFake accepts child connections and passes them to handler.
 func (c *cluster) serveFake(handler peer.Handler) string {
 	c.t.Helper()
 	listener, err := wire.TCP{}.Listen("127.0.0.1:0")
@@ -166,7 +166,7 @@
 	return m
 }
 
-// accept makes changes the next revision.
+// accept proposes and accepts changes as the next revision, and returns its number.
 func (c *cluster) accept(operation string, changes ...*lapisv1.Change) uint64 {
 	c.t.Helper()
 	log := changelog.New(c.store, time.Now)
@@ -199,19 +199,20 @@
 			}
 		}
 		return poll.Success()
-	}, poll.WithTimeout(settled), poll.WithDelay(20*time.Millisecond))
+	}, poll.WithTimeout(convergenceTimeout), poll.WithDelay(20*time.Millisecond))
 }
 
-// checkHistories fails when a process ever went back, or a machine did over a replacement.
+// checkHistories fails if a process applied an older revision after a newer one, or if a
+// replacement process of a machine started below the last revision of its predecessor.
 func (c *cluster) checkHistories() {
 	c.t.Helper()
 	floors := map[string]uint64{}
-	for _, m := range c.retired {
+	for _, m := range c.killed {
 		if history := m.recorder.history(); len(history) > 0 {
 			floors[m.node.Info().Node] = history[len(history)-1].Revision
 		}
 	}
-	for _, m := range append(append([]*member{}, c.retired...), membersOf(c.members)...) {
+	for _, m := range append(append([]*member{}, c.killed...), membersOf(c.members)...) {
 		last := uint64(0)
 		for _, applied := range m.recorder.history() {
 			assert.Assert(c.t, applied.Revision > last, "%s applied %d after %d", m.node.Info().Node, applied.Revision, last)
@@ -220,7 +221,7 @@
 	}
 	for name, m := range c.members {
 		if history := m.recorder.history(); len(history) > 0 {
-			assert.Assert(c.t, history[0].Revision >= floors[name], "machine %s went back over a replacement", name)
+			assert.Assert(c.t, history[0].Revision >= floors[name], "machine %s applied an older revision after its replacement", name)
 		}
 	}
 }
@@ -255,12 +256,12 @@
 	return names
 }
 
-// killForGood ends members that do not come back.
-func (c *cluster) killForGood(names ...string) {
+// killAndRemove kills members and removes their machines from the machine list.
+func (c *cluster) killAndRemove(names ...string) {
 	for _, name := range names {
 		c.members[name].kill()
 		c.stub.RemoveMachine(name)
-		c.retired = append(c.retired, c.members[name])
+		c.killed = append(c.killed, c.members[name])
 		delete(c.members, name)
 	}
 }
--- a/internal/distribution/tree/config.go
+++ b/internal/distribution/tree/config.go
@@ -13,45 +13,45 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// Config is what a Node needs from its surroundings.
+// Config holds the identity, settings and dependencies of a Node.
 type Config struct {
-	// Node is the machine's stable name; Incarnation distinguishes successive processes
-	// on it and must grow.
+	// Node is the stable name of the machine. Incarnation distinguishes successive processes on the
+	// machine and must increase.
 	Node        string
 	Incarnation uint64
 	Zone        string
 	Region      string
-	// Address is where other daemons reach this one.
+	// Address is the address at which other daemons connect to this one.
 	Address string
-	// Seeds are addresses of other daemons to ask first.
+	// Seeds are the addresses of other daemons that are tried first as parents.
 	Seeds []string
-	// Interest names the services that this daemon itself needs.
+	// Interest is the set of services whose configuration this daemon needs itself.
 	Interest holdings.Interest
 	Tunables tunables.Distribution
 	Network  wire.Network
 	Store    objectapi.Store
-	// Counters receives the traffic of all links.
+	// Counters counts the traffic of all links.
 	Counters *wire.Counters
-	// Random chooses among candidates; the node alone uses it, under its lock.
+	// Random orders the parent candidates. The node uses it only while it holds its mutex.
 	Random *rand.Rand
 	Logger logr.Logger
 	// Observer must not be nil.
 	Observer Observer
-	// NoSeat keeps the node from ever becoming a reader.
+	// NoSeat prevents the node from becoming a reader.
 	NoSeat bool
 }
 
-// Applied is a version that the node has verified and that the request path must put in force.
+// Applied is a verified configuration version that the request path must put in force.
 type Applied struct {
 	Revision           uint64
 	AcceptedUnixMillis int64
-	// Bundles holds the node's own services. The map and its values are never
-	// changed afterwards.
+	// Bundles holds the bundles of the node's own services. Neither the map nor its values are
+	// modified after Apply.
 	Bundles map[string]*lapisv1.EncodedBundle
 }
 
-// Observer receives a node's output. Its methods are called with the node's
-// lock held, so they must be quick and must not call back into the node.
+// Observer receives the output of a node. The node calls its methods with its mutex held, so they
+// must return quickly and must not call back into the node.
 type Observer interface {
 	// Apply puts a version in force. Revisions never decrease.
 	Apply(Applied)
@@ -59,7 +59,7 @@
 	Endpoints(service string, endpoints []*lapisv1.Endpoint)
 }
 
-// Role is a node's place in the tree.
+// Role is the position of a node in the tree.
 type Role string
 
 const (
@@ -77,19 +77,20 @@
 	Zone     string
 	Role     Role
 	Revision uint64
-	// InForce is the revision that was handed to the observer, 0 before the floor is known.
+	// InForce is the revision last passed to the observer, 0 before the floor is known.
 	InForce    uint64
 	FloorKnown bool
 	// Rooted is true while there is a path to a reader.
 	Rooted   bool
 	Children int
-	// Depth is the number of nodes on the path, 1 for a reader and 0 without a path.
+	// Depth is the number of nodes on the path from the reader, itself included: 1 for a reader and
+	// 0 without a path.
 	Depth     int
 	Endpoints int
-	// SeatState is empty for a node that is not a reader.
+	// SeatState is the state of the seat lease, empty for a node that is not a reader.
 	SeatState string
-	// Joins counts accepted parents, Resyncs digest mismatches, JoinsServed
-	// children admitted and JoinsRefused children turned away.
+	// Joins counts the parents that accepted this node, Resyncs the updates that could not be
+	// applied, JoinsServed the children admitted and JoinsRefused the children refused.
 	Joins, Resyncs, JoinsServed, JoinsRefused int64
 }
 
--- a/internal/distribution/tree/doc.go
+++ b/internal/distribution/tree/doc.go
@@ -1,27 +1,26 @@
 // Package tree distributes the accepted configuration and the endpoints among the daemons. Every
-// daemon is a Node. Readers, a few in each zone, follow the accept register in the object API;
-// every other node is the child of one parent, so that the nodes of a zone form trees of bounded
-// fan-out with the zone's readers as roots. Updates and endpoints flow down, endpoints and
-// status reports flow up, and readers exchange endpoints with each other.
+// daemon is a Node. A few nodes of each zone, the readers, watch the accept register in the object
+// API. Every other node is the child of one parent, so that the nodes of a zone form trees of
+// bounded fan-out whose roots are the zone's readers. Updates and endpoints are sent down the tree,
+// endpoints and status reports are sent up, and readers exchange endpoints with each other.
 //
-// It owns, in memory only: the holdings, the endpoint registry, the floor requests, the
-// candidates for a parent and the view of the seats of one daemon; one connection to the
-// parent, or to each other reader, and one from each child; for each connection a
-// goroutine that receives and one that sends; and for a reader the goroutines that renew
-// its seat, watch the object API, and do its periodic work. All of it ends with the
-// context of Run. Nothing is kept on disk.
+// A Node keeps its state in memory only: the holdings, the endpoint registry, the floor requests,
+// the parent candidates and the observed seats. It owns one connection to its parent or, as a
+// reader, one to each other reader, and one from each child. Each connection has one goroutine that
+// receives and one that sends. A reader also runs the goroutines that renew its seat, watch the
+// object API and do its periodic work. All of them end with the context of Run.
 //
-// It relies on transport/peer to accept connections and read their Hello, on the packages
-// holdings, endpoint, seat, revisionfloor, status and membership for every decision, and
-// on objectapi.Store while the node is a reader or has no parent.
+// The package depends on transport/peer to accept connections and read their Hello; on the packages
+// holdings, endpoint, seat, revisionfloor, status and membership, which make the decisions; and on
+// objectapi.Store while the node is a reader or has no parent.
 //
-// What must hold: Node.mutex protects all of a node's state, is held for short
-// computations only, and frames are sent outside it. The revision in force never
-// decreases and is never below the floor. A sender computes what its peer lacks at the
-// moment it sends, so that a slow peer costs no memory and gets the latest state in one
-// update. Nothing a reader sends depends on its lease: a reader whose lease lapsed may
-// still serve its children, but writes nothing to the object API.
+// Invariants: Node.mutex protects all state of a node, is held for short computations only, and is
+// never held while frames are sent. The revision in force never decreases and is never below the
+// floor. A sender computes the frames for its peer at the time of sending, so that a slow peer uses
+// no additional memory and receives the latest state in one update. Frames sent by a reader do not
+// depend on its lease: a reader whose lease has lapsed still serves its children, but does not
+// write to the object API.
 //
-// Where to read: parent*.go is the link upwards, child*.go the links downwards,
-// reader*.go what a reader does besides, link.go the exchange of frames that they share.
+// The files parent*.go implement the link to the parent, child*.go the links to the children,
+// reader*.go the work of a reader, and link.go the exchange of frames that all links share.
 package tree
--- a/internal/distribution/tree/endpoints.go
+++ b/internal/distribution/tree/endpoints.go
@@ -8,9 +8,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// SetLocalEndpoints announces the instances beside this daemon. Node, address, zone,
-// incarnation and sequence are filled in by the node. An instance that is no longer
-// named is announced as gone. It is safe for concurrent use.
+// SetLocalEndpoints announces the instances of this machine. The node fills in node, address, zone,
+// region, incarnation and sequence. An instance that is no longer listed is announced as gone. It
+// is safe for concurrent use.
 func (n *Node) SetLocalEndpoints(endpoints []*lapisv1.Endpoint) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -18,22 +18,22 @@
 	for _, statement := range endpoints {
 		present[statement.GetService()+"/"+statement.GetInstance()] = true
 	}
-	for _, previous := range n.local {
+	for _, previous := range n.localEndpoints {
 		if !present[previous.GetService()+"/"+previous.GetInstance()] && previous.GetState() != lapisv1.Endpoint_STATE_GONE {
 			endpoints = append(endpoints, &lapisv1.Endpoint{
 				Service: previous.GetService(), Instance: previous.GetInstance(), State: lapisv1.Endpoint_STATE_GONE,
 			})
 		}
 	}
-	n.local = endpoints
+	n.localEndpoints = endpoints
 	n.announce()
 }
 
-// announce sends all local endpoints again with new sequence numbers, so that they
-// supersede what others say of them; the caller holds mutex.
+// announce sends all local endpoints again with new sequence numbers, so that they supersede the
+// statements of other daemons about them; the caller holds mutex.
 func (n *Node) announce() {
 	now := boottime.Now()
-	for _, statement := range n.local {
+	for _, statement := range n.localEndpoints {
 		n.sequence++
 		n.merge(&lapisv1.Endpoint{
 			Service: statement.GetService(), Instance: statement.GetInstance(),
@@ -44,13 +44,13 @@
 	}
 }
 
-// mergeEndpoints applies statements that came through the named child, "" when they came
-// from the parent or another reader; the caller holds mutex.
+// mergeEndpoints applies the statements received through the child via, which is "" for the parent
+// and other readers; the caller holds mutex.
 func (n *Node) mergeEndpoints(endpoints []*lapisv1.Endpoint, via string) {
 	now := boottime.Now()
 	refute := false
 	for _, statement := range endpoints {
-		if endpoint.MustRefute(statement, n.config.Node, n.config.Incarnation, n.local) {
+		if endpoint.MustRefute(statement, n.config.Node, n.config.Incarnation, n.localEndpoints) {
 			refute = true
 			continue
 		}
@@ -61,17 +61,17 @@
 	}
 }
 
-// merge applies one statement and passes it on when it is new; the caller holds mutex.
+// merge applies one statement and schedules sending it when it is new; the caller holds mutex.
 func (n *Node) merge(statement *lapisv1.Endpoint, via string, now time.Time) {
 	if !n.registry.Merge(statement, via, now) {
 		return
 	}
-	n.holdDrain(statement)
+	n.scheduleReannounce(statement)
 	n.endpointChanged(statement.GetService())
-	n.drainLeaving(statement, now)
+	n.drainIfLeaving(statement, now)
 }
 
-// endpointChanged notifies the observer and schedules sending; the caller holds mutex.
+// endpointChanged notifies the observer and schedules sending the change; the caller holds mutex.
 func (n *Node) endpointChanged(service string) {
 	if n.config.Interest.Has(service) {
 		n.config.Observer.Endpoints(service, n.registry.Service(service))
@@ -79,7 +79,8 @@
 	n.scheduleFlush()
 }
 
-// scheduleFlush sends endpoint changes after EndpointDebounce; the caller holds mutex.
+// scheduleFlush schedules sending the endpoint changes after EndpointDebounce; the caller holds
+// mutex.
 func (n *Node) scheduleFlush() {
 	if n.flushScheduled {
 		return
@@ -89,7 +90,7 @@
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
 		n.flushScheduled = false
-		n.flushed = n.registry.Change()
+		n.flushedChange = n.registry.Change()
 		n.wakeChildren()
 		if n.parent != nil {
 			n.parent.signal()
@@ -100,8 +101,8 @@
 	})
 }
 
-// dropUnknownEndpoints drops the entries of complete services that the parent no longer
-// knows; the caller holds mutex.
+// dropUnknownEndpoints removes the endpoints of complete services that the parent no longer lists;
+// the caller holds mutex.
 func (n *Node) dropUnknownEndpoints(batch *lapisv1.EndpointBatch) {
 	for _, service := range batch.GetCompleteServices() {
 		before := n.registry.ServiceChange(service)
@@ -112,23 +113,23 @@
 	}
 }
 
-// Endpoints returns the known instances of a service, which must not be changed. It is safe for
-// concurrent use.
+// Endpoints returns the known instances of a service, which the caller must not modify. It is safe
+// for concurrent use.
 func (n *Node) Endpoints(service string) []*lapisv1.Endpoint {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.registry.Service(service)
 }
 
-// lostEndpoint is an endpoint whose daemon may have ended, as it was announced last.
+// lostEndpoint identifies the last statement about an endpoint whose daemon lost its connection.
 type lostEndpoint struct {
 	key                   endpoint.Key
 	incarnation, sequence uint64
 }
 
-// suspectLater marks the endpoints that came through a lost child as suspect after
-// SuspectAfter, unless they are announced again before; the caller holds mutex.
-func (n *Node) suspectLater(child string) {
+// scheduleSuspicion marks the endpoints received through a lost child as suspect after
+// SuspectAfter, unless they are announced again before then; the caller holds mutex.
+func (n *Node) scheduleSuspicion(child string) {
 	var lost []lostEndpoint
 	for _, key := range n.registry.ChildLost(child) {
 		if statement, ok := n.registry.Get(key); ok {
--- a/internal/distribution/tree/export_test.go
+++ b/internal/distribution/tree/export_test.go
@@ -1,7 +1,7 @@
 package tree
 
-// SkipFloor makes the node put any version in force without asking for a floor.
-// It exists to show that the history check catches such a build.
+// SkipFloor makes the node put any version in force without a floor, which shows that the history
+// check detects a missing floor.
 func (n *Node) SkipFloor() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/faulty_network_test.go
+++ b/internal/distribution/tree/faulty_network_test.go
@@ -11,14 +11,14 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// faultyNetwork is TCP that can pause, and corrupt what is received.
+// faultyNetwork is a TCP network that can pause and can corrupt received data.
 type faultyNetwork struct {
 	wire.TCP
 	paused      *atomic.Bool
 	corruptNext atomic.Int32
 }
 
-// dialPlatform opens connections to the platform that pause along.
+// dialPlatform opens a connection to the platform that pauses together with this network.
 func (f *faultyNetwork) dialPlatform(ctx context.Context, _, address string) (net.Conn, error) {
 	return (&faultyNetwork{paused: f.paused}).Dial(ctx, address)
 }
@@ -38,7 +38,7 @@
 	return &faultyConn{Conn: conn, network: f}, nil
 }
 
-// faultyConn applies its network's faults.
+// faultyConn applies the faults of its network.
 type faultyConn struct {
 	net.Conn
 	network *faultyNetwork
--- a/internal/distribution/tree/floor_read_test.go
+++ b/internal/distribution/tree/floor_read_test.go
@@ -14,7 +14,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// slowRegister is an object API whose accept register takes a second to read and is empty.
+// slowRegister is an object API with an empty accept register that takes one second to read.
 type slowRegister struct{ objectapi.Store }
 
 func (slowRegister) Get(context.Context, string) (objectapi.Object, error) {
@@ -22,8 +22,9 @@
 	return objectapi.Object{}, result.Errorf(result.PlatformNotFound, "no such object")
 }
 
-// A reader that loses its seat while it reads the accept register gives the read up. Its
-// answer may be older than what came in force before a later request, so it answers none.
+// A reader that loses its seat while it reads the accept register aborts the read. The result may
+// be older than a version that came in force before a later request, so it must not answer any
+// request.
 func TestReadThatWasGivenUpAnswersNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := &Node{config: Config{Store: slowRegister{}}, reader: true, path: []string{"n"}, floors: &revisionfloor.Broker{}}
@@ -35,10 +36,10 @@
 			step()
 		}
 		locked(func() { ask(); node.startFloorRead() })
-		time.Sleep(floorSpacing + time.Millisecond)
+		time.Sleep(floorBatchDelay + time.Millisecond)
 		locked(func() { ask(); node.abortFloorRead() })
 		time.Sleep(time.Minute)
-		locked(func() { assert.Equal(t, answers, 0, "the node reads no more and has no parent yet") })
+		locked(func() { assert.Equal(t, answers, 0, "the read was aborted and the node has no parent yet") })
 		locked(node.startFloorRead)
 		time.Sleep(time.Minute)
 		locked(func() { assert.Equal(t, answers, 2) })
--- a/internal/distribution/tree/floor_test.go
+++ b/internal/distribution/tree/floor_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	c.members[leaf].kill()
-	c.retired = append(c.retired, c.members[leaf])
+	c.killed = append(c.killed, c.members[leaf])
 	c.seeds = []string{c.members[c.readers()[0]].address}
 	c.start(leaf, "z", "a")
 	c.waitInForce(last)
@@ -48,8 +48,7 @@
 	assert.Equal(t, info.InForce, uint64(0))
 }
 
-// laggingParent sends one old version to whoever connects and answers each floor request
-// with floor.
+// laggingParent sends an old version to each child and answers each floor request with floor.
 type laggingParent struct {
 	update *lapisv1.Update
 	floor  uint64
@@ -86,8 +85,9 @@
 	}
 }
 
-// restartUnderLaggingParent replaces a node that had revision 2 in force by a process whose only
-// parent is still at revision 1, and returns what the machine put in force over both processes.
+// restartUnderLaggingParent replaces a node that had revision 2 in force by a new process whose
+// only parent is still at revision 1, and returns the revisions that both processes put in force,
+// in order.
 func restartUnderLaggingParent(t *testing.T, skipFloor bool) []uint64 {
 	t.Helper()
 	c := newCluster(t)
@@ -97,7 +97,7 @@
 	old := m.recorder.history()[len(m.recorder.history())-1]
 	c.waitInForce(c.accept("two", service("a", 7)...))
 	m.kill()
-	c.retired = append(c.retired, m)
+	c.killed = append(c.killed, m)
 
 	set := meshconfig.DigestOf(old.Bundles)
 	update := &lapisv1.Update{ToRevision: 1, Full: true, Digest: set.Bytes()}
@@ -112,8 +112,8 @@
 		if replaced.node.Info().Revision == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("the old version has not arrived")
-	}, poll.WithTimeout(settled))
+		return poll.Continue("the old version has not been received")
+	}, poll.WithTimeout(convergenceTimeout))
 	time.Sleep(200 * time.Millisecond)
 	var revisions []uint64
 	for _, applied := range append(m.recorder.history(), replaced.recorder.history()...) {
@@ -136,5 +136,5 @@
 }
 
 func TestHistoryCheckCatchesAMissingFloor(t *testing.T) {
-	assert.Assert(t, !neverDecreases(restartUnderLaggingParent(t, true)), "the check passed a build without a floor")
+	assert.Assert(t, !neverDecreases(restartUnderLaggingParent(t, true)), "the history check did not detect the missing floor")
 }
--- a/internal/distribution/tree/floors.go
+++ b/internal/distribution/tree/floors.go
@@ -12,21 +12,21 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Times of floor requests.
+// Timing of floor requests.
 const (
-	// floorSpacing is the wait before a reader reads the accept register, so that one
-	// read answers the requests of many daemons that start together.
-	floorSpacing = 50 * time.Millisecond
-	// floorReadTimeout is how long a reader waits for the accept register before it
-	// answers from what the readers hold. It must be shorter than the time for which one
-	// request to the object API may last (objectapi.RequestTimeout).
+	// floorBatchDelay is the delay before a reader reads the accept register, so that one read
+	// answers the requests of many daemons that start at the same time.
+	floorBatchDelay = 50 * time.Millisecond
+	// floorReadTimeout limits the read of the accept register, after which a reader derives the
+	// floor from the revisions held by the readers. It must be shorter than
+	// objectapi.RequestTimeout.
 	floorReadTimeout = 2 * time.Second
-	// floorRetry is the middle of the wait before a daemon asks again after no majority
+	// floorRetryInterval is the mean delay before a daemon repeats a floor request that no majority
 	// of the readers could answer.
-	floorRetry = time.Second
+	floorRetryInterval = time.Second
 )
 
-// requestOwnFloor asks for the floor of this node itself.
+// requestOwnFloor requests the floor of this node.
 func (n *Node) requestOwnFloor() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -34,11 +34,11 @@
 	n.startFloorRead()
 }
 
-// applyFloor receives the answer for this node; the caller holds mutex.
+// applyFloor handles the reply to this node's own floor request; the caller holds mutex.
 func (n *Node) applyFloor(reply *lapisv1.FloorReply) {
 	if reply.GetUnavailable() {
 		n.config.Logger.Info("tree.no_floor", "code", uint32(result.DistributionNoFloor))
-		time.AfterFunc(floorRetry/2+rand.N(floorRetry), n.requestOwnFloor)
+		time.AfterFunc(floorRetryInterval/2+rand.N(floorRetryInterval), n.requestOwnFloor)
 		return
 	}
 	n.floor = reply.GetRevision()
@@ -46,8 +46,8 @@
 	n.publish()
 }
 
-// requestFloorFor asks on behalf of a child; the caller holds mutex.
-func (n *Node) requestFloorFor(session *childSession, id uint64) {
+// requestChildFloor requests a floor on behalf of a child; the caller holds mutex.
+func (n *Node) requestChildFloor(session *childSession, id uint64) {
 	n.floors.Ask(func(reply *lapisv1.FloorReply) {
 		session.floorReplies = append(session.floorReplies, &lapisv1.FloorReply{
 			Id: id, Revision: reply.GetRevision(), Authority: reply.GetAuthority(), Unavailable: reply.GetUnavailable(),
@@ -57,54 +57,55 @@
 	n.startFloorRead()
 }
 
-// startFloorRead passes a pending floor request on, a reader to the object API and any other node
-// to its parent, as soon as there is a path to a reader. The caller holds mutex.
+// startFloorRead forwards a pending floor request as soon as there is a path to a reader: a reader
+// reads the accept register, any other node sends the request to its parent. The caller holds
+// mutex.
 func (n *Node) startFloorRead() {
-	if !n.floors.Pending() || n.floorIssued || len(n.path) == 0 {
+	if !n.floors.Pending() || n.floorRequestInFlight || len(n.path) == 0 {
 		return
 	}
 	if n.reader {
-		n.floorIssued = true
-		n.floorReads++
-		go n.readFloor(n.floorReads)
+		n.floorRequestInFlight = true
+		n.floorReadID++
+		go n.readFloor(n.floorReadID)
 		return
 	}
 	if n.parent != nil {
-		n.floorIssued = true
+		n.floorRequestInFlight = true
 		n.parent.floorRequestDue = true
 		n.parent.signal()
 	}
 }
 
-// answerFloor hands a reply to the requests that wait for it; the caller holds mutex.
+// answerFloor passes a reply to the requests that it answers; the caller holds mutex.
 func (n *Node) answerFloor(reply *lapisv1.FloorReply) {
-	n.floorIssued = false
+	n.floorRequestInFlight = false
 	n.floors.Answer(reply)
 	n.startFloorRead()
 }
 
-// abortFloorRead takes back a request whose reader or parent is lost; it is sent again to the
-// next parent. The caller holds mutex.
+// abortFloorRead cancels a floor request whose read or parent was lost, so that it is issued again.
+// The caller holds mutex.
 func (n *Node) abortFloorRead() {
-	if n.floorIssued {
-		n.floorIssued = false
-		n.floorReads++
+	if n.floorRequestInFlight {
+		n.floorRequestInFlight = false
+		n.floorReadID++
 		n.floors.Abort()
 	}
 }
 
-// readFloor answers from the accept register or, during an outage, from what the readers hold.
-// read is its number; once another one began or this one was given up, its answer may be too
-// old for the requests that wait, and counts no more.
+// readFloor reads the floor from the accept register or, during an outage, derives it from the
+// revisions held by the readers. read identifies the read: its result is discarded when another
+// read has started or this one was aborted, because it may be too old for the requests now pending.
 func (n *Node) readFloor(read uint64) {
-	time.Sleep(floorSpacing)
+	time.Sleep(floorBatchDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), floorReadTimeout)
 	defer cancel()
 	revision, err := changelog.HeadRevision(ctx, n.config.Store)
 	reply := &lapisv1.FloorReply{Revision: revision, Authority: lapisv1.FloorReply_AUTHORITY_SOURCE}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if read != n.floorReads {
+	if read != n.floorReadID {
 		return
 	}
 	if err != nil {
@@ -114,7 +115,8 @@
 	n.answerFloor(reply)
 }
 
-// readerView returns what this reader knows without the object API; the caller holds mutex.
+// readerView returns the state that this reader knows without the object API; the caller holds
+// mutex.
 func (n *Node) readerView() revisionfloor.ReaderView {
 	view := revisionfloor.ReaderView{
 		Head:           n.holdings.Revision(),
@@ -122,7 +124,7 @@
 	}
 	for _, link := range n.mesh {
 		if link.connected {
-			view.PeerHeads = append(view.PeerHeads, link.peerHead)
+			view.PeerHeads = append(view.PeerHeads, link.peerHeadRevision)
 		}
 	}
 	view.KnownReaders = max(len(n.seats.KnownHolders(seat.Prefix)), 1)
--- a/internal/distribution/tree/interest.go
+++ b/internal/distribution/tree/interest.go
@@ -6,7 +6,7 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/holdings"
 )
 
-// neededInterest returns what this node and its children need; the caller holds mutex.
+// neededInterest returns the services needed by this node and its children; the caller holds mutex.
 func (n *Node) neededInterest() holdings.Interest {
 	needed := n.config.Interest
 	for _, child := range n.children {
@@ -15,44 +15,44 @@
 	return needed
 }
 
-// request replaces the interest that the parent is asked to serve; the caller holds mutex.
-func (n *Node) request(interest holdings.Interest) {
-	n.requested = interest
+// requestInterest replaces the interest requested from the parent; the caller holds mutex.
+func (n *Node) requestInterest(interest holdings.Interest) {
+	n.requestedInterest = interest
 	n.requestedVersion++
 	n.pendingInterests[n.requestedVersion] = interest
-	n.shrinkSince = time.Time{}
+	n.shrinkableSince = time.Time{}
 	if n.parent != nil {
 		n.parent.signal()
 	}
 }
 
-// widen adds the services of interest to the request; the caller holds mutex.
-func (n *Node) widen(interest holdings.Interest) {
-	if !n.requested.Covers(interest) {
-		n.request(n.requested.Union(interest))
+// widenInterest adds services to the requested interest; the caller holds mutex.
+func (n *Node) widenInterest(interest holdings.Interest) {
+	if !n.requestedInterest.Covers(interest) {
+		n.requestInterest(n.requestedInterest.Union(interest))
 	}
 }
 
-// considerShrinking drops the services that neither this node nor its subtree has needed
-// for InterestShrinkDelay. The delay keeps a child that reconnects from costing a full
-// update of its services. A reader holds all services. The caller holds mutex.
-func (n *Node) considerShrinking(now time.Time) {
+// shrinkIdleInterest removes the services that neither this node nor its subtree has needed for
+// InterestShrinkDelay. The delay avoids a full update of the services of a child that reconnects. A
+// reader holds all services. The caller holds mutex.
+func (n *Node) shrinkIdleInterest(now time.Time) {
 	needed := n.neededInterest()
-	if n.reader || needed.Equal(n.requested) {
-		n.shrinkSince = time.Time{}
+	if n.reader || needed.Equal(n.requestedInterest) {
+		n.shrinkableSince = time.Time{}
 		return
 	}
-	if n.shrinkSince.IsZero() {
-		n.shrinkSince = now
+	if n.shrinkableSince.IsZero() {
+		n.shrinkableSince = now
 		return
 	}
-	if now.Sub(n.shrinkSince) >= n.config.Tunables.InterestShrinkDelay.Get() {
-		n.request(needed)
+	if now.Sub(n.shrinkableSince) >= n.config.Tunables.InterestShrinkDelay.Get() {
+		n.requestInterest(needed)
 	}
 }
 
-// interestOf returns the interest that an update of the given subscription version covers;
-// ok is false for a version never requested. The caller holds mutex.
+// interestOf returns the interest of a subscription version; ok is false for a version that was
+// never requested. The caller holds mutex.
 func (n *Node) interestOf(version uint64) (interest holdings.Interest, ok bool) {
 	if version == n.coveredVersion {
 		return n.holdings.Interest(), true
@@ -61,7 +61,7 @@
 	return interest, ok
 }
 
-// coverSubscription records that the holdings now cover version; the caller holds mutex.
+// coverSubscription records that the holdings cover a subscription version; the caller holds mutex.
 func (n *Node) coverSubscription(version uint64) {
 	n.coveredVersion = version
 	for pending := range n.pendingInterests {
--- a/internal/distribution/tree/link.go
+++ b/internal/distribution/tree/link.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// greetingTimeout bounds writing the preface and waiting for the answer to a Hello, each.
-	// transport/peer closes a connection that has not greeted within the same time.
+	// greetingTimeout limits the write of the preface and the wait for the answer to a Hello, each.
+	// transport/peer uses the same limit for the Hello of an accepted connection.
 	greetingTimeout = 3 * time.Second
-	// sendTimeout bounds the write of what one link sends at once. A peer that does not read for so
-	// long loses the link. It is larger than the time in which a full update passes.
+	// sendTimeout limits the write of the frames that one link sends at a time. A link whose peer
+	// does not read for that long is closed. It must be longer than the transmission of a full
+	// update.
 	sendTimeout = 5 * time.Second
 )
 
-// peerLink is the part that every connection of the tree has in common, whether its peer is the
-// parent, a child or another reader. Its methods are safe for concurrent use.
+// peerLink is the part that all connections of the tree have in common: those to the parent, to a
+// child and to another reader. Its methods are safe for concurrent use.
 type peerLink struct {
 	cancel context.CancelFunc
 	wake   chan struct{}
 }
 
-// newPeerLink returns a link and the context that ends with it.
+// newPeerLink returns a link and a context that is cancelled when the link is closed.
 func newPeerLink(ctx context.Context) (context.Context, peerLink) {
 	ctx, cancel := context.WithCancel(ctx)
 	return ctx, peerLink{cancel: cancel, wake: make(chan struct{}, 1)}
 }
 
-// signal makes the sender compute what the peer lacks.
+// signal wakes the sender, which then computes the frames to send.
 func (l peerLink) signal() {
 	select {
 	case l.wake <- struct{}{}:
@@ -45,37 +46,37 @@
 
 func (l peerLink) close() { l.cancel() }
 
-// sendOccasion is why a link's sender asks for frames to send.
-type sendOccasion struct {
-	// tick is true at the link's regular interval and false after a signal.
+// sendEvent describes the reason for which the sender of a link asks for frames.
+type sendEvent struct {
+	// tick is true for the link's regular interval and false for a signal.
 	tick bool
-	// idle is true at a tick when nothing was sent since the tick before.
+	// idle is true at a tick when nothing was sent since the previous tick.
 	idle bool
-	// silent is the time since frames were last sent.
-	silent time.Duration
+	// sinceLastSend is the time since frames were last sent.
+	sinceLastSend time.Duration
 }
 
-// outgoing is what a link sends next.
+// outgoing holds the frames that a link sends next.
 type outgoing struct {
 	frames []proto.Message
-	// pause is how long to wait before sending.
-	pause time.Duration
-	// last is true when the link ends after frames.
-	last bool
+	// delay is the time to wait before sending.
+	delay time.Duration
+	// closeAfter is true when the link is closed after sending frames.
+	closeAfter bool
 }
 
-// linkProtocol is what distinguishes one kind of link from another.
+// linkProtocol configures exchange for one kind of link.
 type linkProtocol struct {
 	// interval is the time between the sender's ticks.
 	interval time.Duration
-	// next computes what the peer lacks at this moment.
-	next func(sendOccasion) outgoing
+	// next returns the frames to send at this time.
+	next func(sendEvent) outgoing
 	// handle applies a received frame; an error ends the link.
 	handle func(*lapisv1.ControlFrame) error
 }
 
-// exchange sends and receives on conn until ctx or the link ends, and returns why it ended. A
-// peer that is silent for LinkSilence is taken as lost. The caller closes conn afterwards.
+// exchange sends and receives on conn until ctx or the link ends, and returns the reason. A peer
+// that is silent for LinkSilence is considered lost. The caller closes conn afterwards.
 func (n *Node) exchange(ctx context.Context, link peerLink, conn *wire.Conn, protocol linkProtocol) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -97,26 +98,26 @@
 	}
 }
 
-// sendFrames sends what protocol says the peer lacks, at each signal and tick,
-// until ctx ends, a write fails, or the last frame was sent.
+// sendFrames sends the frames returned by protocol.next at each signal and tick, until ctx ends, a
+// write fails, or closeAfter is set.
 func sendFrames(ctx context.Context, link peerLink, conn *wire.Conn, protocol linkProtocol) error {
 	ticker := time.NewTicker(protocol.interval)
 	defer ticker.Stop()
 	lastSent := boottime.Now()
 	idle := true
 	for {
-		var occasion sendOccasion
+		var event sendEvent
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-link.wake:
 		case <-ticker.C:
-			occasion = sendOccasion{tick: true, idle: idle}
+			event = sendEvent{tick: true, idle: idle}
 			idle = true
 		}
-		occasion.silent = boottime.Since(lastSent)
-		pending := protocol.next(occasion)
-		if !sleep.For(ctx, pending.pause) {
+		event.sinceLastSend = boottime.Since(lastSent)
+		pending := protocol.next(event)
+		if !sleep.For(ctx, pending.delay) {
 			return nil
 		}
 		if len(pending.frames) == 0 {
@@ -124,14 +125,14 @@
 		}
 		idle = false
 		lastSent = boottime.Now()
-		if err := sendWithin(conn, sendTimeout, pending.frames...); err != nil || pending.last {
+		if err := sendWithin(conn, sendTimeout, pending.frames...); err != nil || pending.closeAfter {
 			return err
 		}
 	}
 }
 
-// receiveFrames handles frames until one is refused, the peer is silent for
-// longer than silence, or the connection ends.
+// receiveFrames handles frames until handle returns an error, the peer is silent for longer than
+// silence, or the connection ends.
 func receiveFrames(conn *wire.Conn, silence time.Duration, handle func(*lapisv1.ControlFrame) error) error {
 	for {
 		frame, err := receiveWithin(conn, silence)
@@ -144,19 +145,19 @@
 	}
 }
 
-// sendWithin writes frames. Errors: ProtocolTimeout.
+// sendWithin writes frames with a deadline. Errors: ProtocolTimeout.
 func sendWithin(conn *wire.Conn, timeout time.Duration, frames ...proto.Message) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
-		return result.Wrap(result.ProtocolTimeout, err, "bounding a write")
+		return result.Wrap(result.ProtocolTimeout, err, "setting the write deadline")
 	}
 	return conn.SendAll(frames...)
 }
 
-// receiveWithin reads the next frame and decompresses it. Errors: io.EOF,
+// receiveWithin reads the next frame with a deadline and decompresses it. Errors: io.EOF,
 // ProtocolTimeout, ProtocolTooLarge, ProtocolBadFrame.
 func receiveWithin(conn *wire.Conn, timeout time.Duration) (*lapisv1.ControlFrame, error) {
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
-		return nil, result.Wrap(result.ProtocolTimeout, err, "bounding a read")
+		return nil, result.Wrap(result.ProtocolTimeout, err, "setting the read deadline")
 	}
 	frame := &lapisv1.ControlFrame{}
 	if err := conn.Receive(frame); err != nil {
@@ -165,8 +166,8 @@
 	return wire.Decompress(frame)
 }
 
-// dial opens a connection to another daemon and sends the preface; the Hello
-// must follow within greetingTimeout.
+// dial opens a connection to another daemon and sends the preface. The caller must send the Hello
+// within greetingTimeout.
 func (n *Node) dial(ctx context.Context, address string) (*wire.Conn, error) {
 	raw, err := n.config.Network.Dial(ctx, address)
 	if err != nil {
@@ -175,7 +176,7 @@
 	conn := wire.NewConn(raw, n.config.Counters)
 	if err := conn.SetWriteDeadline(time.Now().Add(greetingTimeout)); err != nil {
 		closeConn(conn)
-		return nil, result.Wrap(result.ProtocolTimeout, err, "bounding the preface")
+		return nil, result.Wrap(result.ProtocolTimeout, err, "setting the write deadline of the preface")
 	}
 	if err := conn.WritePreface(); err != nil {
 		closeConn(conn)
@@ -184,7 +185,7 @@
 	return conn, nil
 }
 
-// identity returns a Hello with the fields that every purpose has in common.
+// identity returns a Hello with the fields that are common to all purposes.
 func (n *Node) identity(purpose lapisv1.Hello_Purpose) *lapisv1.Hello {
 	return &lapisv1.Hello{
 		ProtocolVersion: wire.ProtocolVersion, Purpose: purpose,
@@ -198,8 +199,8 @@
 	return context.AfterFunc(ctx, func() { closeConn(conn) })
 }
 
-// closeConn closes a connection that is no longer used. An error of closing is
-// dropped: nothing depends on it, and readers and writers get an error of their own.
+// closeConn closes a connection that is no longer used. The error of Close is ignored: reads and
+// writes on the connection return their own errors.
 func closeConn(conn *wire.Conn) { _ = conn.Close() }
 
 func refusalFrame(refusal *lapisv1.Refusal) *lapisv1.ControlFrame {
@@ -214,7 +215,7 @@
 	return &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Heartbeat{Heartbeat: heartbeat}}
 }
 
-// endpointsFrame returns batch as it is sent, compressed when that pays.
+// endpointsFrame returns the frame of batch, compressed when compression makes it smaller.
 func endpointsFrame(batch *lapisv1.EndpointBatch) *lapisv1.ControlFrame {
 	return wire.Compress(&lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Endpoints{Endpoints: batch}})
 }
--- a/internal/distribution/tree/link_test.go
+++ b/internal/distribution/tree/link_test.go
@@ -17,7 +17,7 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// linkedPair returns both ends of a connection that only exists in memory.
+// linkedPair returns both ends of an in-memory connection.
 func linkedPair() (own, peer *wire.Conn) {
 	ownRaw, peerRaw := net.Pipe()
 	return wire.NewConn(ownRaw, &wire.Counters{}), wire.NewConn(peerRaw, &wire.Counters{})
@@ -27,9 +27,9 @@
 	return []proto.Message{heartbeatFrame(&lapisv1.Heartbeat{})}
 }
 
-// exchangeUntilEnd runs a link whose sender asks next at each second and signal, and
-// returns why and after what time it ended.
-func exchangeUntilEnd(conn *wire.Conn, link peerLink, next func(sendOccasion) outgoing) (time.Duration, error) {
+// exchangeUntilEnd runs a link whose sender calls next at each second and signal, and returns how
+// long the link lasted and why it ended.
+func exchangeUntilEnd(conn *wire.Conn, link peerLink, next func(sendEvent) outgoing) (time.Duration, error) {
 	node := &Node{config: Config{Tunables: tunables.Convergence()}}
 	started := time.Now()
 	err := node.exchange(context.Background(), link, conn, linkProtocol{
@@ -47,7 +47,7 @@
 			time.Sleep(2 * time.Second)
 			assert.Check(t, peer.SendAll(heartbeatOnly()...))
 		}()
-		lasted, err := exchangeUntilEnd(own, link, func(sendOccasion) outgoing { return outgoing{} })
+		lasted, err := exchangeUntilEnd(own, link, func(sendEvent) outgoing { return outgoing{} })
 		assert.Assert(t, result.Is(err, result.ProtocolTimeout), "%v", err)
 		assert.Equal(t, lasted, 2*time.Second+tunables.Convergence().LinkSilence.Get())
 		closeConn(own)
@@ -55,7 +55,7 @@
 	})
 }
 
-// A tick is idle when nothing was sent since the one before; a signal is no tick.
+// A tick is idle when nothing was sent since the previous tick; a signal does not count as a tick.
 func TestSenderIsAskedAtSignalsAndTicks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		own, peer := linkedPair()
@@ -66,24 +66,24 @@
 		}()
 		time.AfterFunc(1500*time.Millisecond, link.signal)
 		time.AfterFunc(2500*time.Millisecond, func() { assert.Check(t, peer.SendAll(heartbeatOnly()...)) })
-		var asked []sendOccasion
-		_, err := exchangeUntilEnd(own, link, func(occasion sendOccasion) outgoing {
-			asked = append(asked, occasion)
+		var asked []sendEvent
+		_, err := exchangeUntilEnd(own, link, func(event sendEvent) outgoing {
+			asked = append(asked, event)
 			switch len(asked) {
 			case 2:
 				return outgoing{frames: heartbeatOnly()}
 			case 4:
-				return outgoing{frames: heartbeatOnly(), pause: 100 * time.Millisecond, last: true}
+				return outgoing{frames: heartbeatOnly(), delay: 100 * time.Millisecond, closeAfter: true}
 			default:
 				return outgoing{}
 			}
 		})
 		assert.Assert(t, err != nil, "the last frame ends the link")
-		expected := []sendOccasion{
-			{tick: true, idle: true, silent: time.Second},
-			{silent: 1500 * time.Millisecond},
-			{tick: true, idle: false, silent: 500 * time.Millisecond},
-			{tick: true, idle: true, silent: 1500 * time.Millisecond},
+		expected := []sendEvent{
+			{tick: true, idle: true, sinceLastSend: time.Second},
+			{sinceLastSend: 1500 * time.Millisecond},
+			{tick: true, idle: false, sinceLastSend: 500 * time.Millisecond},
+			{tick: true, idle: true, sinceLastSend: 1500 * time.Millisecond},
 		}
 		assert.Assert(t, slices.Equal(asked, expected), "%v", asked)
 		closeConn(peer)
@@ -96,7 +96,7 @@
 		_, link := newPeerLink(context.Background())
 		stop := make(chan struct{})
 		go func() {
-			// The peer sends, but never reads.
+			// The peer sends but never reads.
 			for {
 				select {
 				case <-stop:
@@ -108,7 +108,7 @@
 				}
 			}
 		}()
-		lasted, err := exchangeUntilEnd(own, link, func(sendOccasion) outgoing { return outgoing{frames: heartbeatOnly()} })
+		lasted, err := exchangeUntilEnd(own, link, func(sendEvent) outgoing { return outgoing{frames: heartbeatOnly()} })
 		close(stop)
 		assert.Assert(t, result.Is(err, result.ProtocolTimeout), "%v", err)
 		assert.Equal(t, lasted, time.Second+sendTimeout)
--- a/internal/distribution/tree/machines.go
+++ b/internal/distribution/tree/machines.go
@@ -8,39 +8,40 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// listDrainHold is how long a daemon keeps a drain that a reader announced because the machine list
-// shows the machine as leaving. Then the daemon announces its own state again, because the list may
-// be wrong; while the list still shows the machine as leaving, the reader drains the endpoint again
-// at once. It must be much larger than MachinesInterval, or a short absence from the list undoes a
-// drain.
-const listDrainHold = 30 * time.Second
+// machineListDrainTTL is the time after which a daemon announces its own endpoint state again after
+// a reader drained it because of the machine list. The list may be wrong, so the drain must not be
+// permanent; while the list still reports the machine as leaving, the reader drains the endpoint
+// again at once. It must be much larger than MachinesInterval, or a short absence from the list
+// undoes a drain.
+const machineListDrainTTL = 30 * time.Second
 
-// reconcileMachines compares the machine list with the endpoints. Those on a machine listed as
-// leaving drain, because that is safe even if the list is wrong. Those on a machine missing from
-// the list stay: the list lags, and a daemon that is lost is noticed by its parent.
+// reconcileMachines applies the machine list to the endpoints. Endpoints on a machine listed as
+// leaving are drained, which is safe even if the list is wrong. Endpoints on a machine missing from
+// the list are kept, because the list lags and the parent of a lost daemon detects the loss.
 func (n *Node) reconcileMachines(machines []objectapi.Machine) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.leaving = map[string]bool{}
+	n.leavingMachines = map[string]bool{}
 	for _, machine := range machines {
 		if machine.State == objectapi.MachineLeaving {
-			n.leaving[machine.Node] = true
+			n.leavingMachines[machine.Node] = true
 		}
 	}
-	if len(n.leaving) == 0 {
+	if len(n.leavingMachines) == 0 {
 		return
 	}
 	now := boottime.Now()
 	for _, service := range n.registry.Services() {
 		for _, statement := range n.registry.Service(service) {
-			n.drainLeaving(statement, now)
+			n.drainIfLeaving(statement, now)
 		}
 	}
 }
 
-// drainLeaving marks an endpoint on a leaving machine as draining; the caller holds mutex.
-func (n *Node) drainLeaving(statement *lapisv1.Endpoint, now time.Time) {
-	if !n.leaving[statement.GetNode()] || statement.GetState() != lapisv1.Endpoint_STATE_READY {
+// drainIfLeaving marks a ready endpoint as draining when its machine is leaving; the caller holds
+// mutex.
+func (n *Node) drainIfLeaving(statement *lapisv1.Endpoint, now time.Time) {
+	if !n.leavingMachines[statement.GetNode()] || statement.GetState() != lapisv1.Endpoint_STATE_READY {
 		return
 	}
 	if n.registry.Drain(statement, now) {
@@ -48,14 +49,14 @@
 	}
 }
 
-// holdDrain announces this daemon's instances again listDrainHold after one of them was
-// drained. When a reader drained it and the list no longer shows the machine as leaving,
-// that ends the drain; a drain by this daemon is only repeated. The caller holds mutex.
-func (n *Node) holdDrain(statement *lapisv1.Endpoint) {
+// scheduleReannounce announces this daemon's instances again machineListDrainTTL after one of them
+// was drained. This ends a drain by a reader unless the machine list still reports the machine as
+// leaving; a drain by this daemon is announced again. The caller holds mutex.
+func (n *Node) scheduleReannounce(statement *lapisv1.Endpoint) {
 	if statement.GetNode() != n.config.Node || statement.GetState() != lapisv1.Endpoint_STATE_DRAINING {
 		return
 	}
-	time.AfterFunc(listDrainHold, func() {
+	time.AfterFunc(machineListDrainTTL, func() {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
 		n.announce()
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -18,104 +18,108 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Node is one daemon's part in the distribution.
+// Node implements the part of one daemon in the distribution tree.
 type Node struct {
 	config Config
 
-	// catchUp paces full updates to children; joins paces admissions.
-	catchUp *rate.Limiter
-	joins   *rate.Limiter
+	// catchUpLimiter limits the rate of large updates to children; joinLimiter limits the rate of
+	// admissions.
+	catchUpLimiter *rate.Limiter
+	joinLimiter    *rate.Limiter
 
 	// mutex protects everything below.
 	mutex sync.Mutex
 
 	holdings *holdings.Holdings
-	// requested is the interest last requested of the parent, under requestedVersion;
-	// pendingInterests holds the interests of the versions that no update reflects yet,
-	// and coveredVersion is the version that the holdings reflect.
-	requested        holdings.Interest
-	requestedVersion uint64
-	pendingInterests map[uint64]holdings.Interest
-	coveredVersion   uint64
-	// shrinkSince is when the request was first seen to be wider than needed, zero
-	// while it is not.
-	shrinkSince time.Time
+	// requestedInterest is the interest last requested from the parent, with subscription version
+	// requestedVersion. pendingInterests maps the versions that no update has covered yet to their
+	// interests. coveredVersion is the version that the holdings cover.
+	requestedInterest holdings.Interest
+	requestedVersion  uint64
+	pendingInterests  map[uint64]holdings.Interest
+	coveredVersion    uint64
+	// shrinkableSince is the time since which requestedInterest exceeds the needed interest, zero
+	// while it does not.
+	shrinkableSince time.Time
 
 	registry *endpoint.Registry
-	// flushed is the registry change up to which endpoints may be sent.
-	flushed        uint64
+	// flushedChange is the registry change number up to which endpoints may be sent.
+	flushedChange  uint64
 	flushScheduled bool
-	// local are the instances beside this daemon, sequence the number of the last
+	// localEndpoints are the instances of this machine, and sequence is the number of the last
 	// statement about one of them.
-	sequence uint64
-	local    []*lapisv1.Endpoint
-	// leaving names the machines that the machine list shows as leaving; only readers read it.
-	leaving map[string]bool
+	sequence       uint64
+	localEndpoints []*lapisv1.Endpoint
+	// leavingMachines is the set of machines that the machine list reports as leaving. Only readers
+	// maintain it.
+	leavingMachines map[string]bool
 
 	floors *revisionfloor.Broker
-	// floorIssued is true while a floor request is under way at this reader or was sent
-	// to the parent.
-	floorIssued bool
-	// floorReads counts the reads of the accept register for a floor that began or were given up.
-	floorReads uint64
-	floorKnown bool
-	floor      uint64
-	// inForce is the revision last handed to the observer, 0 before the first.
+	// floorRequestInFlight is true while this reader reads the floor or the parent has been sent a
+	// floor request.
+	floorRequestInFlight bool
+	// floorReadID identifies the current floor read. It increases with every read that starts or is
+	// aborted.
+	floorReadID uint64
+	floorKnown  bool
+	floor       uint64
+	// inForce is the revision last passed to the observer, 0 before the first.
 	inForce uint64
-	// refusal is the last version that could not be applied, nil since one could.
-	refusal *lapisv1.NodeStatus
+	// lastRefusal describes the last update that could not be applied, nil after a later version
+	// was put in force.
+	lastRefusal *lapisv1.NodeStatus
 
 	children map[string]*childSession
 	parent   *parentLink
 	mesh     map[string]*readerLink
-	// path is the names from the root to this node, itself included; it is empty
-	// while there is no path to a reader.
+	// path holds the names of the nodes from the root to this node inclusive; it is empty while
+	// there is no path to a reader.
 	path       []string
 	candidates *membership.Candidates
-	// learnedReaders are the readers that the parent named.
+	// learnedReaders are the readers listed by the parent.
 	learnedReaders []*lapisv1.PeerAddress
-	// sentReaderNames are the readers that a reader last sent to its children.
-	sentReaderNames string
-	seats           *seat.Table
+	// sentReaders encodes the readers that were last sent to the children.
+	sentReaders string
+	seats       *seat.Table
 	// storeReachable is false while the object API cannot be read.
 	storeReachable bool
 	lease          *seat.Lease
 	// reader is true while the node holds a seat.
 	reader bool
-	// offered is the seat that the last parent offered, nil when there is none.
+	// offered is the seat offered by the last parent, nil when there is none.
 	offered *seat.Vacancy
 	// stopping is true after Drain.
 	stopping bool
-	// counts are the numbers of the same names in Info.
+	// counts holds the counters of Info with the same names.
 	counts struct{ joins, resyncs, joinsServed, joinsRefused int64 }
 }
 
-// New returns a node that does nothing until Run.
+// New returns a node that is inactive until Run is called.
 func New(config Config) *Node {
 	tunables := config.Tunables
 	node := &Node{
-		config:           config,
-		catchUp:          rate.NewLimiter(rate.Limit(tunables.CatchUpBytesPerSecond), tunables.CatchUpBurstBytes),
-		joins:            rate.NewLimiter(rate.Limit(tunables.JoinsPerSecond), int(tunables.JoinsPerSecond)),
-		holdings:         holdings.New(),
-		requested:        config.Interest,
-		pendingInterests: map[uint64]holdings.Interest{},
-		registry:         endpoint.NewRegistry(),
-		leaving:          map[string]bool{},
-		floors:           &revisionfloor.Broker{},
-		children:         map[string]*childSession{},
-		mesh:             map[string]*readerLink{},
-		candidates:       membership.NewCandidates(config.Address, config.Zone, config.Region, config.Seeds, config.Random),
-		seats:            seat.NewTable(tunables.SeatLease.Get()),
-		lease:            seat.NewLease(tunables.SeatLease.Get()),
+		config:            config,
+		catchUpLimiter:    rate.NewLimiter(rate.Limit(tunables.CatchUpBytesPerSecond), tunables.CatchUpBurstBytes),
+		joinLimiter:       rate.NewLimiter(rate.Limit(tunables.JoinsPerSecond), int(tunables.JoinsPerSecond)),
+		holdings:          holdings.New(),
+		requestedInterest: config.Interest,
+		pendingInterests:  map[uint64]holdings.Interest{},
+		registry:          endpoint.NewRegistry(),
+		leavingMachines:   map[string]bool{},
+		floors:            &revisionfloor.Broker{},
+		children:          map[string]*childSession{},
+		mesh:              map[string]*readerLink{},
+		candidates:        membership.NewCandidates(config.Address, config.Zone, config.Region, config.Seeds, config.Random),
+		seats:             seat.NewTable(tunables.SeatLease.Get()),
+		lease:             seat.NewLease(tunables.SeatLease.Get()),
 	}
 	node.requestedVersion = 1
 	node.pendingInterests[1] = config.Interest
 	return node
 }
 
-// Run takes part in the distribution until ctx ends, as a child and, while the node holds a
-// seat, as a reader.
+// Run takes part in the distribution until ctx ends: as a child and, while the node holds a seat,
+// as a reader.
 func (n *Node) Run(ctx context.Context) {
 	go n.requestOwnFloor()
 	go n.housekeep(ctx)
@@ -128,9 +132,9 @@
 	n.closeLinks()
 }
 
-// housekeepInterval is the time between two checks of conditions that depend on time
-// alone. A shorter one took 5% of the processor time of 1000 daemons in one process; it
-// must stay well under GoneAfter and InterestShrinkDelay, to which it adds.
+// housekeepInterval is the time between two checks of conditions that only depend on time. Shorter
+// intervals used 5% of the processor time of 1000 daemons in one process. It adds to GoneAfter and
+// InterestShrinkDelay and must stay well below both.
 const housekeepInterval = 5 * time.Second
 
 func (n *Node) housekeep(ctx context.Context) {
@@ -143,7 +147,7 @@
 		case now := <-ticker.C:
 			n.mutex.Lock()
 			n.registry.Expire(now.Add(-n.config.Tunables.GoneAfter.Get()))
-			n.considerShrinking(now)
+			n.shrinkIdleInterest(now)
 			n.mutex.Unlock()
 		}
 	}
@@ -160,19 +164,19 @@
 	}
 }
 
-// Drain makes the children join another parent, as the first step of a planned stop. Afterwards
-// the node accepts no children and takes no seat, and a reader gives its seat back.
+// Drain makes the children join another parent, as the first step of a planned stop. Afterwards the
+// node admits no children and takes no seat, and a reader releases its seat.
 func (n *Node) Drain() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.stopping = true
 	for _, child := range n.children {
-		child.expel = true
+		child.evict = true
 		child.signal()
 	}
 }
 
-// Info returns the node's condition.
+// Info returns a snapshot of the node's state.
 func (n *Node) Info() Info {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -202,12 +206,12 @@
 	}
 }
 
-// report sums up the subtree; the caller holds mutex.
+// report returns the status report of the subtree; the caller holds mutex.
 func (n *Node) report() *lapisv1.StatusReport {
 	self := &lapisv1.NodeStatus{
 		Node: n.config.Node, Zone: n.config.Zone, Revision: n.inForce,
 		Depth: uint32(len(n.path)), Reader: n.reader,
-		RefusalCode: n.refusal.GetRefusalCode(), RefusedRevision: n.refusal.GetRefusedRevision(),
+		RefusalCode: n.lastRefusal.GetRefusalCode(), RefusedRevision: n.lastRefusal.GetRefusedRevision(),
 	}
 	reports := make([]*lapisv1.StatusReport, 0, len(n.children))
 	for _, child := range n.children {
@@ -230,16 +234,16 @@
 	n.startFloorRead()
 }
 
-// wakeChildren makes every child's sender compute what the child lacks; the caller holds mutex.
+// wakeChildren signals every child's sender; the caller holds mutex.
 func (n *Node) wakeChildren() {
 	for _, child := range n.children {
 		child.signal()
 	}
 }
 
-// publish hands the present version to the observer. It does not while the floor is not
-// known, when the version is below the floor or not newer than what is in force, and
-// while the holdings lack some of the node's own services. The caller holds mutex.
+// publish passes the current version to the observer. It does nothing while the floor is unknown,
+// when the version is below the floor or not newer than the version in force, or while the holdings
+// do not cover the node's own services. The caller holds mutex.
 func (n *Node) publish() {
 	revision := n.holdings.Revision()
 	if !n.floorKnown || revision < n.floor || revision <= n.inForce {
@@ -249,7 +253,7 @@
 		return
 	}
 	n.inForce = revision
-	n.refusal = nil
+	n.lastRefusal = nil
 	n.config.Observer.Apply(Applied{
 		Revision:           revision,
 		AcceptedUnixMillis: n.holdings.AcceptedUnixMillis(),
--- a/internal/distribution/tree/node_test.go
+++ b/internal/distribution/tree/node_test.go
@@ -40,7 +40,7 @@
 	last := c.accept("op-2", service("a", 7)...)
 	c.waitInForce(last)
 	c.members["n3"].kill()
-	c.retired = append(c.retired, c.members["n3"])
+	c.killed = append(c.killed, c.members["n3"])
 	replaced := c.start("n3", "z", "a")
 	c.waitInForce(last)
 	assert.Assert(t, replaced.recorder.history()[0].Revision >= last)
--- a/internal/distribution/tree/parent.go
+++ b/internal/distribution/tree/parent.go
@@ -15,30 +15,31 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// parentLink is the link to the parent. Node.mutex protects its fields.
+// parentLink is the state of the link to the parent. Node.mutex protects its fields.
 type parentLink struct {
 	peerLink
 	address string
-	// redirected is true when another daemon named this parent.
-	redirected bool
-	conn       *wire.Conn
-	machine    *stateless.StateMachine
-	// node is the parent's name, known from its Welcome.
+	// redirected is true when another daemon redirected this node to the parent.
+	redirected   bool
+	conn         *wire.Conn
+	stateMachine *stateless.StateMachine
+	// node is the parent's name, set from its Welcome.
 	node string
-	// sentInterest is the interest the parent knows; sentVersion its version.
+	// sentInterest is the interest last sent to the parent and sentVersion its subscription
+	// version.
 	sentInterest holdings.Interest
 	sentVersion  uint64
 	// resync is true when the parent must send the full state again.
 	resync bool
-	// sentChange is the registry change up to which endpoints were sent.
+	// sentChange is the registry change number up to which endpoints were sent.
 	sentChange uint64
 	sentReport *lapisv1.StatusReport
 	// floorRequestDue is true when a floor request must be sent.
 	floorRequestDue bool
 }
 
-// runChild is the life of a node that is not a reader. It returns a vacancy
-// when the node should take a seat, and found false when ctx ended.
+// runChild runs a node that is not a reader. It returns a vacancy when the node should take a seat;
+// found is false when ctx ended.
 func (n *Node) runChild(ctx context.Context) (vacancy seat.Vacancy, found bool) {
 	search := newSearch(n)
 	for ctx.Err() == nil {
@@ -78,8 +79,8 @@
 	return *offered, true
 }
 
-// attach tries one parent and stays with it until the link ends. It reports
-// whether the parent accepted.
+// attach connects to one parent and keeps the link until it ends. It reports whether the parent
+// accepted this node.
 func (n *Node) attach(ctx context.Context, choice membership.Choice) bool {
 	ctx, common := newPeerLink(ctx)
 	defer common.close()
@@ -93,7 +94,7 @@
 	defer stop()
 	link := &parentLink{
 		peerLink: common, address: choice.Address, conn: conn,
-		machine: newLinkMachine(), redirected: choice.Redirected,
+		stateMachine: newLinkStateMachine(), redirected: choice.Redirected,
 	}
 	accepted, err := n.greetParent(link)
 	if err != nil {
@@ -105,7 +106,7 @@
 	defer n.detach(link)
 	err = n.exchange(ctx, common, conn, linkProtocol{
 		interval: n.config.Tunables.StatusInterval.Get(),
-		next:     func(occasion sendOccasion) outgoing { return outgoing{frames: n.pendingForParent(link, occasion)} },
+		next:     func(event sendEvent) outgoing { return outgoing{frames: n.pendingParentFrames(link, event)} },
 		handle:   func(frame *lapisv1.ControlFrame) error { return n.handleFromParent(link, frame) },
 	})
 	n.config.Logger.V(1).Info("tree.parent_lost", "parent", link.node, "cause", err)
@@ -119,12 +120,12 @@
 	n.candidates.Failed(address, boottime.Now())
 }
 
-// detach forgets a lost parent. The path is kept empty until another parent
-// accepts, and a pending floor request is sent again then.
+// detach handles the loss of the parent: the path stays empty until another parent accepts this
+// node, and a pending floor request is sent again then.
 func (n *Node) detach(link *parentLink) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if err := fireLink(link.machine, linkLost); err != nil {
+	if err := fireLink(link.stateMachine, linkLost); err != nil {
 		n.config.Logger.Error(err, "tree.parent_lost", "parent", link.node)
 	}
 	if n.parent != link {
@@ -135,9 +136,9 @@
 	n.setPath(nil)
 }
 
-// greetParent sends the Hello and handles the answer.
+// greetParent sends the Hello and handles the reply.
 func (n *Node) greetParent(link *parentLink) (accepted bool, err error) {
-	if err := fireLink(link.machine, linkDialed); err != nil {
+	if err := fireLink(link.stateMachine, linkDialed); err != nil {
 		return false, err
 	}
 	if err := link.conn.Send(n.helloToParent(link)); err != nil {
@@ -181,9 +182,9 @@
 	n.candidates.Learn(welcome.GetAlternatives(), boottime.Now())
 	n.learnReaders(welcome.GetReaders())
 	if slices.Contains(welcome.GetPath(), n.config.Node) {
-		return false, result.Errorf(result.DistributionLoop, "parent %s is below this node", welcome.GetNode())
+		return false, result.Errorf(result.DistributionLoop, "parent %s is a descendant of this node", welcome.GetNode())
 	}
-	if err := fireLink(link.machine, linkWelcomed); err != nil {
+	if err := fireLink(link.stateMachine, linkWelcomed); err != nil {
 		return false, err
 	}
 	n.candidates.Succeeded(link.address)
@@ -196,13 +197,13 @@
 	return true, nil
 }
 
-// refused records where and when to try again.
+// refused records the redirects and the retry delay of a refusal.
 func (n *Node) refused(link *parentLink, refusal *lapisv1.Refusal) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.candidates.Refused(link.address, refusal, boottime.Now())
 	if result.Code(refusal.GetCode()) == result.DistributionTooDeep {
-		n.expelDeepChildren()
+		n.evictDeepChildren()
 	}
 }
 
@@ -210,13 +211,13 @@
 type linkState string
 
 const (
-	// linkSearching has not dialed a parent yet, or has lost it.
+	// linkSearching is the state before a parent is dialed and after it is lost.
 	linkSearching linkState = "searching"
-	// linkGreeting has sent a Hello and waits for the answer.
+	// linkGreeting is the state after the Hello was sent, until the reply.
 	linkGreeting linkState = "greeting"
-	// linkAttached has a parent with a path to a reader.
+	// linkAttached is the state while the parent has a path to a reader.
 	linkAttached linkState = "attached"
-	// linkStranded has a parent that lost its own path to a reader.
+	// linkStranded is the state while the parent has no path to a reader.
 	linkStranded linkState = "stranded"
 )
 
@@ -230,8 +231,8 @@
 	linkLost     linkTrigger = "lost"
 )
 
-// newLinkMachine returns the state machine of a parent link.
-func newLinkMachine() *stateless.StateMachine {
+// newLinkStateMachine returns the state machine of a parent link.
+func newLinkStateMachine() *stateless.StateMachine {
 	machine := stateless.NewStateMachine(linkSearching)
 	machine.Configure(linkSearching).
 		Permit(linkDialed, linkGreeting).
@@ -250,8 +251,8 @@
 	return machine
 }
 
-// fireLink moves the machine. A trigger that the present state does not permit is a
-// programming error, which is returned and ends the link.
+// fireLink applies a trigger to a link state machine. A trigger that the current state does not
+// permit is a programming error; the returned error ends the link.
 func fireLink(machine *stateless.StateMachine, trigger linkTrigger) error {
 	return machine.FireCtx(context.Background(), trigger)
 }
--- a/internal/distribution/tree/parent_frames.go
+++ b/internal/distribution/tree/parent_frames.go
@@ -37,7 +37,8 @@
 	return nil
 }
 
-// handleUpdate applies an update; the caller holds mutex.
+// handleUpdate applies an update and requests the full state when that fails; the caller holds
+// mutex.
 func (n *Node) handleUpdate(link *parentLink, update *lapisv1.Update) {
 	interest, known := n.interestOf(update.GetSubscriptionVersion())
 	if !known {
@@ -57,24 +58,24 @@
 	}
 }
 
-// resync records a version that could not be applied and asks for the full state;
+// resync records an update that could not be applied and requests the full state from the parent;
 // the caller holds mutex.
 func (n *Node) resync(link *parentLink, cause error) {
-	// An error without a code counts as 0, which a status report shows as none.
+	// An error without a code is reported as code 0, which means no refusal.
 	code, _ := result.CodeOf(cause)
 	n.counts.resyncs++
-	n.refusal = &lapisv1.NodeStatus{RefusalCode: uint32(code), RefusedRevision: n.holdings.Revision() + 1}
+	n.lastRefusal = &lapisv1.NodeStatus{RefusalCode: uint32(code), RefusedRevision: n.holdings.Revision() + 1}
 	n.config.Logger.Info("tree.version_refused", "parent", link.node, "error", cause)
 	link.resync = true
 	link.signal()
 }
 
-// handleHeartbeat follows the parent's path; the caller holds mutex.
+// handleHeartbeat updates the path from the parent's heartbeat; the caller holds mutex.
 func (n *Node) handleHeartbeat(link *parentLink, heartbeat *lapisv1.Heartbeat) error {
 	if heartbeat.GetDetached() {
 		return n.handleDetached(link)
 	}
-	if err := fireLink(link.machine, linkRejoined); err != nil {
+	if err := fireLink(link.stateMachine, linkRejoined); err != nil {
 		return err
 	}
 	path := heartbeat.GetPath()
@@ -82,34 +83,35 @@
 		return nil
 	}
 	if slices.Contains(path, n.config.Node) {
-		return result.Errorf(result.DistributionLoop, "parent %s is now below this node", link.node)
+		return result.Errorf(result.DistributionLoop, "parent %s has become a descendant of this node", link.node)
 	}
 	n.learnReaders(heartbeat.GetReaders())
 	n.setPath(append(slices.Clone(path), n.config.Node))
 	return nil
 }
 
-// handleDetached stays with a parent that lost its path to a reader for
-// DetachedGrace, in which it may find another; the caller holds mutex.
+// handleDetached keeps a parent that lost its path to a reader for DetachedGrace, because the
+// parent may find a new path in that time; the caller holds mutex.
 func (n *Node) handleDetached(link *parentLink) error {
-	if link.machine.MustState() == linkAttached {
+	if link.stateMachine.MustState() == linkAttached {
 		n.setPath(nil)
 		time.AfterFunc(n.config.Tunables.DetachedGrace.Get(), func() { n.disconnectStranded(link) })
 	}
-	return fireLink(link.machine, linkDetached)
+	return fireLink(link.stateMachine, linkDetached)
 }
 
-// disconnectStranded ends the link when the parent still has no path to a reader.
+// disconnectStranded closes the link when the parent still has no path to a reader.
 func (n *Node) disconnectStranded(link *parentLink) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.parent == link && link.machine.MustState() == linkStranded {
+	if n.parent == link && link.stateMachine.MustState() == linkStranded {
 		n.candidates.Postponed(link.address, n.config.Tunables.DetachedGrace.Get(), boottime.Now())
 		link.close()
 	}
 }
 
-// handleOffer ends the link in order to take a seat; the caller holds mutex.
+// handleOffer ends the link, by returning an error, in order to take the offered seat; the caller
+// holds mutex.
 func (n *Node) handleOffer(offer *lapisv1.SeatOffer) error {
 	if n.config.NoSeat || n.stopping {
 		return nil
@@ -118,55 +120,56 @@
 	return result.Errorf(result.DistributionParentLost, "offered seat %s", offer.GetSeat())
 }
 
-// pendingForParent returns the frames that the parent lacks. Status reports are sent at ticks
-// only, and a heartbeat at a tick when nothing else was sent for the time of one.
-func (n *Node) pendingForParent(link *parentLink, occasion sendOccasion) (frames []proto.Message) {
+// pendingParentFrames returns the frames that the parent has not been sent yet. Status reports are
+// sent at ticks only. A heartbeat is added at a tick when nothing was sent for a heartbeat
+// interval.
+func (n *Node) pendingParentFrames(link *parentLink, event sendEvent) (frames []proto.Message) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if link.sentVersion != n.requestedVersion || link.resync {
-		frames = append(frames, n.subscriptionFor(link))
+		frames = append(frames, n.pendingSubscription(link))
 	}
 	if link.floorRequestDue {
 		link.floorRequestDue = false
 		frames = append(frames, &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_FloorRequest{FloorRequest: &lapisv1.FloorRequest{}}})
 	}
 	frames = n.appendOwnEndpoints(frames, &link.sentChange)
-	if !occasion.tick {
+	if !event.tick {
 		return frames
 	}
 	if report := n.report(); !proto.Equal(report, link.sentReport) {
 		link.sentReport = report
 		frames = append(frames, &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Status{Status: report}})
 	}
-	if len(frames) == 0 && occasion.silent >= n.config.heartbeat() {
+	if len(frames) == 0 && event.sinceLastSend >= n.config.heartbeat() {
 		frames = append(frames, heartbeatFrame(&lapisv1.Heartbeat{}))
 	}
 	return frames
 }
 
-// subscriptionFor returns the frame that makes the interest that the parent knows
-// the present one; the caller holds mutex.
-func (n *Node) subscriptionFor(link *parentLink) *lapisv1.ControlFrame {
+// pendingSubscription returns the subscription that updates the interest known to the parent; the
+// caller holds mutex.
+func (n *Node) pendingSubscription(link *parentLink) *lapisv1.ControlFrame {
 	if link.resync {
 		n.requestedVersion++
-		n.pendingInterests[n.requestedVersion] = n.requested
+		n.pendingInterests[n.requestedVersion] = n.requestedInterest
 	}
-	subscription := holdings.Difference(link.sentInterest, n.requested, n.requestedVersion)
+	subscription := holdings.Difference(link.sentInterest, n.requestedInterest, n.requestedVersion)
 	subscription.Resync = link.resync
 	link.resync = false
-	link.sentInterest = n.requested
+	link.sentInterest = n.requestedInterest
 	link.sentVersion = n.requestedVersion
 	return &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Subscription{Subscription: subscription}}
 }
 
-// appendOwnEndpoints adds the endpoints of this node and its subtree that changed after
-// sentChange and may be sent, and advances sentChange; the caller holds mutex.
+// appendOwnEndpoints appends the flushed endpoints of this node and its subtree that changed after
+// sentChange, and advances sentChange; the caller holds mutex.
 func (n *Node) appendOwnEndpoints(frames []proto.Message, sentChange *uint64) []proto.Message {
-	if n.flushed <= *sentChange {
+	if n.flushedChange <= *sentChange {
 		return frames
 	}
 	endpoints := n.registry.BelowSince(n.config.Node, *sentChange)
-	*sentChange = n.flushed
+	*sentChange = n.flushedChange
 	if len(endpoints) == 0 {
 		return frames
 	}
--- a/internal/distribution/tree/reader.go
+++ b/internal/distribution/tree/reader.go
@@ -15,23 +15,24 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// readerRole is the work of a node while it holds a seat.
+// readerRole performs the work of a node while it holds a seat.
 type readerRole struct {
 	node    *Node
 	vacancy seat.Vacancy
 	log     *changelog.Log
-	// renewals counts the writes of the seat, so that each one differs from the last.
+	// renewals counts the writes of the seat, so that each value written differs from the previous
+	// one.
 	renewals uint64
 }
 
-// runReader takes the seat and serves as reader until the seat is lost or ctx ends.
+// runReader acquires the seat and runs the node as a reader until the seat is lost or ctx ends.
 func (n *Node) runReader(ctx context.Context, vacancy seat.Vacancy) {
 	role := &readerRole{node: n, vacancy: vacancy, log: changelog.New(n.config.Store, time.Now)}
 	if !role.acquire(ctx) {
 		return
 	}
 	n.config.Logger.Info("seat.taken", "seat", vacancy.Seat, "epoch", vacancy.Epoch)
-	n.becomeReader()
+	n.enterReaderRole()
 	group, groupCtx := errgroup.WithContext(ctx)
 	group.Go(func() error { return role.renew(groupCtx) })
 	group.Go(func() error { return role.follow(groupCtx) })
@@ -41,11 +42,11 @@
 	group.Go(func() error { return role.maintain(groupCtx) })
 	err := group.Wait()
 	n.config.Logger.Info("seat.left", "seat", vacancy.Seat, "cause", err)
-	n.ceaseReader()
+	n.leaveReaderRole()
 	role.release()
 }
 
-func (n *Node) becomeReader() {
+func (n *Node) enterReaderRole() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.reader = true
@@ -53,26 +54,27 @@
 	n.startFloorRead()
 }
 
-func (n *Node) ceaseReader() {
+func (n *Node) leaveReaderRole() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.reader = false
-	n.leaving = map[string]bool{}
+	n.leavingMachines = map[string]bool{}
 	n.abortFloorRead()
 	n.setPath(nil)
 }
 
-// Intervals of a reader's periodic work.
+// Intervals of the periodic work of a reader.
 const (
-	// offerInterval is the time between two offers of vacant seats. It adds to the
-	// time for which a zone with one reader left has no second one.
+	// offerInterval is the time between two offers of vacant seats. It adds to the time during
+	// which a zone that lost one of its readers has a vacant seat.
 	offerInterval = time.Second
-	// compactInterval is the time between two compactions of the log by the one
-	// reader that does them.
+	// compactInterval is the time between two compactions of the log, which a single reader
+	// performs.
 	compactInterval = 30 * time.Second
 )
 
-// reportStatus writes the subtree's status under the lease.
+// reportStatus periodically writes the status of the subtree to the seat while the lease permits
+// it.
 func (r *readerRole) reportStatus(ctx context.Context) error {
 	var written []byte
 	for {
@@ -84,7 +86,7 @@
 			continue
 		}
 		if err := r.node.config.Store.PutStatus(ctx, r.vacancy.Seat, report, version); err != nil {
-			// Tried again at the next interval; the lease decides whether this node may write at all.
+			// Retried at the next interval, if the lease still permits the write.
 			r.node.logStoreError("writing the status", err)
 			continue
 		}
@@ -92,8 +94,8 @@
 	}
 }
 
-// statusToWrite returns the subtree's status with the version that its write must name;
-// ok is false while the lease does not allow writing.
+// statusToWrite returns the status of the subtree and the seat version that the write must match;
+// ok is false while the lease does not permit writing.
 func (n *Node) statusToWrite(now time.Time) (report []byte, version int64, ok bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -109,33 +111,33 @@
 	return report, version, true
 }
 
-// followMachines reads the zone's machine list at each MachinesInterval.
+// followMachines reads the zone's machine list every MachinesInterval.
 func (r *readerRole) followMachines(ctx context.Context) error {
 	for {
 		machines, err := r.node.config.Store.Machines(ctx, r.node.config.Zone)
 		if err != nil {
-			// What the last list said stays in force until the next one is read.
+			// The previous list stays in effect until the next successful read.
 			r.node.logStoreError("reading the machine list", err)
 		} else {
 			r.node.reconcileMachines(machines)
 		}
-		if !sleep.For(ctx, around(r.node.config.Tunables.MachinesInterval.Get())) {
+		if !sleep.For(ctx, jittered(r.node.config.Tunables.MachinesInterval.Get())) {
 			return ctx.Err()
 		}
 	}
 }
 
-// maintain offers vacant seats, sends children of other zones home and, on one reader
-// of all, compacts the log.
+// maintain offers vacant seats, redirects children of other zones to their zone and, on a single
+// reader, compacts the log.
 func (r *readerRole) maintain(ctx context.Context) error {
 	nextCompaction := boottime.Now().Add(compactInterval)
 	for {
-		if !sleep.For(ctx, around(offerInterval)) {
+		if !sleep.For(ctx, jittered(offerInterval)) {
 			return ctx.Err()
 		}
 		now := boottime.Now()
 		r.node.offerVacancies(now)
-		r.node.sendHome(now)
+		r.node.redirectToHomeZone(now)
 		if now.After(nextCompaction) {
 			nextCompaction = now.Add(compactInterval)
 			r.compact(ctx, now)
@@ -143,7 +145,7 @@
 	}
 }
 
-// compact runs the compaction on the holder of the first seat.
+// compact compacts the log if this node holds the first seat, so that one reader of all does it.
 func (r *readerRole) compact(ctx context.Context, now time.Time) {
 	r.node.mutex.Lock()
 	holders := r.node.seats.Holders(seat.Prefix, now)
@@ -157,6 +159,6 @@
 	}
 }
 
-// around returns a random time within a tenth of interval, so that the readers of a
-// site do not ask the object API at the same moment.
-func around(interval time.Duration) time.Duration { return interval*9/10 + rand.N(interval/5) }
+// jittered returns a random time within 10% of interval, so that the readers of a site do not query
+// the object API at the same time.
+func jittered(interval time.Duration) time.Duration { return interval*9/10 + rand.N(interval/5) }
--- a/internal/distribution/tree/reader_lease.go
+++ b/internal/distribution/tree/reader_lease.go
@@ -14,11 +14,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// releaseTimeout bounds giving the seat back at a planned stop. A seat that is not given back is
-// free SeatLease after its last renewal.
+// releaseTimeout limits the release of the seat at a planned stop. A seat that is not released
+// becomes vacant SeatLease after its last renewal.
 const releaseTimeout = 2 * time.Second
 
-// putLease writes the seat if its version is still the one given, and returns the new version.
+// putLease writes the seat with a compare-and-swap on version and returns the new version.
 func (r *readerRole) putLease(ctx context.Context, version int64) (int64, error) {
 	config := r.node.config
 	r.renewals++
@@ -32,8 +32,8 @@
 	return config.Store.Put(ctx, r.vacancy.Seat, value, version)
 }
 
-// acquire writes the seat and reports whether this node holds it. When the answer
-// was lost it reads the seat to see whether the write took effect.
+// acquire writes the seat and reports whether this node holds it. When the answer to the write was
+// lost, it reads the seat to determine whether the write took effect.
 func (r *readerRole) acquire(ctx context.Context) bool {
 	sentAt := boottime.Now()
 	version, err := r.putLease(ctx, r.vacancy.Version)
@@ -41,8 +41,8 @@
 		version, err = r.readBack(ctx)
 	}
 	if err != nil {
-		// Mostly another daemon was first; the node goes on as a child.
-		r.node.logStoreError("taking "+r.vacancy.Seat, err)
+		// Usually another daemon took the seat first; this node continues as a child.
+		r.node.logStoreError("acquiring "+r.vacancy.Seat, err)
 		return false
 	}
 	r.node.mutex.Lock()
@@ -53,8 +53,8 @@
 	return true
 }
 
-// readBack returns the version of the seat when this node holds it with the
-// present epoch. Errors: DistributionSeatLost, platform codes.
+// readBack returns the version of the seat if this node holds it with the current epoch. Errors:
+// DistributionSeatLost, platform codes.
 func (r *readerRole) readBack(ctx context.Context) (int64, error) {
 	object, err := r.node.config.Store.Get(ctx, r.vacancy.Seat)
 	if err != nil {
@@ -70,8 +70,9 @@
 	return object.Version, nil
 }
 
-// renew keeps the lease until it is taken over. While the object API does not answer the node
-// stays reader, suspended: nobody else can take the seat then either.
+// renew renews the lease until the seat is lost. While the object API does not respond the node
+// stays a reader with a suspended lease, because no other daemon can take the seat during the
+// outage either.
 func (r *readerRole) renew(ctx context.Context) error {
 	for {
 		if !sleep.For(ctx, seat.RenewAfter(r.node.config.Tunables.SeatLease.Get(), rand.Float64())) {
@@ -86,8 +87,8 @@
 	}
 }
 
-// renewOnce writes the seat once and returns an error only when the seat is lost. The lease
-// counts from before the write was sent.
+// renewOnce renews the lease once and returns an error only when the seat is lost. The lease is
+// counted from the time before the write was sent.
 func (r *readerRole) renewOnce(ctx context.Context) error {
 	r.node.mutex.Lock()
 	version := r.node.lease.Version()
@@ -107,16 +108,16 @@
 		r.node.lease.Taken()
 		return err
 	default:
-		// The object API may be out. The lease becomes suspended when it lapses.
+		// The object API may be down. The lease becomes suspended when it lapses.
 		r.node.logStoreError("renewing "+r.vacancy.Seat, err)
 		r.node.lease.State(boottime.Now())
 		return nil
 	}
 }
 
-// seatLost reports whether a renewal that ended with err shows that the seat is no longer this
-// node's: another holder or epoch is in it, or its object is gone. Any other failure leaves the
-// question open, and nobody else could take the seat without the object API either.
+// seatLost reports whether the error of a renewal proves that this node no longer holds the seat:
+// the seat has another holder or epoch, or its object was deleted. Other errors prove nothing, and
+// no other daemon can take the seat while the object API is unavailable.
 func seatLost(err error) bool {
 	return result.Is(err, result.DistributionSeatLost) || result.Is(err, result.PlatformNotFound)
 }
@@ -127,8 +128,8 @@
 	return n.stopping
 }
 
-// release gives the seat back at a planned stop, so that another daemon need
-// not wait for the lease to lapse.
+// release releases the seat at a planned stop, so that another daemon can take it before the lease
+// lapses.
 func (r *readerRole) release() {
 	if !r.node.isStopping() {
 		return
@@ -147,7 +148,7 @@
 		_, err = r.node.config.Store.Put(ctx, r.vacancy.Seat, value, version)
 	}
 	if err != nil {
-		// The seat is free all the same when the lease has lapsed.
-		r.node.logStoreError("giving back "+r.vacancy.Seat, err)
+		// The seat becomes vacant anyway when the lease lapses.
+		r.node.logStoreError("releasing "+r.vacancy.Seat, err)
 	}
 }
--- a/internal/distribution/tree/reader_lease_test.go
+++ b/internal/distribution/tree/reader_lease_test.go
@@ -11,7 +11,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// A reader whose machine was suspended past its lease writes nothing with it.
+// A reader whose machine was suspended for longer than its lease must not write with that lease.
 func TestSuspendedReaderLosesItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
@@ -22,7 +22,7 @@
 		assert.Equal(t, role.node.lease.State(boottime.Now()), seat.StateHolding)
 		gap = 5 * time.Second
 		time.Sleep(time.Second)
-		// It would write to the store, which it has not.
+		// A write would panic, because the node has no store.
 		role.release()
 		assert.Equal(t, role.node.lease.State(boottime.Now()), seat.StateIdle)
 	})
--- a/internal/distribution/tree/reader_mesh.go
+++ b/internal/distribution/tree/reader_mesh.go
@@ -14,30 +14,32 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// Times of the links between readers.
+// Timing of the links between readers.
 const (
-	// meshReconcileInterval is how often a reader compares its links with the readers it knows.
-	// It adds to the time in which a new reader hears of the endpoints below the others.
+	// meshReconcileInterval is the interval at which a reader compares its links with the known
+	// readers. It adds to the time until a new reader receives the endpoints below the other
+	// readers.
 	meshReconcileInterval = time.Second
-	// meshRedialPause keeps a reader whose peer refuses from dialing it at once
-	// again. It must be larger than meshReconcileInterval to have an effect.
-	meshRedialPause = 2 * time.Second
+	// meshRedialDelay is the time for which a reader does not redial a peer after the link ended,
+	// for example because the peer refused it. It must be larger than meshReconcileInterval to have
+	// an effect.
+	meshRedialDelay = 2 * time.Second
 )
 
-// readerLink is a link between two readers. Each sends the other the endpoints of its own
-// subtree; nothing is passed on from one reader to a third. Node.mutex protects its fields.
+// readerLink is a link between two readers. Each reader sends the endpoints of its own subtree;
+// endpoints are not relayed from one reader to a third. Node.mutex protects its fields.
 type readerLink struct {
 	peerLink
 	peer      string
 	address   string
 	connected bool
-	// peerHead is the newest revision that the peer holds.
-	peerHead uint64
-	// sentChange is the registry change up to which endpoints were sent.
+	// peerHeadRevision is the newest revision held by the peer.
+	peerHeadRevision uint64
+	// sentChange is the registry change number up to which endpoints were sent.
 	sentChange uint64
 }
 
-// keepMesh links this reader with every other one until ctx ends.
+// keepMesh maintains a link to every other reader until ctx ends.
 func (n *Node) keepMesh(ctx context.Context) error {
 	defer n.closeMesh()
 	for {
@@ -56,8 +58,8 @@
 	}
 }
 
-// reconcileMesh dials the readers that lack a link. Of two readers the one with the smaller name
-// dials. While the object API cannot be read, the last known readers count.
+// reconcileMesh dials the readers without a link. Of two readers, the one with the smaller name
+// dials. While the object API cannot be read, the last known readers are used.
 func (n *Node) reconcileMesh(ctx context.Context) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -76,8 +78,8 @@
 	}
 }
 
-// addReaderLink registers a link and returns the context that ends with it; the
-// caller holds mutex.
+// addReaderLink registers a link and returns a context that is cancelled when the link is closed;
+// the caller holds mutex.
 func (n *Node) addReaderLink(ctx context.Context, peer, address string) (context.Context, *readerLink) {
 	ctx, common := newPeerLink(ctx)
 	link := &readerLink{peerLink: common, peer: peer, address: address}
@@ -99,8 +101,8 @@
 	defer n.dropReaderLink(link)
 	err := n.greetReader(ctx, link)
 	n.config.Logger.V(1).Info("peer.connection_ended", "peer", link.peer, "error", err)
-	// The link stays registered for the pause, so that nobody dials meanwhile.
-	sleep.For(ctx, meshRedialPause)
+	// The link stays registered during the delay, so that reconcileMesh does not redial the peer.
+	sleep.For(ctx, meshRedialDelay)
 }
 
 // greetReader connects to another reader and serves the link until it ends.
@@ -116,8 +118,8 @@
 	return n.serveReaderLink(ctx, link, conn)
 }
 
-// ServeReader serves a connection whose Hello came from another reader. It returns
-// when the connection ends.
+// ServeReader serves a connection whose Hello was sent by another reader. It returns when the
+// connection ends.
 func (n *Node) ServeReader(ctx context.Context, conn *wire.Conn, hello *lapisv1.Hello) error {
 	n.mutex.Lock()
 	if !n.reader {
@@ -140,8 +142,8 @@
 	link.signal()
 	return n.exchange(ctx, link.peerLink, conn, linkProtocol{
 		interval: n.config.heartbeat(),
-		next: func(occasion sendOccasion) outgoing {
-			return outgoing{frames: n.pendingForReader(link, occasion)}
+		next: func(event sendEvent) outgoing {
+			return outgoing{frames: n.pendingReaderFrames(link, event)}
 		},
 		handle: func(frame *lapisv1.ControlFrame) error { return n.handleFromReader(link, frame) },
 	})
@@ -154,20 +156,20 @@
 	case *lapisv1.ControlFrame_Endpoints:
 		n.mergeEndpoints(body.Endpoints.GetEndpoints(), "")
 	case *lapisv1.ControlFrame_Heartbeat:
-		link.peerHead = body.Heartbeat.GetHeadRevision()
+		link.peerHeadRevision = body.Heartbeat.GetHeadRevision()
 	default:
 		return result.Errorf(result.ProtocolUnexpected, "frame %T from a reader", body)
 	}
 	return nil
 }
 
-// pendingForReader returns the endpoints that the other reader lacks and, at each
-// tick, a heartbeat with the revision held.
-func (n *Node) pendingForReader(link *readerLink, occasion sendOccasion) (frames []proto.Message) {
+// pendingReaderFrames returns the endpoints that the other reader has not been sent yet and, at
+// each tick, a heartbeat with the revision held.
+func (n *Node) pendingReaderFrames(link *readerLink, event sendEvent) (frames []proto.Message) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	frames = n.appendOwnEndpoints(frames, &link.sentChange)
-	if occasion.tick {
+	if event.tick {
 		frames = append(frames, heartbeatFrame(&lapisv1.Heartbeat{HeadRevision: n.holdings.Revision()}))
 	}
 	return frames
--- a/internal/distribution/tree/reader_watch.go
+++ b/internal/distribution/tree/reader_watch.go
@@ -16,15 +16,14 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Bounds of the wait before a reader opens its watch of the object API again after a failure. The
-// larger one must stay under the seat's lease, so that a reader sees the object API again in time
-// to renew.
+// Bounds of the delay before a reader reopens its watch of the object API after a failure. The
+// maximum must be shorter than the seat lease, so that a reader reconnects in time to renew.
 const (
 	watchBackoffMin = 100 * time.Millisecond
 	watchBackoffMax = 3 * time.Second
 )
 
-// follow keeps up with the accept register and the seats by a watch.
+// follow watches the accept register and the seats, and reopens the watch when it ends.
 func (r *readerRole) follow(ctx context.Context) error {
 	backoff := watchBackoffMin
 	for ctx.Err() == nil {
@@ -64,8 +63,8 @@
 	return r.consume(watchCtx, watch)
 }
 
-// readEvents reads watch in a goroutine that ends with ctx or with the watch.
-// failed gets the error that ended the watch.
+// readEvents reads watch in a goroutine that ends with ctx or with the watch. The error that ended
+// the watch is sent to failed.
 func readEvents(ctx context.Context, watch objectapi.Watch) (events <-chan objectapi.Event, failed <-chan error) {
 	read := make(chan objectapi.Event)
 	ended := make(chan error, 1)
@@ -86,7 +85,7 @@
 	return read, ended
 }
 
-// consume handles watch events and merges revisions that follow each other quickly.
+// consume handles watch events and merges revisions that arrive in quick succession.
 func (r *readerRole) consume(ctx context.Context, watch objectapi.Watch) error {
 	events, failed := readEvents(ctx, watch)
 	debounce := newDebounce(r.node.config.Tunables.DebounceQuiet.Get(), r.node.config.Tunables.DebounceMax.Get())
@@ -113,7 +112,7 @@
 	}
 }
 
-// handleEvent returns the new state when the event brought one.
+// handleEvent handles one watch event and returns the new state if the event changed it.
 func (r *readerRole) handleEvent(ctx context.Context, event objectapi.Event) (*meshconfig.State, error) {
 	switch {
 	case event.Type == objectapi.EventBookmark:
@@ -128,7 +127,8 @@
 	}
 }
 
-// adoptState makes the accepted state the node's holdings and passes it on.
+// adoptState replaces the holdings with the accepted state, publishes it and sends it to the
+// children.
 func (n *Node) adoptState(state *meshconfig.State) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -144,7 +144,7 @@
 	n.wakeChildren()
 }
 
-// updateTo returns the update that turns what is held into everything in state.
+// updateTo returns the update that changes held to the complete state.
 func updateTo(state *meshconfig.State, held *holdings.Holdings) *lapisv1.Update {
 	update := &lapisv1.Update{
 		FromRevision: held.Revision(), ToRevision: state.Revision,
@@ -165,8 +165,8 @@
 	return update
 }
 
-// debounce merges changes that follow each other quickly: it is due a quiet
-// time after the last change, but no later than a maximum after the first.
+// debounce merges changes that arrive in quick succession: it is due after a quiet period since the
+// last change, but no later than a maximum time after the first.
 type debounce struct {
 	quiet, max time.Duration
 	first      time.Time
@@ -188,7 +188,8 @@
 	d.timer = time.NewTimer(max(wait, 0))
 }
 
-// due returns a channel that delivers when the changes are to be handled, nil for none.
+// due returns a channel that receives a value when the changes must be handled, nil when there are
+// none.
 func (d *debounce) due() <-chan time.Time {
 	if d.timer == nil {
 		return nil
--- a/internal/distribution/tree/search.go
+++ b/internal/distribution/tree/search.go
@@ -11,17 +11,17 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// search is the state of a node that no known daemon accepts as child. It queries the object
-// API, rarely, for the zone's seats, and takes a vacant one when this machine ranks high
-// enough. Only the goroutine of Node.Run uses it.
+// search is the state of a node that none of the known daemons accepts as a child. It queries the
+// object API, with backoff, for the seats of the zone, and takes a vacant seat when this machine
+// ranks high enough. Only the goroutine of Node.Run uses it.
 type search struct {
 	node    *Node
 	backoff membership.SourceBackoff
 }
 
-// candidatePoll is the middle of the wait before the candidates are checked again. It must be small
-// beside the waits after a refusal, whose end it finds.
-const candidatePoll = 50 * time.Millisecond
+// candidatePollInterval is the mean delay between two checks of the candidates. It must be small
+// compared with the retry delays of refusals, because it adds to them.
+const candidatePollInterval = 50 * time.Millisecond
 
 func newSearch(node *Node) *search {
 	search := &search{node: node}
@@ -29,7 +29,7 @@
 	return search
 }
 
-// reset starts the waits anew: the node starts, or a parent has accepted it.
+// reset restarts the backoff, at the start of the node or after a parent accepted it.
 func (s *search) reset() {
 	tunables := s.node.config.Tunables
 	s.backoff = membership.NewSourceBackoff(
@@ -38,10 +38,10 @@
 	)
 }
 
-// queryStore waits for candidatePoll and then, when a query is due, asks the object API who the
-// zone's readers are. It returns a seat to take, if any.
+// queryStore waits for candidatePollInterval and then, when a query is due, reads the zone's seats
+// from the object API. It returns a seat to take, if any.
 func (s *search) queryStore(ctx context.Context) (vacancy seat.Vacancy, found bool) {
-	if !sleep.For(ctx, candidatePoll/2+rand.N(candidatePoll)) || !s.backoff.Due(boottime.Now()) {
+	if !sleep.For(ctx, candidatePollInterval/2+rand.N(candidatePollInterval)) || !s.backoff.Due(boottime.Now()) {
 		return seat.Vacancy{}, false
 	}
 	s.backoff.Queried(boottime.Now(), rand.Float64())
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -19,13 +19,13 @@
 	n.storeReachable = false
 }
 
-// logStoreError logs why a request to the object API failed; the requests are repeated.
+// logStoreError logs the failure of a request to the object API; such requests are retried.
 func (n *Node) logStoreError(request string, err error) {
 	n.config.Logger.V(1).Info("source.request_failed", "request", request, "error", err)
 }
 
-// markStoreReachable has all leases counted anew after an outage of the object API; the caller
-// holds mutex.
+// markStoreReachable restarts the observation of all leases after an outage of the object API; the
+// caller holds mutex.
 func (n *Node) markStoreReachable(now time.Time) {
 	if !n.storeReachable {
 		n.storeReachable = true
@@ -47,8 +47,8 @@
 	n.recordSeats(objects, boottime.Now())
 }
 
-// findReaders records the seats of a list, makes the zone's readers the next
-// candidates and returns the zone's vacant seats.
+// findReaders records the seats of a list, makes the zone's readers the next parent candidates and
+// returns the zone's vacant seats.
 func (n *Node) findReaders(objects []objectapi.Object) []seat.Vacancy {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -72,16 +72,16 @@
 	}
 }
 
-// recordSeat records one seat; the caller holds mutex. A seat that cannot be decoded
-// keeps what was last known of it.
+// recordSeat records one seat; the caller holds mutex. For a seat that cannot be decoded, the last
+// known value is kept.
 func (n *Node) recordSeat(object objectapi.Object, now time.Time) {
 	if err := n.seats.Observe(object, now); err != nil {
 		n.logStoreError("reading "+object.Key, err)
 	}
 }
 
-// knownReaders returns the readers of the zone, and a few of other zones, those
-// of the own region first, as far as they are known; the caller holds mutex.
+// knownReaders returns the known readers: those of the own zone and a few of other zones, with
+// those of the own region first. The caller holds mutex.
 func (n *Node) knownReaders() []*lapisv1.PeerAddress {
 	if !n.reader {
 		return n.learnedReaders
@@ -102,8 +102,8 @@
 	return own
 }
 
-// learnReaders records the readers that the parent named and passes them on;
-// the caller holds mutex.
+// learnReaders records the readers listed by the parent and forwards them to the children; the
+// caller holds mutex.
 func (n *Node) learnReaders(readers []*lapisv1.PeerAddress) {
 	if len(readers) == 0 {
 		return
@@ -113,7 +113,8 @@
 	n.resendPath()
 }
 
-// resendPath has the path and the readers sent to every child again; the caller holds mutex.
+// resendPath makes the senders send the path and the readers to every child again; the caller holds
+// mutex.
 func (n *Node) resendPath() {
 	for _, child := range n.children {
 		child.pathDirty = true
@@ -121,22 +122,23 @@
 	}
 }
 
-// sendChangedReaders sends the readers to the children if they changed; the caller holds mutex.
+// sendChangedReaders sends the readers to the children if they have changed; the caller holds
+// mutex.
 func (n *Node) sendChangedReaders(now time.Time) {
 	var names strings.Builder
 	for _, holder := range n.seats.Holders(seat.Prefix, now) {
 		names.WriteString(holder.Peer.GetNode() + holder.Peer.GetAddress() + " ")
 	}
-	if names.String() != n.sentReaderNames {
-		n.sentReaderNames = names.String()
+	if names.String() != n.sentReaders {
+		n.sentReaders = names.String()
 		n.resendPath()
 	}
 }
 
-// offerVacancies invites children to take vacant seats of their zones, one child for each
-// seat. It offers nothing while the object API cannot be read, because silence of a holder
-// proves nothing then; while this node is stopping; and while its own lease has lapsed,
-// because what it knows of the seats may be as old.
+// offerVacancies offers each vacant seat to one child of its zone. It offers nothing while the
+// object API cannot be read, because a missing renewal then does not prove that a seat is vacant;
+// while this node is stopping; and while its own lease has lapsed, because its view of the seats
+// may be equally outdated.
 func (n *Node) offerVacancies(now time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -150,7 +152,7 @@
 	}
 	for zone := range zones {
 		for _, vacancy := range n.seats.Vacancies(zone, "", n.config.Tunables.SeatsPerZone, now) {
-			child := n.bestChild(zone)
+			child := n.bestReaderCandidate(zone)
 			if child == nil {
 				break
 			}
@@ -160,9 +162,9 @@
 	}
 }
 
-// bestChild returns the child of a zone that should become a reader, nil when there
-// is none; the caller holds mutex.
-func (n *Node) bestChild(zone string) *childSession {
+// bestReaderCandidate returns the child of a zone that should become a reader, nil when there is
+// none; the caller holds mutex.
+func (n *Node) bestReaderCandidate(zone string) *childSession {
 	sessions, children := n.reachableChildren()
 	index, found := membership.BestReader(children, zone)
 	if !found {
@@ -171,9 +173,10 @@
 	return sessions[index]
 }
 
-// sendHome makes the children of other zones whose zone has a reader again join that
-// reader. Only while the object API can be read is it known who is a reader.
-func (n *Node) sendHome(now time.Time) {
+// redirectToHomeZone makes the children of other zones join a reader of their own zone as soon as
+// there is one. It does nothing while the object API cannot be read, because the current readers
+// are then unknown.
+func (n *Node) redirectToHomeZone(now time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if !n.storeReachable {
@@ -187,11 +190,11 @@
 		if len(home) == 0 {
 			continue
 		}
-		child.homeReaders = nil
+		child.homeZoneReaders = nil
 		for _, holder := range home {
-			child.homeReaders = append(child.homeReaders, holder.Peer)
+			child.homeZoneReaders = append(child.homeZoneReaders, holder.Peer)
 		}
-		child.expel = true
+		child.evict = true
 		child.signal()
 	}
 }
