--- a/internal/distribution/configsource/comeback_test.go
+++ b/internal/distribution/configsource/comeback_test.go
@@ -13,116 +13,119 @@
 	"github.com/lapisvane/lapisvane/internal/model/position"
 )
 
-// comeBack makes the source come back from a copy of before any order was given.
-func (s *countedSource) comeBack(t *testing.T) {
+// restoreFromCopy restores the source from a copy made before any order was given.
+func (s *countedSource) restoreFromCopy(t *testing.T) {
 	t.Helper()
 	s.change(func(s *countedSource) {
 		at, err := position.In(s.position.Era()+1, 1)
 		assert.NilError(t, err)
-		s.position, s.forgotten = at, at
-		s.given = map[string]configsource.Position{}
+		s.position, s.compactedTo = at, at
+		s.orderRevisions = map[string]configsource.Position{}
 	})
 }
 
-// eachSize plays a fleet of three, and one as large as the largest sites that have orders.
-func eachSize(t *testing.T, test func(t *testing.T, source *countedSource, mates []*fleetmate)) {
+// forEachFleetSize runs the test with a fleet of three daemons and with one as large as the largest
+// sites that have orders.
+func forEachFleetSize(t *testing.T, test func(t *testing.T, source *countedSource, fleet []*fleetDaemon)) {
 	for _, count := range []int{3, 72} {
 		t.Run(fmt.Sprint(count, " daemons"), func(t *testing.T) {
-			playOrders(t, count, func(source *countedSource, mates []*fleetmate) {
-				source.give("a")
+			runFleetWithOrders(t, count, func(source *countedSource, fleet []*fleetDaemon) {
+				source.giveOrder("a")
 				time.Sleep(ordersBound)
-				source.comeBack(t)
+				source.restoreFromCopy(t)
 				time.Sleep(bound)
-				orderedAt(t, mates, "a")
-				test(t, source, mates)
+				ordersAppliedAt(t, fleet, "a")
+				test(t, source, fleet)
 			})
 		})
 	}
 }
 
-// The failure: only the daemon that read the store's return settled in time. The others heard of it
-// with the next change of orders, however much later, and carried the order that was just taken away.
+// Guards against a failure in which only the daemon that read the restored store settled in time.
+// The others learned of the restore only with the next change of orders, and kept the order that
+// this change had just withdrawn.
 func TestWithdrawalLongAfterTheReturn(t *testing.T) {
-	eachSize(t, func(t *testing.T, source *countedSource, mates []*fleetmate) {
-		source.give("a")
+	forEachFleetSize(t, func(t *testing.T, source *countedSource, fleet []*fleetDaemon) {
+		source.giveOrder("a")
 		time.Sleep(2 * orders.SettleTime)
-		source.takeAway("a")
+		source.withdrawOrder("a")
 		time.Sleep(ordersBound)
-		orderedAt(t, mates)
+		ordersAppliedAt(t, fleet)
 	})
 }
 
-// An order that was written again and taken away does not come back from a daemon that was told so
-// and did not read it.
+// A daemon that only received the restored orders by gossip, and did not read them, must not
+// reintroduce an order that was written again and then withdrawn.
 func TestWithdrawalAfterTheReturnIsKeptByTheNextPoller(t *testing.T) {
-	eachSize(t, func(t *testing.T, source *countedSource, mates []*fleetmate) {
-		source.give("a")
+	forEachFleetSize(t, func(t *testing.T, source *countedSource, fleet []*fleetDaemon) {
+		source.giveOrder("a")
 		time.Sleep(bound)
-		source.takeAway("a")
+		source.withdrawOrder("a")
 		time.Sleep(bound)
-		orderedAt(t, mates)
-		struck := leader(mates)
-		struck.stop()
-		mates = without(mates, struck)
+		ordersAppliedAt(t, fleet)
+		disrupted := activePoller(fleet)
+		disrupted.stop()
+		fleet = without(fleet, disrupted)
 		for range 100 {
-			// Something else changes, so that the orders are read anew.
+			// An unrelated change makes the followers read the orders again.
 			source.change(func(*countedSource) {})
 			time.Sleep(orders.SettleTime / 100)
-			orderedAt(t, mates)
+			ordersAppliedAt(t, fleet)
 		}
 	})
 }
 
-// The daemon that read that the order was written again ends before anybody takes it away.
+// The daemon that read the rewritten order stops before the order is withdrawn.
 func TestWithdrawalIsFollowedByTheNextPoller(t *testing.T) {
-	eachSize(t, func(t *testing.T, source *countedSource, mates []*fleetmate) {
-		source.give("a")
+	forEachFleetSize(t, func(t *testing.T, source *countedSource, fleet []*fleetDaemon) {
+		source.giveOrder("a")
 		time.Sleep(bound / 2)
-		struck := leader(mates)
-		struck.stop()
-		source.takeAway("a")
+		disrupted := activePoller(fleet)
+		disrupted.stop()
+		source.withdrawOrder("a")
 		time.Sleep(bound)
-		orderedAt(t, without(mates, struck))
+		ordersAppliedAt(t, without(fleet, disrupted))
 	})
 }
 
-// Nobody writes the order again. It ends for all daemons when the era has settled for the first that
-// learned of it, also for one that hears of the return late, and where the first one is gone.
+// The order is not written again. It must end for all daemons when the era has settled for the
+// first daemon that learned of it, including a daemon that learns of the restore late, and even if
+// the first one has stopped.
 func TestOrderThatIsNotWrittenAgainEndsForAll(t *testing.T) {
-	for name, strike := range map[string]func(first, other *fleetmate){
-		"all hear of the return": func(_, _ *fleetmate) {},
-		"one hears of it late": func(_, other *fleetmate) {
-			other.set(func(m *fleetmate) { m.deaf, m.refused = true, true })
+	for name, disrupt := range map[string]func(first, other *fleetDaemon){
+		"all hear of the return": func(_, _ *fleetDaemon) {},
+		"one hears of it late": func(_, other *fleetDaemon) {
+			other.set(func(m *fleetDaemon) { m.gossipInBlocked, m.refused = true, true })
 			time.AfterFunc(orders.SettleTime-time.Second, func() {
-				other.set(func(m *fleetmate) { m.deaf, m.refused = false, false })
+				other.set(func(m *fleetDaemon) { m.gossipInBlocked, m.refused = false, false })
 			})
 		},
-		"the first that heard of it ends": func(first, _ *fleetmate) {
+		"the first that heard of it ends": func(first, _ *fleetDaemon) {
 			time.AfterFunc(orders.SettleTime-time.Second, first.stop)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			eachSize(t, func(t *testing.T, source *countedSource, mates []*fleetmate) {
-				first := leader(mates)
-				others := without(mates, first)
-				strike(first, others[0])
-				source.comeBack(t)
+			forEachFleetSize(t, func(t *testing.T, source *countedSource, fleet []*fleetDaemon) {
+				first := activePoller(fleet)
+				others := without(fleet, first)
+				disrupt(first, others[0])
+				source.restoreFromCopy(t)
 				returned := time.Now()
 				time.Sleep(orders.SettleTime + ordersBound)
-				t.Logf("the order ended %s after the return", orderedAt(t, others).Sub(returned))
+				t.Logf("the order ended %s after the restore", ordersAppliedAt(t, others).Sub(returned))
 			})
 		})
 	}
 }
 
-// A daemon that starts while an era settles knows only what the store holds, and ends the settling of
-// nobody.
+// A daemon that starts while an era settles knows only the content of the store, and must not end
+// the settling of other daemons.
 func TestNewcomerEndsNoSettling(t *testing.T) {
-	eachSize(t, func(t *testing.T, source *countedSource, mates []*fleetmate) {
-		newcomer := &fleetmate{}
+	forEachFleetSize(t, func(t *testing.T, source *countedSource, fleet []*fleetDaemon) {
+		newcomer := &fleetDaemon{}
 		newcomer.orders.ApplyStored(orders.NewSet(&lapisv1.Orders{Revision: uint64(source.position)}))
-		gossip(newcomer, mates)
+		gossip(newcomer, fleet)
 		time.Sleep(bound)
-		orderedAt(t, mates, "a")
+		ordersAppliedAt(t, fleet, "a")
 	})
 }
--- a/internal/distribution/configsource/counted_source_test.go
+++ b/internal/distribution/configsource/counted_source_test.go
@@ -11,27 +11,27 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// ordersBound is the time for orders; it is longer than that for a configuration, as
-// on the sites that have orders.
+// ordersBound is the time within which orders must be in force. It is longer than that of a
+// configuration, as on sites that have orders.
 const ordersBound = 5 * time.Second
 
-// countedSource keeps a configuration and orders under one counter.
+// countedSource is a source whose configuration and orders share one position counter.
 type countedSource struct {
 	mutex    sync.Mutex
 	position configsource.Position
-	// configured is the position of the configuration, which is its revision too;
-	// given are those of the orders by zone.
-	configured configsource.Position
-	given      map[string]configsource.Position
-	// forgotten is up to where the history is deleted.
-	forgotten configsource.Position
-	// blind positions of a watch do not move with orders.
-	blind bool
-	// down answers nothing, ordersDown and ordersSilent refuse and lose what is about
-	// orders; delay slows answers, and each lose-th is lost.
-	down, ordersDown, ordersSilent bool
-	delay                          time.Duration
-	lose, answers                  int
+	// configurationRevision is the position and revision of the configuration; orderRevisions holds
+	// the positions of the orders by zone.
+	configurationRevision configsource.Position
+	orderRevisions        map[string]configsource.Position
+	// compactedTo is the position up to which the history is deleted.
+	compactedTo configsource.Position
+	// positionsIgnoreOrders keeps the positions returned by Next unchanged when orders change.
+	positionsIgnoreOrders bool
+	// down refuses all requests. ordersRefused refuses and ordersUnanswered loses the requests for
+	// orders. delay slows every answer, and every loseEvery-th answer is lost.
+	down, ordersRefused, ordersUnanswered bool
+	delay                                 time.Duration
+	loseEvery, answers                    int
 }
 
 func (s *countedSource) change(change func(*countedSource)) {
@@ -41,30 +41,30 @@
 	change(s)
 }
 
-func (s *countedSource) give(zone string) {
-	s.change(func(s *countedSource) { s.given[zone] = s.position })
+func (s *countedSource) giveOrder(zone string) {
+	s.change(func(s *countedSource) { s.orderRevisions[zone] = s.position })
 }
 
-func (s *countedSource) takeAway(zone string) {
-	s.change(func(s *countedSource) { delete(s.given, zone) })
+func (s *countedSource) withdrawOrder(zone string) {
+	s.change(func(s *countedSource) { delete(s.orderRevisions, zone) })
 }
 
 func newCountedSource() *countedSource {
-	return &countedSource{position: 3, configured: 3, given: map[string]configsource.Position{}}
+	return &countedSource{position: 3, configurationRevision: 3, orderRevisions: map[string]configsource.Position{}}
 }
 
-// reached is the source as one daemon reaches it.
-type reached struct {
+// reachableSource is a countedSource as seen by one daemon.
+type reachableSource struct {
 	*countedSource
-	mate *fleetmate
+	daemon *fleetDaemon
 }
 
-// answer waits for an answer's time and returns with mutex held, or with an error.
-func (s reached) answer(ctx context.Context, aboutOrders bool) error {
+// answer waits for the delay of an answer and returns with mutex held, or returns an error.
+func (s reachableSource) answer(ctx context.Context, aboutOrders bool) error {
 	s.mutex.Lock()
 	delay := s.delay
 	s.answers++
-	if s.lose > 0 && s.answers%s.lose == 0 || aboutOrders && s.ordersSilent {
+	if s.loseEvery > 0 && s.answers%s.loseEvery == 0 || aboutOrders && s.ordersUnanswered {
 		delay = time.Hour
 	}
 	s.mutex.Unlock()
@@ -73,46 +73,46 @@
 	case <-ctx.Done():
 		return result.Wrap(result.PlatformUnavailable, ctx.Err(), "no answer in time")
 	}
-	refused := s.mate.is(func(m *fleetmate) bool { return m.refused })
+	refused := s.daemon.is(func(m *fleetDaemon) bool { return m.refused })
 	s.mutex.Lock()
-	if refused || s.down || aboutOrders && s.ordersDown {
+	if refused || s.down || aboutOrders && s.ordersRefused {
 		s.mutex.Unlock()
 		return result.Errorf(result.PlatformUnavailable, "refused")
 	}
 	return nil
 }
 
-func (s reached) Latest(ctx context.Context) (*lapisv1.Configuration, configsource.Position, error) {
+func (s reachableSource) Latest(ctx context.Context) (*lapisv1.Configuration, configsource.Position, error) {
 	if err := s.answer(ctx, false); err != nil {
 		return nil, 0, err
 	}
 	defer s.mutex.Unlock()
-	return &lapisv1.Configuration{Revision: uint64(s.configured)}, s.position, nil
+	return &lapisv1.Configuration{Revision: uint64(s.configurationRevision)}, s.position, nil
 }
 
-func (s reached) Next(ctx context.Context, after configsource.Position, _ time.Duration) (*lapisv1.Configuration, configsource.Position, error) {
+func (s reachableSource) Next(ctx context.Context, after configsource.Position, _ time.Duration) (*lapisv1.Configuration, configsource.Position, error) {
 	if err := s.answer(ctx, false); err != nil {
 		return nil, after, err
 	}
 	defer s.mutex.Unlock()
 	switch {
-	case after < s.forgotten:
+	case after < s.compactedTo:
 		return nil, after, result.Errorf(result.PlatformCompacted, "the history is deleted")
-	case s.configured > after:
-		return &lapisv1.Configuration{Revision: uint64(s.configured)}, s.position, nil
-	case s.blind:
+	case s.configurationRevision > after:
+		return &lapisv1.Configuration{Revision: uint64(s.configurationRevision)}, s.position, nil
+	case s.positionsIgnoreOrders:
 		return nil, after, nil
 	}
 	return nil, s.position, nil
 }
 
-func (s reached) Orders(ctx context.Context, _ orders.Kinds) (*orders.Set, error) {
+func (s reachableSource) Orders(ctx context.Context, _ orders.Kinds) (*orders.Set, error) {
 	if err := s.answer(ctx, true); err != nil {
 		return nil, err
 	}
 	defer s.mutex.Unlock()
 	message := &lapisv1.Orders{Revision: uint64(s.position)}
-	for zone, position := range s.given {
+	for zone, position := range s.orderRevisions {
 		message.Evacuations = append(message.Evacuations, &lapisv1.Evacuation{Zone: zone, Revision: uint64(position)})
 	}
 	return orders.NewSet(message), nil
--- a/internal/distribution/configsource/fleetmates_test.go
+++ b/internal/distribution/configsource/fleetmates_test.go
@@ -17,11 +17,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// gossipDelay is the time that a daemon's gossip takes to reach all others.
+// gossipDelay is the time until a daemon's gossip reaches the other daemons.
 const gossipDelay = 30 * time.Millisecond
 
-// fleetmate is one daemon of a fleet whose members gossip.
-type fleetmate struct {
+// fleetDaemon is one daemon of a fleet whose daemons gossip.
+type fleetDaemon struct {
 	applied
 	freshness configsource.Freshness
 	follower  *configsource.Follower
@@ -29,33 +29,33 @@
 
 	orders orders.Current
 
-	// mutex protects the rest. A mute daemon sends no gossip, a deaf one receives none,
-	// a refused one gets no answer from the source, an unordered one learns which
-	// orders others have and not the orders.
-	mutex                          sync.Mutex
-	mute, deaf, refused, unordered bool
-	orderedAt                      time.Time
-	// told are the revisions of the orders that others were told last.
-	told map[*fleetmate]uint64
+	// mutex protects the fields below. gossipOutBlocked drops the gossip that the daemon sends,
+	// gossipInBlocked the gossip that it receives. refused makes the source refuse its requests.
+	// ordersWithheld lets it learn the revision of the orders of others, but not the orders.
+	mutex                                                      sync.Mutex
+	gossipOutBlocked, gossipInBlocked, refused, ordersWithheld bool
+	ordersAppliedAt                                            time.Time
+	// sentOrders holds the revision of the orders last sent to each other daemon.
+	sentOrders map[*fleetDaemon]uint64
 }
 
-// applyOrders applies orders and passes them on.
-func (m *fleetmate) applyOrders(set *orders.Set, replace func(*orders.Set) (*orders.Set, bool), mates []*fleetmate) {
+// applyOrders applies orders and, if they are new, gossips them.
+func (m *fleetDaemon) applyOrders(set *orders.Set, replace func(*orders.Set) (*orders.Set, bool), fleet []*fleetDaemon) {
 	if _, taken := replace(set); !taken {
 		return
 	}
 	m.freshness.AdvanceOrders(m.orders.Load().Revision())
-	m.set(func(m *fleetmate) { m.orderedAt = time.Now() })
-	gossip(m, mates)
+	m.set(func(m *fleetDaemon) { m.ordersAppliedAt = time.Now() })
+	gossip(m, fleet)
 }
 
-func (m *fleetmate) apply(configuration *lapisv1.Configuration) {
+func (m *fleetDaemon) apply(configuration *lapisv1.Configuration) {
 	m.applied.apply(configuration)
 	m.freshness.Advance(configuration.GetRevision())
 }
 
-// followerOf returns the daemon's follower of a source in a fleet of so many.
-func (m *fleetmate) followerOf(source configsource.Source, daemons int, random *rand.Rand, adjust func(*configsource.Follower)) *configsource.Follower {
+// followerOf returns the daemon's follower of a source, in a fleet of the given size.
+func (m *fleetDaemon) followerOf(source configsource.Source, daemons int, random *rand.Rand, adjust func(*configsource.Follower)) *configsource.Follower {
 	return newFollower(source, m.apply, func(follower *configsource.Follower) {
 		follower.Freshness, follower.Random = &m.freshness, random.Float64
 		follower.Daemons = func() int { return daemons }
@@ -64,148 +64,149 @@
 	})
 }
 
-func (m *fleetmate) set(change func(*fleetmate)) {
+func (m *fleetDaemon) set(change func(*fleetDaemon)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	change(m)
 }
 
-func (m *fleetmate) is(what func(*fleetmate) bool) bool {
+func (m *fleetDaemon) is(predicate func(*fleetDaemon) bool) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return what(m)
+	return predicate(m)
 }
 
-// ownSource is the source as one daemon reaches it.
-type ownSource struct {
+// daemonSource is a scriptedSource as seen by one daemon.
+type daemonSource struct {
 	*scriptedSource
-	mate *fleetmate
+	daemon *fleetDaemon
 }
 
-func (s ownSource) refused() error {
-	if s.mate.is(func(m *fleetmate) bool { return m.refused }) {
+func (s daemonSource) refused() error {
+	if s.daemon.is(func(m *fleetDaemon) bool { return m.refused }) {
 		return result.Errorf(result.PlatformUnavailable, "refused")
 	}
 	return nil
 }
 
-func (s ownSource) Latest(ctx context.Context) (*lapisv1.Configuration, configsource.Position, error) {
+func (s daemonSource) Latest(ctx context.Context) (*lapisv1.Configuration, configsource.Position, error) {
 	if err := s.refused(); err != nil {
 		return nil, 0, err
 	}
 	return s.scriptedSource.Latest(ctx)
 }
 
-func (s ownSource) Next(ctx context.Context, after configsource.Position, wait time.Duration) (*lapisv1.Configuration, configsource.Position, error) {
+func (s daemonSource) Next(ctx context.Context, after configsource.Position, wait time.Duration) (*lapisv1.Configuration, configsource.Position, error) {
 	if err := s.refused(); err != nil {
 		return nil, after, err
 	}
 	return s.scriptedSource.Next(ctx, after, wait)
 }
 
-// playFleet runs so many daemons against a source until test returns.
-func playFleet(t *testing.T, count int, test func(source *scriptedSource, mates []*fleetmate)) {
+// runFleet runs count daemons against a scripted source until test returns.
+func runFleet(t *testing.T, count int, test func(source *scriptedSource, fleet []*fleetDaemon)) {
 	source := &scriptedSource{log: []uint64{3}}
-	reach := func(mate *fleetmate) configsource.Source { return ownSource{source, mate} }
-	playMates(t, count, 0, reach, func(mates []*fleetmate) { test(source, mates) })
+	reach := func(daemon *fleetDaemon) configsource.Source { return daemonSource{source, daemon} }
+	runDaemons(t, count, 0, reach, func(fleet []*fleetDaemon) { test(source, fleet) })
 }
 
-// playMates runs so many daemons, each of which reaches a source in its own way, until
-// test returns. They follow orders where these have a bound.
-func playMates(t *testing.T, count int, ordersBound time.Duration, reach func(*fleetmate) configsource.Source, test func([]*fleetmate)) {
+// runDaemons runs count daemons until test returns; reach returns the source of a daemon. The
+// daemons follow orders if ordersBound is positive.
+func runDaemons(t *testing.T, count int, ordersBound time.Duration, reach func(*fleetDaemon) configsource.Source, test func([]*fleetDaemon)) {
 	synctest.Test(t, func(t *testing.T) {
-		mates := make([]*fleetmate, count)
-		for index := range mates {
-			mates[index] = &fleetmate{}
+		fleet := make([]*fleetDaemon, count)
+		for index := range fleet {
+			fleet[index] = &fleetDaemon{}
 		}
-		for index, mate := range mates {
+		for index, daemon := range fleet {
 			random := rand.New(rand.NewPCG(7, uint64(index)))
-			mate.follower = mate.followerOf(reach(mate), count, random, func(follower *configsource.Follower) {
-				follower.Confirmed = func() { gossip(mate, mates) }
+			daemon.follower = daemon.followerOf(reach(daemon), count, random, func(follower *configsource.Follower) {
+				follower.Confirmed = func() { gossip(daemon, fleet) }
 				if ordersBound > 0 {
-					mate.freshness.WithOrders = true
+					daemon.freshness.WithOrders = true
 					follower.OrdersBound = ordersBound
-					follower.ApplyOrders = func(set *orders.Set) { mate.applyOrders(set, mate.orders.ApplyStored, mates) }
+					follower.ApplyOrders = func(set *orders.Set) { daemon.applyOrders(set, daemon.orders.ApplyStored, fleet) }
 				}
 			})
-			mate.stop = run(mate.follower)
+			daemon.stop = run(daemon.follower)
 		}
 		defer func() {
-			for _, mate := range mates {
-				mate.stop()
+			for _, daemon := range fleet {
+				daemon.stop()
 			}
 			time.Sleep(time.Second)
 		}()
 		time.Sleep(5 * time.Second)
-		test(mates)
+		test(fleet)
 	})
 }
 
-// playOrders runs so many daemons that follow orders until test returns.
-func playOrders(t *testing.T, count int, test func(source *countedSource, mates []*fleetmate)) {
+// runFleetWithOrders runs count daemons that follow orders until test returns.
+func runFleetWithOrders(t *testing.T, count int, test func(source *countedSource, fleet []*fleetDaemon)) {
 	source := newCountedSource()
-	reach := func(mate *fleetmate) configsource.Source { return reached{source, mate} }
-	playMates(t, count, ordersBound, reach, func(mates []*fleetmate) { test(source, mates) })
+	reach := func(daemon *fleetDaemon) configsource.Source { return reachableSource{source, daemon} }
+	runDaemons(t, count, ordersBound, reach, func(fleet []*fleetDaemon) { test(source, fleet) })
 }
 
-// tells reports whether another daemon has not been told the orders at a revision, and records that
-// it was: orders pass a link when it opens and when they change.
-func (m *fleetmate) tells(mate *fleetmate, revision uint64) bool {
+// recordSent reports whether the other daemon has not been sent the orders at a revision, and
+// records that it has: orders are sent over a link when it opens and when they change.
+func (m *fleetDaemon) recordSent(daemon *fleetDaemon, revision uint64) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.told == nil {
-		m.told = map[*fleetmate]uint64{}
+	if m.sentOrders == nil {
+		m.sentOrders = map[*fleetDaemon]uint64{}
 	}
-	news := m.told[mate] != revision
-	m.told[mate] = revision
+	news := m.sentOrders[daemon] != revision
+	m.sentOrders[daemon] = revision
 	return news
 }
 
-// gossip passes a daemon's version and confirmation, and orders that changed, on to all that receive
-// it.
-func gossip(from *fleetmate, mates []*fleetmate) {
-	if from.is(func(m *fleetmate) bool { return m.mute }) {
+// gossip sends a daemon's versions and confirmation, and changed orders, to all daemons that
+// receive gossip.
+func gossip(from *fleetDaemon, fleet []*fleetDaemon) {
+	if from.is(func(m *fleetDaemon) bool { return m.gossipOutBlocked }) {
 		return
 	}
 	versions, confirmed := from.freshness.InForce()
-	told := from.orders.Message()
-	for _, mate := range mates {
-		if mate == from || mate.is(func(m *fleetmate) bool { return m.deaf }) {
+	message := from.orders.Message()
+	for _, daemon := range fleet {
+		if daemon == from || daemon.is(func(m *fleetDaemon) bool { return m.gossipInBlocked }) {
 			continue
 		}
-		news := told != nil && from.tells(mate, told.GetRevision())
+		news := message != nil && from.recordSent(daemon, message.GetRevision())
 		time.AfterFunc(gossipDelay, func() {
-			mate.freshness.Confirm(versions, confirmed)
-			if known, _ := mate.last(); versions.Configuration > known {
-				mate.apply(&lapisv1.Configuration{Revision: versions.Configuration})
+			daemon.freshness.Confirm(versions, confirmed)
+			if known, _ := daemon.last(); versions.Configuration > known {
+				daemon.apply(&lapisv1.Configuration{Revision: versions.Configuration})
 			}
-			if news && !mate.is(func(m *fleetmate) bool { return m.unordered }) {
-				mate.applyOrders(orders.NewSet(told), mate.orders.ApplyReceived, mates)
+			if news && !daemon.is(func(m *fleetDaemon) bool { return m.ordersWithheld }) {
+				daemon.applyOrders(orders.NewSet(message), daemon.orders.ApplyReceived, fleet)
 			}
 		})
 	}
 }
 
-func requests(mates []*fleetmate) (total int64) {
-	for _, mate := range mates {
-		total += mate.follower.ConfigurationRequests.Load()
+func requests(fleet []*fleetDaemon) (total int64) {
+	for _, daemon := range fleet {
+		total += daemon.follower.ConfigurationRequests.Load()
 	}
 	return total
 }
 
-// calls is what all daemons have asked.
-func calls(mates []*fleetmate) (total int64) {
-	for _, mate := range mates {
-		total += mate.follower.ConfigurationRequests.Load() + mate.follower.OrderRequests.Load()
+// allRequests returns the number of requests of all daemons.
+func allRequests(fleet []*fleetDaemon) (total int64) {
+	for _, daemon := range fleet {
+		total += daemon.follower.ConfigurationRequests.Load() + daemon.follower.OrderRequests.Load()
 	}
 	return total
 }
 
-// latest is when the last daemon had a revision in force; all must have it.
-func latest(t *testing.T, mates []*fleetmate, revision uint64) (last time.Time) {
+// lastAppliedAt returns the time at which the last daemon put revision in force; it fails if a
+// daemon has not.
+func lastAppliedAt(t *testing.T, fleet []*fleetDaemon, revision uint64) (last time.Time) {
 	t.Helper()
-	for index, mate := range mates {
-		applied, at := mate.last()
+	for index, daemon := range fleet {
+		applied, at := daemon.last()
 		assert.Equal(t, applied, revision, "daemon %d", index)
 		if at.After(last) {
 			last = at
@@ -214,38 +215,38 @@
 	return last
 }
 
-// orderedAt is when the last daemon had the orders in force that ask for zones; all
-// must have them.
-func orderedAt(t *testing.T, mates []*fleetmate, zones ...string) (last time.Time) {
+// ordersAppliedAt returns the time at which the last daemon put the current orders in force; it
+// fails if a daemon does not have orders for exactly zones.
+func ordersAppliedAt(t *testing.T, fleet []*fleetDaemon, zones ...string) (last time.Time) {
 	t.Helper()
-	for _, mate := range mates {
-		assert.DeepEqual(t, mate.orders.Load().Zones(), append([]string{}, zones...))
-		mate.set(func(m *fleetmate) {
-			if m.orderedAt.After(last) {
-				last = m.orderedAt
+	for _, daemon := range fleet {
+		assert.DeepEqual(t, daemon.orders.Load().Zones(), append([]string{}, zones...))
+		daemon.set(func(m *fleetDaemon) {
+			if m.ordersAppliedAt.After(last) {
+				last = m.ordersAppliedAt
 			}
 		})
 	}
 	return last
 }
 
-// leader is the daemon that asked most in the last second.
-func leader(mates []*fleetmate) (found *fleetmate) {
-	before := map[*fleetmate]int64{}
-	for _, mate := range mates {
-		before[mate] = mate.follower.ConfigurationRequests.Load()
+// activePoller returns the daemon that sent the most requests in the last second.
+func activePoller(fleet []*fleetDaemon) (found *fleetDaemon) {
+	before := map[*fleetDaemon]int64{}
+	for _, daemon := range fleet {
+		before[daemon] = daemon.follower.ConfigurationRequests.Load()
 	}
 	time.Sleep(time.Second)
-	most := int64(0)
-	for _, mate := range mates {
-		if asked := mate.follower.ConfigurationRequests.Load() - before[mate]; asked > most {
-			most, found = asked, mate
+	maxRequests := int64(0)
+	for _, daemon := range fleet {
+		if asked := daemon.follower.ConfigurationRequests.Load() - before[daemon]; asked > maxRequests {
+			maxRequests, found = asked, daemon
 		}
 	}
 	return found
 }
 
-// without returns all daemons but one.
-func without(mates []*fleetmate, struck *fleetmate) []*fleetmate {
-	return slices.DeleteFunc(slices.Clone(mates), func(mate *fleetmate) bool { return mate == struck })
+// without returns all daemons except one.
+func without(fleet []*fleetDaemon, disrupted *fleetDaemon) []*fleetDaemon {
+	return slices.DeleteFunc(slices.Clone(fleet), func(daemon *fleetDaemon) bool { return daemon == disrupted })
 }
--- a/internal/distribution/configsource/follower_test.go
+++ b/internal/distribution/configsource/follower_test.go
@@ -10,7 +10,7 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
 )
 
-// A daemon alone asks for itself all the time.
+// A single daemon polls continuously.
 func TestChangeIsBroughtInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{log: []uint64{3}}
@@ -26,27 +26,27 @@
 	})
 }
 
-// The source hears nothing of a change and its watches are not cut: day
-// "mix --seed 87251692990", where all daemons stayed with the old version for
-// the ten seconds that a watch then took.
+// Guards against a failure in which all daemons kept the old version for the ten seconds that a
+// watch took, because the source did not learn of a change while its watches stayed open ("mix
+// --seed 87251692990").
 func TestSilentWatchEndsWithinTheContactTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{log: []uint64{3}}
 		record, stop := follow(source)
 		defer stop()
 		time.Sleep(time.Second)
-		source.set(func(s *scriptedSource) { s.silent = true })
+		source.set(func(s *scriptedSource) { s.watchesSilent = true })
 		changed := time.Now()
 		source.add(7)
-		time.Sleep(contact)
+		time.Sleep(contactBound)
 		revision, at := record.last()
 		assert.Equal(t, revision, uint64(7))
-		assert.Assert(t, at.Sub(changed) <= contact, "after %s", at.Sub(changed))
+		assert.Assert(t, at.Sub(changed) <= contactBound, "after %s", at.Sub(changed))
 	})
 }
 
-// A version that cannot be used is passed over once; what was in force stays,
-// and the next one is taken.
+// An unusable version is skipped after one attempt; the version in force stays, and the next usable
+// one is applied.
 func TestUnusableVersionIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{log: []uint64{3}, unusable: map[uint64]bool{5: true}}
@@ -85,8 +85,8 @@
 	})
 }
 
-// A source that takes longer for each answer than a daemon usually waits is followed
-// all the same, also by one that has just started.
+// A source whose answers take longer than the usual timeout is still followed, including by a
+// daemon that has just started.
 func TestSlowSourceIsFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{log: []uint64{3}, delay: bound * 4 / 10}
@@ -102,8 +102,8 @@
 	})
 }
 
-// A daemon without a configuration asks sooner once a call waits for it, and not sooner
-// otherwise: at the first start of a site the daemons leave each other time.
+// A daemon without a configuration polls earlier only once a call waits for it: at the first start
+// of a site, the random delays spread the polls of the daemons.
 func TestStartIsHurriedByAWaitingCall(t *testing.T) {
 	for name, test := range map[string]struct {
 		awaited     bool
--- a/internal/distribution/configsource/freshness_test.go
+++ b/internal/distribution/configsource/freshness_test.go
@@ -23,8 +23,8 @@
 	assert.Assert(t, freshness.Confirmed().Equal(start.Add(time.Second)))
 }
 
-// That nothing above an older revision had been accepted holds for a newer one too;
-// an older confirmation takes nothing back.
+// A confirmation of an older revision holds for a newer one too; an older confirmation does not
+// undo a newer one.
 func TestConfirmationsOnlyAdvance(t *testing.T) {
 	start := time.Now()
 	freshness := &configsource.Freshness{}
@@ -36,8 +36,8 @@
 	assert.Assert(t, confirmed.Equal(start))
 }
 
-// A daemon that is always behind by a version or two in a storm still learns how
-// fresh the one is that it has.
+// A daemon that is always one or two versions behind while versions change quickly must still learn
+// how fresh its version is.
 func TestConfirmationsOfAStormAreKept(t *testing.T) {
 	start := time.Now()
 	freshness := &configsource.Freshness{}
@@ -54,8 +54,8 @@
 	}
 }
 
-// One confirmation covers both: it counts once both revisions are in force, and not
-// for orders that were in force before or come after.
+// One confirmation covers the configuration and the orders: it counts once both revisions are in
+// force, but not for earlier or later orders.
 func TestConfirmationCoversOrders(t *testing.T) {
 	start := time.Now()
 	after := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
@@ -63,7 +63,7 @@
 		return configsource.Versions{Configuration: configuration, Orders: orders}
 	}
 	freshness := &configsource.Freshness{WithOrders: true}
-	assert.Assert(t, !freshness.Confirm(versions(3, 0), after(1)), "of a daemon without orders")
+	assert.Assert(t, !freshness.Confirm(versions(3, 0), after(1)), "a confirmation of a daemon without orders was accepted")
 	freshness.Advance(3)
 	assert.Assert(t, freshness.Confirmed().IsZero())
 	assert.Assert(t, !freshness.Confirm(versions(3, 10), after(2)))
@@ -76,22 +76,22 @@
 	freshness.Advance(5)
 	assert.Assert(t, freshness.Confirmed().Equal(after(4)))
 
-	assert.Assert(t, !freshness.Confirm(versions(5, 10), after(6)), "of older orders")
+	assert.Assert(t, !freshness.Confirm(versions(5, 10), after(6)), "a confirmation of older orders was accepted")
 	assert.Assert(t, !freshness.Confirm(versions(5, 14), after(6)))
 	freshness.AdvanceOrders(16)
-	assert.Assert(t, freshness.Confirmed().Equal(after(4)), "of orders that were passed over")
+	assert.Assert(t, freshness.Confirmed().Equal(after(4)), "a confirmation of skipped orders was applied")
 	assert.Assert(t, freshness.Confirm(versions(4, 16), after(6)))
 }
 
-// Where operators give no orders, those of others do not matter.
+// On sites without orders, the order revisions of other daemons are ignored.
 func TestConfirmationWithoutOrders(t *testing.T) {
 	freshness := &configsource.Freshness{}
 	freshness.Advance(3)
 	assert.Assert(t, freshness.Confirm(configsource.Versions{Configuration: 3, Orders: 9}, time.Now()))
 }
 
-// Confirmations of other orders neither take the place of one that waits nor make it
-// look needless.
+// Confirmations of other orders must neither replace a pending confirmation nor make it appear
+// redundant.
 func TestConfirmationWaitsBesideThoseOfOtherOrders(t *testing.T) {
 	start := time.Now()
 	freshness := &configsource.Freshness{WithOrders: true}
@@ -107,8 +107,9 @@
 	assert.Assert(t, freshness.Confirmed().Equal(start))
 }
 
-// A daemon is behind from when another one confirms a newer configuration until that is in force here,
-// also where the confirmation waits for orders or is of an older time.
+// A daemon is behind from the time another one confirms a newer configuration until that
+// configuration is in force here, even if the confirmation waits for orders or is older than the
+// latest one.
 func TestBehindUntilTheConfirmedRevisionIsInForce(t *testing.T) {
 	start := time.Now()
 	freshness := &configsource.Freshness{WithOrders: true}
--- a/internal/distribution/configsource/min_interval_test.go
+++ b/internal/distribution/configsource/min_interval_test.go
@@ -9,8 +9,8 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
 )
 
-// The least interval keeps all daemons within the source's rate while it fails, and lets none
-// poll more often than a part of the time in which a configuration must be in force.
+// The minimum interval keeps the total rate of all daemons within the source's limit while it
+// fails, and is never shorter than a fifth of the bound for a configuration.
 func TestMinInterval(t *testing.T) {
 	for name, row := range map[string]struct {
 		daemons int
--- a/internal/distribution/configsource/poll.go
+++ b/internal/distribution/configsource/poll.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// historyTrusted is the age of the last answer beyond which the whole configuration is read
-	// instead of the history after that answer. It must be below the time for which sources keep
-	// their history, ten seconds.
-	historyTrusted = 8 * time.Second
-	// shortestWait is the wait asked of Source.Next for an answer at once. Sources count in
-	// milliseconds.
-	shortestWait = time.Millisecond
+	// historyMaxAge is the age of the last answer above which the whole configuration is read
+	// instead of the history after that answer. It must be shorter than the ten seconds for which
+	// sources keep their history.
+	historyMaxAge = 8 * time.Second
+	// minNextWait is the wait passed to Source.Next to get an answer immediately. It is the
+	// smallest positive wait, because sources use milliseconds.
+	minNextWait = time.Millisecond
 )
 
 // poll polls the source once and records the outcome.
 func (f *Follower) poll(ctx context.Context, plan *schedule) {
 	began := boottime.Now()
 	confirmed := f.Freshness.Confirmed()
-	if !plan.activePoller && began.Sub(plan.polledAt) > historyTrusted {
+	if !plan.activePoller && began.Sub(plan.polledAt) > historyMaxAge {
 		f.positionKnown = false
 	}
 	err := f.readOnce(ctx, began)
@@ -36,10 +36,10 @@
 		return
 	}
 	if f.failing {
-		f.regained("itself")
+		f.logRegained("itself")
 	}
 	if !plan.activePoller {
-		f.logTakeOver(began, confirmed)
+		f.logLeadTaken(began, confirmed)
 	}
 	plan.answered(began)
 	versions, _ := f.Freshness.InForce()
@@ -47,18 +47,18 @@
 	f.Confirmed()
 }
 
-// readOnce reads the configuration and the orders. It succeeds only when both are the newest
-// of the time when the poll began. While nothing changes one request is enough: its answer
-// names the source's position, which tells whether the other may have changed.
+// readOnce reads the configuration and the orders. It succeeds only when both are at least as new
+// as the start of the poll. While nothing changes, one request is sufficient: its answer contains
+// the source's position, which shows whether the other part may have changed.
 func (f *Follower) readOnce(ctx context.Context, began time.Time) error {
-	overdue := f.ApplyOrders != nil && f.ordersRead.overdue(began, f.OrdersBound)
-	// After a failure the configuration goes first: it must be followed even where only
-	// the orders cannot be read.
+	overdue := f.ApplyOrders != nil && f.lastOrdersRead.overdue(began, f.OrdersBound)
+	// After a failure the configuration is read first: it must be followed even if only the orders
+	// cannot be read.
 	if overdue && !f.failing {
 		if err := f.readOrders(ctx, began); err != nil {
 			return err
 		}
-		if f.positionKnown && f.ordersRead.position == f.position {
+		if f.positionKnown && f.lastOrdersRead.position == f.position {
 			return nil
 		}
 		return f.readConfiguration(ctx)
@@ -66,14 +66,14 @@
 	if err := f.readConfiguration(ctx); err != nil {
 		return err
 	}
-	if overdue || f.ApplyOrders != nil && f.ordersRead.position < f.position {
+	if overdue || f.ApplyOrders != nil && f.lastOrdersRead.position < f.position {
 		return f.readOrders(ctx, began)
 	}
 	return nil
 }
 
-// readConfiguration asks the source for a newer configuration, or for the whole one when the
-// position is not known. One that cannot be used counts as an answer.
+// readConfiguration requests a newer configuration, or the whole one when the position is not
+// known. An unusable configuration counts as an answer.
 func (f *Follower) readConfiguration(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout(f.Bound, f.failing))
 	defer cancel()
@@ -82,7 +82,7 @@
 		f.Logger.Info("source.history_gone", "position", f.position)
 		next, err = f.request(ctx, f.position, false)
 	}
-	if unusable(err) {
+	if isUnusable(err) {
 		f.Logger.Error(err, "configuration.refused", "position", next)
 		err = nil
 	}
@@ -93,20 +93,20 @@
 	return err
 }
 
-// unusable reports whether an error is about the configuration and not about the
-// way to its source.
-func unusable(err error) bool {
+// isUnusable reports whether err means that the configuration is invalid, rather than that the
+// source did not answer.
+func isUnusable(err error) bool {
 	code, ok := result.CodeOf(err)
 	return err != nil && ok && (code.Validation() || code == result.PlatformBadAnswer)
 }
 
-// request makes one request to the source and applies what it brings.
+// request sends one request to the source and applies the configuration it returns.
 func (f *Follower) request(ctx context.Context, position Position, known bool) (Position, error) {
 	var configuration *lapisv1.Configuration
 	var err error
 	f.ConfigurationRequests.Add(1)
 	if known {
-		configuration, position, err = f.Source.Next(ctx, position, shortestWait)
+		configuration, position, err = f.Source.Next(ctx, position, minNextWait)
 	} else {
 		configuration, position, err = f.Source.Latest(ctx)
 	}
@@ -116,7 +116,7 @@
 	return position, err
 }
 
-// readOrders asks the source for all orders and applies them.
+// readOrders reads all orders from the source and applies them.
 func (f *Follower) readOrders(ctx context.Context, began time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout(f.Bound, f.failing))
 	defer cancel()
@@ -125,12 +125,12 @@
 	if err != nil {
 		return err
 	}
-	f.ordersRead = ordersRead{at: began, position: Position(set.Revision())}
+	f.lastOrdersRead = lastOrdersRead{at: began, position: Position(set.Revision())}
 	f.ApplyOrders(set)
 	return nil
 }
 
-// recordFailure records a poll without an answer, and logs the first one of an outage.
+// recordFailure records a poll that was not answered, and logs the first one of an outage.
 func (f *Follower) recordFailure(err error) {
 	if !f.failing {
 		f.Logger.Info("source.lost", "position", f.position, "error", err)
@@ -140,9 +140,9 @@
 	f.FailedPolls.Add(1)
 }
 
-// logTakeOver logs that this daemon becomes the active poller, and the age of the newest
-// confirmation that it knew.
-func (f *Follower) logTakeOver(began, confirmed time.Time) {
+// logLeadTaken logs that this daemon becomes the active poller, with the age of the latest
+// confirmation known to it.
+func (f *Follower) logLeadTaken(began, confirmed time.Time) {
 	if confirmed.IsZero() {
 		f.Logger.Info("source.lead_taken", "position", f.position, "confirmed", false)
 		return
--- a/internal/distribution/configsource/scaffold_test.go
+++ b/internal/distribution/configsource/scaffold_test.go
@@ -11,7 +11,7 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/configsource"
 )
 
-// applied records what a follower brings.
+// applied records the last configuration that a follower applied.
 type applied struct {
 	mutex    sync.Mutex
 	revision uint64
@@ -32,11 +32,11 @@
 }
 
 const (
-	contact = 3 * time.Second
-	bound   = 2 * time.Second
+	contactBound = 3 * time.Second
+	bound        = 2 * time.Second
 )
 
-// newFollower returns a follower of source, of a daemon that is alone, as adjust leaves it.
+// newFollower returns a follower of source for a single daemon, after the changes of adjust.
 func newFollower(source configsource.Source, apply func(*lapisv1.Configuration), adjust ...func(*configsource.Follower)) *configsource.Follower {
 	follower := &configsource.Follower{
 		Source: source, Apply: apply, Freshness: &configsource.Freshness{}, Confirmed: func() {}, Bound: bound,
@@ -49,7 +49,7 @@
 	return follower
 }
 
-// run runs a follower until the returned function is called, which waits for its end.
+// run runs a follower until the returned function is called, which waits until Run has returned.
 func run(follower *configsource.Follower) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/internal/distribution/configsource/schedule_parts_test.go
+++ b/internal/distribution/configsource/schedule_parts_test.go
@@ -7,43 +7,44 @@
 	"gotest.tools/v3/assert"
 )
 
-// The parts of the bound hang together; each row says which must be below which, and why.
+// Checks the relations between the fractions of the bound; each row states the reason why lower
+// must be below upper.
 func TestParts(t *testing.T) {
 	for _, row := range []struct {
 		why          string
 		lower, upper float64
 	}{
-		{"the active poller polls again before others do", LeadPart, EarliestPart},
-		{"the active poller may answer late by as much as it waits", LeadPart + LeadPart, EarliestPart + 1e-9},
-		{"other daemons draw their time from an interval", EarliestPart, latestPart},
-		{"whoever polls last has the answer within the bound", latestPart + AnswerPart, 1},
-		{"two fifths of the bound are left for the answer and what a slow daemon adds", latestPart + 0.4, 1 + 1e-9},
-		{"a daemon that starts polls within the bound", startPart + AnswerPart, 1},
-		{"a call that waits hurries the first poll", awaitedPart, startPart},
-		{"a poll is repeated when its answer would have come", AnswerPart, retryMinPart},
-		{"so it is by a daemon without a configuration", AnswerPart, retryMinPart*startRetryPart + 1e-9},
-		{"retries are drawn from an interval", retryMinPart, retryMaxPart},
-		{"the active poller has the orders within their bound, whatever the position says", ordersPart + LeadPart + AnswerPart, 1},
+		{"the active poller polls again before the other daemons do", LeadPart, EarliestPart},
+		{"the active poller's poll may be late by its whole interval", LeadPart + LeadPart, EarliestPart + 1e-9},
+		{"the other daemons draw their poll time from a non-empty interval", EarliestPart, standbyPollMaxFraction},
+		{"the last daemon to poll has the answer within the bound", standbyPollMaxFraction + AnswerPart, 1},
+		{"two fifths of the bound are left for the answer and for a slow daemon", standbyPollMaxFraction + 0.4, 1 + 1e-9},
+		{"a starting daemon has an answer within the bound", startupPollMaxFraction + AnswerPart, 1},
+		{"a waiting call shortens the delay of the first poll", awaitedPollMaxFraction, startupPollMaxFraction},
+		{"a poll is repeated only after its answer timeout", AnswerPart, retryMinFraction},
+		{"a daemon without a configuration repeats a poll only after its answer timeout", AnswerPart, retryMinFraction*startupRetryFactor + 1e-9},
+		{"retry delays are drawn from a non-empty interval", retryMinFraction, retryMaxFraction},
+		{"the active poller has the orders within their bound, whatever the position", ordersPollFraction + LeadPart + AnswerPart, 1},
 	} {
 		assert.Check(t, row.lower < row.upper, "%s: %g is not below %g", row.why, row.lower, row.upper)
 	}
 }
 
-// sourceHistory is how long sources keep their history at the least.
+// sourceHistory is the minimum time for which sources keep their history.
 const sourceHistory = 10 * time.Second
 
-// With the shortest and the longest bound that sites have.
+// Checks the relations to fixed times, with the shortest and the longest bound that sites use.
 func TestTimesBesideTheBound(t *testing.T) {
 	const shortest, longest = time.Second, 5 * time.Second
 	for _, row := range []struct {
 		why          string
 		lower, upper time.Duration
 	}{
-		{"the history after the last answer is there when it is asked for", historyTrusted, sourceHistory},
-		{"the active poller's history is never too old", part(longest, LeadPart+AnswerPart), historyTrusted},
-		{"a waiting call is noticed before the first poll it hurries", awaitedCheck, part(shortest, awaitedPart)},
-		{"an answer is waited for longer after one was missed", answerTimeout(shortest, false), answerTimeout(shortest, true)},
-		{"a poll that only asks what is there does not wait", shortestWait, answerTimeout(shortest, false) / 100},
+		{"the history after the last answer still exists when it is requested", historyMaxAge, sourceHistory},
+		{"the active poller always continues from its last answer", fractionOf(longest, LeadPart+AnswerPart), historyMaxAge},
+		{"a waiting call is detected before the shortened delay ends", awaitedCheckInterval, fractionOf(shortest, awaitedPollMaxFraction)},
+		{"the answer timeout is longer after an unanswered poll", answerTimeout(shortest, false), answerTimeout(shortest, true)},
+		{"the wait of a poll is negligible", minNextWait, answerTimeout(shortest, false) / 100},
 	} {
 		assert.Check(t, row.lower < row.upper, "%s: %s is not below %s", row.why, row.lower, row.upper)
 	}
--- a/internal/distribution/configsource/scripted_source_test.go
+++ b/internal/distribution/configsource/scripted_source_test.go
@@ -11,19 +11,19 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// scriptedSource answers from a log of revisions, with faults.
+// scriptedSource answers from a log of revisions and injects faults.
 type scriptedSource struct {
 	mutex sync.Mutex
 	log   []uint64
-	// silent watches hear nothing of changes until their wait is over; the
-	// history before the last change is then deleted.
-	silent bool
-	// failures is the number of requests that fail from now on.
+	// watchesSilent hides changes from watches until their wait ends; the history before the last
+	// change is then deleted.
+	watchesSilent bool
+	// failures is the number of requests that will fail next.
 	failures int
 	requests int
 	// delay is how long an answer takes.
 	delay time.Duration
-	// unusable revisions are refused by the reader.
+	// unusable holds the revisions that are reported as invalid.
 	unusable map[uint64]bool
 }
 
@@ -99,9 +99,9 @@
 	end := time.Now().Add(wait)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		s.mutex.Lock()
-		silent := s.silent
+		watchesSilent := s.watchesSilent
 		s.mutex.Unlock()
-		if configuration, at, newer := s.newest(after); newer && !silent {
+		if configuration, at, newer := s.newest(after); newer && !watchesSilent {
 			configuration, err := s.check(configuration)
 			return configuration, at, err
 		}
@@ -113,7 +113,7 @@
 	return nil, after, ctx.Err()
 }
 
-// Orders implements configsource.Source; these sources keep none.
+// Orders implements configsource.Source; these sources have no orders.
 func (s *scriptedSource) Orders(context.Context, orders.Kinds) (*orders.Set, error) {
-	return nil, result.Errorf(result.PlatformBadAnswer, "orders were not to be asked for")
+	return nil, result.Errorf(result.PlatformBadAnswer, "this source has no orders")
 }
--- a/internal/distribution/configsource/suspension_test.go
+++ b/internal/distribution/configsource/suspension_test.go
@@ -12,8 +12,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// A confirmation grows old while the machine is suspended, and the source is asked as soon
-// as the machine is back, although the timer of the next poll stood.
+// A confirmation ages while the machine is suspended, so the source is polled as soon as the
+// machine resumes, although the timer of the next poll did not advance during the suspension.
 func TestSuspendedFollowerAsksAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var gap atomic.Int64
