--- a/internal/distribution/changelog/accept.go
+++ b/internal/distribution/changelog/accept.go
@@ -15,20 +15,21 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Bounds of an accept. Together the waits must stay well under the time that the operators'
-// interface gives a request (20 s).
+// Limits of an accept. The total of the waits must stay well below the request timeout of the
+// operators' interface (20 s).
 const (
-	// maxAcceptAttempts bounds the compare-and-swap attempts of one accept. It must be larger
-	// than the number of operators that write at the same time, since each round has one winner.
+	// maxAcceptAttempts is the maximum number of compare-and-swap attempts of one accept. It must
+	// be larger than the number of concurrent operators, because only one of them succeeds in each
+	// round.
 	maxAcceptAttempts = 50
-	// acceptBackoff is the longest wait between two attempts; it is random, so that
-	// racing operators spread.
-	acceptBackoff = 100 * time.Millisecond
+	// maxAcceptBackoff is the maximum random wait between two attempts, which spreads concurrent
+	// operators.
+	maxAcceptBackoff = 100 * time.Millisecond
 )
 
-// Propose stores a proposal under its operation id. Storing the same content
-// again is no error. Errors: OperatorOperationReused when the id was used for
-// other content, OperatorOutcomeUnknown when the platform did not answer.
+// Propose stores a proposal under its operation id. Storing the same content again succeeds.
+// Errors: OperatorOperationReused when the id was used for different content,
+// OperatorOutcomeUnknown when the object API did not answer.
 func (l *Log) Propose(ctx context.Context, proposal *lapisv1.Proposal) error {
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(proposal)
 	if err != nil {
@@ -39,8 +40,7 @@
 	if err == nil {
 		return nil
 	}
-	// The write may have taken effect although it failed, or an earlier one of the same
-	// proposal did.
+	// The failed write may have taken effect, or an earlier write of the same proposal may have.
 	present, getErr := l.store.Get(ctx, key)
 	switch {
 	case getErr == nil && bytes.Equal(present.Value, encoded):
@@ -60,7 +60,7 @@
 	return proposal, l.read(ctx, proposalKey(operation), proposal, result.Errorf(result.OperatorUnknownProposal, "%s", operation))
 }
 
-// Proposals lists the stored proposals that were not accepted yet.
+// Proposals lists the stored proposals that have not been accepted.
 func (l *Log) Proposals(ctx context.Context) ([]*lapisv1.Proposal, error) {
 	list, err := l.store.List(ctx, proposalPrefix, "", 0)
 	if err != nil {
@@ -80,29 +80,29 @@
 	return open, nil
 }
 
-// Accept makes proposal the next revision and returns its number. Each attempt reads the accept
-// register first, so that the proposal's operation id makes it take effect once, however often
-// Accept is called and whichever answers are lost. In this order an attempt ends with: the
-// revision that has the operation id already; a conflict with a later change of the same object;
-// validation faults; the outcome of the compare-and-swap write. It is repeated only when the
-// object API did not answer or another write was first. Errors: OperatorConflict naming the
-// other change, a *result.List of validation faults, OperatorStaleProposal, and
-// OperatorOutcomeUnknown when any attempt may have written.
+// Accept makes proposal the next revision and returns its number. Each attempt first reads the
+// accept register, so that the operation id of the proposal makes it take effect only once,
+// regardless of repeated calls and lost answers. The outcome of an attempt is, in this order: the
+// revision that already has the operation id; a conflict with a later change of the same object;
+// validation errors; the result of the compare-and-swap write. An attempt is repeated only when the
+// object API did not answer or another write came first. Errors: OperatorConflict, which names the
+// other change; a *result.List of validation errors; OperatorStaleProposal; and
+// OperatorOutcomeUnknown when an attempt may have written.
 func (l *Log) Accept(ctx context.Context, proposal *lapisv1.Proposal) (uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	uncertain := false
 	var lastErr error
 	for attempt := 0; attempt < maxAcceptAttempts; attempt++ {
-		if attempt > 0 && !sleep.For(ctx, rand.N(acceptBackoff)) {
+		if attempt > 0 && !sleep.For(ctx, rand.N(maxAcceptBackoff)) {
 			break
 		}
-		number, written, err := l.acceptOnce(ctx, proposal)
+		number, maybeWritten, err := l.acceptOnce(ctx, proposal)
 		if err == nil {
 			return number, nil
 		}
 		lastErr = err
-		uncertain = uncertain || written
+		uncertain = uncertain || maybeWritten
 		if !retryable(err) {
 			return 0, err
 		}
@@ -113,14 +113,14 @@
 	return 0, lastErr
 }
 
-// retryable reports whether an attempt that ended with err may have another outcome.
+// retryable reports whether another attempt may succeed after err.
 func retryable(err error) bool {
 	return result.Is(err, result.PlatformUnavailable) || result.Is(err, result.PlatformConflict)
 }
 
-// acceptOnce makes one attempt; written tells whether the register may have
-// been written although err is set.
-func (l *Log) acceptOnce(ctx context.Context, proposal *lapisv1.Proposal) (number uint64, written bool, err error) {
+// acceptOnce makes one attempt. maybeWritten is true when the register may have been written
+// although err is set.
+func (l *Log) acceptOnce(ctx context.Context, proposal *lapisv1.Proposal) (number uint64, maybeWritten bool, err error) {
 	state, err := l.refreshLocked(ctx)
 	if err != nil {
 		return 0, false, err
@@ -152,17 +152,17 @@
 	return revision.GetNumber(), true, nil
 }
 
-// archiveHead stores the present head before it is replaced, so that the
-// archive has every revision below head.
+// archiveHead archives the current head before it is replaced, so that the archive contains every
+// revision below the head.
 func (l *Log) archiveHead(ctx context.Context) error {
 	if l.head == nil {
 		return nil
 	}
-	return l.storeOnce(ctx, revisionKey(l.head.GetNumber()), l.head)
+	return l.storeImmutable(ctx, revisionKey(l.head.GetNumber()), l.head)
 }
 
-// conflictError names the accepted change that the proposal collides with; the caller
-// holds mutex.
+// conflictError returns an error that identifies the accepted change with which the proposal
+// conflicts; the caller holds mutex.
 func (l *Log) conflictError(ctx context.Context, conflict meshconfig.Conflict) error {
 	other, err := l.readRevision(ctx, l.head, conflict.Revision)
 	if err != nil {
--- a/internal/distribution/changelog/bounds_test.go
+++ b/internal/distribution/changelog/bounds_test.go
@@ -7,11 +7,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBoundsOfTheLogFitTogether holds the relations between what is kept and deleted.
+// TestBoundsOfTheLogFitTogether checks the relations between the retention limits; each message
+// names the failure.
 func TestBoundsOfTheLogFitTogether(t *testing.T) {
-	assert.Assert(t, keptRevisions >= keptSnapshots*SnapshotEvery, "a reader that loads the older snapshot finds a gap")
-	assert.Assert(t, deletesPerCompaction >= SnapshotEvery, "the archive grows faster than it is deleted")
-	assert.Assert(t, keptSnapshots >= 2, "the snapshot that a reader loads is deleted under it")
-	// The operators' interface gives a request 20 s.
-	assert.Assert(t, maxAcceptAttempts*acceptBackoff < 10*time.Second, "an accept that loses races has no time left")
+	assert.Assert(t, retainedRevisions >= retainedSnapshots*SnapshotEvery, "a reader that loads the older snapshot finds a gap")
+	assert.Assert(t, maxDeletesPerCompaction >= SnapshotEvery, "the archive grows faster than it is deleted")
+	assert.Assert(t, retainedSnapshots >= 2, "a snapshot is deleted while a reader loads it")
+	// The operators' interface limits a request to 20 s.
+	assert.Assert(t, maxAcceptAttempts*maxAcceptBackoff < 10*time.Second, "an accept that loses every round exceeds the request timeout")
 }
--- a/internal/distribution/changelog/compact.go
+++ b/internal/distribution/changelog/compact.go
@@ -11,27 +11,27 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Bounds of what is kept in the object API.
+// Retention limits of the objects in the object API.
 const (
-	// SnapshotEvery is the number of revisions between stored snapshots. A reader that
-	// starts reads a snapshot and at most about as many revisions.
+	// SnapshotEvery is the number of revisions between stored snapshots. A starting reader reads
+	// one snapshot and at most about this many revisions.
 	SnapshotEvery = 256
-	// keptRevisions is the number of archived revisions kept for 'diff' and for readers
-	// that were away. It must be at least the revisions since the oldest snapshot kept,
-	// or a reader that loads that one finds a gap.
-	keptRevisions = 1024
-	// keptSnapshots is the number of stored snapshots kept; a reader may still be reading
-	// the older one.
-	keptSnapshots = 2
-	// deletesPerCompaction bounds the writes of one compaction. It must be at least
-	// SnapshotEvery, or the archive grows without end.
-	deletesPerCompaction = 300
+	// retainedRevisions is the number of archived revisions kept, for 'diff' and for readers that
+	// were disconnected. It must be at least the number of revisions since the oldest retained
+	// snapshot, or a reader that loads that snapshot finds a gap.
+	retainedRevisions = 1024
+	// retainedSnapshots is the number of snapshots kept. It must be at least 2, because a reader
+	// may still be reading the older one.
+	retainedSnapshots = 2
+	// maxDeletesPerCompaction limits the deletions of old revisions and of old proposals in one
+	// compaction. It must be at least SnapshotEvery, or the archive grows without limit.
+	maxDeletesPerCompaction = 300
 )
 
-// Compact stores a snapshot when SnapshotEvery revisions were accepted since the newest one, and
-// then deletes, in this order, older snapshots, revisions and proposals. One reader calls it
-// periodically; two callers at once do no harm, because snapshots are immutable and deletions
-// are of fixed keys. Errors: platform codes; the next call goes on where this one stopped.
+// Compact stores a snapshot when at least SnapshotEvery revisions were accepted since the newest
+// one. It then deletes, in this order, older snapshots, revisions and proposals. One reader calls
+// it periodically; concurrent calls are harmless, because snapshots are immutable and deletions
+// name fixed keys. Errors: platform codes; the next call continues the compaction.
 func (l *Log) Compact(ctx context.Context) error {
 	state := l.State()
 	snapshots, err := l.store.List(ctx, snapshotPrefix, "", 0)
@@ -40,17 +40,17 @@
 	}
 	newest := uint64(0)
 	if count := len(snapshots.Objects); count > 0 {
-		// A key without a number, which nothing here writes, counts as 0: then a snapshot
-		// is stored although none is due, which does no harm.
+		// A key without a number, which this package never writes, counts as 0. A snapshot is then
+		// stored early, which is harmless.
 		newest, _ = parseNumber(snapshots.Objects[count-1].Key)
 	}
 	if state.Revision < newest+SnapshotEvery {
 		return nil
 	}
-	if err := l.storeOnce(ctx, snapshotKey(state.Revision), state.Stored()); err != nil {
+	if err := l.storeImmutable(ctx, snapshotKey(state.Revision), state.Stored()); err != nil {
 		return err
 	}
-	if extra := len(snapshots.Objects) + 1 - keptSnapshots; extra > 0 {
+	if extra := len(snapshots.Objects) + 1 - retainedSnapshots; extra > 0 {
 		if err := l.deleteAll(ctx, snapshots.Objects[:extra]); err != nil {
 			return err
 		}
@@ -62,16 +62,16 @@
 }
 
 func (l *Log) deleteOldRevisions(ctx context.Context, revision uint64) error {
-	if revision <= keptRevisions {
+	if revision <= retainedRevisions {
 		return nil
 	}
-	list, err := l.store.List(ctx, revisionPrefix, "", deletesPerCompaction)
+	list, err := l.store.List(ctx, revisionPrefix, "", maxDeletesPerCompaction)
 	if err != nil {
 		return err
 	}
 	var old []objectapi.Object
 	for _, object := range list.Objects {
-		if number, ok := parseNumber(object.Key); ok && number+keptRevisions < revision {
+		if number, ok := parseNumber(object.Key); ok && number+retainedRevisions < revision {
 			old = append(old, object)
 		}
 	}
@@ -87,12 +87,12 @@
 	for _, object := range list.Objects {
 		proposal := &lapisv1.Proposal{}
 		if proto.Unmarshal(object.Value, proposal) != nil {
-			// Kept: Proposals reports the fault to whoever lists them.
+			// A proposal that cannot be decoded is kept; Proposals reports the error.
 			continue
 		}
 		_, accepted := state.Operations[proposal.GetOperationId()]
 		stale := proposal.GetBaseRevision()+meshconfig.HistoryWindow < state.Revision
-		if (accepted || stale) && len(old) < deletesPerCompaction {
+		if (accepted || stale) && len(old) < maxDeletesPerCompaction {
 			old = append(old, object)
 		}
 	}
--- a/internal/distribution/changelog/doc.go
+++ b/internal/distribution/changelog/doc.go
@@ -1,16 +1,19 @@
-// Package changelog keeps the log of accepted configurations in the object API, for readers that
-// follow it and operators who propose and accept. The object "log/head" is the accept register:
-// a compare-and-swap write of it accepts a proposal, so that racing operators have one winner.
-// Before head moves on, the revision it held is archived under "revisions/", and from time to
-// time the whole state is stored under "snapshots/" so that old revisions can be deleted.
+// Package changelog stores the log of accepted configurations in the object API. Readers follow the
+// log; operators propose changes and accept them. The object "log/head" is the accept register: a
+// compare-and-swap write of it accepts a proposal, so that exactly one of several concurrent
+// operators succeeds. The revision in the register is archived under "revisions/" before it is
+// replaced. The whole state is stored periodically under "snapshots/", so that old revisions can be
+// deleted.
 //
-// An acceptor that was paused for long can do no harm: its write of head carries a version that
-// no longer matches, and what it archives is an immutable copy of a revision that was accepted.
+// A daemon that was paused for a long time while it accepted a proposal does no damage: its write
+// of the register has a version that no longer matches, and it only archives immutable copies of
+// accepted revisions.
 //
-// It owns the objects under "log/", "revisions/", "snapshots/" and "proposals/", and a
-// cache of the newest state in each Log; no goroutines or connections. It relies on the
-// object API's compare-and-swap writes and on package meshconfig to validate and apply.
+// The package owns the objects under "log/", "revisions/", "snapshots/" and "proposals/", and a
+// cache of the newest state in each Log. It has no goroutines or connections. It depends on the
+// compare-and-swap writes of the object API, and on package meshconfig to validate and apply
+// changes.
 //
-// What must hold: every revision below head is archived or covered by a stored snapshot;
-// a revision never changes; the cached revision never decreases.
+// Invariants: every revision below the head is archived or covered by a stored snapshot; a revision
+// never changes; the cached revision never decreases.
 package changelog
--- a/internal/distribution/changelog/log.go
+++ b/internal/distribution/changelog/log.go
@@ -16,11 +16,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// listPage bounds one list request for archived revisions.
-const listPage = 500
+// listPageSize is the maximum number of archived revisions in one list request.
+const listPageSize = 500
 
-// Log reads and extends the log of accepted configurations. It is safe for
-// concurrent use; it keeps the newest state it has read.
+// Log reads and extends the log of accepted configurations. It caches the newest state that it has
+// read. It is safe for concurrent use.
 type Log struct {
 	store objectapi.Store
 	now   func() time.Time
@@ -32,22 +32,22 @@
 	headVersion int64
 }
 
-// New returns a log over store; now gives the time written into revisions, which counts
-// for display only.
+// New returns a log over store. now provides the acceptance time stored in revisions, which is for
+// display only.
 func New(store objectapi.Store, now func() time.Time) *Log {
 	return &Log{store: store, now: now, state: meshconfig.NewState()}
 }
 
-// State returns the newest state read so far without any request.
+// State returns the cached state without a request.
 func (l *Log) State() *meshconfig.State {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state
 }
 
-// Refresh reads the accept register and returns the state that was in it at some moment
-// after the call began. Errors: platform codes, PlatformBadAnswer when the register
-// vanished or cannot be decoded.
+// Refresh reads the accept register and returns a state that was current at some time after the
+// call began. Errors: platform codes, PlatformBadAnswer when the register was deleted or cannot be
+// decoded.
 func (l *Log) Refresh(ctx context.Context) (*meshconfig.State, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -58,7 +58,7 @@
 	object, err := l.store.Get(ctx, HeadKey)
 	if result.Is(err, result.PlatformNotFound) {
 		if l.state.Revision > 0 {
-			return nil, result.Errorf(result.PlatformBadAnswer, "the accept register vanished at revision %d", l.state.Revision)
+			return nil, result.Errorf(result.PlatformBadAnswer, "the accept register was deleted at revision %d", l.state.Revision)
 		}
 		return l.state, nil
 	}
@@ -68,17 +68,17 @@
 	return l.adoptHead(ctx, object)
 }
 
-// Observe applies a watch event of the accept register and returns the newest state.
-// Events may come late, twice or crossed. Errors: platform codes, PlatformBadAnswer,
-// DistributionWrongBase when revisions between are no longer kept.
+// Observe applies a watch event of the accept register and returns the newest state. Events may be
+// late, duplicated or out of order. Errors: platform codes, PlatformBadAnswer,
+// DistributionWrongBase when revisions in between are no longer stored.
 func (l *Log) Observe(ctx context.Context, object objectapi.Object) (*meshconfig.State, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.adoptHead(ctx, object)
 }
 
-// HeadRevision reads the number of the newest accepted revision, 0 when none was
-// accepted yet. Errors: platform codes.
+// HeadRevision reads the number of the newest accepted revision, 0 when there is none. Errors:
+// platform codes.
 func HeadRevision(ctx context.Context, store objectapi.Store) (uint64, error) {
 	object, err := store.Get(ctx, HeadKey)
 	if result.Is(err, result.PlatformNotFound) {
@@ -94,7 +94,7 @@
 	return head.GetNumber(), nil
 }
 
-// adoptHead moves the cache to the revision in object; older ones are ignored.
+// adoptHead advances the cache to the revision in object; older revisions are ignored.
 func (l *Log) adoptHead(ctx context.Context, object objectapi.Object) (*meshconfig.State, error) {
 	head := &lapisv1.Revision{}
 	if err := decode(object, head); err != nil {
@@ -117,8 +117,8 @@
 	return state, nil
 }
 
-// catchUp advances state to head by archived revisions, starting from a stored
-// snapshot when the archive no longer reaches back to state.
+// catchUp advances state to head with archived revisions. It starts from a stored snapshot when the
+// archive no longer contains the revisions after state.
 func (l *Log) catchUp(ctx context.Context, state *meshconfig.State, head *lapisv1.Revision) (*meshconfig.State, error) {
 	if head.GetNumber() == state.Revision+1 {
 		return state.Advance(head)
@@ -137,11 +137,11 @@
 	return caught.Advance(head)
 }
 
-// replay applies archived revisions after state and below limit. It returns
-// DistributionWrongBase when the archive has a gap.
+// replay applies the archived revisions after state and below limit. It returns
+// DistributionWrongBase when a revision is missing.
 func (l *Log) replay(ctx context.Context, state *meshconfig.State, limit uint64) (*meshconfig.State, error) {
 	for state.Revision+1 < limit {
-		list, err := l.store.List(ctx, revisionPrefix, revisionKey(state.Revision+1), listPage)
+		list, err := l.store.List(ctx, revisionPrefix, revisionKey(state.Revision+1), listPageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -175,7 +175,7 @@
 	return state, nil
 }
 
-// loadSnapshot reads the newest stored snapshot, the empty state when there is none.
+// loadSnapshot reads the newest stored snapshot, or returns the empty state when there is none.
 func (l *Log) loadSnapshot(ctx context.Context) (*meshconfig.State, error) {
 	list, err := l.store.List(ctx, snapshotPrefix, "", 0)
 	if err != nil {
@@ -192,8 +192,8 @@
 	return meshconfig.FromStored(stored)
 }
 
-// Revision reads one accepted revision. Errors: OperatorUnknownRevision when it
-// does not exist or is no longer kept.
+// Revision reads one accepted revision. Errors: OperatorUnknownRevision when it does not exist or
+// is no longer stored.
 func (l *Log) Revision(ctx context.Context, number uint64) (*lapisv1.Revision, error) {
 	l.mutex.Lock()
 	head := l.head
@@ -201,7 +201,7 @@
 	return l.readRevision(ctx, head, number)
 }
 
-// readRevision returns one revision, from head when it is that one.
+// readRevision returns one revision, from head if it has that number.
 func (l *Log) readRevision(ctx context.Context, head *lapisv1.Revision, number uint64) (*lapisv1.Revision, error) {
 	if head.GetNumber() == number && number > 0 {
 		return head, nil
@@ -210,12 +210,12 @@
 	return revision, l.read(ctx, revisionKey(number), revision, result.Errorf(result.OperatorUnknownRevision, "revision %d", number))
 }
 
-// read decodes the object under key into target. Errors: absent when there is no such
-// object, PlatformBadAnswer, platform codes.
-func (l *Log) read(ctx context.Context, key string, target proto.Message, absent error) error {
+// read decodes the object under key into target. It returns notFound when there is no such object.
+// Other errors: PlatformBadAnswer, platform codes.
+func (l *Log) read(ctx context.Context, key string, target proto.Message, notFound error) error {
 	object, err := l.store.Get(ctx, key)
 	if result.Is(err, result.PlatformNotFound) {
-		return absent
+		return notFound
 	}
 	if err != nil {
 		return err
@@ -223,9 +223,10 @@
 	return decode(object, target)
 }
 
-// storeOnce writes a message that never changes under key. One that is there already is as
-// good. Errors: DistributionBadBundle when it cannot be encoded, platform codes.
-func (l *Log) storeOnce(ctx context.Context, key string, message proto.Message) error {
+// storeImmutable writes a message under a key whose content never changes, so that an existing
+// object counts as success. Errors: DistributionBadBundle when the message cannot be encoded,
+// platform codes.
+func (l *Log) storeImmutable(ctx context.Context, key string, message proto.Message) error {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
 		return result.Wrap(result.DistributionBadBundle, err, "encoding %s", key)
@@ -244,7 +245,7 @@
 
 // Keys in the object API.
 const (
-	// HeadKey is the accept register.
+	// HeadKey is the key of the accept register.
 	HeadKey = "log/head"
 	// HeadPrefix is the prefix to watch for accepted revisions.
 	HeadPrefix = "log/"
--- a/internal/distribution/changelog/log_test.go
+++ b/internal/distribution/changelog/log_test.go
@@ -142,15 +142,17 @@
 	assert.Equal(t, fresh.Digest, log.State().Digest)
 }
 
-// acceptEvent is one operation on the accept register for the history check.
+// acceptEvent is the input or output of one operation on the accept register, for the
+// linearizability check.
 type acceptEvent struct {
 	read      bool
 	operation string
 	revision  uint64
 }
 
-// registerModel is the accept register as a sequential object: each accept of a new operation
-// gets the next number, a repeated one its old number, and a read sees the newest number.
+// registerModel is the sequential specification of the accept register: an accept of a new
+// operation returns the next number, a repeated accept returns the number of the first, and a read
+// returns the newest number.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -181,17 +183,18 @@
 	return names
 }
 
-// brokenStore writes the accept register without looking at its version.
-type brokenStore struct{ objectapi.Store }
+// unconditionalStore writes the accept register without a version check.
+type unconditionalStore struct{ objectapi.Store }
 
-func (b brokenStore) Put(ctx context.Context, key string, value []byte, expected int64) (int64, error) {
+func (b unconditionalStore) Put(ctx context.Context, key string, value []byte, expected int64) (int64, error) {
 	if key == changelog.HeadKey {
 		expected = objectapi.VersionAny
 	}
 	return b.Store.Put(ctx, key, value, expected)
 }
 
-// recordHistory lets operators accept and read concurrently under faults.
+// recordHistory records the history of operators that accept and read concurrently while the store
+// loses answers.
 func recordHistory(t *testing.T, seed uint64, wrap func(objectapi.Store) objectapi.Store) []porcupine.Operation {
 	t.Helper()
 	stub, client := startPlatform(t, seed)
@@ -208,7 +211,7 @@
 			for index := range operations {
 				input := acceptEvent{read: random.IntN(3) == 0, operation: fmt.Sprintf("%d-%d", operator, index)}
 				call := time.Since(started).Nanoseconds()
-				output, err := perform(log, input)
+				output, err := runOperation(log, input)
 				if err != nil {
 					continue
 				}
@@ -224,7 +227,7 @@
 	return history
 }
 
-func perform(log *changelog.Log, input acceptEvent) (acceptEvent, error) {
+func runOperation(log *changelog.Log, input acceptEvent) (acceptEvent, error) {
 	if input.read {
 		state, err := log.Refresh(context.Background())
 		if err != nil {
@@ -248,7 +251,7 @@
 
 func TestHistoryCheckCatchesABrokenRegister(t *testing.T) {
 	for seed := range uint64(10) {
-		history := recordHistory(t, seed, func(store objectapi.Store) objectapi.Store { return brokenStore{store} })
+		history := recordHistory(t, seed, func(store objectapi.Store) objectapi.Store { return unconditionalStore{store} })
 		if !porcupine.CheckOperations(registerModel, history) {
 			return
 		}
