--- a/internal/distribution/holdings/delta.go
+++ b/internal/distribution/holdings/delta.go
@@ -9,16 +9,15 @@
 	"github.com/lapisvane/lapisvane/internal/model/digest"
 )
 
-// Delta returns the update that brings a receiver that holds the services of interest,
-// except those in added, from the given revision to the present one. It returns nil when
-// the receiver is ahead or the holdings do not cover interest, and a full update when the
-// receiver holds nothing, starts to follow all services, or has been away for longer than
-// removals are remembered.
+// Delta returns the update from the given revision to the current one, for a receiver that holds
+// the services of interest except those in added. It returns nil when the receiver is ahead or the
+// holdings do not cover interest. It returns a full update when the receiver holds nothing, starts
+// to follow all services, or is at a revision before the recorded removals.
 func (h *Holdings) Delta(interest, added Interest, from uint64) *lapisv1.Update {
 	if from > h.revision || !h.interest.Covers(interest) {
 		return nil
 	}
-	full := from == 0 || added.All || (interest.All && from < h.removalsFrom)
+	full := from == 0 || added.All || (interest.All && from < h.removalsCompleteSince)
 	update := &lapisv1.Update{
 		FromRevision:       from,
 		ToRevision:         h.revision,
@@ -26,7 +25,7 @@
 		AcceptedUnixMillis: h.acceptedUnixMillis,
 	}
 	var set digest.Set
-	h.visit(interest, func(service string, entry held) {
+	h.visit(interest, func(service string, entry heldBundle) {
 		if !interest.All {
 			set.Add(entry.member)
 		}
@@ -36,7 +35,7 @@
 	})
 	slices.SortFunc(update.Bundles, func(a, b *lapisv1.EncodedBundle) int { return strings.Compare(a.GetService(), b.GetService()) })
 	if interest.All {
-		set = h.set
+		set = h.digestSet
 	}
 	update.Digest = set.Bytes()
 	if !full {
@@ -45,8 +44,8 @@
 	return update
 }
 
-// visit calls function for each held bundle in interest, in no order.
-func (h *Holdings) visit(interest Interest, function func(service string, entry held)) {
+// visit calls function for each held bundle in interest, in unspecified order.
+func (h *Holdings) visit(interest Interest, function func(service string, entry heldBundle)) {
 	if interest.All {
 		for service, entry := range h.bundles {
 			function(service, entry)
@@ -60,24 +59,24 @@
 	}
 }
 
-// removalsSince returns the removals that a receiver at from may have missed.
-// When it is not known whether an absent service was removed since from, a
-// removal is sent all the same: removing what is not held has no effect.
+// removalsSince returns the removals that a receiver at revision from may have missed. A removal is
+// also sent when it is unknown whether an absent service was removed since from, because removing a
+// service that is not held has no effect.
 func (h *Holdings) removalsSince(interest Interest, from uint64) []*lapisv1.EncodedBundle {
 	if !interest.All && h.holdsAll(interest) {
 		return nil
 	}
 	candidates := maps.Keys(interest.Services)
 	if interest.All {
-		candidates = maps.Keys(h.removed)
+		candidates = maps.Keys(h.removedIn)
 	}
 	var removals []*lapisv1.EncodedBundle
 	for _, service := range slices.Sorted(candidates) {
 		if _, held := h.bundles[service]; held {
 			continue
 		}
-		known := max(h.removalsFrom, h.coveredFrom[service])
-		if h.removed[service] > from || known > from {
+		known := max(h.removalsCompleteSince, h.coveredSince[service])
+		if h.removedIn[service] > from || known > from {
 			removals = append(removals, &lapisv1.EncodedBundle{Service: service, Removed: true, ChangedRevision: h.revision})
 		}
 	}
--- a/internal/distribution/holdings/holdings_test.go
+++ b/internal/distribution/holdings/holdings_test.go
@@ -21,8 +21,8 @@
 	return bundle
 }
 
-// source returns holdings of everything at the given revision.
-func source(t *testing.T, revision uint64, bundles ...*lapisv1.EncodedBundle) *holdings.Holdings {
+// newSource returns holdings that contain all bundles at the given revision.
+func newSource(t *testing.T, revision uint64, bundles ...*lapisv1.EncodedBundle) *holdings.Holdings {
 	t.Helper()
 	held := map[string]*lapisv1.EncodedBundle{}
 	for _, bundle := range bundles {
@@ -61,9 +61,9 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			held := holdings.New()
-			first := source(t, 5, encoded(t, "a", 1, 5), encoded(t, "b", 1, 5))
+			first := newSource(t, 5, encoded(t, "a", 1, 5), encoded(t, "b", 1, 5))
 			assert.NilError(t, held.Apply(first.Delta(interest, holdings.Interest{}, 0), interest))
-			next := source(t, 6, encoded(t, "a", 2, 6), encoded(t, "b", 2, 6), encoded(t, "c", 2, 6))
+			next := newSource(t, 6, encoded(t, "a", 2, 6), encoded(t, "b", 2, 6), encoded(t, "c", 2, 6))
 			good := next.Delta(interest, holdings.Interest{}, 5)
 			spoiled := proto.Clone(good).(*lapisv1.Update)
 			test.spoil(spoiled)
@@ -86,9 +86,9 @@
 	return revisions
 }
 
-// TestAnyPathOfUpdatesEndsInTheSameHoldings lets a source change at random, a
-// relay with changing interest and a leaf below it follow with gaps, and checks
-// after every step that relay and leaf hold exactly the source's bundles.
+// TestAnyPathOfUpdatesEndsInTheSameHoldings changes a source at random, while a relay with changing
+// interest and a leaf below it follow with gaps. After every step it checks that relay and leaf
+// hold exactly the bundles of the source.
 func TestAnyPathOfUpdatesEndsInTheSameHoldings(t *testing.T) {
 	services := []string{"a", "b", "c", "d", "e"}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -132,7 +132,7 @@
 	return state[service]
 }
 
-// follow brings child to parent's revision with a new interest.
+// follow updates child to parent's revision with a new interest.
 func follow(rt *rapid.T, parent, child *holdings.Holdings, interest holdings.Interest) {
 	added := interest.Minus(child.Interest())
 	update := parent.Delta(interest, added, child.Revision())
@@ -142,7 +142,7 @@
 	assert.NilError(rt, child.Apply(update, interest))
 }
 
-// checkSubset checks a holder that is at the source's revision.
+// checkSubset checks the bundles of a holder that is at the revision of the source.
 func checkSubset(rt *rapid.T, state map[string]*lapisv1.EncodedBundle, revision uint64, holder, parent *holdings.Holdings) {
 	if holder.Revision() != revision || parent.Revision() != revision {
 		return
--- a/internal/distribution/holdings/interest.go
+++ b/internal/distribution/holdings/interest.go
@@ -9,7 +9,7 @@
 
 // Interest is a set of services. The zero value is the empty set.
 type Interest struct {
-	// All is true for every service; Services is then unused.
+	// All is true when the set contains every service; Services is then unused.
 	All      bool
 	Services map[string]struct{}
 }
@@ -26,7 +26,7 @@
 	return interest
 }
 
-// FromSubscription returns the set that a subscription names.
+// FromSubscription returns the set of a complete subscription.
 func FromSubscription(subscription *lapisv1.Subscription) Interest {
 	if subscription.GetAll() {
 		return Interest{All: true}
@@ -34,7 +34,7 @@
 	return NewInterest(subscription.GetServices()...)
 }
 
-// Subscription returns the set as it is sent, in a stable order.
+// Subscription returns the set as a complete subscription, in sorted order.
 func (i Interest) Subscription(version uint64) *lapisv1.Subscription {
 	return &lapisv1.Subscription{
 		Version:  version,
@@ -79,8 +79,8 @@
 	return union
 }
 
-// Minus returns the services of i that other lacks. When i is all and other is
-// not, the result is all, because the difference cannot be listed.
+// Minus returns the services of i that are not in other. When i contains all services and other
+// does not, the result contains all services, because the difference cannot be enumerated.
 func (i Interest) Minus(other Interest) Interest {
 	if other.All {
 		return Interest{}
@@ -97,16 +97,16 @@
 	return difference
 }
 
-// Empty reports whether the set has no service.
+// Empty reports whether the set contains no services.
 func (i Interest) Empty() bool { return !i.All && len(i.Services) == 0 }
 
-// Equal reports whether both sets have the same services.
+// Equal reports whether both sets contain the same services.
 func (i Interest) Equal(other Interest) bool {
 	return i.All == other.All && (i.All || maps.Equal(i.Services, other.Services))
 }
 
-// Difference returns the subscription that turns previous into next for a
-// receiver that knows previous.
+// Difference returns the subscription that changes previous into next, for a receiver that knows
+// previous.
 func Difference(previous, next Interest, version uint64) *lapisv1.Subscription {
 	if previous.All || next.All {
 		return next.Subscription(version)
@@ -118,7 +118,7 @@
 	return added
 }
 
-// Amend returns the set that a received subscription makes of previous.
+// Amend returns the set that results from applying a received subscription to previous.
 func Amend(previous Interest, subscription *lapisv1.Subscription) Interest {
 	if !subscription.GetIncremental() {
 		return FromSubscription(subscription)
