--- a/internal/distribution/objectapi/client.go
+++ b/internal/distribution/objectapi/client.go
@@ -16,56 +16,58 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Bounds of the client.
+// Limits of the client.
 const (
-	// RequestTimeout bounds one request that is not a watch, and the opening of a watch.
-	// It must be shorter than a reader's lease.
+	// RequestTimeout limits a request that is not a watch, and the opening of a watch. It must be
+	// shorter than the lease of a reader.
 	RequestTimeout = 5 * time.Second
-	// WatchSilence is the time without event or bookmark after which a watch is taken as
-	// broken. The platform sends bookmarks every second, so that ten in a row are missing.
+	// WatchSilence is the time without an event or bookmark after which a watch is closed as
+	// broken. The platform sends a bookmark every second, so that ten in a row are missing.
 	WatchSilence = 10 * time.Second
-	// maxAnswerBytes bounds an answer; a new reader loads about 1 MB at 950 services.
-	maxAnswerBytes = 64 << 20
-	// maxDetailBytes bounds the text of a refusal that is kept for the error.
+	// maxResponseBytes limits the size of a response; a starting reader loads about 1 MB at 950
+	// services.
+	maxResponseBytes = 64 << 20
+	// maxDetailBytes limits the text of an error response that is included in the error.
 	maxDetailBytes = 512
-	// idleConnections is the number of connections kept open to one address; a reader has
-	// a watch and a few requests at a time.
-	idleConnections = 4
-	// idleTimeout is how long an unused connection stays open.
-	idleTimeout = 30 * time.Second
+	// maxIdleConnections is the number of idle connections kept to one address; a reader uses one
+	// for a watch and a few for requests at a time.
+	maxIdleConnections = 4
+	// idleConnectionTimeout is the time after which an idle connection is closed.
+	idleConnectionTimeout = 30 * time.Second
 )
 
-// Client speaks the object API's HTTP/JSON protocol. Requests go to one of the configured
-// addresses until a connection to it fails, then to the next. It is safe for concurrent use.
+// Client implements Store over the object API's HTTP/JSON protocol. It sends all requests to one of
+// the configured addresses until one gets no response, then to the next address. It is safe for
+// concurrent use.
 type Client struct {
 	addresses []string
 	token     string
 	http      *http.Client
-	next      atomic.Uint32
+	failovers atomic.Uint32
 
-	// mutex protects lists, the newest machine list of each zone.
-	mutex sync.Mutex
-	lists map[string]machineList
+	// mutex protects machineLists, the latest machine list of each zone.
+	mutex        sync.Mutex
+	machineLists map[string]machineList
 
-	// Requests counts the requests sent, BytesIn and BytesOut the bytes of their bodies
-	// and of those of the answers.
+	// Requests counts the requests sent, BytesOut the bytes of their bodies and BytesIn the bytes
+	// of the response bodies.
 	Requests, BytesIn, BytesOut atomic.Int64
 }
 
-// DialFunc opens a connection; tests put faults behind it.
+// DialFunc opens a connection; tests use it to inject faults.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient returns a client of the platform at addresses ("ip:port"); token
-// may be empty and dial nil.
+// NewClient returns a client of the platform at addresses ("ip:port"). token may be empty and dial
+// nil.
 func NewClient(addresses []string, token string, dial DialFunc) *Client {
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: idleConnections,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnections,
+		IdleConnTimeout:     idleConnectionTimeout,
 		DialContext:         dial,
 	}
 	return &Client{
 		addresses: addresses, token: token, http: &http.Client{Transport: transport},
-		lists: map[string]machineList{},
+		machineLists: map[string]machineList{},
 	}
 }
 
@@ -73,53 +75,53 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 func (c *Client) request(ctx context.Context, method, path string, query url.Values, body []byte) (*http.Response, error) {
-	return c.conditional(ctx, method, path, query, body, "")
+	return c.conditionalRequest(ctx, method, path, query, body, "")
 }
 
-// conditional sends a request that is answered with PlatformNotModified when
-// what it asks for still has the given tag; an empty tag asks in any case.
-func (c *Client) conditional(ctx context.Context, method, path string, query url.Values, body []byte, tag string) (*http.Response, error) {
+// conditionalRequest sends a request that fails with PlatformNotModified when the resource still
+// has the given entity tag; an empty tag makes it unconditional.
+func (c *Client) conditionalRequest(ctx context.Context, method, path string, query url.Values, body []byte, etag string) (*http.Response, error) {
 	if len(c.addresses) == 0 {
-		return nil, result.Errorf(result.PlatformUnavailable, "no platform address is set")
+		return nil, result.Errorf(result.PlatformUnavailable, "no platform address is configured")
 	}
-	address := c.addresses[int(c.next.Load())%len(c.addresses)]
+	address := c.addresses[int(c.failovers.Load())%len(c.addresses)]
 	target := "http://" + address + path + "?" + query.Encode()
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
-		return nil, result.Wrap(result.PlatformBadAnswer, err, "building a request")
+		return nil, result.Wrap(result.PlatformBadAnswer, err, "creating the request")
 	}
 	if c.token != "" {
 		request.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	if tag != "" {
-		request.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		request.Header.Set("If-None-Match", etag)
 	}
 	c.Requests.Add(1)
 	c.BytesOut.Add(int64(len(body)))
 	response, err := c.http.Do(request)
 	if err != nil {
-		c.next.Add(1)
+		c.failovers.Add(1)
 		return nil, result.Wrap(result.PlatformUnavailable, err, "%s %s", method, path)
 	}
 	if response.StatusCode == http.StatusOK {
 		return response, nil
 	}
 	defer closeBody(response.Body)
-	// The status decides; a detail that broke off is kept as far as it came.
+	// The status code determines the error; an incompletely read detail is used as it is.
 	detail, _ := io.ReadAll(io.LimitReader(response.Body, maxDetailBytes))
 	return nil, statusError(response.StatusCode, string(detail))
 }
 
-// closeBody closes the body of an answer. An error of closing is dropped: what was read is
-// whole by then or its own error was returned.
+// closeBody closes the body of a response. The error of Close is ignored: the body was read
+// completely, or the read error was returned.
 func closeBody(body io.Closer) { _ = body.Close() }
 
-// readBody reads the whole body of an answer and closes it. Errors: PlatformUnavailable.
+// readBody reads the whole body of a response and closes it. Errors: PlatformUnavailable.
 func (c *Client) readBody(response *http.Response, path string) ([]byte, error) {
 	defer closeBody(response.Body)
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return nil, result.Wrap(result.PlatformUnavailable, err, "reading the answer to %s", path)
+		return nil, result.Wrap(result.PlatformUnavailable, err, "reading the response to %s", path)
 	}
 	c.BytesIn.Add(int64(len(content)))
 	return content, nil
@@ -142,8 +144,9 @@
 	}
 }
 
-// exchange sends a bounded request and decodes the JSON answer into answer, which may be nil.
-func (c *Client) exchange(ctx context.Context, method, path string, query url.Values, body []byte, answer any) error {
+// requestJSON sends a request with RequestTimeout and decodes the JSON response into answer, which
+// may be nil.
+func (c *Client) requestJSON(ctx context.Context, method, path string, query url.Values, body []byte, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, RequestTimeout)
 	defer cancel()
 	response, err := c.request(ctx, method, path, query, body)
@@ -154,13 +157,13 @@
 	if err != nil || answer == nil {
 		return err
 	}
-	return result.Wrap(result.PlatformBadAnswer, json.Unmarshal(content, answer), "decoding the answer to %s", path)
+	return result.Wrap(result.PlatformBadAnswer, json.Unmarshal(content, answer), "decoding the response to %s", path)
 }
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Object, error) {
 	var object Object
-	err := c.exchange(ctx, http.MethodGet, "/v1/object", url.Values{"key": {key}}, nil, &object)
+	err := c.requestJSON(ctx, http.MethodGet, "/v1/object", url.Values{"key": {key}}, nil, &object)
 	return object, err
 }
 
@@ -173,42 +176,42 @@
 	var answer struct {
 		Version int64 `json:"version"`
 	}
-	err := c.exchange(ctx, http.MethodPut, "/v1/object", keyAndVersion(key, expected), value, &answer)
+	err := c.requestJSON(ctx, http.MethodPut, "/v1/object", keyAndVersion(key, expected), value, &answer)
 	return answer.Version, err
 }
 
 // PutStatus implements Store.
 func (c *Client) PutStatus(ctx context.Context, key string, status []byte, expected int64) error {
-	return c.exchange(ctx, http.MethodPut, "/v1/status", keyAndVersion(key, expected), status, nil)
+	return c.requestJSON(ctx, http.MethodPut, "/v1/status", keyAndVersion(key, expected), status, nil)
 }
 
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, key string, expected int64) error {
-	return c.exchange(ctx, http.MethodDelete, "/v1/object", keyAndVersion(key, expected), nil, nil)
+	return c.requestJSON(ctx, http.MethodDelete, "/v1/object", keyAndVersion(key, expected), nil, nil)
 }
 
 // List implements Store.
 func (c *Client) List(ctx context.Context, prefix, start string, limit int) (ListResult, error) {
 	query := url.Values{"prefix": {prefix}, "start": {start}, "limit": {strconv.Itoa(limit)}}
 	var list ListResult
-	err := c.exchange(ctx, http.MethodGet, "/v1/list", query, nil, &list)
+	err := c.requestJSON(ctx, http.MethodGet, "/v1/list", query, nil, &list)
 	return list, err
 }
 
-// machineList is a machine list with the tag by which the platform knows it.
+// machineList is a machine list and its entity tag.
 type machineList struct {
-	tag      string
+	etag     string
 	machines []Machine
 }
 
-// Machines implements Store. A list that has not changed is not sent again.
+// Machines implements Store. An unchanged list is not transferred again.
 func (c *Client) Machines(ctx context.Context, zone string) ([]Machine, error) {
 	ctx, cancel := context.WithTimeout(ctx, RequestTimeout)
 	defer cancel()
 	c.mutex.Lock()
-	known := c.lists[zone]
+	known := c.machineLists[zone]
 	c.mutex.Unlock()
-	response, err := c.conditional(ctx, http.MethodGet, "/v1/machines", url.Values{"zone": {zone}}, nil, known.tag)
+	response, err := c.conditionalRequest(ctx, http.MethodGet, "/v1/machines", url.Values{"zone": {zone}}, nil, known.etag)
 	if result.Is(err, result.PlatformNotModified) {
 		return known.machines, nil
 	}
@@ -219,12 +222,12 @@
 	if err != nil {
 		return nil, err
 	}
-	read := machineList{tag: response.Header.Get("ETag")}
+	read := machineList{etag: response.Header.Get("ETag")}
 	if err := json.Unmarshal(content, &read.machines); err != nil {
 		return nil, result.Wrap(result.PlatformBadAnswer, err, "decoding the machine list")
 	}
 	c.mutex.Lock()
-	c.lists[zone] = read
+	c.machineLists[zone] = read
 	c.mutex.Unlock()
 	return read.machines, nil
 }
--- a/internal/distribution/objectapi/watch.go
+++ b/internal/distribution/objectapi/watch.go
@@ -16,13 +16,13 @@
 func (c *Client) Watch(ctx context.Context, prefixes []string, version int64) (Watch, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	query := url.Values{"prefix": prefixes, "version": {strconv.FormatInt(version, 10)}}
-	opening := time.AfterFunc(RequestTimeout, cancel)
+	openTimer := time.AfterFunc(RequestTimeout, cancel)
 	response, err := c.request(ctx, http.MethodGet, "/v1/watch", query, nil)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	opening.Stop()
+	openTimer.Stop()
 	return &clientWatch{
 		client:  c,
 		body:    response.Body,
@@ -31,7 +31,7 @@
 	}, nil
 }
 
-// clientWatch implements Watch over one streaming answer.
+// clientWatch implements Watch on one streaming response.
 type clientWatch struct {
 	client  *Client
 	body    io.ReadCloser
@@ -40,8 +40,8 @@
 }
 
 func (w *clientWatch) Next() (Event, error) {
-	silence := time.AfterFunc(WatchSilence, w.cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(WatchSilence, w.cancel)
+	defer idleTimer.Stop()
 	before := w.decoder.InputOffset()
 	var event Event
 	if err := w.decoder.Decode(&event); err != nil {
