--- a/internal/distribution/revisionfloor/broker.go
+++ b/internal/distribution/revisionfloor/broker.go
@@ -1,92 +1,92 @@
-// Package revisionfloor decides which revision a starting daemon may apply at the least.
-// Machines keep nothing, so a daemon that was replaced cannot know what it had in force
-// before; it asks for a floor: a revision that is not older than any accepted before the
-// request. A reader answers from the accept register; one read answers all requests that
-// came before it began.
+// Package revisionfloor determines the lowest revision that a starting daemon may apply. Daemons
+// keep no state on disk, so the replacement of a daemon does not know which revision was in force
+// before. It therefore requests a floor: a revision that is not older than any accepted before the
+// request. A reader answers from the accept register; one read answers all requests received before
+// it began.
 //
-// It owns the pending requests of one daemon (Broker); no goroutines, connections or
-// files. It relies on package tree to send requests up the tree, to read the register and
-// to hand over the answers.
+// Broker holds the pending requests of one daemon; the package has no goroutines, connections or
+// files. Package tree sends the requests up the tree, reads the register and delivers the replies.
 //
-// What must hold: no request is answered by a read that began before it came, and no
-// request is lost when the parent is.
+// Invariants: a request is never answered by a read that began before the request was received, and
+// requests are not lost when the parent is.
 package revisionfloor
 
 import "github.com/lapisvane/lapisvane/api/lapisv1"
 
-// Waiter receives one answer.
-type Waiter func(*lapisv1.FloorReply)
+// ReplyFunc receives the reply to one request.
+type ReplyFunc func(*lapisv1.FloorReply)
 
-// Broker merges floor requests so that at most one read is under way. It is not safe for
-// concurrent use. Its user starts a read when Ask, Answer or Abort returns true, or later while
-// Pending does, and reports the outcome with Answer, or with Abort when none will come.
+// Broker coalesces floor requests so that at most one read is in flight. The caller starts a read
+// when Ask, Answer or Abort returns true, or later while Pending returns true, and reports its
+// outcome with Answer, or with Abort when there will be none. It is not safe for concurrent use.
 type Broker struct {
-	// waiting came after the read under way began and must not be answered by it.
-	waiting []Waiter
-	// reading are answered by the read under way.
-	reading []Waiter
-	busy    bool
+	// queued holds the requests received after the read in flight began, which must not be answered
+	// by it.
+	queued []ReplyFunc
+	// inFlight holds the requests that the read in flight answers.
+	inFlight     []ReplyFunc
+	readInFlight bool
 }
 
-// Ask adds a waiter and reports whether a read must be started.
-func (b *Broker) Ask(waiter Waiter) (start bool) {
-	b.waiting = append(b.waiting, waiter)
-	return b.begin()
+// Ask adds a request and reports whether the caller must start a read.
+func (b *Broker) Ask(waiter ReplyFunc) (start bool) {
+	b.queued = append(b.queued, waiter)
+	return b.beginRead()
 }
 
-// Answer gives reply to all whose request came before the read began, and
-// reports whether another read must be started.
+// Answer passes reply to the requests received before the read began, and reports whether the
+// caller must start another read.
 func (b *Broker) Answer(reply *lapisv1.FloorReply) (start bool) {
-	answered := b.reading
-	b.reading = nil
-	b.busy = false
+	answered := b.inFlight
+	b.inFlight = nil
+	b.readInFlight = false
 	for _, waiter := range answered {
 		waiter(reply)
 	}
-	return b.begin()
+	return b.beginRead()
 }
 
-// Abort puts the waiters of the read under way back, because its outcome will
-// not come, and reports whether another read must be started.
+// Abort requeues the requests of the read in flight, because it will not complete, and reports
+// whether the caller must start another read.
 func (b *Broker) Abort() (start bool) {
-	b.waiting = append(b.reading, b.waiting...)
-	b.reading = nil
-	b.busy = false
-	return b.begin()
+	b.queued = append(b.inFlight, b.queued...)
+	b.inFlight = nil
+	b.readInFlight = false
+	return b.beginRead()
 }
 
-// Pending reports whether a read must be started or is under way.
-func (b *Broker) Pending() bool { return b.busy }
+// Pending reports whether a read must be started or is in flight.
+func (b *Broker) Pending() bool { return b.readInFlight }
 
-func (b *Broker) begin() bool {
-	if b.busy || len(b.waiting) == 0 {
+func (b *Broker) beginRead() bool {
+	if b.readInFlight || len(b.queued) == 0 {
 		return false
 	}
-	b.busy = true
-	b.reading = b.waiting
-	b.waiting = nil
+	b.readInFlight = true
+	b.inFlight = b.queued
+	b.queued = nil
 	return true
 }
 
-// ReaderView is what a reader knows when the accept register cannot be read.
+// ReaderView is the state that a reader knows when the accept register cannot be read.
 type ReaderView struct {
-	// Head is the reader's own newest revision.
+	// Head is the newest revision of the reader itself.
 	Head uint64
-	// SubtreeHighest is the highest revision reported from below.
+	// SubtreeHighest is the highest revision reported by the subtree.
 	SubtreeHighest uint64
-	// PeerHeads are the newest revisions of the other readers to which there is a link, each
-	// as old as that reader's last heartbeat.
+	// PeerHeads holds the newest revisions of the readers to which there is a link, each as of the
+	// last heartbeat of that reader.
 	PeerHeads []uint64
-	// KnownReaders is the number of readers last seen in the seats, this one included.
+	// KnownReaders is the number of readers that were last seen holding seats, including this one.
 	KnownReaders int
 }
 
-// DuringOutage decides the floor while the accept register cannot be read. Nothing can be
-// accepted then, and every revision that any daemon has in force came through a reader, so
-// the highest revision among a majority of the last known readers and all daemons below
-// them is a floor. Without a majority there is no answer, and the daemon that asked stays
-// without a version. What remains uncovered is a revision that reached a daemon only
-// through readers that were lost before any other had it.
+// DuringOutage determines the floor while the accept register cannot be read. No revision can be
+// accepted during the outage, and every revision in force was distributed by a reader. Therefore
+// the highest revision among a majority of the last known readers and their subtrees is a floor.
+// Without a majority the reply is Unavailable, and the daemon that asked stays without a version. A
+// revision that reached a daemon only through readers that were lost before any other reader had it
+// is not covered.
 func DuringOutage(view ReaderView) *lapisv1.FloorReply {
 	inContact := 1 + len(view.PeerHeads)
 	if 2*inContact <= view.KnownReaders {
--- a/internal/distribution/revisionfloor/broker_test.go
+++ b/internal/distribution/revisionfloor/broker_test.go
@@ -13,8 +13,8 @@
 	broker := &revisionfloor.Broker{}
 	var got []uint64
 	waiter := func(reply *lapisv1.FloorReply) { got = append(got, reply.GetRevision()) }
-	assert.Assert(t, broker.Ask(waiter), "the first question starts a read")
-	assert.Assert(t, !broker.Ask(waiter), "a question during a read waits for the next")
+	assert.Assert(t, broker.Ask(waiter), "the first request starts a read")
+	assert.Assert(t, !broker.Ask(waiter), "a request during a read waits for the next read")
 	assert.Assert(t, broker.Answer(&lapisv1.FloorReply{Revision: 7}))
 	assert.DeepEqual(t, got, []uint64{7})
 	assert.Assert(t, !broker.Answer(&lapisv1.FloorReply{Revision: 8}))
