--- a/internal/distribution/status/aggregate.go
+++ b/internal/distribution/status/aggregate.go
@@ -1,11 +1,11 @@
-// Package status sums up, level by level, which revision is in force on how many daemons, so
-// that a reader can report a whole subtree in one message of bounded size.
+// Package status aggregates, at each level of the tree, how many daemons have which revision in
+// force, so that a reader can report a whole subtree in one message of bounded size.
 //
-// It owns nothing; Merge is a pure function and safe for concurrent use. It relies on the
-// children's reports being disjoint, because each daemon has one parent.
+// Merge is a pure function and safe for concurrent use. It requires that the reports of the
+// children are disjoint, which holds because each daemon has one parent.
 //
-// What must hold: the number of nodes and the lowest and highest revision of a report are
-// exact, whatever is left out to bound it.
+// The number of nodes and the lowest and highest revision of a report are always exact, regardless
+// of the details omitted to limit its size.
 package status
 
 import (
@@ -15,19 +15,19 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Bounds of a report. Each level of the tree sends one report at each status interval at the most.
+// Limits of a report. Each level of the tree sends at most one report per status interval.
 const (
-	// MaxSample bounds the nodes named in the report of a large subtree; only
-	// nodes that refused a version or are behind are named there.
+	// MaxSample is the maximum number of nodes listed in the report of a large subtree, which only
+	// lists nodes that refused a version or are behind.
 	MaxSample = 8
-	// SmallSubtree is the number of nodes up to which all are named.
+	// SmallSubtree is the maximum number of nodes of a subtree whose report lists all nodes.
 	SmallSubtree = 16
-	// MaxCounts bounds the distinct revisions in a report; the highest ones
-	// beyond it are merged downward, so that the lowest is always exact.
+	// MaxCounts is the maximum number of distinct revisions in a report. The highest revisions
+	// beyond it are merged into the next lower one, so that the lowest is always exact.
 	MaxCounts = 8
 )
 
-// Merge returns the report of a node with its children's reports; it changes none of them.
+// Merge returns the report of a node and its children's reports, which it does not modify.
 func Merge(self *lapisv1.NodeStatus, children []*lapisv1.StatusReport) *lapisv1.StatusReport {
 	counts := map[uint64]uint32{self.GetRevision(): 1}
 	merged := &lapisv1.StatusReport{
@@ -44,16 +44,16 @@
 			counts[count.GetRevision()] += count.GetNodes()
 		}
 	}
-	merged.Counts = boundCounts(counts)
+	merged.Counts = limitCounts(counts)
 	if merged.Nodes > SmallSubtree {
-		merged.Sample = boundSample(merged.Sample, merged.HighestRevision)
+		merged.Sample = limitSample(merged.Sample, merged.HighestRevision)
 	}
 	return merged
 }
 
-// boundCounts returns the counts in order of revision, at most MaxCounts of them. The
-// highest are merged downward, so that the lowest revision stays exact.
-func boundCounts(counts map[uint64]uint32) []*lapisv1.RevisionCount {
+// limitCounts returns at most MaxCounts counts sorted by revision. The highest revisions are merged
+// into the next lower one, so that the lowest revision stays exact.
+func limitCounts(counts map[uint64]uint32) []*lapisv1.RevisionCount {
 	list := make([]*lapisv1.RevisionCount, 0, len(counts))
 	for revision, nodes := range counts {
 		list = append(list, &lapisv1.RevisionCount{Revision: revision, Nodes: nodes})
@@ -67,9 +67,9 @@
 	return list
 }
 
-// boundSample keeps at most MaxSample of the nodes that refused a version or are behind:
-// those with refusals first, then those furthest behind, then by name.
-func boundSample(sample []*lapisv1.NodeStatus, highest uint64) []*lapisv1.NodeStatus {
+// limitSample returns at most MaxSample of the nodes that refused a version or are behind: those
+// with refusals first, then those furthest behind, then by name.
+func limitSample(sample []*lapisv1.NodeStatus, highest uint64) []*lapisv1.NodeStatus {
 	sample = slices.DeleteFunc(slices.Clone(sample), func(node *lapisv1.NodeStatus) bool {
 		return node.GetRefusalCode() == 0 && node.GetRevision() >= highest
 	})
--- a/internal/distribution/status/aggregate_test.go
+++ b/internal/distribution/status/aggregate_test.go
@@ -11,8 +11,8 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/status"
 )
 
-// TestSumsAreRightAtAnyShape builds random trees and checks that the number of
-// nodes and the lowest and highest revision are exact, and the report bounded.
+// TestSumsAreRightAtAnyShape builds random trees and checks that the number of nodes and the lowest
+// and highest revision are exact, and that the size of the report is limited.
 func TestSumsAreRightAtAnyShape(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(rt, "nodes")
@@ -57,7 +57,7 @@
 	assert.Equal(t, root.GetSample()[0].GetNode(), "n17")
 }
 
-// lowestRevision returns the lowest revision in a report, 0 when it counts no node.
+// lowestRevision returns the lowest revision in a report, 0 for a report without counts.
 func lowestRevision(report *lapisv1.StatusReport) uint64 {
 	if len(report.GetCounts()) == 0 {
 		return 0
