--- a/internal/distribution/tunables/distribution.go
+++ b/internal/distribution/tunables/distribution.go
@@ -1,89 +1,89 @@
-// Package tunables holds the tunables of the distribution tree with their units, defaults
-// and reasons, and Duration, the form of times in settings files. A profile is a set of
-// values for a kind of site.
+// Package tunables holds the settings of the distribution tree with their units, defaults and
+// reasons, and Duration, the form of times in settings files. A profile is a set of values for one
+// kind of site.
 //
-// It owns no state, goroutines, connections or files, and relies on package result alone.
-//
-// What must hold between the values of a profile is checked by this package's tests; package
-// settings checks what a site overrides. All daemons of a site use the same profile, because a
-// link is lost when the other side sends less often than this one expects.
+// The package has no state, goroutines, connections or files. Its tests check the relations between
+// the values of each profile; package settings checks the values that a site overrides. All daemons
+// of a site must use the same profile, because a link is closed when the peer sends less often than
+// this daemon expects.
 package tunables
 
 import "time"
 
-// Distribution holds the tunables of the distribution tree. Its fields are the keys of the
-// settings file below "distribution". Where a value is said to be chosen, no measurement set it.
+// Distribution holds the settings of the distribution tree. Its fields are the keys of the settings
+// file below "distribution".
 type Distribution struct {
-	// Fanout is the largest number of children of one daemon. By arithmetic: 24 children
-	// at 300 B and 0.53 changes a second are 4 KB/s, of a budget of 20 KB/s.
+	// Fanout is the maximum number of children of one daemon. 24 children at 300 B and 0.53 changes
+	// per second use 4 KB/s of a budget of 20 KB/s.
 	Fanout int `json:"fanout"`
-	// MaxDepth is the largest number of levels below a reader. 24 children on each
-	// of 6 levels are far more than a zone has. Trials with a deeper tree made no clear
-	// difference to a restart of many daemons.
+	// MaxDepth is the maximum number of levels below a reader. 24 children on each of 6 levels are
+	// far more than the daemons of a zone. A deeper tree made no clear difference to a restart of
+	// many daemons.
 	MaxDepth int `json:"max_depth"`
-	// SeatsPerZone is the number of readers in each zone. Chosen: one may be lost; 19
-	// zones keep 38 watches open, of 40 that the object API is assumed to bear.
+	// SeatsPerZone is the number of readers in each zone. With two, one may be lost; 19 zones then
+	// keep 38 watches open, of the 40 that the object API is assumed to support.
 	SeatsPerZone int `json:"seats_per_zone"`
-	// SeatLease is how long a reader's lease lasts without renewal. A zone that
-	// lost both readers waited for it before readers of other zones served it (7.3 s in
-	// all, 0.6 s since; 400 daemons).
+	// SeatLease is the time after its last renewal at which the lease of a reader lapses. A zone
+	// that loses both readers is served by readers of other zones, which takes 0.6 s; waiting for
+	// the lease takes 7.3 s in all (400 daemons).
 	SeatLease Duration `json:"seat_lease"`
-	// DebounceQuiet is how long a reader waits after an accepted revision for another
-	// one to merge with it. Chosen for each profile: 300 ms instead of 5 ms saves a fifth
-	// of the bytes for each change and daemon, 215 instead of 271, and adds 0.3 s (1000
-	// daemons in 4 zones on one machine of 8 cores).
+	// DebounceQuiet is the time that a reader waits after an accepted revision for further ones to
+	// merge with it. It differs between the profiles: 300 ms instead of 5 ms reduces the bytes for
+	// each change and daemon by a fifth, from 271 to 215, and adds 0.3 s (1000 daemons in 4 zones
+	// on one machine with 8 cores).
 	DebounceQuiet Duration `json:"debounce_quiet"`
-	// DebounceMax bounds the wait of DebounceQuiet when revisions keep coming. It
-	// is a part of the convergence time.
+	// DebounceMax is the maximum total wait when revisions arrive continuously. It adds to the
+	// convergence time.
 	DebounceMax Duration `json:"debounce_max"`
-	// EndpointDebounce is how long endpoint changes are gathered at each hop. It
-	// counts once for each hop of a drain.
+	// EndpointDebounce is the time for which endpoint changes are collected at each hop. A drain
+	// takes it once per hop.
 	EndpointDebounce Duration `json:"endpoint_debounce"`
-	// HeartbeatInterval is the time after which a link on which nothing else was sent
-	// carries a heartbeat. Rarer in the profile that weighs bytes.
+	// HeartbeatInterval is the time without other frames after which a link sends a heartbeat. It
+	// is longer in the profile that reduces control bytes.
 	HeartbeatInterval Duration `json:"heartbeat_interval"`
-	// LinkSilence is the time without any frame after which a link is lost. Chosen as
-	// three heartbeats, so that a frame that is held up loses no link.
+	// LinkSilence is the time without any frame after which a link is closed as lost. It is three
+	// heartbeat intervals, so that one delayed frame does not close the link.
 	LinkSilence Duration `json:"link_silence"`
-	// DetachedGrace is how long a child stays with a parent that lost its own path to a
-	// reader. After the loss of a reader all of 400 daemons had the next change
-	// within 0.1 s, so that the parent has mostly found another one by then.
+	// DetachedGrace is the time for which a child keeps a parent that lost its path to a reader.
+	// After the loss of a reader, all of 400 daemons had the next change within 0.1 s, so the
+	// parent has usually found another path by then.
 	DetachedGrace Duration `json:"detached_grace"`
-	// SuspectAfter is how long a lost daemon's endpoints stay ready. Chosen, larger than
-	// the time in which a daemon that lost its parent joins another.
+	// SuspectAfter is the time for which a lost daemon's endpoints stay ready. It must be longer
+	// than the time in which a daemon that lost its parent joins another one.
 	SuspectAfter Duration `json:"suspect_after"`
-	// GoneAfter is how long suspect and ended endpoints are kept, so that late statements
-	// about them are recognised.
+	// GoneAfter is the time for which suspect and ended endpoints are kept, so that late statements
+	// about them are recognized.
 	GoneAfter Duration `json:"gone_after"`
-	// StatusInterval is the shortest time between two status reports of a daemon.
-	// The report of a whole site is one interval old for each level.
+	// StatusInterval is the minimum time between two status reports of a daemon. The report of a
+	// whole site is delayed by one interval per level.
 	StatusInterval Duration `json:"status_interval"`
-	// JoinsPerSecond bounds the children that a parent admits per second. Trials
-	// with more made no clear difference to a restart of many daemons.
+	// JoinsPerSecond is the maximum rate at which a parent admits children. A higher rate made no
+	// clear difference to a restart of many daemons.
 	JoinsPerSecond float64 `json:"joins_per_second"`
-	// CatchUpBytesPerSecond bounds the large updates sent by one parent. Trials
-	// with a higher rate made no clear difference to the same restart.
+	// CatchUpBytesPerSecond limits the rate of large updates sent by one parent. A higher rate made
+	// no clear difference to a restart of many daemons.
 	CatchUpBytesPerSecond float64 `json:"catch_up_bytes_per_second"`
-	// CatchUpBurstBytes may be sent at once before the rate applies. A full
-	// update of 950 services is 59 KB compressed.
+	// CatchUpBurstBytes is the number of bytes of large updates that may be sent at once before the
+	// rate applies. A full update of 950 services is 59 KB compressed.
 	CatchUpBurstBytes int `json:"catch_up_burst_bytes"`
-	// JoinBackoffMin and JoinBackoffMax bound the middle of the wait between two queries of
-	// a daemon without a parent to the object API.
+	// JoinBackoffMin and JoinBackoffMax limit the mean delay between two queries to the object API
+	// by a daemon without a parent.
 	JoinBackoffMin Duration `json:"join_backoff_min"`
 	JoinBackoffMax Duration `json:"join_backoff_max"`
-	// FirstSourceAsk bounds the random wait before a daemon without a parent asks the object API
-	// for the readers. 3 s instead of 1 s halved the queries of a cold start of 19,000 simulated
-	// daemons, 10,150 to 5,436, but made zones that lost both readers slower, so it is 1 s.
+	// FirstSourceAsk is the maximum random delay before a daemon without a parent queries the
+	// object API for the readers. 3 s instead of 1 s halved the queries of a cold start of 19,000
+	// simulated daemons (5,436 instead of 10,150), but delayed zones that lost both readers, so it
+	// is 1 s.
 	FirstSourceAsk Duration `json:"first_source_ask"`
-	// InterestShrinkDelay is how long a daemon keeps services that no child wants any
-	// more. Chosen, larger than the time in which a restarted child is back.
+	// InterestShrinkDelay is the time for which a daemon keeps services that no child needs
+	// anymore. It must be longer than the time in which a restarted child is back.
 	InterestShrinkDelay Duration `json:"interest_shrink_delay"`
-	// MachinesInterval is how often a reader reads the machine list. By arithmetic: a
-	// machine listed as leaving must drain within 3 s, which 5 s did not allow.
+	// MachinesInterval is the interval at which a reader reads the machine list. A machine listed
+	// as leaving must drain within 3 s, which an interval of 5 s did not allow.
 	MachinesInterval Duration `json:"machines_interval"`
 }
 
-// Convergence returns the values for sites that weigh convergence time.
+// Convergence returns the profile for sites that prioritize convergence time.
 func Convergence() Distribution {
 	return Distribution{
 		Fanout:                24,
@@ -110,8 +110,8 @@
 	}
 }
 
-// Bytes returns the values for sites that weigh control bytes: changes are
-// gathered for longer, and heartbeats and status reports are rarer.
+// Bytes returns the profile for sites that prioritize few control bytes: changes are collected for
+// longer, and heartbeats and status reports are sent less often.
 func Bytes() Distribution {
 	distribution := Convergence()
 	distribution.DebounceQuiet = Duration(300 * time.Millisecond)
--- a/internal/distribution/tunables/duration.go
+++ b/internal/distribution/tunables/duration.go
@@ -7,10 +7,10 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Duration is a time.Duration that is written as "250ms" in settings files.
+// Duration is a time.Duration that is encoded as a string such as "250ms" in settings files.
 type Duration time.Duration
 
-// UnmarshalJSON reads a duration string. Errors: SettingsBadNumber.
+// UnmarshalJSON decodes a duration string. Errors: SettingsBadNumber.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -24,10 +24,10 @@
 	return nil
 }
 
-// MarshalJSON writes a duration string.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// Get returns the time.Duration.
+// Get returns the duration as a time.Duration.
 func (d Duration) Get() time.Duration { return time.Duration(d) }
