--- a/internal/transport/callmux/admission_test.go
+++ b/internal/transport/callmux/admission_test.go
@@ -18,12 +18,12 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// gate is an origin that refuses calls or reads their bodies.
-type gate struct{ refuse bool }
+// echoOrigin is an Origin that refuses calls or answers with their request body.
+type echoOrigin struct{ refuse bool }
 
-func (g gate) Fence(string) bool { return false }
+func (g echoOrigin) Fence(string) bool { return false }
 
-func (g gate) Handle(_ context.Context, call *callapi.Call) (*callapi.Answer, error) {
+func (g echoOrigin) Handle(_ context.Context, call *callapi.Call) (*callapi.Answer, error) {
 	if g.refuse {
 		return nil, result.Errorf(result.CallNotRunOverloaded, "full")
 	}
@@ -37,8 +37,8 @@
 	}, nil
 }
 
-// callsTo returns a client and the address of a daemon whose origin is origin.
-func callsTo(t *testing.T, origin Origin, counters *wire.Counters) (*Client, string) {
+// serveOrigin starts a server with the given Origin and returns a client and the server's address.
+func serveOrigin(t *testing.T, origin Origin, counters *wire.Counters) (*Client, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -63,16 +63,16 @@
 	return client, listener.Addr().String()
 }
 
-// The body of a refused call is not sent: it would fill the link of an overloaded daemon.
+// The body of a refused call is not sent, since it would fill the link of an overloaded daemon.
 func TestRefusedCallsLeaveTheirBodiesBehind(t *testing.T) {
 	content := strings.Repeat("x", 60_000)
 	for name, row := range map[string]struct {
-		refuse bool
-		most   int64
-	}{"refused": {true, 8 << 10}, "taken": {false, 80 << 10}} {
+		refuse   bool
+		maxBytes int64
+	}{"refused": {true, 8 << 10}, "admitted": {false, 80 << 10}} {
 		t.Run(name, func(t *testing.T) {
 			counters := &wire.Counters{}
-			client, address := callsTo(t, gate{row.refuse}, counters)
+			client, address := serveOrigin(t, echoOrigin{row.refuse}, counters)
 			call := &callapi.Call{
 				Open: &lapisv1.CallOpen{AttemptId: "a1", ContentLength: int64(len(content))},
 				Body: strings.NewReader(content), Buffered: true,
@@ -85,7 +85,7 @@
 				assert.Equal(t, string(body), content)
 				assert.NilError(t, answer.Body.Close())
 			}
-			assert.Assert(t, counters.BytesOut.Load() <= row.most, "%d bytes", counters.BytesOut.Load())
+			assert.Assert(t, counters.BytesOut.Load() <= row.maxBytes, "%d bytes were sent", counters.BytesOut.Load())
 		})
 	}
 }
--- a/internal/transport/callmux/call.go
+++ b/internal/transport/callmux/call.go
@@ -13,23 +13,23 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// errSilent ends the wait for an answer whose daemon fell silent.
-var errSilent = errors.New("no sign of life")
-
-// Handle carries out one attempt at the daemon at address. An attempt whose connection is lost is
-// fenced over a new one (fenceLost), and reported as not run only where that proves it. One whose
-// daemon falls silent ends with a *callapi.Silence and goes on until ctx ends. Errors:
-// CallNotRunUnreachable, CallUnknownOutcome, CallDeadline, CallCancelled, and what the peer answers
-// (5xxx).
+// errSilent is returned by awaitHead when the peer stalls before it sends the head of the answer.
+var errSilent = errors.New("the peer has stalled")
+
+// Handle sends one attempt of a call to the daemon at address and returns the answer. If the
+// connection is lost, the attempt is fenced over a new connection (fenceLost) and reported as not
+// run only if the fence proves it. If the peer stalls during a repeatable call, Handle returns an
+// error that wraps a *callapi.Silence, and the attempt continues until ctx ends. Errors: CallNotRunUnreachable,
+// CallUnknownOutcome, CallDeadline, CallCancelled, and the codes of the peer's resets (5xxx).
 func (c *Client) Handle(ctx context.Context, address string, call *callapi.Call) (*callapi.Answer, error) {
 	current, err := c.sessionTo(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	opened := newStream(current.nextID(), current)
-	opened.allowance = windowBytes
+	opened.receiveCredit = windowBytes
 	if err := current.add(opened); err != nil {
-		return nil, result.Wrap(result.CallNotRunUnreachable, err, "the connection to %s closed", address)
+		return nil, result.Wrap(result.CallNotRunUnreachable, err, "the connection to %s was closed", address)
 	}
 	bodyCtx, stopBody := context.WithCancel(ctx)
 	sent := &sentCall{client: c, address: address, stream: opened, attempt: call.Open.GetAttemptId(), stopBody: stopBody}
@@ -40,17 +40,17 @@
 	return sent.finish(ctx, head, err)
 }
 
-// sentCall is a call whose opening was sent.
+// sentCall is a call whose opening frame was handed to the session.
 type sentCall struct {
 	client  *Client
 	address string
 	stream  *stream
-	// attempt is its id, and stopBody ends the sending of its body.
+	// attempt is the attempt id. stopBody cancels the sending of the request body.
 	attempt  string
 	stopBody context.CancelFunc
 }
 
-// finish returns what became of the call: the answer of which the head came, or the error.
+// finish returns the answer with the given head, or the error after fencing a lost attempt.
 func (s *sentCall) finish(ctx context.Context, head *lapisv1.CallHead, err error) (*callapi.Answer, error) {
 	current := s.stream.session
 	if err != nil {
@@ -66,11 +66,11 @@
 	return &callapi.Answer{Head: head, Body: body, Trailers: s.stream.endTrailers}, nil
 }
 
-// silence returns the call as one that may still be answered. Unless its answer is awaited, it is
-// cancelled when ctx ends.
+// silence returns a handle to await the answer of a call whose peer has stalled. The call is
+// cancelled when ctx ends, unless Await was called before.
 func (s *sentCall) silence(ctx context.Context) *callapi.Silence {
 	release := context.AfterFunc(ctx, func() {
-		s.stream.sendReset(result.Errorf(result.CallCancelled, "the answer is not wanted any more"))
+		s.stream.sendReset(result.Errorf(result.CallCancelled, "the caller no longer wants the answer"))
 		s.stopBody()
 		s.stream.session.remove(s.stream.id)
 	})
@@ -83,13 +83,13 @@
 	}}
 }
 
-// exchange opens the call, sends its body and waits for the answer's head.
+// exchange opens the call, sends its request body and waits for the head of the answer.
 func (c *Client) exchange(ctx, bodyCtx context.Context, opened *stream, call *callapi.Call) (*lapisv1.CallHead, error) {
 	opening, err := encodeOpening(opened, call)
 	if err != nil {
-		return nil, result.Wrap(result.CallUnknownOutcome, err, "handing the call over")
+		return nil, result.Wrap(result.CallUnknownOutcome, err, "encoding the opening frame")
 	}
-	// In the background: the peer may not read.
+	// In the background, since the write blocks while the peer does not read.
 	go sendCall(bodyCtx, opened, call, opening)
 	var stall <-chan struct{}
 	if call.Open.GetRepeatable() {
@@ -98,9 +98,9 @@
 	return awaitHead(ctx, opened, stall, call.StaysWithSilent)
 }
 
-// awaitHead waits for the head of the answer. When stall is closed the wait ends with errSilent,
-// unless the call stays, which may be nil.
-func awaitHead(ctx context.Context, opened *stream, stall <-chan struct{}, stays func() bool) (*lapisv1.CallHead, error) {
+// awaitHead waits for the head of the answer. It returns errSilent when stall is closed, unless
+// staysWithSilent is set and returns true.
+func awaitHead(ctx context.Context, opened *stream, stall <-chan struct{}, staysWithSilent func() bool) (*lapisv1.CallHead, error) {
 	for {
 		select {
 		case head := <-opened.head:
@@ -108,20 +108,20 @@
 		case <-opened.done:
 			return nil, opened.cause()
 		case <-stall:
-			if stays == nil || !stays() {
+			if staysWithSilent == nil || !staysWithSilent() {
 				return nil, errSilent
 			}
 			stall = nil
 		case <-ctx.Done():
-			// In the background: the peer may not read, and the caller of a call that is cut at
-			// the end of a stop has 300 ms to get its answer.
+			// In the background, since the write blocks while the peer does not read. The caller
+			// of a call that is cut at the end of a stop must have its answer within 300 ms.
 			go opened.sendReset(result.Errorf(result.CallCancelled, "the caller gave up"))
 			return nil, result.Wrap(cancelCode(ctx), ctx.Err(), "waiting for the answer")
 		}
 	}
 }
 
-// cancelCode returns the code of a call whose context ended.
+// cancelCode returns the result code for a call whose context ended.
 func cancelCode(ctx context.Context) result.Code {
 	if ctx.Err() == context.DeadlineExceeded {
 		return result.CallDeadline
@@ -129,18 +129,18 @@
 	return result.CallCancelled
 }
 
-// sentWithOpening reports whether a call's body is sent with its opening, before the call is
-// admitted.
+// sentWithOpening reports whether a call's body is sent together with the opening frame, before
+// the peer has admitted the call.
 func sentWithOpening(call *callapi.Call) bool {
-	return call.Buffered && call.Open.GetContentLength() <= openingBodyBytes
+	return call.Buffered && call.Open.GetContentLength() <= maxOpeningBodyBytes
 }
 
-// encodeOpening returns the head of the call, and a body that is sent along, as they are sent. The call
-// may be over and its parts reused before they are.
+// encodeOpening encodes the opening frame, and the body if it is sent with the opening. They are
+// encoded up front because the call may end, and its buffers be reused, before they are written.
 func encodeOpening(opened *stream, call *callapi.Call) ([]byte, error) {
 	frames := []proto.Message{&lapisv1.CallFrame{Call: opened.id, Body: &lapisv1.CallFrame_Open{Open: call.Open}}}
 	if call.Body != nil && sentWithOpening(call) {
-		content, err := io.ReadAll(io.LimitReader(call.Body, openingBodyBytes))
+		content, err := io.ReadAll(io.LimitReader(call.Body, maxOpeningBodyBytes))
 		if err != nil {
 			return nil, err
 		}
@@ -150,7 +150,7 @@
 	return wire.Encode(frames...)
 }
 
-// sendCall sends the opening, and then the body that was not sent with it.
+// sendCall sends the encoded opening, then the body unless it was part of the opening.
 func sendCall(ctx context.Context, opened *stream, call *callapi.Call, opening []byte) {
 	err := opened.session.sendEncoded(opening)
 	close(opened.openingSent)
@@ -159,21 +159,21 @@
 	}
 }
 
-// sendReset tells the peer why the call is over, behind its opening: else the peer would drop it, and
-// run the call afterwards.
+// sendReset sends a reset with the cause to the peer, after the opening frame was written. A reset
+// that arrives before the opening would be dropped, and the peer would run the call.
 func (s *stream) sendReset(cause error) {
 	<-s.openingSent
 	s.session.notify(resetOf(s.id, cause))
 }
 
-// sendRequestBody streams the caller's body. The other side grants the first credit when the back
-// end starts to read it, so that a call that is refused has consumed nothing of the body.
+// sendRequestBody streams the request body. The peer grants the first credit when the back end
+// starts to read, so a refused call has consumed none of the body.
 func sendRequestBody(ctx context.Context, opened *stream, call *callapi.Call) {
 	err := opened.sendBody(ctx, call.Body, call.Trailers)
 	if err == nil || opened.cause() != nil || ctx.Err() != nil {
 		return
 	}
-	cancelled := result.Wrap(result.CallCancelled, err, "the request body broke off")
+	cancelled := result.Wrap(result.CallCancelled, err, "the request body ended early")
 	opened.session.notify(resetOf(opened.id, cancelled))
 	opened.fail(cancelled)
 }
@@ -181,31 +181,30 @@
 // answerStream is the body of an answer.
 type answerStream struct {
 	stream *stream
-	// stop ends the sending of the request body, release the watch over the call's context.
+	// stop cancels the sending of the request body. release stops watching the call's context.
 	stop    context.CancelFunc
 	release func() bool
-	// whole is true once the body was read to its end.
-	whole bool
+	// complete is true once the body was read to its end.
+	complete bool
 }
 
 // Read implements io.Reader.
 func (a *answerStream) Read(buffer []byte) (int, error) {
 	count, err := a.stream.Read(buffer)
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 	}
 	return count, err
 }
 
-// Close ends the call; a call whose answer was not read to its end is
-// cancelled at the other side.
+// Close ends the call. If the answer was not read to its end, the call is cancelled at the peer.
 func (a *answerStream) Close() error {
 	a.release()
 	a.stop()
 	a.stream.session.remove(a.stream.id)
-	if !a.whole && a.stream.cause() == nil {
-		// In the background, as above.
-		go a.stream.sendReset(result.Errorf(result.CallCancelled, "the answer is not wanted any more"))
+	if !a.complete && a.stream.cause() == nil {
+		// In the background, since the write blocks while the peer does not read.
+		go a.stream.sendReset(result.Errorf(result.CallCancelled, "the caller no longer wants the answer"))
 	}
 	return nil
 }
--- a/internal/transport/callmux/cancel_test.go
+++ b/internal/transport/callmux/cancel_test.go
@@ -15,8 +15,9 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// clientOfUnreadPeer returns a client with a session to "peer", whose end far reads nothing by itself.
-func clientOfUnreadPeer(t *testing.T) (client *Client, opened *session, far net.Conn) {
+// clientOfNonReadingPeer returns a client with a session to the address "peer". Nothing reads from far,
+// the peer's end of the connection, unless the test does.
+func clientOfNonReadingPeer(t *testing.T) (client *Client, opened *session, far net.Conn) {
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() })
@@ -26,21 +27,20 @@
 	return &Client{Maintained: true, peers: map[string]*peerLink{"peer": {session: opened}}}, opened, far
 }
 
-// The failure: a stop ended with 12 requests read and unanswered, 0.3 s after their calls were cut.
-// The order of events: another daemon stood still and read nothing; calls to it outlasted the stop
-// limit and were cut; each told that daemon of its end before it returned, which waits for the
-// write's time-out of a second; the process ended after 0.3 s. The evidence: seed 36 of
-// TestFaultsBreakNoPromise, daemon.calls_cut calls=12 and then daemon.stopped open=12.
+// Guards against requests that are read but never answered at the end of a stop. A frozen peer reads
+// nothing, and calls to it are cut at the stop limit. If each call first writes its reset, it waits
+// for the write timeout of 1 s, while the process ends 0.3 s after the cut. Seen with seed 36 of
+// TestFaultsBreakNoPromise as daemon.calls_cut calls=12 followed by daemon.stopped open=12.
 func TestEndOfACallDoesNotWaitForAPeerThatReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client, session, far := clientOfUnreadPeer(t)
+		client, session, far := clientOfNonReadingPeer(t)
 		ctx, cut := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
 			_, err := client.Handle(ctx, "peer", &callapi.Call{Open: &lapisv1.CallOpen{AttemptId: "a"}})
 			ended <- err
 		}()
-		// The peer reads the opening and nothing behind it.
+		// The peer reads the opening frame and nothing after it.
 		assert.NilError(t, wire.NewConn(far, nil).Receive(&lapisv1.CallFrame{}))
 		synctest.Wait()
 		began := time.Now()
@@ -51,8 +51,8 @@
 	})
 }
 
-// The failure: a call whose opening could not be written, since the peer stood still with full buffers,
-// was held up until the write was given up, past its own deadline and without another attempt.
+// Guards against a call that blocks on the write of its opening frame. If the peer is frozen with
+// full buffers, the call would wait for the write timeout, past its own deadline and without a retry.
 func TestCallDoesNotWaitForItsOpening(t *testing.T) {
 	for name, end := range map[string]func(session *session, cut context.CancelFunc){
 		"the caller gives up": func(_ *session, cut context.CancelFunc) { cut() },
@@ -60,7 +60,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				client, session, far := clientOfUnreadPeer(t)
+				client, session, far := clientOfNonReadingPeer(t)
 				ctx, cut := context.WithCancel(t.Context())
 				defer cut()
 				ended := make(chan error, 1)
@@ -75,7 +75,7 @@
 				assert.Equal(t, time.Since(began), time.Duration(0))
 				cut()
 
-				// The peer hears of the call and of its end, in this order.
+				// The peer receives the opening and the reset, in this order.
 				peer := wire.NewConn(far, nil)
 				opening, reset := &lapisv1.CallFrame{}, &lapisv1.CallFrame{}
 				assert.NilError(t, peer.Receive(opening))
--- a/internal/transport/callmux/client.go
+++ b/internal/transport/callmux/client.go
@@ -10,17 +10,16 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// Client sends calls to other daemons over one connection to each. It is safe
-// for concurrent use.
+// Client sends calls to other daemons, over one connection per daemon. It is safe for concurrent
+// use.
 type Client struct {
-	// Hello is this daemon's greeting; it is not changed.
+	// Hello is the greeting that this daemon sends; the client does not modify it.
 	Hello    *lapisv1.Hello
 	Network  wire.Network
 	Counters *wire.Counters
-	// Timing bounds the sessions, DefaultTiming where it is the zero value.
+	// Timing applies to all sessions; the zero value means DefaultTiming.
 	Timing Timing
-	// Maintained is true when Connect keeps the sessions; calls then never wait
-	// for a dial.
+	// Maintained is true if sessions are opened only by Connect, so that calls never dial.
 	Maintained bool
 
 	// mutex protects peers.
@@ -28,19 +27,19 @@
 	peers map[string]*peerLink
 }
 
-// peerLink is the connection to one daemon, or the failure to open one.
+// peerLink holds the session to one daemon, or the error of the last failed dial.
 type peerLink struct {
-	// mutex protects the rest and is held while dialing, so that calls to one daemon share one
-	// dial.
+	// mutex protects the fields below. It is held while dialing, so that concurrent calls to one
+	// daemon share a single dial.
 	mutex   sync.Mutex
 	session *session
-	// failedAt is when the last dial failed, with failure.
+	// failedAt is the time of the last failed dial, and failure its error.
 	failedAt time.Time
 	failure  error
 	lastUsed time.Time
 }
 
-// link returns the link to address, a new one where there is none.
+// link returns the peerLink of address and creates it if needed.
 func (c *Client) link(address string) *peerLink {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -55,8 +54,8 @@
 	return link
 }
 
-// CloseIdle closes connections that no call has used since a time and forgets failed dials as old;
-// those that Connect keeps stay.
+// CloseIdle closes connections that no call has used since before, and drops dial errors of the same
+// age. It does nothing for a Maintained client.
 func (c *Client) CloseIdle(before time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -73,7 +72,7 @@
 	}
 }
 
-// Close closes all connections; the calls on them end with unknown outcome.
+// Close closes all connections. Calls in flight fail with CallUnknownOutcome.
 func (c *Client) Close() {
 	cause := result.Errorf(result.CallUnknownOutcome, "the daemon stopped")
 	c.mutex.Lock()
@@ -102,8 +101,8 @@
 	return open
 }
 
-// sessionTo returns the session to address, and dials where there is none and sessions are not
-// maintained. Errors: CallNotRunUnreachable.
+// sessionTo returns the open session to address. If there is none it dials, unless the client is
+// Maintained. Errors: CallNotRunUnreachable.
 func (c *Client) sessionTo(ctx context.Context, address string) (*session, error) {
 	link := c.link(address)
 	link.mutex.Lock()
@@ -116,7 +115,7 @@
 	if c.Maintained {
 		return nil, result.Errorf(result.CallNotRunUnreachable, "there is no connection to %s", address)
 	}
-	if now.Sub(link.failedAt) < dialRetry {
+	if now.Sub(link.failedAt) < dialFailureTTL {
 		return nil, link.failure
 	}
 	opened, err := c.open(ctx, address, Control{})
--- a/internal/transport/callmux/connect.go
+++ b/internal/transport/callmux/connect.go
@@ -12,24 +12,25 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// OtherDaemonError is for an address at which another daemon answers (Found) than was expected.
+// OtherDaemonError is returned when a different daemon (Found) than the expected one answers at an
+// address.
 type OtherDaemonError struct{ Address, Expected, Found string }
 
 // Error implements error.
 func (e *OtherDaemonError) Error() string {
-	return fmt.Sprintf("%s answers at %s, not %s", e.Found, e.Address, e.Expected)
+	return fmt.Sprintf("daemon %s answers at %s, expected %s", e.Found, e.Address, e.Expected)
 }
 
-// Connect opens a session to the daemon node at address that calls use from then on. It replaces a
-// session to an earlier process there, but never a working one, which carries calls.
-// Errors: CallNotRunUnreachable, *OtherDaemonError.
+// Connect opens a session to the daemon node at address, which subsequent calls use. It replaces a
+// session to an earlier process of the daemon. An open session to the same process carries calls and
+// is kept. Errors: CallNotRunUnreachable, *OtherDaemonError.
 func (c *Client) Connect(ctx context.Context, node, address string, control Control) (Link, error) {
 	opened, err := c.open(ctx, address, control)
 	if err != nil {
 		return Link{}, err
 	}
 	if found := opened.welcome.GetNode(); found != node {
-		opened.close(result.Errorf(result.CallNotRunUnreachable, "another daemon was expected"))
+		opened.close(result.Errorf(result.CallNotRunUnreachable, "a different daemon answered"))
 		return Link{}, &OtherDaemonError{Address: address, Expected: node, Found: found}
 	}
 	link := c.link(address)
@@ -37,17 +38,17 @@
 	defer link.mutex.Unlock()
 	if link.session != nil && !link.session.isClosed() {
 		if link.session.incarnation == opened.incarnation {
-			opened.close(result.Errorf(result.CallNotRunUnreachable, "there is a connection already"))
-			return Link{}, result.Errorf(result.CallNotRunUnreachable, "there is a connection to %s already", address)
+			opened.close(result.Errorf(result.CallNotRunUnreachable, "duplicate connection"))
+			return Link{}, result.Errorf(result.CallNotRunUnreachable, "already connected to %s", address)
 		}
-		link.session.close(result.Errorf(result.CallUnknownOutcome, "a new connection took its place"))
+		link.session.close(result.Errorf(result.CallUnknownOutcome, "replaced by a connection to a newer process"))
 	}
 	link.session = opened
 	link.lastUsed = time.Now()
 	return Link{opened}, nil
 }
 
-// open dials and greets, within openTimeout. Errors: CallNotRunUnreachable.
+// open dials address and exchanges greetings, within openTimeout. Errors: CallNotRunUnreachable.
 func (c *Client) open(ctx context.Context, address string, control Control) (*session, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
@@ -59,11 +60,11 @@
 	}
 	conn := wire.NewConn(raw, c.Counters)
 	deadline, _ := ctx.Deadline()
-	// It fails on a closed connection only, and so does what follows.
+	// This fails only on a closed connection, where the greeting fails as well.
 	_ = raw.SetDeadline(deadline)
 	welcome, err := c.greet(conn)
 	if err != nil {
-		_ = conn.Close() // The reason is that of greet.
+		_ = conn.Close() // The error of greet is the one to report.
 		return nil, result.Wrap(result.CallNotRunUnreachable, err, "greeting %s", address)
 	}
 	_ = raw.SetDeadline(time.Time{})
@@ -71,7 +72,7 @@
 	opened.boundInFlight(welcome.GetInFlightBytes())
 	opened.welcome = welcome
 	opened.control = control
-	go func() { _ = opened.receive(nil) }() // The error is the cause of the session's end.
+	go func() { _ = opened.receive(nil) }() // The error is kept as the cause of the session's end.
 	go opened.keepAlive()
 	return opened, nil
 }
@@ -93,5 +94,5 @@
 	if welcome := frame.GetWelcome(); welcome != nil {
 		return welcome, nil
 	}
-	return nil, result.Errorf(result.ProtocolUnexpected, "frame %T in answer to a hello", frame.GetBody())
+	return nil, result.Errorf(result.ProtocolUnexpected, "frame %T in reply to Hello", frame.GetBody())
 }
--- a/internal/transport/callmux/delivery.go
+++ b/internal/transport/callmux/delivery.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// deliveryTime is how long the acknowledgement of an answer by the peer's system is waited for. A
-// peer that takes longer counts as stalled by then.
-const deliveryTime = time.Second
+// deliveryTimeout is how long a written answer counts as undelivered while the peer's kernel has not
+// acknowledged it. A peer that takes longer is considered stalled by then.
+const deliveryTimeout = time.Second
 
-// delivery knows the calls of a Server that are not answered whole, and its sessions. It is safe
-// for concurrent use; the zero value is ready.
+// delivery tracks the sessions of a Server and its calls whose answers are not completely written. It
+// is safe for concurrent use; the zero value is ready to use.
 type delivery struct {
 	calls atomic.Int64
 
-	// mutex protects answered: the sessions, with the time of their newest answer, zero before
-	// the first.
+	// mutex protects answered, which maps each open session to the time of its newest answer, or to
+	// zero before the first answer.
 	mutex    sync.Mutex
 	answered map[*session]time.Time
 }
@@ -36,14 +36,14 @@
 	delete(d.answered, closed)
 }
 
-// begin counts a call that was read.
+// begin counts a received call as unanswered.
 func (d *delivery) begin() { d.calls.Add(1) }
 
-// end ends the count of a call whose answer was written on a session, or given up.
-func (d *delivery) end(over *session) {
+// end stops counting a call whose answer was written to the session or abandoned.
+func (d *delivery) end(answering *session) {
 	d.mutex.Lock()
-	if _, open := d.answered[over]; open {
-		d.answered[over] = time.Now()
+	if _, open := d.answered[answering]; open {
+		d.answered[answering] = time.Now()
 	}
 	d.mutex.Unlock()
 	d.calls.Add(-1)
@@ -54,7 +54,7 @@
 	defer d.mutex.Unlock()
 	count := int(d.calls.Load())
 	for session, answeredAt := range d.answered {
-		if now.Sub(answeredAt) < deliveryTime && session.conn.Unacknowledged() > 0 {
+		if now.Sub(answeredAt) < deliveryTimeout && session.conn.Unacknowledged() > 0 {
 			count++
 		}
 	}
--- a/internal/transport/callmux/delivery_test.go
+++ b/internal/transport/callmux/delivery_test.go
@@ -16,25 +16,25 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// doneAtOnce is an origin whose instance is done with each call as soon as its answer was read.
-type doneAtOnce struct{ done chan struct{} }
+// eofOrigin is an Origin that closes done once the body of its answer was read to the end.
+type eofOrigin struct{ done chan struct{} }
 
-func (d doneAtOnce) Handle(context.Context, *callapi.Call) (*callapi.Answer, error) {
+func (d eofOrigin) Handle(context.Context, *callapi.Call) (*callapi.Answer, error) {
 	body := bytes.Repeat([]byte("x"), 2000)
 	return &callapi.Answer{
-		Head: &lapisv1.CallHead{Status: 200, ContentLength: int64(len(body))}, Body: doneBody{bytes.NewReader(body), d.done},
+		Head: &lapisv1.CallHead{Status: 200, ContentLength: int64(len(body))}, Body: eofBody{bytes.NewReader(body), d.done},
 		Trailers: func() []*lapisv1.HeaderField { return nil },
 	}, nil
 }
 
-func (doneAtOnce) Fence(string) bool { return false }
+func (eofOrigin) Fence(string) bool { return false }
 
-type doneBody struct {
+type eofBody struct {
 	io.Reader
 	done chan struct{}
 }
 
-func (d doneBody) Read(buffer []byte) (int, error) {
+func (d eofBody) Read(buffer []byte) (int, error) {
 	count, err := d.Reader.Read(buffer)
 	if err == io.EOF {
 		close(d.done)
@@ -42,15 +42,15 @@
 	return count, err
 }
 
-func (doneBody) Close() error { return nil }
+func (eofBody) Close() error { return nil }
 
-// A stop counted the calls that hold a slot. An answer is read whole before it is sent, so that its
-// slot is free however narrow the link: the process could end with the answer on its way, and the
-// call ended as unknown at its caller.
+// Guards against a process that ends while an answer is still being sent. The answer is read
+// completely before it is sent, which frees its slot. A stop that counts only calls with a slot would
+// end too early, and the caller would see an unknown outcome.
 func TestAnswersOnTheirWayAreUndelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		origin := doneAtOnce{done: make(chan struct{})}
+		origin := eofOrigin{done: make(chan struct{})}
 		server := &Server{Origin: origin, Timing: Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Hour}}
 		ended := make(chan struct{})
 		go func() {
@@ -63,7 +63,7 @@
 		assert.NilError(t, caller.Send(&lapisv1.CallFrame{Call: 1, Body: &lapisv1.CallFrame_Open{Open: &lapisv1.CallOpen{}}}))
 		<-origin.done
 		synctest.Wait()
-		assert.Equal(t, server.Undelivered(), 1, "the caller has read nothing of the answer")
+		assert.Equal(t, server.Undelivered(), 1, "the caller has not read the answer")
 		for ended := false; !ended; {
 			frame := &lapisv1.CallFrame{}
 			assert.NilError(t, caller.Receive(frame))
--- a/internal/transport/callmux/dial_test.go
+++ b/internal/transport/callmux/dial_test.go
@@ -12,25 +12,25 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// deafNetwork opens no connection: the machine dialed has no power.
-type deafNetwork struct{}
+// unresponsiveNetwork is a Network whose dials get no reply, as if the peer's machine had no power.
+type unresponsiveNetwork struct{}
 
-func (deafNetwork) Dial(ctx context.Context, _ string) (net.Conn, error) {
+func (unresponsiveNetwork) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (deafNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (unresponsiveNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// After a loss of power, links came back a second late: a dial that had begun just
-// before the peer was there hung until its whole time was over.
+// Guards against slow reconnection after a power failure: a dial that starts just before the peer is
+// up must not block until the kernel retransmits the SYN, which took a second.
 func TestDialThatLeadsNowhereIsGivenUpSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := &Client{Network: deafNetwork{}}
+		client := &Client{Network: unresponsiveNetwork{}}
 		began := time.Now()
 		_, err := client.Connect(t.Context(), "peer", "10.0.0.1:1", Control{})
 		assert.Assert(t, result.Is(err, result.CallNotRunUnreachable), "%v", err)
 		assert.Assert(t, time.Since(began) <= dialTimeout, "%s", time.Since(began))
-		assert.Assert(t, dialTimeout < time.Second, "the kernel sends the opening packet again")
+		assert.Assert(t, dialTimeout < time.Second, "the kernel retransmits the SYN before the timeout")
 	})
 }
--- a/internal/transport/callmux/fence.go
+++ b/internal/transport/callmux/fence.go
@@ -8,17 +8,18 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// A fence keeps an attempt from starting from then on, and reports whether it had started. A call
-// whose connection was lost may be sent elsewhere only where it is proved not to have run.
+// A fence prevents an attempt from starting and reports whether it had already started. A call
+// whose connection was lost may be sent to another instance only if the fence proves that it has
+// not run.
 
-// fenceLost fences an attempt on a lost connection over a new one, within fenceTimeout and while the
-// call lasts. It returns CallNotRunUnreachable where the same process of the peer (incarnation) had
-// not started the attempt, else lost.
+// fenceLost fences an attempt whose connection was lost, over a new connection to the same address.
+// It gives up after fenceTimeout or when ctx ends. It returns CallNotRunUnreachable if the same
+// process of the peer (incarnation) had not started the attempt, otherwise the error lost.
 func (c *Client) fenceLost(ctx context.Context, address string, incarnation uint64, attempt string, lost error) error {
 	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
 	current, err := c.sessionTo(ctx, address)
-	for err != nil && c.Maintained && sleep.For(ctx, fencePoll) {
+	for err != nil && c.Maintained && sleep.For(ctx, fencePollInterval) {
 		current, err = c.sessionTo(ctx, address)
 	}
 	if err != nil || current.incarnation != incarnation {
@@ -31,7 +32,7 @@
 	return result.Wrap(result.CallNotRunUnreachable, lost, "the attempt was fenced before it started")
 }
 
-// fenced passes the peer's answer to the fence that waits for it.
+// fenced delivers the peer's reply to the fence call that waits for it.
 func (s *session) fenced(answer *lapisv1.CallFenced) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -41,19 +42,20 @@
 	}
 }
 
-// fence asks the peer to fence an attempt.
+// fence asks the peer to fence an attempt and waits for the reply.
 func (s *session) fence(ctx context.Context, attempt string) (*lapisv1.CallFenced, error) {
 	waiting := make(chan *lapisv1.CallFenced, 1)
 	s.mutex.Lock()
 	s.fences[attempt] = waiting
 	s.mutex.Unlock()
-	// In the background: the peer may not read. A write that fails closes the session.
+	// In the background, since the write blocks while the peer does not read. A failed write closes
+	// the session.
 	go s.notify(&lapisv1.CallFrame{Body: &lapisv1.CallFrame_Fence{Fence: &lapisv1.CallFence{AttemptId: attempt}}})
 	select {
 	case answer := <-waiting:
 		return answer, nil
 	case <-s.closed:
-		return nil, result.Errorf(result.CallUnknownOutcome, "the connection was lost again")
+		return nil, result.Errorf(result.CallUnknownOutcome, "the connection was lost during the fence")
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/transport/callmux/fence_test.go
+++ b/internal/transport/callmux/fence_test.go
@@ -15,22 +15,23 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// fencing is an origin that holds each call until its end, and answers fences as it is set.
-type fencing struct {
+// blockingOrigin is an Origin that blocks each call until its context ends. started is its reply to
+// fences.
+type blockingOrigin struct {
 	started bool
 	handled chan struct{}
 }
 
-func (f fencing) Fence(string) bool { return f.started }
+func (f blockingOrigin) Fence(string) bool { return f.started }
 
-func (f fencing) Handle(ctx context.Context, _ *callapi.Call) (*callapi.Answer, error) {
+func (f blockingOrigin) Handle(ctx context.Context, _ *callapi.Call) (*callapi.Answer, error) {
 	f.handled <- struct{}{}
 	<-ctx.Done()
 	return nil, result.Errorf(result.CallCancelled, "the caller disconnected")
 }
 
-// A call whose connection was lost counts as not run only where the same process of the peer
-// fenced it before it started.
+// A call whose connection was lost is reported as not run only if the same process of the peer fenced
+// it before it started.
 func TestLostCallIsNotRunOnlyIfFenced(t *testing.T) {
 	for name, row := range map[string]struct {
 		started, restarted bool
@@ -41,8 +42,8 @@
 		"the peer has restarted":   {restarted: true, code: result.CallUnknownOutcome},
 	} {
 		t.Run(name, func(t *testing.T) {
-			origin := fencing{started: row.started, handled: make(chan struct{}, 1)}
-			client, address := callsTo(t, origin, &wire.Counters{})
+			origin := blockingOrigin{started: row.started, handled: make(chan struct{}, 1)}
+			client, address := serveOrigin(t, origin, &wire.Counters{})
 			failed := make(chan error, 1)
 			go func() {
 				_, err := client.Handle(context.Background(), address, &callapi.Call{Open: &lapisv1.CallOpen{AttemptId: "a1"}})
@@ -52,7 +53,7 @@
 			lost, err := client.sessionTo(context.Background(), address)
 			assert.NilError(t, err)
 			if row.restarted {
-				// The connection was to an earlier process than the one that answers now.
+				// The lost connection was to an earlier process of the peer.
 				lost.incarnation++
 			}
 			lost.close(net.ErrClosed)
@@ -61,11 +62,11 @@
 	}
 }
 
-// While nobody answers at the peer's address a lost call is given up as unknown within the time
-// of a fence.
+// If nothing answers at the peer's address, a lost call ends with an unknown outcome after
+// fenceTimeout.
 func TestLostCallEndsWithinTheTimeOfAFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := &Client{Network: deafNetwork{}, Maintained: true}
+		client := &Client{Network: unresponsiveNetwork{}, Maintained: true}
 		lost := result.Errorf(result.CallUnknownOutcome, "the connection was lost")
 		began := time.Now()
 		err := client.fenceLost(t.Context(), "10.0.0.1:1", 1, "a1", lost)
@@ -74,8 +75,8 @@
 	})
 }
 
-// A call that is cut while its attempt is being fenced ends at once: its daemon may be about to end,
-// and its caller must have an answer before.
+// A call that is cancelled during a fence ends immediately: this daemon may be about to exit and must
+// answer the caller first.
 func TestCutCallDoesNotWaitForAFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
--- a/internal/transport/callmux/heartbeat.go
+++ b/internal/transport/callmux/heartbeat.go
@@ -7,21 +7,20 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Heartbeat is the content of an empty frame: what is in force at its sender, and how recently that
-// was confirmed.
+// Heartbeat is the state that a frame without a body carries: the revisions in force at the sender
+// and the time at which they were last confirmed to be the newest.
 type Heartbeat struct {
-	// Revision is the configuration in force at the sender, 0 before the first.
+	// Revision is the configuration revision in force at the sender, or 0 if it has none yet.
 	Revision uint64
-	// Orders is the revision of the operators' orders in force at the sender, 0
-	// before the first and where there are none.
+	// Orders is the revision of the operators' orders in force at the sender, or 0 if it has none.
 	Orders uint64
-	// Confirmed is a time by this daemon's clock: nothing newer than Revision and
-	// Orders had been accepted before it. It is zero when that is not known.
+	// Confirmed is a time on this daemon's clock at which Revision and Orders were still the newest
+	// accepted ones. It is zero if unknown.
 	Confirmed time.Time
 }
 
-// receiveHeartbeat applies an empty frame. A peer that has received no heartbeat of this side yet is
-// answered at once, since it cannot bound an age before (echoes).
+// receiveHeartbeat processes a frame without a body. If the peer has not received a heartbeat from
+// this side yet, one is sent immediately, since the peer needs an echo to bound ages (echoes).
 func (s *session) receiveHeartbeat(frame *lapisv1.CallFrame) {
 	if frame.GetFreshness() == nil && frame.GetRevision() == 0 {
 		return
@@ -35,7 +34,7 @@
 	}
 }
 
-// heartbeat returns an empty frame, which is a sign of life.
+// heartbeat returns the frame for the next heartbeat.
 func (s *session) heartbeat() *lapisv1.CallFrame {
 	frame := &lapisv1.CallFrame{}
 	if s.timing.Local == nil {
@@ -48,8 +47,8 @@
 	return frame
 }
 
-// keepAlive sends heartbeats until the session ends, so that silence means loss, and early ones
-// where the peer lacks their content.
+// keepAlive sends heartbeats at the KeepAlive interval until the session ends, and early ones on
+// request if the peer's state is outdated.
 func (s *session) keepAlive() {
 	ticker := time.NewTicker(s.timing.KeepAlive)
 	defer ticker.Stop()
@@ -62,7 +61,7 @@
 			return
 		case <-ticker.C:
 		case gain := <-s.early:
-			if s.timing.Local == nil || !s.echoes.lacks(s.timing.Local(), gain) {
+			if s.timing.Local == nil || !s.echoes.peerOutdated(s.timing.Local(), gain) {
 				continue
 			}
 			ticker.Reset(s.timing.KeepAlive)
--- a/internal/transport/callmux/inflight.go
+++ b/internal/transport/callmux/inflight.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// On a narrow link a long body must not delay the short calls behind it: at 5 Mbit/s one of 60 kB
-// occupies the link for 0.1 s. A body therefore has no more on its way than the narrower of both
-// machines' links carries in linkTime, even where the window allows more.
+// A long body must not delay short calls behind it on a slow link: at 5 Mbit/s a body of 60 kB
+// occupies the link for 0.1 s. The unacknowledged bytes of a body are therefore limited to the amount
+// that the slower of both machines' links carries in maxLinkOccupancy, even if the window is larger.
 
 const (
-	// linkTime is how long the bytes of one body that are on their way may occupy a
-	// link.
-	linkTime = 25 * time.Millisecond
-	// minInFlight, in bytes, keeps a body flowing over a link with long latency.
-	minInFlight = 8 << 10
-	// inFlightPieces is the number of pieces that the bytes on their way are sent, and
-	// acknowledged, in. It is above 1, or a body would wait for each acknowledgement.
-	inFlightPieces = 4
+	// maxLinkOccupancy is the transmission time of the unacknowledged bytes of one body on the link.
+	maxLinkOccupancy = 25 * time.Millisecond
+	// minInFlightBytes is the lower limit of InFlightBytes. It keeps throughput up on links with high
+	// latency.
+	minInFlightBytes = 8 << 10
+	// inFlightChunks is the number of chunks in which the bytes in flight are sent and acknowledged. It
+	// is above 1, otherwise the sender would wait for each acknowledgement.
+	inFlightChunks = 4
 )
 
-// InFlightBytes returns how many bytes one body may have on its way over the machine's link. It is
-// part of the greetings.
+// InFlightBytes returns the maximum number of unacknowledged bytes of one body on this machine's
+// link. Daemons exchange it in their greetings.
 func (t Timing) InFlightBytes() uint32 {
 	if t.LinkMegabits <= 0 {
 		return windowBytes
 	}
-	bytes := t.LinkMegabits * 1e6 / 8 * linkTime.Seconds()
-	return uint32(min(max(bytes, minInFlight), windowBytes))
+	bytes := t.LinkMegabits * 1e6 / 8 * maxLinkOccupancy.Seconds()
+	return uint32(min(max(bytes, minInFlightBytes), windowBytes))
 }
 
-// boundInFlight applies the bound of the peer, in bytes. One of an earlier release sends none;
-// it acknowledges too seldom for a bound.
+// boundInFlight applies the limit from the peer's greeting, in bytes. Earlier releases send no limit
+// (0) and acknowledge too rarely for one.
 func (s *session) boundInFlight(peerBound uint32) {
 	if peerBound == 0 {
 		return
 	}
-	s.inFlight = int(min(peerBound, s.timing.InFlightBytes()))
+	s.maxInFlight = int(min(peerBound, s.timing.InFlightBytes()))
 }
 
-// pieceBytes is the largest piece of a body in one frame.
-func (s *session) pieceBytes() int { return min(chunkBytes, s.inFlight/inFlightPieces) }
+// chunkBytes returns the maximum size of the body data in one frame.
+func (s *session) chunkBytes() int { return min(maxChunkBytes, s.maxInFlight/inFlightChunks) }
 
-// acknowledgeAfter is the number of bytes read after which the sender gets an acknowledgement.
-func (s *session) acknowledgeAfter() int { return min(grantAfterBytes, s.inFlight/inFlightPieces) }
+// ackThreshold returns the number of bytes read after which a grant acknowledges them.
+func (s *session) ackThreshold() int { return min(grantThresholdBytes, s.maxInFlight/inFlightChunks) }
--- a/internal/transport/callmux/inflight_test.go
+++ b/internal/transport/callmux/inflight_test.go
@@ -17,35 +17,35 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// A body of 60 kB was sent all at once: on a link of 5 Mbit/s it held up for 0.1 s
-// whatever came behind it, nested calls of 50 ms among them.
+// Guards against a long body that blocks a slow link: sent without a limit, a body of 60 kB occupies a
+// link of 5 Mbit/s for 0.1 s and delays everything behind it, including nested calls of 50 ms.
 func TestBodyLeavesRoomOnNarrowLinks(t *testing.T) {
 	const bodyBytes = 60_000
 	for name, row := range map[string]struct {
 		sender, receiver float64
-		stated           bool
-		most             int
+		sendsLimit       bool
+		maxBytes         int
 	}{
-		"both narrow":                      {5, 5, true, 16 << 10},
-		"narrow receiver":                  {1000, 5, true, 16 << 10},
-		"narrow sender":                    {5, 1000, true, 16 << 10},
-		"wide":                             {1000, 1000, true, bodyBytes},
-		"rates not known":                  {0, 0, true, bodyBytes},
+		"both slow":                        {5, 5, true, 16 << 10},
+		"slow receiver":                    {1000, 5, true, 16 << 10},
+		"slow sender":                      {5, 1000, true, 16 << 10},
+		"fast":                             {1000, 1000, true, bodyBytes},
+		"unknown rates":                    {0, 0, true, bodyBytes},
 		"a receiver of an earlier release": {5, 0, false, bodyBytes},
-		"very narrow keeps some a go":      {0.1, 5, true, 8 << 10},
-		"ten Mbit/s carry twice as much":   {10, 10, true, 32 << 10},
+		"very slow, minimum applies":       {0.1, 5, true, 8 << 10},
+		"10 Mbit/s, twice as much":         {10, 10, true, 32 << 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				near, far := net.Pipe()
 				sender := newSession(wire.NewConn(near, nil), 1, Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Hour, LinkMegabits: row.sender})
 				receiver := newSession(wire.NewConn(far, nil), 1, Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Hour, LinkMegabits: row.receiver})
-				if row.stated {
+				if row.sendsLimit {
 					sender.boundInFlight(receiver.timing.InFlightBytes())
 					receiver.boundInFlight(sender.timing.InFlightBytes())
 				}
 				outgoing, incoming := newStream(1, sender), newStream(1, receiver)
-				incoming.allowance, incoming.lazyGrant = BufferedBodyBytes, true
+				incoming.receiveCredit, incoming.grantOnRead = BufferedBodyBytes, true
 				assert.NilError(t, sender.add(outgoing))
 				assert.NilError(t, receiver.add(incoming))
 				refuse := func(*lapisv1.CallFrame) error { return nil }
@@ -59,10 +59,10 @@
 				assert.NilError(t, err)
 				time.Sleep(time.Minute)
 				incoming.mutex.Lock()
-				held := incoming.buffered
+				unread := incoming.buffered
 				incoming.mutex.Unlock()
-				assert.Assert(t, held <= row.most, "%d bytes came unread", held)
-				assert.Assert(t, held >= row.most/2, "only %d bytes came", held)
+				assert.Assert(t, unread <= row.maxBytes, "%d unread bytes were received", unread)
+				assert.Assert(t, unread >= row.maxBytes/2, "only %d unread bytes were received", unread)
 
 				rest, err := io.ReadAll(incoming)
 				assert.NilError(t, err)
@@ -75,13 +75,13 @@
 	}
 }
 
-// endNoting records whether it was read to its end.
-type endNoting struct {
+// eofRecorder records whether it was read to its end.
+type eofRecorder struct {
 	io.Reader
 	ended atomic.Bool
 }
 
-func (e *endNoting) Read(buffer []byte) (int, error) {
+func (e *eofRecorder) Read(buffer []byte) (int, error) {
 	count, err := e.Reader.Read(buffer)
 	if err == io.EOF {
 		e.ended.Store(true)
@@ -89,11 +89,12 @@
 	return count, err
 }
 
-func (e *endNoting) Close() error { return nil }
+func (e *eofRecorder) Close() error { return nil }
 
-// The instance is free for its next call before a narrow link has carried its answer.
+// An answer of up to BufferedBodyBytes is read to its end, which frees the instance, before a slow link
+// has carried it.
 func TestAnswerFreesItsInstanceBeforeItIsSent(t *testing.T) {
-	for length, freed := range map[int64]bool{2000: true, 40_000: true, 300_000: false} {
+	for length, readToEnd := range map[int64]bool{2000: true, 40_000: true, 300_000: false} {
 		synctest.Test(t, func(t *testing.T) {
 			near, far := net.Pipe()
 			timing := Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Hour, LinkMegabits: 5}
@@ -101,7 +102,7 @@
 			session.boundInFlight(timing.InFlightBytes())
 			answering := newStream(1, session)
 			answering.credit, answering.granted = windowBytes, true
-			body := &endNoting{Reader: bytes.NewReader(make([]byte, length))}
+			body := &eofRecorder{Reader: bytes.NewReader(make([]byte, length))}
 			answer := &callapi.Answer{
 				Head: &lapisv1.CallHead{Status: 200, ContentLength: length}, Body: body,
 				Trailers: func() []*lapisv1.HeaderField { return nil },
@@ -109,7 +110,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() { _ = sendAnswer(ctx, session, answering, answer) }()
 			time.Sleep(time.Second)
-			assert.Equal(t, body.ended.Load(), freed, "%d bytes", length)
+			assert.Equal(t, body.ended.Load(), readToEnd, "%d bytes", length)
 			cancel()
 			session.close(net.ErrClosed)
 			_ = far.Close()
--- a/internal/transport/callmux/link.go
+++ b/internal/transport/callmux/link.go
@@ -8,28 +8,28 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Link is a session between two daemons, for frames that carry no call. Its methods are safe
-// for concurrent use.
+// Link is a handle to a session between two daemons, for sending frames that belong to no call. Its
+// methods are safe for concurrent use.
 type Link struct{ session *session }
 
-// Send sends frames in one piece and waits until they are written, at most Timing.Write. An error
-// means that the session is over.
+// Send writes the frames contiguously and blocks until they are written, for at most Timing.Write.
+// After an error the session is closed.
 func (l Link) Send(frames ...proto.Message) error { return l.session.send(frames...) }
 
-// Active returns the number of calls on their way.
+// Active returns the number of calls in flight on the session.
 func (l Link) Active() int { return l.session.active() }
 
-// Closed is closed at the end of the session.
+// Closed returns a channel that is closed when the session ends.
 func (l Link) Closed() <-chan struct{} { return l.session.closed }
 
-// Welcome is the greeting of the daemon that was dialed, nil on the accepting side.
+// Welcome returns the greeting of the dialed daemon, or nil on the accepting side.
 func (l Link) Welcome() *lapisv1.Welcome { return l.session.welcome }
 
-// Close ends the session and the calls on it; cause is what they report.
+// Close ends the session and its calls, which fail with cause.
 func (l Link) Close(cause error) { l.session.close(cause) }
 
-// HeartbeatEarly sends a heartbeat ahead of its time where the peer lacks a newer revision, or a
-// confirmation that is newer by more than gain. It does not wait.
+// HeartbeatEarly sends a heartbeat before the next interval if this daemon has a newer revision than
+// the peer, or a confirmation that is newer by more than gain. It does not block.
 func (l Link) HeartbeatEarly(gain time.Duration) {
 	select {
 	case l.session.early <- gain:
@@ -37,11 +37,11 @@
 	}
 }
 
-// Control receives the frames of a session that belong to no call. Its functions may be nil; they
-// are called by the goroutine that reads the session, one frame after the other, and must not block.
+// Control holds the callbacks for frames of a session that belong to no call. Either may be nil.
+// They are called sequentially by the goroutine that reads the session and must not block.
 type Control struct {
-	// Frame receives the frames that are not empty.
+	// Frame is called with each frame that has a body.
 	Frame func(*lapisv1.CallFrame)
-	// Heartbeat receives the heartbeats.
+	// Heartbeat is called with each heartbeat.
 	Heartbeat func(Heartbeat)
 }
--- a/internal/transport/callmux/reset.go
+++ b/internal/transport/callmux/reset.go
@@ -7,7 +7,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// errorOf converts a reset into an error.
+// errorOf converts a reset frame to an error. A code that means not run is honored only if the reset
+// also states NotRun.
 func errorOf(reset *lapisv1.CallReset) error {
 	code := result.Code(reset.GetCode())
 	if code.NotRun() && !reset.GetNotRun() {
@@ -21,7 +22,7 @@
 	return converted
 }
 
-// resetOf converts an error into a reset.
+// resetOf converts an error to a reset frame for the call id.
 func resetOf(id uint64, err error) *lapisv1.CallFrame {
 	code, ok := result.CodeOf(err)
 	if !ok {
--- a/internal/transport/callmux/server.go
+++ b/internal/transport/callmux/server.go
@@ -12,40 +12,39 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// maxStreams bounds the calls at once on one connection. It is more than a daemon has in flight at
-// one instance.
+// maxStreams is the maximum number of concurrent calls on one connection. It is above the number of
+// calls that a daemon has in flight at one instance.
 const maxStreams = 8192
 
-// Origin runs the calls that a Server receives.
+// Origin runs the calls that a Server receives on the local instances.
 type Origin interface {
 	callapi.Handler
-	// Fence keeps an attempt from starting from now on and reports whether it had started.
+	// Fence prevents an attempt from starting and reports whether it had already started.
 	Fence(attempt string) (started bool)
 }
 
-// Server serves the calls of other daemons. It is safe for concurrent use once its fields are
-// set.
+// Server serves calls from other daemons. It is safe for concurrent use once its fields are set.
 type Server struct {
 	Node        string
 	Incarnation uint64
 	Origin      Origin
-	// Counters receive the traffic of calls.
+	// Counters counts the bytes of connections for calls; it may be nil.
 	Counters *wire.Counters
 	Timing   Timing
-	// Accepted is called with each new session and returns its Control; it may be nil.
+	// Accepted is called for each new session and returns its Control; it may be nil.
 	Accepted func(hello *lapisv1.Hello, link Link) Control
 
-	// delivery knows which answers are on their way.
+	// delivery tracks answers that are not delivered yet.
 	delivery delivery
 }
 
-// Undelivered returns the number of calls whose answer is not written whole, and of connections
-// whose peer has not got all of an answer that was written in the last deliveryTime. The end of
-// the process would take these answers away, though their instances are done with them: an answer
-// of a narrow link goes out long after its slot is free.
+// Undelivered returns the number of calls whose answer is not completely written, plus the number of
+// connections on which an answer written within deliveryTimeout is not acknowledged. These answers
+// would be lost if the process ended. On a slow link an answer is sent long after its instance has
+// finished and its slot is free.
 func (s *Server) Undelivered() int { return s.delivery.undelivered(time.Now()) }
 
-// Serve speaks the protocol on a greeted connection until it ends.
+// Serve implements peer.Handler: it answers the greeting and serves calls until the connection ends.
 func (s *Server) Serve(ctx context.Context, conn *wire.Conn, hello *lapisv1.Hello) error {
 	if s.Counters != nil {
 		conn.UseCounters(s.Counters)
@@ -69,29 +68,30 @@
 	})
 }
 
-// accept starts a call that the peer opened, or answers its fence. An error ends the session.
+// accept starts a call opened by the peer or replies to a fence. An error ends the session.
 func (s *Server) accept(ctx context.Context, session *session, frame *lapisv1.CallFrame) error {
 	if fence := frame.GetFence(); fence != nil {
 		answer := &lapisv1.CallFenced{
 			AttemptId: fence.GetAttemptId(), Started: s.Origin.Fence(fence.GetAttemptId()), Incarnation: s.Incarnation,
 		}
-		// In the background, as the refusal below: the peer may not read, and this goroutine reads on.
+		// In the background, like the refusal below: the write blocks while the peer does not read,
+		// and this goroutine must continue to read.
 		go session.notify(&lapisv1.CallFrame{Body: &lapisv1.CallFrame_Fenced{Fenced: answer}})
 		return nil
 	}
 	if session.find(frame.GetCall()) != nil {
-		return result.Errorf(result.ProtocolUnexpected, "call %d was opened twice", frame.GetCall())
+		return result.Errorf(result.ProtocolUnexpected, "duplicate call id %d", frame.GetCall())
 	}
 	if session.active() >= maxStreams {
 		go session.notify(resetOf(frame.GetCall(), result.Errorf(result.CallNotRunOverloaded, "too many calls on one connection")))
 		return nil
 	}
 	stream := newStream(frame.GetCall(), session)
-	// Daemons of earlier releases send longer bodies along.
-	stream.allowance = BufferedBodyBytes
+	// Earlier releases send bodies of up to BufferedBodyBytes with the opening frame.
+	stream.receiveCredit = BufferedBodyBytes
 	stream.credit = windowBytes
 	stream.granted = true
-	stream.lazyGrant = true
+	stream.grantOnRead = true
 	if err := session.add(stream); err != nil {
 		return err
 	}
@@ -100,11 +100,11 @@
 	return nil
 }
 
-// run carries out one call and sends its answer.
+// run executes one call and sends its answer or a reset.
 func (s *Server) run(ctx context.Context, session *session, stream *stream, open *lapisv1.CallOpen) {
 	defer s.delivery.end(session)
 	defer session.remove(stream.id)
-	ctx, cancel := contextFor(ctx, open)
+	ctx, cancel := withCallDeadline(ctx, open)
 	defer cancel()
 	go func() {
 		select {
@@ -120,7 +120,7 @@
 	}
 	answer, err := s.Origin.Handle(ctx, call)
 	if err == nil {
-		defer func() { _ = answer.Body.Close() }() // It was read as far as it is wanted.
+		defer func() { _ = answer.Body.Close() }() // The body was read as far as needed.
 		err = sendAnswer(ctx, session, stream, answer)
 	}
 	if err != nil {
@@ -128,17 +128,17 @@
 	}
 }
 
-// contextFor bounds a call by the time that its caller has left.
-func contextFor(ctx context.Context, open *lapisv1.CallOpen) (context.Context, context.CancelFunc) {
+// withCallDeadline returns a context that ends when the call's remaining deadline expires.
+func withCallDeadline(ctx context.Context, open *lapisv1.CallOpen) (context.Context, context.CancelFunc) {
 	if open.GetDeadlineMillis() == 0 {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, time.Duration(open.GetDeadlineMillis())*time.Millisecond)
 }
 
-// sendAnswer sends the head and the body. A body of known length up to BufferedBodyBytes is read
-// whole first, so that its instance is free for the next call however narrow the link; one of a
-// single piece is sent in one write with its head.
+// sendAnswer sends the head and the body of an answer. A body of known length up to
+// BufferedBodyBytes is read completely first, so that its instance is free for the next call before a
+// slow link has carried the answer. A body that fits into one chunk is written together with the head.
 func sendAnswer(ctx context.Context, session *session, stream *stream, answer *callapi.Answer) error {
 	head := &lapisv1.CallFrame{Call: stream.id, Body: &lapisv1.CallFrame_Head{Head: answer.Head}}
 	length := answer.Head.GetContentLength()
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	if len(body) > session.pieceBytes() {
+	if len(body) > session.chunkBytes() {
 		if err := session.send(head); err != nil {
 			return err
 		}
--- a/internal/transport/callmux/session.go
+++ b/internal/transport/callmux/session.go
@@ -18,55 +18,55 @@
 	timing  Timing
 	control Control
 	echoes  echoes
-	// early asks for a heartbeat ahead of its time (Link.HeartbeatEarly).
+	// early requests a heartbeat before the next interval (Link.HeartbeatEarly).
 	early chan time.Duration
-	// incarnation is that of the peer daemon.
+	// incarnation identifies the process of the peer daemon.
 	incarnation uint64
-	// inFlight is what one body may have on its way, in bytes (inflight.go).
-	inFlight int
+	// maxInFlight is the number of unacknowledged bytes that one body may have (inflight.go).
+	maxInFlight int
 	// welcome is the peer's greeting, nil on the accepting side.
 	welcome *lapisv1.Welcome
 	closed  chan struct{}
 
-	// openedAt is when the session was opened, and receivedAfter how long after that the
-	// newest frame came, in nanoseconds, so that steps of the time of day do not matter.
+	// openedAt is the time at which the session was opened. receivedAfter is the time from openedAt to
+	// the newest received frame, in nanoseconds. A relative time is immune to clock steps.
 	openedAt      time.Time
 	receivedAfter atomic.Int64
 
 	// mutex protects everything below.
 	mutex sync.Mutex
-	// pingedAt is when the peer was sent a ping that it has not answered, zero where no answer is
-	// awaited; stalled is closed when the answer took too long (stall.go).
+	// pingedAt is the time of the last unanswered ping, or zero if there is none. stalled is closed
+	// when the answer is overdue (stall.go).
 	pingedAt time.Time
 	stalled  chan struct{}
 	streams  map[uint64]*stream
 	fences   map[string]chan *lapisv1.CallFenced
-	// next is the correlation id of the newest call, err why the session is over.
-	next uint64
-	err  error
+	// lastID is the correlation id of the newest call. err is the cause of the session's end.
+	lastID uint64
+	err    error
 }
 
 func newSession(conn *wire.Conn, incarnation uint64, timing Timing) *session {
 	return &session{
 		conn: conn, timing: timing.orDefault(), incarnation: incarnation, closed: make(chan struct{}),
 		streams: map[uint64]*stream{}, fences: map[string]chan *lapisv1.CallFenced{},
-		stalled: make(chan struct{}), early: make(chan time.Duration, 1), inFlight: windowBytes,
+		stalled: make(chan struct{}), early: make(chan time.Duration, 1), maxInFlight: windowBytes,
 		openedAt: time.Now(),
 	}
 }
 
-// send writes frames in one piece. An error has ended the session.
+// send writes frames contiguously. An error closes the session.
 func (s *session) send(frames ...proto.Message) error {
 	return s.write(func() error { return s.conn.SendAll(frames...) })
 }
 
-// sendEncoded writes frames that wire.Encode returned. An error has ended the session.
+// sendEncoded writes frames encoded by wire.Encode. An error closes the session.
 func (s *session) sendEncoded(frames []byte) error {
 	return s.write(func() error { return s.conn.SendEncoded(frames) })
 }
 
 func (s *session) write(send func() error) error {
-	// It fails on a closed connection only, and so does what follows.
+	// This fails only on a closed connection, where the write fails as well.
 	_ = s.conn.SetWriteDeadline(time.Now().Add(s.timing.Write))
 	err := send()
 	if err != nil {
@@ -75,11 +75,11 @@
 	return err
 }
 
-// notify sends frames that nothing waits for. An error has ended the session with all its streams,
-// and the reader of the session reports that.
+// notify sends frames and ignores the error: it closes the session with all its streams, and the
+// goroutine that reads the session reports it.
 func (s *session) notify(frames ...proto.Message) { _ = s.send(frames...) }
 
-// close ends the session and all its streams; the first cause stands.
+// close ends the session and all its streams with cause. Later calls have no effect.
 func (s *session) close(cause error) {
 	s.mutex.Lock()
 	if s.err != nil {
@@ -91,8 +91,8 @@
 	s.streams = map[uint64]*stream{}
 	s.mutex.Unlock()
 	close(s.closed)
-	_ = s.conn.Close() // Nothing is written any more that could be lost.
-	lost := result.Wrap(result.CallUnknownOutcome, cause, "the connection between the daemons was lost")
+	_ = s.conn.Close() // There are no further writes, so the error carries no information.
+	lost := result.Wrap(result.CallUnknownOutcome, cause, "the connection to the peer daemon was lost")
 	for _, stream := range streams {
 		stream.fail(lost)
 	}
@@ -100,7 +100,7 @@
 
 func (s *session) isClosed() bool { return isDone(s.closed) }
 
-// add registers a stream of the given id; it fails when the session is closed.
+// add registers a stream under its id. It fails if the session is closed.
 func (s *session) add(stream *stream) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -114,8 +114,8 @@
 func (s *session) nextID() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.next++
-	return s.next
+	s.lastID++
+	return s.lastID
 }
 
 func (s *session) find(id uint64) *stream {
@@ -136,11 +136,11 @@
 	return len(s.streams)
 }
 
-// receive reads frames until the session ends; accept handles opening and
-// fence frames and may be nil.
+// receive reads frames until the session ends. accept handles opening and fence frames; it is nil on
+// the calling side.
 func (s *session) receive(accept func(*lapisv1.CallFrame) error) error {
 	for {
-		// It fails on a closed connection only, and so does what follows.
+		// This fails only on a closed connection, where the read fails as well.
 		_ = s.conn.SetReadDeadline(time.Now().Add(s.timing.Silence))
 		frame := &lapisv1.CallFrame{}
 		err := s.conn.Receive(frame)
@@ -155,13 +155,13 @@
 	}
 }
 
-// handle applies one frame. An error ends the session.
+// handle processes one received frame. An error ends the session.
 func (s *session) handle(frame *lapisv1.CallFrame, accept func(*lapisv1.CallFrame) error) error {
 	switch body := frame.GetBody().(type) {
 	case nil:
 		if frame.GetPing() {
-			// In the background, so that a peer that does not read cannot keep
-			// this side from reading.
+			// In the background, so that a peer that does not read cannot block the reads of this
+			// side.
 			go func() { s.notify(s.heartbeat()) }()
 		}
 		s.receiveHeartbeat(frame)
@@ -186,7 +186,7 @@
 	}
 	stream := s.find(frame.GetCall())
 	if stream == nil {
-		// A late frame of a call that is over.
+		// A late frame of a call that has ended.
 		return nil
 	}
 	switch body := frame.GetBody().(type) {
@@ -206,10 +206,10 @@
 	return nil
 }
 
-// noteReceived records the time of the newest frame.
+// noteReceived records the arrival time of the newest frame.
 func (s *session) noteReceived() { s.receivedAfter.Store(int64(time.Since(s.openedAt))) }
 
-// receivedAt returns when the newest frame came, or the session was opened.
+// receivedAt returns the arrival time of the newest frame, or the time the session was opened.
 func (s *session) receivedAt() time.Time {
 	return s.openedAt.Add(time.Duration(s.receivedAfter.Load()))
 }
--- a/internal/transport/callmux/stall.go
+++ b/internal/transport/callmux/stall.go
@@ -8,21 +8,21 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Stall bounds the time in which a peer that no longer answers is noticed while
-// calls are on their way to it. Closing the connection would end all of them;
-// a stalled one gets no new calls and may come back.
+// Stall configures the detection of peers that stop responding while calls to them are in flight.
+// A stalled peer keeps its connection, since closing it would end those calls, but gets no new calls
+// until it recovers.
 type Stall struct {
 	// Check is the interval of the checks.
 	Check time.Duration
-	// Quiet is the time without any frame after which a peer with calls on their way is pinged,
-	// and Answer how long its next frame may take. Together they must be below Timing.Silence, or
-	// the connection is lost first.
+	// Quiet is the time without a received frame after which a peer with calls in flight is pinged.
+	// Answer is the timeout for the next frame after a ping. Their sum must be below Timing.Silence,
+	// otherwise the connection is closed first.
 	Quiet, Answer time.Duration
-	// Changed is called when the connection to an address stalls or recovers.
+	// Changed is called when the peer at an address stalls or recovers.
 	Changed func(address string, stalled bool)
 }
 
-// WatchStalls checks the sessions until ctx ends.
+// WatchStalls checks all sessions for stalled peers until ctx ends.
 func (c *Client) WatchStalls(ctx context.Context, bounds Stall) {
 	checkedAt := time.Now()
 	for sleep.For(ctx, bounds.Check) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// ownPause returns how long this process did not run between two checks, 0 where the second came
-// less than a whole interval late. In that time it could not have seen an answer.
+// ownPause returns the time for which this process was paused between two checks, during which it
+// could not receive an answer. Delays below one check interval count as 0.
 func ownPause(elapsed time.Duration, bounds Stall) time.Duration {
 	if late := elapsed - bounds.Check; late >= bounds.Check {
 		return late
@@ -47,7 +47,8 @@
 	return 0
 }
 
-// excusePause gives the peer so much more time to answer the ping that is open.
+// excusePause extends the timeout of an unanswered ping by the time for which this process was
+// paused.
 func (s *session) excusePause(paused time.Duration) {
 	receivedAt := s.receivedAt()
 	s.mutex.Lock()
@@ -74,37 +75,38 @@
 	return sessions
 }
 
-// stallStep is what to do about a peer at one check.
+// stallStep is the action for a peer at one check.
 type stallStep int
 
 const (
-	// stepNone is for a peer that answers, or whose answer is still awaited.
+	// stepNone means no action: the peer responds, or its ping has not timed out.
 	stepNone stallStep = iota
 	// stepPing pings the peer.
 	stepPing
 	// stepStall marks the peer as stalled.
 	stepStall
-	// stepRecover marks it as answering again.
+	// stepRecover marks the peer as responsive again.
 	stepRecover
 )
 
-// quietPeer is the input of a check.
-type quietPeer struct {
-	// receivedAt is when the newest frame came, and pingedAt when a ping was sent that was not
-	// answered, zero where no answer is awaited.
+// peerActivity is the state of a peer on which nextStallStep decides.
+type peerActivity struct {
+	// receivedAt is the arrival time of the newest frame. pingedAt is the time of the last unanswered
+	// ping, or zero if there is none.
 	receivedAt, pingedAt time.Time
-	// waiting is true while calls are on their way, and stalled while the peer is marked so.
-	waiting, stalled bool
+	// hasCalls is true while calls are in flight. stalled is true while the peer is marked as stalled.
+	hasCalls, stalled bool
 }
 
-// nextStallStep decides on a peer: it answers, then is pinged, then stalls, and answers again with
-// its next frame. A peer without calls is not pinged, since nobody waits for it.
-func nextStallStep(peer quietPeer, bounds Stall, now time.Time) stallStep {
+// nextStallStep returns the next step for a peer. A quiet peer with calls in flight is pinged, is
+// marked as stalled if the ping times out, and recovers with the next frame. A peer without calls is
+// not pinged.
+func nextStallStep(peer peerActivity, bounds Stall, now time.Time) stallStep {
 	awaited := !peer.pingedAt.IsZero()
 	switch {
 	case peer.stalled && !awaited:
 		return stepRecover
-	case !awaited && peer.waiting && now.Sub(peer.receivedAt) > bounds.Quiet:
+	case !awaited && peer.hasCalls && now.Sub(peer.receivedAt) > bounds.Quiet:
 		return stepPing
 	case awaited && !peer.stalled && now.Sub(peer.pingedAt) > bounds.Answer:
 		return stepStall
@@ -113,16 +115,16 @@
 	}
 }
 
-// checkStall takes the next step; it reports whether the stall of the session began or ended, and
-// whether there is one now.
+// checkStall performs the next step. It reports whether the stalled state changed, and the current
+// state.
 func (s *session) checkStall(bounds Stall, now time.Time) (changed, stalled bool) {
-	peer := s.quietPeer()
+	peer := s.activity()
 	switch nextStallStep(peer, bounds, now) {
 	case stepPing:
 		s.mutex.Lock()
 		s.pingedAt = now
 		s.mutex.Unlock()
-		// In the background: the peer may not read.
+		// In the background, since the write blocks while the peer does not read.
 		go s.notify(&lapisv1.CallFrame{Ping: true})
 	case stepStall:
 		s.setStalled(true)
@@ -134,18 +136,19 @@
 	return false, peer.stalled
 }
 
-// quietPeer returns the state of the peer; any frame since the ping answers it.
-func (s *session) quietPeer() quietPeer {
+// activity returns the state of the peer for nextStallStep. Any frame received after a ping counts as
+// its answer.
+func (s *session) activity() peerActivity {
 	receivedAt := s.receivedAt()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if receivedAt.After(s.pingedAt) {
 		s.pingedAt = time.Time{}
 	}
-	return quietPeer{receivedAt: receivedAt, pingedAt: s.pingedAt, waiting: len(s.streams) > 0, stalled: isDone(s.stalled)}
+	return peerActivity{receivedAt: receivedAt, pingedAt: s.pingedAt, hasCalls: len(s.streams) > 0, stalled: isDone(s.stalled)}
 }
 
-// setStalled closes or replaces the channel that calls wait on.
+// setStalled closes the channel returned by stall, or replaces it by an open one.
 func (s *session) setStalled(stalled bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -156,7 +159,7 @@
 	s.stalled = make(chan struct{})
 }
 
-// stall returns a channel that is closed when the peer no longer answers.
+// stall returns a channel that is closed when the peer is marked as stalled.
 func (s *session) stall() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/transport/callmux/stall_test.go
+++ b/internal/transport/callmux/stall_test.go
@@ -14,8 +14,8 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// A peer that holds a call and sends nothing stalls; its next sign of life ends
-// that. One without calls is not pinged.
+// A peer with a call in flight that sends nothing is marked as stalled and recovers with its next
+// frame. A peer without calls is not pinged.
 func TestStallIsNoticedAndEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -50,7 +50,7 @@
 		time.Sleep(200 * time.Millisecond)
 		changed, stalled := check()
 		assert.Assert(t, changed && stalled)
-		assert.Assert(t, isDone(opened.stall()), "calls are not notified")
+		assert.Assert(t, isDone(opened.stall()), "the stall channel is not closed")
 		opened.noteReceived()
 		time.Sleep(time.Millisecond)
 		changed, stalled = check()
@@ -58,8 +58,8 @@
 	})
 }
 
-// While the caller's daemon stops as planned, a call stays with a silent peer: the
-// instance there may be working on it.
+// During a planned stop of the caller's daemon, a call waits for a stalled peer instead of being
+// retried, since the instance there may be working on it.
 func TestCallStaysWithASilentPeerDuringAPlannedStop(t *testing.T) {
 	for _, stays := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -80,25 +80,24 @@
 	}
 }
 
-// The failure: after this process had been kept from running, it took a daemon for silent whose answer
-// had arrived meanwhile, and gave up the calls that the instances there worked on. The evidence: peers
-// that stalled and answered again within one check, all right after a pause of the process itself. The
-// cause: the time in which this process did not run was counted against its peers.
+// Guards against false stalls after a pause of this process. If the time of the pause counts towards
+// the ping timeout, peers whose answers arrived meanwhile are marked as stalled until the next check,
+// and the calls in progress on their instances are abandoned.
 func TestOwnPauseIsNotASilenceOfPeers(t *testing.T) {
 	bounds := Stall{Check: 100 * time.Millisecond, Quiet: 250 * time.Millisecond, Answer: 400 * time.Millisecond}
 	for name, row := range map[string]struct {
-		// gaps are the milliseconds between the checks after the ping, answered is when its answer
-		// came, 0 for never.
-		gaps     []int
-		answered int
-		stalled  bool
+		// gapsMillis are the times between the checks after the ping. answeredMillis is the time from
+		// the ping to its answer, or 0 if there is none.
+		gapsMillis     []int
+		answeredMillis int
+		stalled        bool
 	}{
-		"the peer is silent":                              {gaps: []int{100, 100, 100, 100, 100}, stalled: true},
-		"checks come late by less than an interval":       {gaps: []int{150, 150, 150}, stalled: true},
-		"this process stood still":                        {gaps: []int{100, 900}},
-		"this process stood still time after time":        {gaps: []int{600, 600, 600}},
-		"it stood still, and the peer is silent after":    {gaps: []int{900, 100, 100, 100, 100}, stalled: true},
-		"it was answered before this process stood still": {gaps: []int{600, 100, 100}, answered: 50},
+		"the peer is silent":                        {gapsMillis: []int{100, 100, 100, 100, 100}, stalled: true},
+		"checks come late by less than an interval": {gapsMillis: []int{150, 150, 150}, stalled: true},
+		"this process was paused":                   {gapsMillis: []int{100, 900}},
+		"this process was paused repeatedly":        {gapsMillis: []int{600, 600, 600}},
+		"the peer is silent after the pause":        {gapsMillis: []int{900, 100, 100, 100, 100}, stalled: true},
+		"the ping was answered before the pause":    {gapsMillis: []int{600, 100, 100}, answeredMillis: 50},
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := net.Pipe()
@@ -108,12 +107,12 @@
 			assert.NilError(t, opened.add(newStream(1, opened)))
 			now := opened.openedAt.Add(bounds.Quiet + bounds.Check)
 			_, _ = opened.checkStall(bounds, now)
-			if row.answered > 0 {
-				at := now.Add(time.Duration(row.answered) * time.Millisecond)
+			if row.answeredMillis > 0 {
+				at := now.Add(time.Duration(row.answeredMillis) * time.Millisecond)
 				opened.receivedAfter.Store(int64(at.Sub(opened.openedAt)))
 			}
 			stalled := false
-			for _, gap := range row.gaps {
+			for _, gap := range row.gapsMillis {
 				elapsed := time.Duration(gap) * time.Millisecond
 				now = now.Add(elapsed)
 				opened.excusePause(ownPause(elapsed, bounds))
--- a/internal/transport/callmux/stream.go
+++ b/internal/transport/callmux/stream.go
@@ -9,39 +9,39 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// stream is one call on a session. Its methods may be called from several
-// goroutines.
+// stream is one call on a session. Its methods are safe for concurrent use.
 type stream struct {
 	id      uint64
 	session *session
-	// head delivers the answer's head on the calling side.
+	// head receives the head of the answer on the calling side.
 	head chan *lapisv1.CallHead
-	// openingSent is closed on the calling side once the opening was written, or never will be.
+	// openingSent is closed on the calling side once the opening frame was written or its write
+	// failed.
 	openingSent chan struct{}
-	// done is closed when the stream failed, with failure as the cause.
+	// done is closed when the stream fails; failure is the cause.
 	done chan struct{}
 
-	// mutex protects everything below; changed is closed and replaced when
-	// something changed that a reader or writer may wait for.
+	// mutex protects the fields below. changed is closed and replaced on each change that a reader or
+	// writer may wait for.
 	mutex    sync.Mutex
 	changed  chan struct{}
 	inbound  [][]byte
 	buffered int
-	// allowance is what the peer may still send; consumed was read since the
-	// last grant.
-	allowance int
-	consumed  int
-	ended     bool
-	trailers  []*lapisv1.HeaderField
-	failure   error
-	// credit is what this side may still send; unacknowledged is what it sent and the
-	// peer has not acknowledged by a grant. The peer's first grant acknowledges nothing:
-	// granted is true once it came.
+	// receiveCredit is the number of bytes that the peer may still send. consumed is the number of
+	// bytes read since the last grant.
+	receiveCredit int
+	consumed      int
+	ended         bool
+	trailers      []*lapisv1.HeaderField
+	failure       error
+	// credit is the number of bytes that this side may still send. unacknowledged is the number of
+	// sent bytes that no grant of the peer has acknowledged. The first grant acknowledges nothing;
+	// granted is true once it was received.
 	credit         int
 	unacknowledged int
 	granted        bool
-	// lazyGrant is true until the first read grants the window.
-	lazyGrant bool
+	// grantOnRead is true if the window is granted by the first read and that has not happened yet.
+	grantOnRead bool
 }
 
 func newStream(id uint64, session *session) *stream {
@@ -51,13 +51,13 @@
 	}
 }
 
-// notify wakes waiting readers and writers; the caller holds mutex.
+// notify wakes waiting readers and writers. The caller holds mutex.
 func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// fail ends the stream with cause; the first cause stands.
+// fail ends the stream with cause. Later calls have no effect.
 func (s *stream) fail(cause error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -69,23 +69,23 @@
 	s.notify()
 }
 
-// cause returns why the stream ended, nil while it has not.
+// cause returns the error that ended the stream, or nil if it has not failed.
 func (s *stream) cause() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.failure
 }
 
-// receive adds a piece of the body. It reports ProtocolFlowControl when the
-// peer sent more than it may.
+// receive appends received body data. It returns ProtocolFlowControl if the peer exceeded its credit
+// or sent data after the end.
 func (s *stream) receive(data *lapisv1.CallData) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	size := len(data.GetData())
-	if size > s.allowance || s.ended {
-		return result.Errorf(result.ProtocolFlowControl, "%d bytes with %d allowed", size, s.allowance)
+	if size > s.receiveCredit || s.ended {
+		return result.Errorf(result.ProtocolFlowControl, "received %d bytes with a credit of %d", size, s.receiveCredit)
 	}
-	s.allowance -= size
+	s.receiveCredit -= size
 	if size > 0 {
 		s.inbound = append(s.inbound, data.GetData())
 		s.buffered += size
@@ -98,14 +98,14 @@
 	return nil
 }
 
-// Read reads the peer's body. It returns io.EOF only after the frame that ends
-// the body, so a body that broke off is never taken as whole.
+// Read reads the peer's body. It returns io.EOF only after the frame that ends the body, so a
+// truncated body is never taken for a complete one.
 func (s *stream) Read(buffer []byte) (int, error) {
 	if len(buffer) == 0 {
 		return 0, nil
 	}
 	for {
-		count, grant, wait, err := s.take(buffer)
+		count, grant, wait, err := s.readBuffered(buffer)
 		if grant > 0 {
 			s.session.notify(&lapisv1.CallFrame{Call: s.id, Body: &lapisv1.CallFrame_Credit{Credit: &lapisv1.CallCredit{Bytes: uint32(grant)}}})
 		}
@@ -116,9 +116,9 @@
 	}
 }
 
-// take copies what was received, and returns the credit to grant and, when nothing was, a channel to
-// wait on.
-func (s *stream) take(buffer []byte) (count, grant int, wait <-chan struct{}, err error) {
+// readBuffered copies received data to buffer and returns the credit to grant. If no data is
+// buffered and the body has not ended, wait is closed on the next change.
+func (s *stream) readBuffered(buffer []byte) (count, grant int, wait <-chan struct{}, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.buffered > 0 {
@@ -141,9 +141,9 @@
 	}
 }
 
-// sendBody sends a body piece by piece as credit allows.
+// sendBody sends a body in chunks as credit allows.
 func (s *stream) sendBody(ctx context.Context, body io.Reader, trailers func() []*lapisv1.HeaderField) error {
-	buffer := make([]byte, s.session.pieceBytes())
+	buffer := make([]byte, s.session.chunkBytes())
 	for {
 		allowed, err := s.waitCredit(ctx, len(buffer))
 		if err != nil {
@@ -169,7 +169,7 @@
 	}
 }
 
-// endTrailers returns the trailers that came with the end of the peer's body.
+// endTrailers returns the trailers of the peer's body, which arrive with its last frame.
 func (s *stream) endTrailers() []*lapisv1.HeaderField {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/transport/callmux/suspended_test.go
+++ b/internal/transport/callmux/suspended_test.go
@@ -10,8 +10,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// The age of a confirmation that a daemon sends includes the time for which its machine was
-// suspended since: others would not poll for themselves otherwise.
+// The confirmation age that a daemon sends includes the time for which its machine was suspended.
+// Otherwise other daemons would take the confirmation for recent and not poll themselves.
 func TestSuspendedDaemonTellsHowOldItsConfirmationIs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
@@ -21,22 +21,22 @@
 		gap = 8 * time.Second
 		time.Sleep(time.Second)
 		age := time.Duration(sender.heartbeat().GetFreshness().GetAgeMicros()) * time.Microsecond
-		assert.Assert(t, age >= 9*time.Second, "sent as %s old", age)
+		assert.Assert(t, age >= 9*time.Second, "the age sent is %s", age)
 	})
 }
 
-// A confirmation that another daemon sends after this machine was suspended is that much older.
+// The time for which this machine was suspended counts towards the age of a received confirmation.
 func TestSuspensionAgesEchoedConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
 		var near, far echoes
-		far.receive(aliveFrame(&near, Heartbeat{}, boottime.Now()), boottime.Now())
+		far.receive(heartbeatFrame(&near, Heartbeat{}, boottime.Now()), boottime.Now())
 		sent := boottime.Now()
-		answer := aliveFrame(&far, Heartbeat{Revision: 3, Confirmed: sent}, sent)
+		answer := heartbeatFrame(&far, Heartbeat{Revision: 3, Confirmed: sent}, sent)
 		gap = 8 * time.Second
 		time.Sleep(time.Second)
-		heard := near.receive(answer, boottime.Now())
-		assert.Assert(t, boottime.Since(heard.Confirmed) >= 9*time.Second)
+		received := near.receive(answer, boottime.Now())
+		assert.Assert(t, boottime.Since(received.Confirmed) >= 9*time.Second)
 	})
 }
--- a/internal/transport/callmux/times.go
+++ b/internal/transport/callmux/times.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// How long a peer is waited for, from the shortest to the longest; TestTimesHangTogether checks
-// which must be below which. The times that a daemon on a platform sets (KeepAlive, Silence, Write
-// and the bounds of Stall) are in package daemon and tested there.
+// Intervals and timeouts for peers, from the shortest to the longest. TestTimesHangTogether checks
+// their order. The values for a daemon on a platform (KeepAlive, Silence, Write and the fields of
+// Stall) are set and tested in package daemon.
 const (
-	// fencePoll is the interval at which a call polls for a new connection over which its attempt
-	// can be fenced. It is several times within fenceTimeout.
-	fencePoll = 20 * time.Millisecond
-	// dialRetry is how long a failed dial is remembered, so that calls to a dead daemon fail at
-	// once. It is below fenceTimeout, so that a fence outlasts one.
-	dialRetry = 200 * time.Millisecond
-	// dialTimeout bounds the handshake of a connection, which takes two ways of the network, 40 ms
-	// between regions. A dial without answer is given up before the kernel sends the opening packet
-	// again, after 1 s: the peer may be back sooner.
+	// fencePollInterval is the interval at which a call checks for a new connection over which its
+	// attempt can be fenced. It must fit several times into fenceTimeout.
+	fencePollInterval = 20 * time.Millisecond
+	// dialFailureTTL is how long a failed dial is remembered, so that calls to an unreachable daemon
+	// fail immediately. It must be below fenceTimeout, so that a fence can dial again.
+	dialFailureTTL = 200 * time.Millisecond
+	// dialTimeout bounds the TCP handshake, which takes one round trip (two one-way delays of 40 ms
+	// between regions). An unanswered dial is abandoned before the kernel retransmits the SYN after
+	// 1 s, since the peer may be back earlier.
 	dialTimeout = 300 * time.Millisecond
-	// fenceTimeout bounds the fencing of a call whose connection was lost, the wait for a new
-	// connection included. It is above dialTimeout.
+	// fenceTimeout bounds the fencing of a call whose connection was lost, including the wait for a
+	// new connection. It must be above dialTimeout.
 	fenceTimeout = 500 * time.Millisecond
-	// openTimeout bounds the opening of a session, from the dial to the peer's greeting. It is not
-	// above the time that the accepting side gives a greeting.
+	// openTimeout bounds the opening of a session, from the dial to the peer's greeting. It must not
+	// exceed the accepting side's greeting timeout (peer.GreetingTimeout).
 	openTimeout = 3 * time.Second
 )
 
-// Timing bounds a session.
+// Timing holds the intervals and timeouts of a session.
 type Timing struct {
-	// KeepAlive is the interval of heartbeats, so that silence means loss.
+	// KeepAlive is the interval of heartbeats. It must be below Silence, so that an idle session is
+	// not taken for a lost one.
 	KeepAlive time.Duration
-	// Silence is the time without any frame after which a session counts as lost.
+	// Silence is the time without a received frame after which a session is considered lost.
 	Silence time.Duration
-	// Write bounds the sending of a frame.
+	// Write is the timeout for writing frames.
 	Write time.Duration
-	// Local returns the state that heartbeats carry; it may be nil.
+	// Local returns this daemon's state for outgoing heartbeats. If nil, heartbeats are empty.
 	Local func() Heartbeat
-	// LinkMegabits is the rate of the machine's link in Mbit/s, 0 where it is not known.
+	// LinkMegabits is the rate of the machine's network link in Mbit/s, or 0 if unknown.
 	LinkMegabits float64
 }
 
-// DefaultTiming holds where nothing else is set. Two lost heartbeats end no session.
+// DefaultTiming is used when no Timing is set. A session survives two lost heartbeats.
 var DefaultTiming = Timing{KeepAlive: 4 * time.Second, Silence: 12 * time.Second, Write: 10 * time.Second}
 
 func (t Timing) orDefault() Timing {
--- a/internal/transport/callmux/window.go
+++ b/internal/transport/callmux/window.go
@@ -2,31 +2,32 @@
 
 import "context"
 
-// Each direction of a stream has a window: the receiver grants credit as its reader takes bytes, the
-// sender waits for it. On narrow links the sender keeps less on its way (inflight.go).
+// Each direction of a stream has a flow control window. The receiver grants credit as its reader
+// consumes bytes, and the sender waits for credit. On slow links the sender limits the bytes in flight
+// further (inflight.go).
 
-// Windows and sizes in bytes.
+// Window and body sizes in bytes.
 const (
-	// BufferedBodyBytes is the largest body that a caller's daemon reads whole, so that the call
-	// can be sent again.
+	// BufferedBodyBytes is the largest body that the caller's daemon buffers, so that the call can be
+	// retried.
 	BufferedBodyBytes = 64 << 10
-	// openingBodyBytes is the largest body that is sent along with the opening frame,
-	// before the call is admitted. Longer bodies of refused calls would fill the
-	// links of overloaded daemons: with 64 KiB the share of worth on an
-	// overloaded day with links of 10 Mbit/s fell to 0.11 within 14 s, with 4 KiB to 0.53.
-	openingBodyBytes = 4 << 10
-	// windowBytes is what one direction of a stream may have in flight. It is not below
-	// BufferedBodyBytes, which earlier releases send at once.
+	// maxOpeningBodyBytes is the largest body that is sent together with the opening frame, before the
+	// call is admitted. Longer bodies of refused calls would fill the links of overloaded daemons:
+	// under overload, with links of 10 Mbit/s, the share of worth fell to 0.11 within 14 s with 64 KiB,
+	// and to 0.53 with 4 KiB.
+	maxOpeningBodyBytes = 4 << 10
+	// windowBytes is the flow control window of one direction of a stream. It must not be below
+	// BufferedBodyBytes, which earlier releases send without waiting for credit.
 	windowBytes = 256 << 10
-	// grantAfterBytes is the amount read after which more is granted. Half of the window, so that a
-	// body flows on while the grant is under way.
-	grantAfterBytes = windowBytes / 2
-	// chunkBytes is the largest piece of a body in one frame. It is far below windowBytes, so that
-	// frames of other calls come between.
-	chunkBytes = 16 << 10
+	// grantThresholdBytes is the number of consumed bytes after which more credit is granted. It is
+	// half of the window, so that the sender can continue while the grant is in transit.
+	grantThresholdBytes = windowBytes / 2
+	// maxChunkBytes is the largest part of a body in one frame. It is far below windowBytes, so that
+	// frames of other calls are interleaved.
+	maxChunkBytes = 16 << 10
 )
 
-// addCredit adds what the peer granted.
+// addCredit adds the credit in a grant from the peer.
 func (s *stream) addCredit(bytes uint32) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,7 +40,7 @@
 	s.notify()
 }
 
-// returnCredit returns what was taken of the credit and not sent.
+// returnCredit gives back reserved credit that was not used.
 func (s *stream) returnCredit(bytes int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -47,22 +48,22 @@
 	s.unacknowledged -= bytes
 }
 
-// grant returns the credit that is due; the caller holds mutex.
+// grant returns the credit to send to the peer now, 0 for none. The caller holds mutex.
 func (s *stream) grant() int {
 	due := 0
-	if s.lazyGrant && !s.ended {
+	if s.grantOnRead && !s.ended {
 		due = windowBytes
 	}
-	s.lazyGrant = false
-	if s.consumed >= s.session.acknowledgeAfter() {
+	s.grantOnRead = false
+	if s.consumed >= s.session.ackThreshold() {
 		due += s.consumed
 		s.consumed = 0
 	}
-	s.allowance += due
+	s.receiveCredit += due
 	return due
 }
 
-// waitCredit waits until bytes may be sent and takes up to want of them.
+// waitCredit waits until bytes may be sent, then reserves up to want bytes of credit.
 func (s *stream) waitCredit(ctx context.Context, want int) (int, error) {
 	for {
 		s.mutex.Lock()
@@ -70,11 +71,11 @@
 			s.mutex.Unlock()
 			return 0, s.failure
 		}
-		if taken := s.spare(want); taken > 0 {
-			s.credit -= taken
-			s.unacknowledged += taken
+		if reserved := s.sendable(want); reserved > 0 {
+			s.credit -= reserved
+			s.unacknowledged += reserved
 			s.mutex.Unlock()
-			return taken, nil
+			return reserved, nil
 		}
 		wait := s.changed
 		s.mutex.Unlock()
@@ -86,8 +87,8 @@
 	}
 }
 
-// spare returns how much more of the body may be sent now, at most want; the caller
-// holds mutex.
-func (s *stream) spare(want int) int {
-	return max(min(want, s.credit, s.session.inFlight-s.unacknowledged), 0)
+// sendable returns the number of body bytes that may be sent now, at most want. The caller holds
+// mutex.
+func (s *stream) sendable(want int) int {
+	return max(min(want, s.credit, s.session.maxInFlight-s.unacknowledged), 0)
 }
--- a/internal/transport/peer/server.go
+++ b/internal/transport/peer/server.go
@@ -1,13 +1,12 @@
-// Package peer accepts the connections of other daemons, reads their greeting
-// within a bounded time and hands them to the part that speaks the wanted
-// protocol.
+// Package peer accepts connections from other daemons, reads their greeting within a timeout and
+// passes each connection to the Handler for the purpose that its greeting states.
 //
-// It owns the accepted connections and one goroutine for each, until the context of Serve ends. It
-// relies on package wire for frames and on a handler for each purpose of a connection.
+// The package owns the accepted connections and one goroutine for each, until the context of Serve
+// ends. It relies on package wire for frames and on one Handler for each purpose.
 //
-// What must hold: bytes that are not a greeting cost a bounded buffer and are logged with a
-// result code; at most maxGreetings connections that have not greeted are held, each for
-// GreetingTimeout at the most.
+// Invariants: input that is not a valid greeting uses only a bounded buffer and is logged with a
+// result code; at most maxGreetings connections without a greeting are held, each for at most
+// GreetingTimeout.
 package peer
 
 import (
@@ -25,20 +24,20 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// Bounds of the greeting.
+// Limits for the greeting.
 const (
-	// GreetingTimeout bounds the time from accepting a connection to the whole of its greeting. It
-	// must not be below the time that a dialer gives the opening (callmux).
+	// GreetingTimeout bounds the time from accepting a connection to the end of its greeting. It must
+	// not be below the dialer's timeout for opening a session (openTimeout in callmux).
 	GreetingTimeout = 3 * time.Second
-	// maxGreetings bounds the connections that have not greeted yet; further ones wait in the
-	// kernel.
+	// maxGreetings limits the connections without a greeting. Further connections wait in the accept
+	// queue of the kernel.
 	maxGreetings = 256
 )
 
-// Handler speaks one protocol on a greeted connection until it ends.
+// Handler serves a connection after its greeting was read, until the connection ends.
 type Handler func(ctx context.Context, conn *wire.Conn, hello *lapisv1.Hello) error
 
-// Server accepts connections of other daemons. It is safe for concurrent use once its fields are
+// Server accepts connections from other daemons. It is safe for concurrent use once its fields are
 // set.
 type Server struct {
 	Node     string
@@ -47,8 +46,8 @@
 	Handlers map[lapisv1.Hello_Purpose]Handler
 }
 
-// Serve accepts connections until ctx ends or the listener fails, then closes all of them and waits.
-// Callers pass a listener that fails only once it is closed (socket.KeepAccepting).
+// Serve accepts connections until ctx ends or the listener fails, and returns after all of their
+// handlers have ended. The listener must fail only once it is closed (socket.KeepAccepting).
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -69,14 +68,14 @@
 	}
 }
 
-// serve greets one connection, calls greeted, and runs the handler until it ends.
+// serve reads the greeting of one connection, calls greeted, and runs the handler until it returns.
 func (s *Server) serve(ctx context.Context, raw net.Conn, greeted func()) {
 	conn := wire.NewConn(raw, s.Counters)
-	// The reader reports why a connection ended; closing it adds nothing.
+	// Errors of Close are ignored: the goroutine that reads the connection reports why it ended.
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	defer func() { _ = conn.Close() }()
-	_ = raw.SetDeadline(time.Now().Add(GreetingTimeout)) // It fails on a closed connection only, and so does what follows.
+	_ = raw.SetDeadline(time.Now().Add(GreetingTimeout)) // This fails only on a closed connection, where the read fails as well.
 	hello, handler, err := s.greet(conn)
 	greeted()
 	if err != nil {
@@ -89,7 +88,7 @@
 	}
 }
 
-// report logs protocol errors as errors and ordinary ends for debugging only.
+// report logs the end of a connection: protocol errors as events, expected ends at debug level.
 func (s *Server) report(conn *wire.Conn, event string, err error, pairs ...any) {
 	pairs = append(pairs, "remote", conn.RemoteAddr(), "error", err)
 	code, coded := result.CodeOf(err)
@@ -100,7 +99,7 @@
 	s.Logger.Info(event, append(pairs, "code", uint32(code))...)
 }
 
-// isReset reports whether a connection ended below the protocol, which is ordinary.
+// isReset reports whether err is a network error such as a TCP reset, an expected end of a connection.
 func isReset(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) || errors.Is(err, net.ErrClosed)
@@ -118,13 +117,13 @@
 	}
 	hello := frame.GetHello()
 	if hello == nil {
-		return nil, nil, result.Errorf(result.ProtocolUnexpected, "the first frame is %T", frame.GetBody())
+		return nil, nil, result.Errorf(result.ProtocolUnexpected, "the first frame is %T, expected Hello", frame.GetBody())
 	}
 	if hello.GetProtocolVersion() != wire.ProtocolVersion {
-		refusal := &lapisv1.Refusal{Code: uint32(result.ProtocolBadVersion), Reason: "version 1 is spoken here"}
-		// The refusal is a courtesy; that the version is wrong is logged in any case.
+		refusal := &lapisv1.Refusal{Code: uint32(result.ProtocolBadVersion), Reason: "only protocol version 1 is supported"}
+		// The refusal is sent on a best-effort basis; the wrong version is logged in any case.
 		_ = conn.Send(&lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Refusal{Refusal: refusal}})
-		return nil, nil, result.Errorf(result.ProtocolBadVersion, "the peer speaks version %d", hello.GetProtocolVersion())
+		return nil, nil, result.Errorf(result.ProtocolBadVersion, "the peer uses protocol version %d", hello.GetProtocolVersion())
 	}
 	handler, ok := s.Handlers[hello.GetPurpose()]
 	if !ok {
--- a/internal/transport/peer/server_test.go
+++ b/internal/transport/peer/server_test.go
@@ -15,7 +15,7 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// greeting sends the preface and a hello.
+// greeting returns a function that sends the preface and a Hello frame.
 func greeting(hello *lapisv1.Hello) func(*wire.Conn) error {
 	return func(conn *wire.Conn) error {
 		if err := conn.WritePreface(); err != nil {
@@ -25,8 +25,8 @@
 	}
 }
 
-// A greeting reaches the handler of its purpose; any other is refused with the code that says
-// why, and its connection is closed.
+// A valid greeting selects the handler of its purpose. An invalid one is refused with a result code
+// for the reason.
 func TestGreetings(t *testing.T) {
 	for name, row := range map[string]struct {
 		send func(*wire.Conn) error
@@ -44,7 +44,7 @@
 			server := &Server{Handlers: map[lapisv1.Hello_Purpose]Handler{lapisv1.Hello_PURPOSE_CALLS: nil}}
 			go func() {
 				_ = row.send(wire.NewConn(far, nil))
-				// What the server answers is read, so that it can write.
+				// Drain the server's answer, so that its write does not block.
 				buffer := make([]byte, 1024)
 				for {
 					if _, err := far.Read(buffer); err != nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// A connection that does not greet is closed after GreetingTimeout, and logged for debugging only,
-// so that a port scan does not fill the log.
+// A connection without a greeting is closed after GreetingTimeout and logged at debug level only, so
+// that a port scan does not fill the log.
 func TestSilentConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -71,7 +71,7 @@
 		greeted := false
 		server.serve(context.Background(), near, func() { greeted = true })
 		assert.Equal(t, time.Since(began), GreetingTimeout)
-		assert.Assert(t, greeted, "the place of the greeting is free again")
+		assert.Assert(t, greeted, "the slot of the greeting was not released")
 		_, err := far.Read(make([]byte, 1))
 		assert.Assert(t, err != nil)
 		assert.Equal(t, lines, 0)
--- a/internal/transport/tlssetup/tlssetup.go
+++ b/internal/transport/tlssetup/tlssetup.go
@@ -1,8 +1,8 @@
-// Package tlssetup builds the mutual TLS configuration between daemons from
-// the files that the settings name. It owns nothing: the files are read once, at the start.
+// Package tlssetup builds the mutual TLS configuration for connections between daemons from the files
+// that the settings name. The files are read once, at startup; the package keeps no state.
 //
-// What must hold: without settings there is no TLS, and with them no connection without a
-// certificate of the authority on both sides, from TLS 1.3 on.
+// Invariants: without TLS settings, connections are plain TCP. With them, every connection uses at
+// least TLS 1.3, and both sides must present a certificate signed by the authority.
 package tlssetup
 
 import (
@@ -14,14 +14,13 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// PeerName is the DNS name that every daemon's certificate carries. Daemons
-// are reached by IP numbers that change with each machine, so a common name is
-// verified instead.
+// PeerName is the DNS name in every daemon's certificate. Daemons are dialed by IP address, which
+// changes with each machine, so this shared name is verified instead.
 const PeerName = "lapisvane-daemon"
 
-// Network returns the network between daemons: plain TCP when all names are
-// empty, else TLS in which both sides must show a certificate of the
-// authority. Errors: SettingsBadTLS.
+// Network returns the network between daemons: plain TCP if certificate is empty, otherwise TLS in
+// which both sides must present a certificate signed by the authority. The arguments are file names.
+// Errors: SettingsBadTLS.
 func Network(certificate, key, authority string) (wire.Network, error) {
 	if certificate == "" {
 		return wire.TCP{}, nil
@@ -36,7 +35,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, result.Errorf(result.SettingsBadTLS, "peer_tls.authority: %s holds no certificate", authority)
+		return nil, result.Errorf(result.SettingsBadTLS, "peer_tls.authority: %s contains no certificate", authority)
 	}
 	return wire.TCP{Client: clientConfig(pair, pool), Server: serverConfig(pair, pool)}, nil
 }
--- a/internal/transport/wire/compress.go
+++ b/internal/transport/wire/compress.go
@@ -12,11 +12,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// CompressAboveBytes is the frame size from which compression is tried. Small frames do not shrink.
+// CompressAboveBytes is the minimum frame size for compression. Smaller frames do not shrink.
 const CompressAboveBytes = 512
 
-// Compress returns frame, or an equivalent compressed frame when that is smaller. A frame that
-// cannot be encoded is returned as it is: sending it reports the error.
+// Compress returns an equivalent compressed frame if that is smaller, otherwise frame. A frame that
+// cannot be encoded is returned unchanged; sending it reports the error.
 func Compress(frame *lapisv1.ControlFrame) *lapisv1.ControlFrame {
 	encoded, err := proto.Marshal(frame)
 	if err != nil || len(encoded) < CompressAboveBytes {
@@ -29,8 +29,8 @@
 	return &lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Compressed{Compressed: deflated}}
 }
 
-// Decompress returns the frame inside a compressed frame, at most MaxFrameBytes large and not
-// compressed itself, or frame if it is not compressed.
+// Decompress returns the content of a compressed frame, or frame itself if it is not compressed. The
+// content must be at most MaxFrameBytes large and not itself compressed.
 // Errors: ProtocolTooLarge, ProtocolBadFrame.
 func Decompress(frame *lapisv1.ControlFrame) (*lapisv1.ControlFrame, error) {
 	compressed, ok := frame.GetBody().(*lapisv1.ControlFrame_Compressed)
@@ -46,19 +46,19 @@
 		return nil, result.Wrap(result.ProtocolBadFrame, err, "decoding a compressed frame")
 	}
 	if _, nested := inner.GetBody().(*lapisv1.ControlFrame_Compressed); nested {
-		return nil, result.Errorf(result.ProtocolBadFrame, "a compressed frame holds another")
+		return nil, result.Errorf(result.ProtocolBadFrame, "nested compressed frame")
 	}
 	return inner, nil
 }
 
-// compressors holds flate writers, whose tables are costly to make.
+// compressors pools flate writers, whose tables are expensive to allocate.
 var compressors = sync.Pool{New: func() any {
-	// It fails on an unknown level only.
+	// This fails only for an unknown compression level.
 	writer, _ := flate.NewWriter(io.Discard, flate.DefaultCompression)
 	return writer
 }}
 
-// Deflate returns content compressed. It is safe for concurrent use.
+// Deflate compresses content. It is safe for concurrent use.
 func Deflate(content []byte) ([]byte, error) {
 	var buffer bytes.Buffer
 	compressor := compressors.Get().(*flate.Writer)
@@ -73,7 +73,7 @@
 	return buffer.Bytes(), nil
 }
 
-// Inflate reverses Deflate, for up to MaxFrameBytes of content. Errors:
+// Inflate decompresses the output of Deflate, up to MaxFrameBytes of content. Errors:
 // ProtocolTooLarge, ProtocolBadFrame.
 func Inflate(deflated []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(deflated))
@@ -82,7 +82,7 @@
 		return nil, result.Wrap(result.ProtocolBadFrame, err, "decompressing a frame")
 	}
 	if len(content) > MaxFrameBytes {
-		return nil, result.Errorf(result.ProtocolTooLarge, "a compressed frame holds more than %d bytes", MaxFrameBytes)
+		return nil, result.Errorf(result.ProtocolTooLarge, "a compressed frame decompresses to more than %d bytes", MaxFrameBytes)
 	}
 	return content, nil
 }
--- a/internal/transport/wire/conn.go
+++ b/internal/transport/wire/conn.go
@@ -1,13 +1,13 @@
 // Package wire carries the Protocol Buffers frames that daemons exchange over
-// TCP or TLS. A connection starts with a fixed preface; every frame is
-// length-prefixed and bounded in size, so that a peer that sends garbage costs
-// no more than one bounded buffer.
+// TCP or TLS. A connection starts with a fixed preface. Every frame is
+// length-prefixed and limited in size, so that invalid input from a peer uses
+// at most one bounded buffer.
 //
-// The package owns the buffers of a connection and counts its traffic; it has no goroutines. It
-// relies on Network for connections, which tests replace.
+// The package owns the buffers of a connection and counts its traffic; it starts no goroutines. It
+// relies on a Network for connections, which tests replace.
 //
-// What must hold: the frames of one SendAll are not mixed with others; a frame, compressed or not,
-// holds at most MaxFrameBytes.
+// Invariants: the frames of one SendAll are not interleaved with others; a frame is at most
+// MaxFrameBytes large, both compressed and decompressed.
 package wire
 
 import (
@@ -28,21 +28,22 @@
 	"github.com/lapisvane/lapisvane/internal/shared/socket"
 )
 
-// ProtocolVersion is the version that Hello carries.
+// ProtocolVersion is the protocol version that Hello states.
 const ProtocolVersion = 1
 
-// MaxFrameBytes bounds one frame in either direction.
+// MaxFrameBytes is the maximum size of one frame in either direction.
 const MaxFrameBytes = 8 << 20
 
-// preface starts every connection, so that another protocol is recognised
+// preface is the first data on every connection, so that a peer with another protocol is detected
 // before any frame is read.
 var preface = []byte("LPSV1\n")
 
-// Counters counts the bytes of one daemon. It is safe for concurrent use; the zero value is ready.
+// Counters counts the bytes received and sent on a set of connections. It is safe for concurrent use;
+// the zero value is ready to use.
 type Counters struct{ BytesIn, BytesOut atomic.Int64 }
 
-// Conn is a connection that carries frames. Send may be called from several
-// goroutines, Receive from one.
+// Conn is a connection that carries frames. The send methods are safe for concurrent use, Receive is
+// not.
 type Conn struct {
 	raw     net.Conn
 	reader  *bufio.Reader
@@ -54,11 +55,11 @@
 	closeOnce  sync.Once
 }
 
-// bufferBytes is the size of each of the two buffers of a connection. Small, since a daemon may
-// hold hundreds of connections.
+// bufferBytes is the size of the read buffer and of the write buffer of a connection. It is small
+// since a daemon may hold hundreds of connections.
 const bufferBytes = 4 << 10
 
-// NewConn wraps raw; counters may be shared by all connections of a daemon, or nil.
+// NewConn returns a Conn on top of raw. counters may be shared by several connections, or nil.
 func NewConn(raw net.Conn, counters *Counters) *Conn {
 	if counters == nil {
 		counters = &Counters{}
@@ -72,13 +73,13 @@
 	}
 }
 
-// UseCounters replaces the counters, once the greeting has said what the connection carries. No
-// other method may run at the same time.
+// UseCounters replaces the counters, once the greeting has stated the purpose of the connection. It
+// must not be called concurrently with other methods.
 func (c *Conn) UseCounters(counters *Counters) {
 	c.counted.counters = counters
 }
 
-// WritePreface sends the fixed start of a connection; the dialer calls it.
+// WritePreface writes the preface to the send buffer. The dialing side calls it first.
 func (c *Conn) WritePreface() error {
 	c.writeMutex.Lock()
 	defer c.writeMutex.Unlock()
@@ -88,15 +89,15 @@
 	return nil
 }
 
-// ReadPreface checks the fixed start of a connection; the accepting side calls
-// it. Errors: ProtocolBadVersion, ProtocolBadFrame.
+// ReadPreface reads and checks the preface. The accepting side calls it first. Errors:
+// ProtocolBadVersion, ProtocolBadFrame.
 func (c *Conn) ReadPreface() error {
 	received := make([]byte, len(preface))
 	if _, err := io.ReadFull(c.reader, received); err != nil {
 		return result.Wrap(result.ProtocolBadFrame, err, "reading the preface")
 	}
 	if !bytes.Equal(received, preface) {
-		return result.Errorf(result.ProtocolBadVersion, "the connection starts with %q", received)
+		return result.Errorf(result.ProtocolBadVersion, "the connection starts with %q, expected the preface", received)
 	}
 	return nil
 }
@@ -107,7 +108,7 @@
 }
 
 // SendAll writes several frames with one flush. Errors: ProtocolTimeout for every failure; the
-// connection cannot be used any more then.
+// connection is unusable after an error.
 func (c *Conn) SendAll(frames ...proto.Message) error {
 	c.writeMutex.Lock()
 	defer c.writeMutex.Unlock()
@@ -119,7 +120,7 @@
 	return result.Wrap(result.ProtocolTimeout, c.writer.Flush(), "flushing")
 }
 
-// Encode returns frames as SendEncoded sends them, for a sender whose frames change before they are
+// Encode encodes frames for SendEncoded, for senders whose frames may be modified before they are
 // written. Errors: ProtocolBadFrame.
 func Encode(frames ...proto.Message) ([]byte, error) {
 	var encoded []byte
@@ -133,7 +134,7 @@
 	return encoded, nil
 }
 
-// SendEncoded writes what Encode returned. Errors: those of SendAll.
+// SendEncoded writes frames encoded by Encode. Errors: those of SendAll.
 func (c *Conn) SendEncoded(encoded []byte) error {
 	c.writeMutex.Lock()
 	defer c.writeMutex.Unlock()
@@ -143,9 +144,8 @@
 	return result.Wrap(result.ProtocolTimeout, c.writer.Flush(), "flushing")
 }
 
-// Receive reads the next frame. io.EOF is returned unwrapped when the peer
-// closed between frames. Errors: ProtocolTooLarge, ProtocolBadFrame,
-// ProtocolTimeout.
+// Receive reads the next frame. It returns io.EOF unwrapped if the peer closed the connection between
+// frames. Errors: ProtocolTooLarge, ProtocolBadFrame, ProtocolTimeout.
 func (c *Conn) Receive(frame proto.Message) error {
 	err := protodelim.UnmarshalOptions{MaxSize: MaxFrameBytes}.UnmarshalFrom(c.reader, frame)
 	if err == nil {
@@ -154,8 +154,8 @@
 	return classify(err)
 }
 
-// classify gives an error of reading its result code. It is a function of its own because the targets
-// of errors.As are allocated, which a frame without an error does not need.
+// classify wraps a read error with its result code. It is a separate function because the targets of
+// errors.As escape to the heap, an allocation that the error-free path of Receive avoids.
 func classify(err error) error {
 	var tooLarge *protodelim.SizeTooLargeError
 	var network net.Error
@@ -177,8 +177,8 @@
 // SetWriteDeadline bounds the next Send.
 func (c *Conn) SetWriteDeadline(deadline time.Time) error { return c.raw.SetWriteDeadline(deadline) }
 
-// Unacknowledged returns the bytes sent that the peer's system has not acknowledged; 0 where that
-// is not known.
+// Unacknowledged returns the number of sent bytes that the peer's kernel has not acknowledged, or 0 if
+// unknown.
 func (c *Conn) Unacknowledged() int { return socket.Unacknowledged(c.raw) }
 
 // RemoteAddr returns the peer's address.
@@ -191,7 +191,7 @@
 	return err
 }
 
-// countingConn counts the bytes that pass.
+// countingConn is a net.Conn that counts the bytes received and sent.
 type countingConn struct {
 	net.Conn
 	counters *Counters
--- a/internal/transport/wire/network.go
+++ b/internal/transport/wire/network.go
@@ -9,22 +9,23 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// DialTimeout bounds the opening of a connection to another daemon, TLS included; a caller may set
-// a shorter time.
+// DialTimeout bounds the opening of a connection to another daemon, including the TLS handshake. A
+// caller may set a shorter timeout through the context.
 const DialTimeout = 2 * time.Second
 
-// Network opens and accepts connections between daemons. Tests put delays and
-// cuts behind it. It is safe for concurrent use.
+// Network opens and accepts connections between daemons. Tests implement it to inject delays and
+// connection losses. It is safe for concurrent use.
 type Network interface {
 	// Dial opens a connection to an address of the form 10.0.0.1:7400.
 	Dial(ctx context.Context, address string) (net.Conn, error)
-	// Listen accepts connections at an address. Errors: SettingsBadAddress.
+	// Listen opens a listener at an address. Errors: SettingsBadAddress.
 	Listen(address string) (net.Listener, error)
 }
 
-// TCP is the Network of the operating system; TLS is used when set.
+// TCP is a Network over the TCP stack of the operating system, with optional TLS.
 type TCP struct {
-	// Client and Server are nil for plain TCP.
+	// Client and Server are the TLS configurations for dialed and accepted connections, nil for plain
+	// TCP.
 	Client *tls.Config
 	Server *tls.Config
 }
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -16,7 +16,8 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// receiveFrom lets a Conn read the given bytes and nothing more.
+// receiveFrom calls read with a Conn that receives the given bytes, followed by the end of the
+// connection.
 func receiveFrom(t testing.TB, content []byte, read func(*wire.Conn) error) error {
 	t.Helper()
 	near, far := net.Pipe()
@@ -96,7 +97,7 @@
 	})
 }
 
-// Frames that were encoded earlier are read as those that are sent at once.
+// Frames sent with SendEncoded are received like frames sent with Send.
 func TestEncodedFramesAreReadLikeOthers(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
