--- a/internal/daemon/accounts.go
+++ b/internal/daemon/accounts.go
@@ -13,24 +13,24 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// keyCurrency tells the gateway how current the API keys of this daemon are, and logs when it stops
-// and starts again to serve them. Its methods are safe for concurrent use.
+// keyCurrency reports to the gateway how current the API keys of this daemon are, and logs when calls
+// by API key are suspended and resumed. Its methods are safe for concurrent use.
 type keyCurrency struct {
 	freshness *configsource.Freshness
 	bounds    identity.Bounds
 	logger    logr.Logger
-	// suspended is true while the keys were found too old.
+	// suspended is true while the keys are too old to be served.
 	suspended atomic.Bool
 }
 
-// identityOf returns what the gateway needs to decide on API keys, and registers its metrics.
+// identityOf returns the gateway's configuration for API keys and registers its metrics.
 func identityOf(config *settings.Daemon, freshness *configsource.Freshness, logger logr.Logger, registry prometheus.Registerer) gateway.Identity {
 	keys := &keyCurrency{freshness: freshness, logger: logger, bounds: identity.Bounds{Apply: config.Platform.ApplyBound.Get()}}
 	if config.Accounts.StrictRevocation {
 		keys.bounds.Revocation = config.Accounts.RevocationBound.Get()
 	}
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "lapisvane_keys_suspended", Help: "1 while no call is served by an API key, because the daemon could not confirm its configuration for the revocation bound.",
+		Name: "lapisvane_keys_suspended", Help: "1 while calls by API key are refused, because the daemon could not confirm its configuration within the revocation bound.",
 	}, keys.suspendedGauge))
 	return gateway.Identity{Currency: keys.Currency, Bounds: keys.bounds}
 }
--- a/internal/daemon/accounts_test.go
+++ b/internal/daemon/accounts_test.go
@@ -18,8 +18,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
-// What the gateway learns of the keys' age is what confirmations say; where revocations are strict,
-// each change is logged once.
+// The age of the API keys that the gateway gets is the age of the last confirmation. With strict
+// revocation, keys are suspended when it is too old, and each change is logged once.
 func TestKeysAreSuspendedWithoutConfirmations(t *testing.T) {
 	for _, strict := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -27,14 +27,14 @@
 			config := settings.DefaultDaemon()
 			config.Accounts = settings.Accounts{StrictRevocation: strict, RevocationBound: tunables.Duration(5 * time.Second)}
 			freshness := &configsource.Freshness{}
-			made := identityOf(&config, freshness, logging.NewPlain(&output), prometheus.NewRegistry())
-			assert.Equal(t, made.Bounds.Apply, config.Platform.ApplyBound.Get())
-			suspended := func() bool { return made.Bounds.TooOld(made.Currency()) }
+			keys := identityOf(&config, freshness, logging.NewPlain(&output), prometheus.NewRegistry())
+			assert.Equal(t, keys.Bounds.Apply, config.Platform.ApplyBound.Get())
+			suspended := func() bool { return keys.Bounds.TooOld(keys.Currency()) }
 
 			assert.Equal(t, suspended(), strict, "before the first confirmation")
 			freshness.Advance(3)
 			freshness.Confirm(configsource.Versions{Configuration: 3}, boottime.Now())
-			assert.Equal(t, made.Currency(), identity.Currency{})
+			assert.Equal(t, keys.Currency(), identity.Currency{})
 			time.Sleep(5*time.Second - time.Nanosecond)
 			assert.Assert(t, !suspended())
 			time.Sleep(time.Nanosecond)
@@ -42,8 +42,8 @@
 				assert.Equal(t, suspended(), strict)
 			}
 			freshness.Confirm(configsource.Versions{Configuration: 4}, boottime.Now())
-			assert.Assert(t, made.Currency().Behind)
-			assert.Equal(t, suspended(), strict, "what is newer is not in force here")
+			assert.Assert(t, keys.Currency().Behind)
+			assert.Equal(t, suspended(), strict, "a newer revision is not in force here")
 			freshness.Advance(4)
 			assert.Assert(t, !suspended())
 
--- a/internal/daemon/cut_test.go
+++ b/internal/daemon/cut_test.go
@@ -19,10 +19,10 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// greetingOnly is a network with one daemon, which greets and then reads nothing any more.
-type greetingOnly struct{ wire.Network }
+// nonReadingNetwork is a network with one daemon, which answers the greeting and reads nothing after it.
+type nonReadingNetwork struct{ wire.Network }
 
-func (greetingOnly) Dial(context.Context, string) (net.Conn, error) {
+func (nonReadingNetwork) Dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	peer := wire.NewConn(far, nil)
 	go func() {
@@ -34,12 +34,12 @@
 	return near, nil
 }
 
-// A call that is being written to a daemon that stands still ends when it is cut, not when the write
-// is given up: its caller must have an answer before the process ends.
+// A call whose write blocks on a frozen daemon ends when it is cut, not when the write times out, so
+// that its caller is answered before the process ends.
 func TestCutCallDoesNotWaitForItsWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := &callmux.Client{
-			Network: greetingOnly{}, Hello: &lapisv1.Hello{Purpose: lapisv1.Hello_PURPOSE_CALLS},
+			Network: nonReadingNetwork{}, Hello: &lapisv1.Hello{Purpose: lapisv1.Hello_PURPOSE_CALLS},
 			Timing: callmux.Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Minute},
 		}
 		defer calls.Close()
@@ -57,7 +57,7 @@
 		synctest.Wait()
 		began := time.Now()
 		cut()
-		path.endCalls("the test's")
-		assert.Assert(t, (<-ended).Sub(began) < cutAnswers)
+		path.endCalls("test")
+		assert.Assert(t, (<-ended).Sub(began) < cutAnswerTimeout)
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,10 +1,10 @@
-// Package daemon is lapisvaned: it reads the settings, opens the listeners and puts the
-// parts together, in New from top to bottom. The parts are the request path
-// (requestpath.go), one of two ways of distribution (distribution.go) and the metrics.
+// Package daemon implements the lapisvaned process. New reads the settings, opens the listeners and
+// assembles the components: the request path (requestpath.go), one of two distribution modes
+// (distribution.go) and the metrics.
 //
-// It owns the listening sockets, the settings in force and the order in which the parts
-// start and stop. It relies on the packages of the request path and of the distribution for
-// every decision, and on a platform's adapter (platformapi) where there is one.
+// The package owns the listening sockets, the settings in force and the startup and shutdown order.
+// Decisions are made by the packages of the request path and of the distribution, and by the
+// platform's adapter (platformapi) if there is one.
 package daemon
 
 import (
@@ -28,18 +28,18 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// idleLinkLifetime is how long a connection to another daemon that no call uses is kept. It must be
-// above the time between two calls of a quiet caller, or each of them waits for a dial.
+// idleLinkLifetime is how long an unused connection to another daemon is kept open. It must be above
+// the interval between calls of a low-traffic caller, otherwise each of its calls waits for a dial.
 const idleLinkLifetime = time.Minute
 
-// Daemon is one running lapisvaned. Its methods are safe for concurrent use once New has
-// returned; Run is called once.
+// Daemon is one lapisvaned instance. Its methods are safe for concurrent use; Run must be called only
+// once.
 type Daemon struct {
-	// settings are those in force; a reload replaces them.
+	// settings holds the settings in force, which a reload replaces.
 	settings atomic.Pointer[settings.Daemon]
 	logger   logr.Logger
 	registry *prometheus.Registry
-	// counters count the bytes of control, callCounters those of calls.
+	// counters counts the bytes of control connections, callCounters those of connections for calls.
 	counters     *wire.Counters
 	callCounters *wire.Counters
 	incarnation  uint64
@@ -51,22 +51,21 @@
 	running sync.WaitGroup
 }
 
-// Options are what a Daemon needs besides its settings.
+// Options holds the dependencies of a Daemon besides its settings.
 type Options struct {
 	Logger logr.Logger
-	// Network overrides the network between daemons; nil for the settings'.
+	// Network overrides the network between daemons. If nil, the settings determine it.
 	Network wire.Network
-	// Platform is the adapter to the machine's platform; nil where that has lapisvane's own
-	// object API.
+	// Platform is the adapter to the machine's platform, or nil to use lapisvane's own object API.
 	Platform platformapi.Platform
-	// KilledByForce makes the force channel of Run stand for the kill of a process: nobody is told
-	// that calls in flight are cut. It is for daemons that share their process.
+	// KilledByForce makes the force channel of Run simulate the kill of a process: calls in flight are
+	// cut without an answer to their callers. It is for programs that run several daemons in one process.
 	KilledByForce bool
-	// PlatformDial overrides how the platform is dialed; nil for plain TCP.
+	// PlatformDial overrides the dial function for the platform; nil means plain TCP.
 	PlatformDial objectapi.DialFunc
 }
 
-// New prepares a daemon and opens its listeners. Errors name the setting.
+// New assembles a daemon and opens its listeners. Errors name the setting at fault.
 func New(config *settings.Daemon, options Options) (*Daemon, error) {
 	network, err := networkOf(config, options)
 	if err != nil {
@@ -92,7 +91,7 @@
 	return d, nil
 }
 
-// networkOf returns the network between daemons: TCP, or TLS where the settings name keys.
+// networkOf returns the network between daemons: plain TCP, or TLS if the settings name a certificate.
 func networkOf(config *settings.Daemon, options Options) (wire.Network, error) {
 	if options.Network != nil {
 		return options.Network, nil
@@ -100,9 +99,9 @@
 	return tlssetup.Network(config.PeerTLS.Certificate, config.PeerTLS.Key, config.PeerTLS.Authority)
 }
 
-// Run serves until stop is closed, then drains (distribution.Drain). Closing force, or the
-// end of StopLimit, cuts what is still in flight, and tells callers so. Once it has returned no caller
-// is served. It returns the number of calls cut.
+// Run serves until stop is closed, then drains (distribution.Drain). Closing force, or the expiry of
+// StopLimit, cuts the calls still in flight, and their callers receive an answer that states it. Run
+// returns the number of calls cut, after all serving has stopped.
 func (d *Daemon) Run(stop, force <-chan struct{}) (cut int64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.start(ctx)
@@ -124,7 +123,7 @@
 	return cut
 }
 
-// start runs every part until ctx ends.
+// start starts all components, which run until ctx ends.
 func (d *Daemon) start(ctx context.Context) {
 	server := &peer.Server{Node: d.settings.Load().Node, Logger: d.logger, Counters: d.counters, Handlers: d.handlers()}
 	d.serve(d.listeners.peer, func(listener net.Listener) { server.Serve(ctx, listener) })
@@ -138,14 +137,15 @@
 	d.serve(d.listeners.metrics, func(listener net.Listener) { metrics.Serve(ctx, listener, d.registry) })
 }
 
-// serve runs a server on a listener, unless the settings leave that out.
+// serve runs a server on a listener in the background. It does nothing if the listener is not
+// configured (nil).
 func (d *Daemon) serve(listener net.Listener, run func(net.Listener)) {
 	if listener != nil {
 		d.running.Go(func() { run(listener) })
 	}
 }
 
-// handlers returns what serves the connections of other daemons, by their purpose.
+// handlers returns the handlers for connections from other daemons, by purpose.
 func (d *Daemon) handlers() map[lapisv1.Hello_Purpose]peer.Handler {
 	calls := d.path.callServer
 	calls.Accepted = d.distribution.AcceptedCalls()
@@ -154,7 +154,8 @@
 	return handlers
 }
 
-// closeIdleLinks closes connections to other daemons that no call used for idleLinkLifetime.
+// closeIdleLinks closes connections to other daemons that were unused for idleLinkLifetime, until ctx
+// ends.
 func (d *Daemon) closeIdleLinks(ctx context.Context) {
 	ticker := time.NewTicker(idleLinkLifetime / 2)
 	defer ticker.Stop()
@@ -168,7 +169,7 @@
 	}
 }
 
-// logStart logs the build and the settings that matter when log lines are read.
+// logStart logs the build version and the settings needed to interpret later log lines.
 func (d *Daemon) logStart() {
 	config := d.settings.Load()
 	addresses := d.Addresses()
@@ -178,11 +179,11 @@
 		"stop_limit", config.StopLimit.Get())
 }
 
-// Addresses returns where the daemon listens, with the ports that the system chose.
+// Addresses returns the daemon's listen addresses, with the ports chosen by the system.
 func (d *Daemon) Addresses() Addresses { return d.listeners.addresses() }
 
-// Info returns the condition of the daemon in the distribution tree; the zero Info on a
-// platform, where daemons form none.
+// Info returns the state of the daemon in the distribution tree, or the zero Info on a platform, where
+// there is no tree.
 func (d *Daemon) Info() tree.Info {
 	if part, inTree := d.distribution.(*treeDistribution); inTree {
 		return part.node.Info()
@@ -190,16 +191,16 @@
 	return tree.Info{}
 }
 
-// Revision returns the configuration revision in force, 0 before the first.
+// Revision returns the configuration revision in force, or 0 if there is none yet.
 func (d *Daemon) Revision() uint64 { return d.path.revision() }
 
 // Evacuated reports whether an operators' order to evacuate a zone is in force.
 func (d *Daemon) Evacuated(zone string) bool { return d.path.orders.Evacuated(zone) }
 
-// InFlight returns the number of calls of callers, and at instances, that are not over.
+// InFlight returns the number of unfinished calls, from callers and at local instances.
 func (d *Daemon) InFlight() int64 { return d.path.inFlight() }
 
-// Quarantined returns the number of requests, by fingerprint, that are quarantined.
+// Quarantined returns the number of quarantined requests, counted by fingerprint.
 func (d *Daemon) Quarantined() int {
 	_, quarantined := d.path.suspects.Sizes()
 	return quarantined
--- a/internal/daemon/distribution.go
+++ b/internal/daemon/distribution.go
@@ -19,56 +19,57 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// distribution is how a daemon learns the configuration and the instances of other
-// machines, and announces its own. There are two: treeDistribution, where daemons
-// form a tree below readers of lapisvane's own object API, and platformDistribution, where
-// they exchange them over the connections that carry their calls.
+// distribution provides a daemon with the configuration and the instances of other machines, and
+// announces its own instances. There are two implementations: in treeDistribution, daemons form a tree
+// below readers of lapisvane's own object API; in platformDistribution, daemons exchange the data over
+// the connections that carry their calls.
 type distribution interface {
-	// Run serves until ctx ends, on those of the listeners that are the distribution's.
+	// Run runs the distribution until ctx ends and serves its own subset of the listeners.
 	Run(ctx context.Context, listeners listeners)
-	// SetLocalEndpoints states the instances beside the daemon.
+	// SetLocalEndpoints sets the local instances to announce.
 	SetLocalEndpoints(endpoints []*lapisv1.Endpoint)
 	// EndpointsOf returns the known instances of a service.
 	EndpointsOf(service string) []*lapisv1.Endpoint
-	// Handlers returns what serves the connections of other daemons, besides those for calls.
+	// Handlers returns the handlers for connections from other daemons, except those for calls.
 	Handlers() map[lapisv1.Hello_Purpose]peer.Handler
-	// AcceptedCalls returns what is called with each connection for calls that another
-	// daemon opened; nil where such connections carry nothing but calls.
+	// AcceptedCalls returns the callback for each accepted connection for calls, or nil if such
+	// connections carry only calls.
 	AcceptedCalls() func(hello *lapisv1.Hello, link callmux.Link) callmux.Control
-	// SpreadSuspects sends records of suspects to other daemons; from is the daemon that
-	// reported them, empty for this one.
+	// SpreadSuspects sends records of suspected requests to other daemons. from is the daemon that
+	// reported them, or empty for this one.
 	SpreadSuspects(records []quarantine.Record, from string)
-	// Resumed reports that the machine was suspended: what others reported is that much older.
+	// Resumed is called after a suspension of the machine, by which the state received from other
+	// daemons has aged.
 	Resumed()
-	// Drain stops as planned: no new work, and the calls in flight finish. It returns the
-	// number of calls still in flight when force or StopLimit ended the wait.
+	// Drain refuses new work and waits for the calls in flight. It returns the number of calls that
+	// were cut because force was closed or StopLimit expired.
 	Drain(force <-chan struct{}) (cut int64)
-	// RegisterMetrics adds the metrics of this way of distribution.
+	// RegisterMetrics adds the metrics of this distribution mode to registry.
 	RegisterMetrics(registry *prometheus.Registry)
-	// Close frees what is kept open, after Run has returned.
+	// Close releases resources after Run has returned.
 	Close()
 }
 
-// mode is one of the two ways of distribution, with what the request path needs to know of
-// it before it can be built.
+// mode describes one of the two distribution modes, including the parameters that the request path
+// needs before the distribution is built.
 type mode struct {
-	// incarnation distinguishes this process from earlier ones on the machine.
+	// incarnation distinguishes this process from earlier ones on the same machine.
 	incarnation uint64
 	envelope    callapi.Envelope
-	// timing bounds the connections for calls; maintained is true where the distribution
-	// keeps them open, so that calls never dial.
+	// timing applies to the connections for calls. maintained is true if the distribution keeps them
+	// open, so that calls never dial.
 	timing     callmux.Timing
 	maintained bool
-	// identity decides on API keys.
+	// identity is used by the gateway to decide on API keys.
 	identity gateway.Identity
-	// quarantineStore outlasts all daemons; nil where there is none.
+	// quarantineStore persists quarantine records beyond the lifetime of all daemons; it may be nil.
 	quarantineStore quarantine.Store
-	// build makes the distribution once Daemon.path is built.
+	// build creates the distribution. It is called after Daemon.path is set.
 	build func(network wire.Network) distribution
 }
 
-// chooseMode is the one place that chooses between the two ways: a platform's, or
-// the tree over lapisvane's own object API.
+// chooseMode selects the distribution mode: platform if Options.Platform is set, otherwise the tree
+// over lapisvane's own object API. Nothing else makes this choice.
 func chooseMode(d *Daemon, config *settings.Daemon, options Options) mode {
 	if options.Platform == nil {
 		return treeMode(d, config, options)
@@ -76,8 +77,8 @@
 	return platformMode(d, config, options)
 }
 
-// treeMode describes the tree. The incarnation is the time, since the tree's members order
-// the processes of a machine by it.
+// treeMode returns the mode of the distribution tree. The incarnation is the current time, since tree
+// members order the processes of a machine by it.
 func treeMode(d *Daemon, config *settings.Daemon, options Options) mode {
 	return mode{
 		incarnation: uint64(time.Now().UnixNano()), envelope: callapi.DefaultEnvelope,
@@ -88,8 +89,8 @@
 	}
 }
 
-// platformMode describes the distribution on a platform. The incarnation is random there: the
-// time of day may jump, and no order rests on it.
+// platformMode returns the mode of the distribution on a platform. The incarnation is random, since
+// the time of day may jump and processes are not ordered by it.
 func platformMode(d *Daemon, config *settings.Daemon, options Options) mode {
 	freshness := &configsource.Freshness{WithOrders: orderKindsOf(config).Any()}
 	return mode{
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -11,13 +11,13 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// listeners are the open listening sockets; those not configured are nil.
+// listeners holds the listening sockets; those not configured are nil.
 type listeners struct {
 	peer, caller, callerTLS, operator, metrics, instances, readiness net.Listener
 }
 
-// listen opens the sockets that the settings name. Errors: SettingsBadAddress with the key,
-// and those of the network between daemons; nothing is left open then.
+// listen opens the sockets for the addresses in the settings. After an error no socket is left open.
+// Errors: SettingsBadAddress with the key, and those of the network between daemons.
 func listen(network wire.Network, config *settings.Daemon, logger logr.Logger) (opened listeners, err error) {
 	if opened.peer, err = network.Listen(config.PeerAddress); err != nil {
 		return listeners{}, err
@@ -48,8 +48,8 @@
 	return opened, nil
 }
 
-// close closes every socket. A server closes its socket when its context ends, so an error
-// only says that this one is closed already.
+// close closes all sockets. Errors are ignored: they mean that a server has already closed its socket
+// at the end of its context.
 func (l *listeners) close() {
 	for _, listener := range []net.Listener{l.peer, l.caller, l.callerTLS, l.operator, l.metrics, l.instances, l.readiness} {
 		if listener != nil {
@@ -58,12 +58,12 @@
 	}
 }
 
-// Addresses are where a daemon listens; empty for what it does not serve.
+// Addresses holds the listen addresses of a daemon. An address is empty if it is not configured.
 type Addresses struct {
 	Peer, Caller, CallerTLS, Operator, Metrics, Instances, Readiness string
 }
 
-// addresses returns where the sockets listen.
+// addresses returns the addresses of the open sockets.
 func (l *listeners) addresses() Addresses {
 	address := func(listener net.Listener) string {
 		if listener == nil {
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -17,12 +17,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// daemonFlags are the command line options; they win over the file.
+// daemonFlags are the command line options. They override the settings file.
 type daemonFlags struct {
 	Settings         string   `short:"s" long:"settings" description:"settings file (YAML)"`
-	Node             string   `long:"node" description:"the machine's stable name"`
-	Zone             string   `long:"zone" description:"the machine's zone"`
-	Region           string   `long:"region" description:"the machine's region"`
+	Node             string   `long:"node" description:"stable name of the machine"`
+	Zone             string   `long:"zone" description:"zone of the machine"`
+	Region           string   `long:"region" description:"region of the machine"`
 	PeerAddress      string   `long:"peer-address" description:"IP:port where other daemons connect"`
 	CallerAddress    string   `long:"caller-address" description:"IP:port where callers connect over HTTP"`
 	CallerTLSAddress string   `long:"caller-tls-address" description:"IP:port where callers connect over HTTPS"`
@@ -30,13 +30,13 @@
 	MetricsAddress   string   `long:"metrics-address" description:"IP:port of the Prometheus endpoint"`
 	Platform         []string `long:"platform" description:"IP:port of the platform; may be given several times"`
 	Seeds            []string `long:"seed" description:"peer address of another daemon; may be given several times"`
-	Services         []string `long:"service" description:"service that callers here use, '*' for all; may be given several times"`
-	Profile          string   `long:"profile" description:"tunables of distribution" choice:"convergence" choice:"bytes"`
+	Services         []string `long:"service" description:"service that callers on this machine use, '*' for all; may be given several times"`
+	Profile          string   `long:"profile" description:"profile of distribution tunables" choice:"convergence" choice:"bytes"`
 	Verbosity        *int     `short:"v" long:"verbosity" description:"0 events, 1 debugging"`
 	CheckOnly        bool     `long:"check" description:"check the settings and exit"`
 }
 
-// apply puts the given flags over the settings.
+// apply overrides the settings with the flags that were given.
 func (f *daemonFlags) apply(target *settings.Daemon) {
 	texts := []struct {
 		value string
@@ -66,14 +66,13 @@
 	}
 }
 
-// Main runs the program and returns its exit code: 0 after a planned stop that cut nothing,
-// 1 when calls were cut, 2 when the settings cannot be used. adapters are keyed by
-// platform.form of the settings.
+// Main runs the program and returns its exit code: 0 after a planned stop without cut calls, 1 if
+// calls were cut, 2 for invalid settings. adapters is keyed by the setting platform.form.
 func Main(arguments []string, adapters map[string]Adapter) int {
 	signals := cli.CatchSignals()
 	options := &daemonFlags{}
 	parser := flags.NewNamedParser("lapisvaned", flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = "The daemon beside back ends and callers: proxy on the request path, and relay or reader in the distribution of configuration. Flags win over the settings file. SIGTERM and SIGINT stop as planned, and change nothing when they come again; SIGQUIT ends at once what is in flight; SIGHUP reads the settings file again."
+	parser.LongDescription = "Runs next to back ends and callers: a proxy on the request path, and a relay or reader in the distribution of configuration. Flags override the settings file. SIGTERM and SIGINT start a planned stop, and have no effect when repeated; SIGQUIT stops immediately and cuts the calls in flight; SIGHUP reloads the settings file."
 	if _, err := parser.AddGroup("Options", "", options); err != nil {
 		return cli.Fail(os.Stderr, err, cli.ExitUsage)
 	}
@@ -95,7 +94,7 @@
 	if form := config.Platform.Form; form != "" {
 		adapter, known := adapters[form]
 		if !known {
-			return cli.Fail(os.Stderr, result.Errorf(result.SettingsBadNumber, "platform.form: %q is not known", form), cli.ExitUsage)
+			return cli.Fail(os.Stderr, result.Errorf(result.SettingsBadNumber, "platform.form: unknown platform %q", form), cli.ExitUsage)
 		}
 		daemonOptions.Platform = adapter(config.Platform.Addresses[0], logger)
 	}
@@ -111,11 +110,10 @@
 	return cli.ExitOK
 }
 
-// Adapter connects a daemon with a platform at an address.
+// Adapter creates the adapter to the platform at an address.
 type Adapter func(address string, logger logr.Logger) platformapi.Platform
 
-// watchSettings applies changes of the settings file, at a SIGHUP and without one, as long
-// as the process runs.
+// watchSettings reloads the settings file on SIGHUP and when the file changes, until the process ends.
 func watchSettings(running *Daemon, options *daemonFlags, signals <-chan os.Signal) {
 	watcher := &reloader{
 		daemon: running, path: options.Settings, signals: signals,
@@ -124,18 +122,19 @@
 	go watcher.run(context.Background())
 }
 
-// logRepeated logs signals that changed nothing, as long as the process runs.
+// logRepeated logs stop signals that had no effect because a stop was already in progress.
 func logRepeated(logger logr.Logger, signals <-chan os.Signal) {
 	for repeated := range signals {
 		logger.Info("daemon.stop_repeated", "signal", repeated)
 	}
 }
 
-// QuietHTTPLibrary discards the HTTP library's own log lines; what matters of them is
-// counted and logged as events.
+// QuietHTTPLibrary discards the HTTP library's own log output. The daemon logs and counts the relevant
+// errors itself.
 func QuietHTTPLibrary() { hlog.SetOutput(io.Discard) }
 
-// buildVersion returns the revision that the program was built from, as far as it is known.
+// buildVersion returns the abbreviated VCS revision of the build, or the module version if there is
+// none.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/daemon/metrics/allowances.go
+++ b/internal/daemon/metrics/allowances.go
@@ -6,30 +6,30 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/allowance"
 )
 
-// Descriptions of the metrics of allowances.
+// Descriptions of the allowance metrics.
 var (
 	allowanceCalls = prometheus.NewDesc("lapisvane_allowance_calls_total",
-		"Calls here that wanted credit, by outcome: granted, reserved, refused or unreachable.", []string{"outcome"}, nil)
+		"Requests for credit by calls on this daemon, by outcome: granted, reserved, refused or unreachable.", []string{"outcome"}, nil)
 	allowanceLent = prometheus.NewDesc("lapisvane_allowance_lent_total",
-		"Credits that this daemon lent as the owner, by allowance.", []string{"allowance"}, nil)
+		"Credits lent by this daemon as the owner, by allowance.", []string{"allowance"}, nil)
 	allowanceReturned = prometheus.NewDesc("lapisvane_allowance_returned_total",
-		"Lent credits that came back unused, by allowance.", []string{"allowance"}, nil)
+		"Lent credits that were returned unused, by allowance.", []string{"allowance"}, nil)
 	allowanceRefused = prometheus.NewDesc("lapisvane_allowance_refused_total",
-		"Credits that this daemon refused as the owner, by allowance.", []string{"allowance"}, nil)
+		"Credits refused by this daemon as the owner, by allowance.", []string{"allowance"}, nil)
 	allowanceLeft = prometheus.NewDesc("lapisvane_allowance_left",
-		"Credit that this daemon may lend now, by allowance.", []string{"allowance"}, nil)
+		"Credit that this daemon can lend now, by allowance.", []string{"allowance"}, nil)
 	allowanceShare = prometheus.NewDesc("lapisvane_allowance_share",
-		"Part of the rate that this daemon may lend, by allowance; 0 where it is not the owner.", []string{"allowance"}, nil)
+		"Fraction of the rate that this daemon may lend, by allowance; 0 if it is not the owner.", []string{"allowance"}, nil)
 	allowanceVoters = prometheus.NewDesc("lapisvane_allowance_voters",
-		"Daemons that told this one whom they see as owners.", nil, nil)
+		"Daemons that reported to this one which daemons they consider owners.", nil, nil)
 )
 
-// RegisterAllowances adds the metrics of the limits that daemons share.
+// RegisterAllowances adds the metrics of limits that are shared by daemons to registry.
 func RegisterAllowances(registry *prometheus.Registry, report func() allowance.Report) {
 	registry.MustRegister(allowances{report})
 }
 
-// allowances collects what a daemon reports of the limits that daemons share.
+// allowances collects the metrics of limits that are shared by daemons.
 type allowances struct{ report func() allowance.Report }
 
 // Describe implements prometheus.Collector.
--- a/internal/daemon/metrics/platform.go
+++ b/internal/daemon/metrics/platform.go
@@ -15,49 +15,49 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Platform are the parts of a daemon on a platform that are measured.
+// Platform holds the components of a daemon on a platform from which metrics are read.
 type Platform struct {
 	Fleet    *fleet.Fleet
 	Follower *configsource.Follower
 	Origin   *origin.Origin
-	// InForce returns the revision in force and since when it is; 0 before the
-	// first.
+	// InForce returns the configuration revision in force, 0 before the first, and the time at which it
+	// was applied.
 	InForce func() (revision uint64, since time.Time)
-	// Ready reports whether callers may be sent here.
+	// Ready reports whether the daemon is ready for callers.
 	Ready func() bool
-	// ReadyEndpoints returns the number of ready instances known of each service.
+	// ReadyEndpoints returns the number of known ready instances of each service.
 	ReadyEndpoints func() map[string]int
-	// Accounts returns the accounts in force, nil where callers need none.
+	// Accounts returns the accounts in force, or nil if callers need none.
 	Accounts func() *account.Directory
-	// RefusedEntries returns the numbers of entries and heartbeats that could not be used.
+	// RefusedEntries returns the numbers of invalid store entries and heartbeats.
 	RefusedEntries func() map[platformapi.RefusedEntry]int64
-	// Orders are the operators' orders in force.
+	// Orders holds the operators' orders in force.
 	Orders *orders.Current
-	// Confirmed returns when what is in force was last confirmed to be the newest,
-	// zero before the first time.
+	// Confirmed returns the time at which the revisions in force were last confirmed to be the newest,
+	// or zero if they were not yet.
 	Confirmed func() time.Time
 }
 
 // RegisterPlatform adds the metrics of a daemon on a platform to registry.
 func RegisterPlatform(registry *prometheus.Registry, sources Platform) {
-	gauge(registry, "lapisvane_revision_in_force", "Revision in force, 0 before the first.", func() float64 {
+	gauge(registry, "lapisvane_revision_in_force", "Configuration revision in force, 0 before the first.", func() float64 {
 		revision, _ := sources.InForce()
 		return float64(revision)
 	})
-	gauge(registry, "lapisvane_revision_age_seconds", "Time since the revision came in force.", func() float64 {
+	gauge(registry, "lapisvane_revision_age_seconds", "Time since the configuration revision was put in force.", func() float64 {
 		revision, since := sources.InForce()
 		if revision == 0 {
 			return 0
 		}
 		return time.Since(since).Seconds()
 	})
-	gauge(registry, "lapisvane_ready", "1 while callers may be sent here.", func() float64 { return boolValue(sources.Ready()) })
-	gauge(registry, "lapisvane_members_known", "Other daemons known.", func() float64 { return float64(sources.Fleet.Known()) })
-	gauge(registry, "lapisvane_members_connected", "Daemons that calls can be sent to.",
+	gauge(registry, "lapisvane_ready", "1 while the daemon is ready for callers.", func() float64 { return boolValue(sources.Ready()) })
+	gauge(registry, "lapisvane_members_known", "Number of other known daemons.", func() float64 { return float64(sources.Fleet.Known()) })
+	gauge(registry, "lapisvane_members_connected", "Number of daemons to which calls can be sent.",
 		func() float64 { return float64(sources.Fleet.Connected()) })
-	counter(registry, "lapisvane_source_questions_total", "Questions to the configuration source.",
+	counter(registry, "lapisvane_source_questions_total", "Polls of the configuration source.",
 		func() float64 { return float64(sources.Follower.ConfigurationRequests.Load()) })
-	counter(registry, "lapisvane_source_failures_total", "Questions to the configuration source that failed.",
+	counter(registry, "lapisvane_source_failures_total", "Failed polls of the configuration source.",
 		func() float64 { return float64(sources.Follower.FailedPolls.Load()) })
 	registry.MustRegister(readyEndpoints{sources.ReadyEndpoints}, refusedEntries{sources.RefusedEntries})
 	registerOrders(registry, sources)
@@ -72,21 +72,21 @@
 			return float64(total)
 		}
 	}
-	gauge(registry, "lapisvane_origin_running", "Calls that hold a slot of the instances beside the daemon.",
+	gauge(registry, "lapisvane_origin_running", "Calls that hold a slot at the instances on this machine.",
 		occupancy(func(o admission.Occupancy) int { return o.Running }))
 	gauge(registry, "lapisvane_origin_waiting", "Calls that wait for a slot.",
 		occupancy(func(o admission.Occupancy) int { return o.Waiting }))
-	gauge(registry, "lapisvane_origin_slots", "Calls that the instances may work on at once.",
+	gauge(registry, "lapisvane_origin_slots", "Concurrency limit of the instances on this machine, in calls.",
 		occupancy(func(o admission.Occupancy) int { return o.Limit }))
 	registerCold(registry, sources.Origin)
-	gauge(registry, "lapisvane_origin_withdrawn", "Instances that left and are remembered.",
+	gauge(registry, "lapisvane_origin_withdrawn", "Withdrawn instances that are still tracked.",
 		func() float64 { return float64(len(sources.Origin.Withdrawn())) })
 }
 
-// endpointsReady describes the metric of readyEndpoints.
-var endpointsReady = prometheus.NewDesc("lapisvane_endpoints_ready", "Ready instances known, by service.", []string{"service"}, nil)
+// endpointsReady describes the metric collected by readyEndpoints.
+var endpointsReady = prometheus.NewDesc("lapisvane_endpoints_ready", "Known ready instances, by service.", []string{"service"}, nil)
 
-// readyEndpoints collects the number of ready instances known of each service.
+// readyEndpoints collects the number of known ready instances of each service.
 type readyEndpoints struct{ read func() map[string]int }
 
 // Describe implements prometheus.Collector.
@@ -101,10 +101,10 @@
 	}
 }
 
-// entriesRefused describes the metric of refusedEntries.
-var entriesRefused = prometheus.NewDesc("lapisvane_entries_refused_total", "Entries of the store and heartbeats that could not be used, by kind and reason.", []string{"kind", "reason"}, nil)
+// entriesRefused describes the metric collected by refusedEntries.
+var entriesRefused = prometheus.NewDesc("lapisvane_entries_refused_total", "Invalid store entries and heartbeats, by kind and reason.", []string{"kind", "reason"}, nil)
 
-// refusedEntries collects the numbers of entries that could not be used.
+// refusedEntries collects the numbers of invalid store entries and heartbeats.
 type refusedEntries struct {
 	read func() map[platformapi.RefusedEntry]int64
 }
@@ -121,13 +121,13 @@
 	}
 }
 
-// registerOrders adds what concerns the operators' orders.
+// registerOrders adds the metrics of the operators' orders.
 func registerOrders(registry *prometheus.Registry, sources Platform) {
 	gauge(registry, "lapisvane_orders_revision", "Revision of the operators' orders in force, 0 before the first.",
 		func() float64 { return float64(sources.Orders.Load().Revision()) })
-	gauge(registry, "lapisvane_orders_evacuated_zones", "Zones whose instances get no calls.",
+	gauge(registry, "lapisvane_orders_evacuated_zones", "Evacuated zones, whose instances get no calls.",
 		func() float64 { return float64(len(sources.Orders.Load().Zones())) })
-	gauge(registry, "lapisvane_confirmation_age_seconds", "Time since what is in force was confirmed to be the newest, -1 before the first time.",
+	gauge(registry, "lapisvane_confirmation_age_seconds", "Time since the revisions in force were last confirmed to be the newest, -1 before the first time.",
 		func() float64 {
 			confirmed := sources.Confirmed()
 			if confirmed.IsZero() {
@@ -135,11 +135,11 @@
 			}
 			return boottime.Since(confirmed).Seconds()
 		})
-	counter(registry, "lapisvane_source_orders_questions_total", "Questions to the source for the operators' orders.",
+	counter(registry, "lapisvane_source_orders_questions_total", "Polls of the source for the operators' orders.",
 		func() float64 { return float64(sources.Follower.OrderRequests.Load()) })
 }
 
-// registerCold adds the metrics of the admission to cold instances.
+// registerCold adds the metrics of call admission to cold instances.
 func registerCold(registry *prometheus.Registry, instances *origin.Origin) {
 	sum := func(read func(admission.PaceUse) float64) func() float64 {
 		return func() float64 {
@@ -150,12 +150,12 @@
 			return total
 		}
 	}
-	gauge(registry, "lapisvane_origin_cold_rate", "Calls a second that the cold instances beside the daemon are admitted.",
+	gauge(registry, "lapisvane_origin_cold_rate", "Calls per second that are admitted to the cold instances on this machine.",
 		sum(func(use admission.PaceUse) float64 { return use.PerSecond }))
-	gauge(registry, "lapisvane_origin_cold_tokens", "Calls that the cold instances could be admitted at once.",
+	gauge(registry, "lapisvane_origin_cold_tokens", "Calls that could be admitted to the cold instances immediately.",
 		sum(func(use admission.PaceUse) float64 { return use.Tokens }))
-	gauge(registry, "lapisvane_origin_cold_admitted", "Calls that the present instances were admitted while cold.",
+	gauge(registry, "lapisvane_origin_cold_admitted", "Calls that were admitted to the current instances while they were cold.",
 		sum(func(use admission.PaceUse) float64 { return float64(use.Admitted) }))
-	gauge(registry, "lapisvane_origin_cold_refused", "Calls that the present instances were refused because they were cold.",
+	gauge(registry, "lapisvane_origin_cold_refused", "Calls to the current instances that were refused because they were cold.",
 		sum(func(use admission.PaceUse) float64 { return float64(use.Refused) }))
 }
--- a/internal/daemon/pausewatch.go
+++ b/internal/daemon/pausewatch.go
@@ -9,18 +9,18 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Times of the watch for pauses.
+// Interval and threshold for detecting pauses of the process.
 const (
-	pauseCheck = 500 * time.Millisecond
-	// pauseNoticed is the time without processor from which a pause is logged.
-	pauseNoticed = time.Second
+	pauseCheckInterval = 500 * time.Millisecond
+	// minLoggedPause is the minimum duration of a pause that is logged.
+	minLoggedPause = time.Second
 )
 
-// watchPauses logs, until ctx ends, when the process did not run for a while because it was
-// stopped or starved or the machine was suspended: what it knows of other daemons is that
-// much older. resumed is called after a suspension.
+// watchPauses logs pauses of the process (stopped or starved of CPU) and suspensions of the machine,
+// until ctx ends. After a pause the state received from other daemons is older by its duration.
+// resumed is called after each suspension.
 func watchPauses(ctx context.Context, logger logr.Logger, resumed func()) {
-	ticker := time.NewTicker(pauseCheck)
+	ticker := time.NewTicker(pauseCheckInterval)
 	defer ticker.Stop()
 	last, suspended := time.Now(), boottime.Suspended()
 	for {
@@ -40,9 +40,9 @@
 	}
 }
 
-// notePause logs a pause when much more time went by than between two checks.
+// notePause logs a pause if the time between two checks exceeded the interval by minLoggedPause.
 func notePause(logger logr.Logger, elapsed time.Duration) {
-	if paused := elapsed - pauseCheck; paused >= pauseNoticed {
+	if paused := elapsed - pauseCheckInterval; paused >= minLoggedPause {
 		logger.Info("daemon.paused", "for_ms", paused.Milliseconds())
 	}
 }
--- a/internal/daemon/pausewatch_test.go
+++ b/internal/daemon/pausewatch_test.go
@@ -15,7 +15,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
-// A process that runs is not taken for one that was stopped.
+// No pause is logged for a process that runs without interruption.
 func TestNoPauseIsLoggedWhileRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var output bytes.Buffer
@@ -34,9 +34,9 @@
 		elapsed time.Duration
 		logged  string
 	}{
-		"as usual":       {pauseCheck, ""},
-		"a little late":  {pauseCheck + pauseNoticed/2, ""},
-		"stopped for 12": {12 * time.Second, "event=daemon.paused for_ms=11500"},
+		"on time":          {pauseCheckInterval, ""},
+		"slightly late":    {pauseCheckInterval + minLoggedPause/2, ""},
+		"stopped for 12 s": {12 * time.Second, "event=daemon.paused for_ms=11500"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var output bytes.Buffer
@@ -46,7 +46,7 @@
 	}
 }
 
-// The steady clock does not show that the machine was suspended.
+// A suspension of the machine is detected although the monotonic clock does not advance during it.
 func TestSuspensionIsNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var gap atomic.Int64
@@ -56,9 +56,9 @@
 		done := make(chan struct{})
 		resumed := 0
 		go func() { defer close(done); watchPauses(ctx, logging.NewPlain(&output), func() { resumed++ }) }()
-		time.Sleep(2 * pauseCheck)
+		time.Sleep(2 * pauseCheckInterval)
 		gap.Store(int64(7 * time.Second))
-		time.Sleep(2 * pauseCheck)
+		time.Sleep(2 * pauseCheckInterval)
 		cancel()
 		<-done
 		assert.Equal(t, strings.TrimSpace(output.String()), "event=daemon.suspended for_ms=7000")
--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -23,45 +23,45 @@
 	"github.com/lapisvane/lapisvane/internal/transport/peer"
 )
 
-// Times of a daemon on a platform.
+// Timeouts of a daemon on a platform.
 const (
-	// readyGrace is how long a starting daemon waits for its instance and for other daemons before
-	// it is ready without them. It is above the time in which daemons that start together find one
-	// another.
-	readyGrace = 3 * time.Second
-	// callersDrain is how long new calls are still accepted after the daemon stopped being ready.
-	// It is above the interval at which readiness is polled, below the stop limit.
-	callersDrain = 2500 * time.Millisecond
-	// instancesDrain is how long a stopping daemon still admits calls, if they end before it
-	// does, to the instances beside it, which would idle while others refuse for load.
-	instancesDrain = 2 * time.Second
-	// callsPart is the part of the stop limit in which calls may last; the rest is for the end of
-	// the process.
-	callsPart = 7.0 / 8
-	// answersDrain is the time for the last answers to reach their callers: a few ways of the
-	// network, 40 ms between regions.
-	answersDrain = 100 * time.Millisecond
+	// readyGracePeriod is how long a starting daemon waits for its instance and for other daemons before
+	// it reports ready without them. It is above the time that daemons which start together need to
+	// discover one another.
+	readyGracePeriod = 3 * time.Second
+	// callerDrainTime is how long new calls are still accepted after the daemon has stopped reporting
+	// ready. It is above the interval at which readiness is polled and below the stop limit.
+	callerDrainTime = 2500 * time.Millisecond
+	// instanceDrainTime is how long a stopping daemon still admits calls to its local instances if they
+	// will end before the stop. Otherwise these would idle while other instances are overloaded.
+	instanceDrainTime = 2 * time.Second
+	// callTimeShare is the share of the stop limit that is available to calls. The rest is for the
+	// shutdown of the process.
+	callTimeShare = 7.0 / 8
+	// answerDrainTime is the time for the last answers to reach their callers: a few one-way network
+	// delays, 40 ms between regions.
+	answerDrainTime = 100 * time.Millisecond
 )
 
-// Times of noticing a daemon that does not answer: it is pinged when it was quiet for stallQuiet
-// while calls are on their way, and is stalled without an answer within stallAnswer. Then its
-// instances are suspect and repeatable calls go elsewhere; the connection stays open, since
-// packet loss looks the same. Failed calls fell from 1.6 to 1.1 percent on a day with two
-// frozen machines, against noticing silence after 2.5 s only.
+// Times for the detection of stalled daemons (callmux.Stall). A daemon that sends nothing for
+// stallPingAfter while calls to it are in flight is pinged, and counts as stalled if it does not answer
+// within stallPingTimeout. Its instances then become suspect and repeatable calls are retried elsewhere.
+// The connection stays open, since packet loss has the same symptoms. With two frozen machines, failed
+// calls fell from 1.6 to 1.1 percent in a day, compared with detection by the 2.5 s silence timeout only.
 const (
-	stallCheck  = 100 * time.Millisecond
-	stallQuiet  = 250 * time.Millisecond
-	stallAnswer = 400 * time.Millisecond
+	stallCheckInterval = 100 * time.Millisecond
+	stallPingAfter     = 250 * time.Millisecond
+	stallPingTimeout   = 400 * time.Millisecond
 )
 
-// platformPeerTiming bounds the connections between daemons on a platform. Silence is below the
+// platformPeerTiming is the timing of connections between daemons on a platform. Silence is below the
 // contact time (setting platform.contact, 3 s by default), and above two intervals of KeepAlive, so
-// that one lost frame ends no connection. Write is so close to it that a daemon which stands still
-// loses its calls by its silence, and no sooner where frames to it fill the buffers.
+// that a connection survives one lost frame. Write is just below Silence: the calls to a frozen daemon
+// are lost by the silence timeout, and not earlier because a write blocks on full buffers.
 var platformPeerTiming = callmux.Timing{KeepAlive: time.Second, Silence: 2500 * time.Millisecond, Write: 2400 * time.Millisecond}
 
-// platformTiming bounds the connections between daemons. Their empty frames are the
-// heartbeats: what is in force here, and how recently that was confirmed.
+// platformTiming returns the timing of connections between daemons. Heartbeats carry the revisions in
+// force at this daemon and the time of their last confirmation.
 func platformTiming(values *settings.Daemon, freshness *configsource.Freshness) callmux.Timing {
 	timing := platformPeerTiming
 	timing.Local = func() callmux.Heartbeat { return heartbeatOf(freshness) }
@@ -69,40 +69,40 @@
 	return timing
 }
 
-// heartbeatOf returns what this daemon's heartbeats state.
+// heartbeatOf returns the state for this daemon's heartbeats.
 func heartbeatOf(freshness *configsource.Freshness) callmux.Heartbeat {
 	versions, confirmed := freshness.InForce()
 	return callmux.Heartbeat{Revision: versions.Configuration, Orders: versions.Orders, Confirmed: confirmed}
 }
 
-// platformDistribution is a daemon's part in the distribution on a platform: daemons
-// exchange configurations, orders and instances over the connections between them, and some
-// poll the platform's store (configsource).
+// platformDistribution implements distribution on a platform: daemons exchange configurations, orders
+// and instances over the connections between them, and some of them poll the platform's store
+// (configsource).
 type platformDistribution struct {
 	path     *requestPath
 	platform platformapi.Platform
 	fleet    *fleet.Fleet
 	follower *configsource.Follower
-	// allowances keeps limits that daemons share; nil where there are none.
+	// allowances enforces the rate limits shared by daemons; nil if there are none.
 	allowances *allowance.Service
-	// freshness is how recently what is in force was confirmed to be the newest.
+	// freshness tracks the revisions in force and when they were last confirmed to be the newest.
 	freshness *configsource.Freshness
 	started   time.Time
-	// draining is true from the planned stop on.
+	// draining is true once a planned stop has begun.
 	draining atomic.Bool
 	inForce  atomic.Pointer[lapisv1.Configuration]
-	// inForceAt is when that came in force, in nanoseconds since started.
+	// inForceAt is the time at which inForce was applied, in nanoseconds since started.
 	inForceAt atomic.Int64
-	// orders puts the operators' orders in force.
+	// orders holds the state for applying the operators' orders.
 	orders ordersState
-	// rollouts is nil where operators order none.
+	// rollouts is nil if roll-outs are disabled.
 	rollouts *rollouts
-	// members is the number of daemons known, this one included.
+	// members is the number of known daemons, including this one.
 	members atomic.Int64
-	// resumed is sent to after a suspension of the machine.
+	// resumed receives a value after a suspension of the machine.
 	resumed chan struct{}
 
-	// mutex is held while a configuration is put in force.
+	// mutex serializes the application of configurations.
 	mutex sync.Mutex
 }
 
@@ -113,7 +113,7 @@
 		started: time.Now(), resumed: make(chan struct{}, 1),
 	}
 	p.members.Store(1)
-	p.orders = ordersState{follow: p.followOrders, unknown: map[string]bool{}}
+	p.orders = ordersState{follow: p.followOrders, unknownZones: map[string]bool{}}
 	p.allowances = p.newAllowances(values)
 	p.rollouts = newRollouts(p, d.incarnation)
 	config := fleet.Config{
@@ -139,14 +139,14 @@
 	return p
 }
 
-// inForceSince returns the revision in force and since when it is.
+// inForceSince returns the revision in force and the time at which it was applied.
 func (p *platformDistribution) inForceSince() (revision uint64, since time.Time) {
 	return p.inForce.Load().GetRevision(), p.started.Add(time.Duration(p.inForceAt.Load()))
 }
 
-// stall bounds the time in which a daemon that does not answer is noticed.
+// stall returns the configuration of the stall detection.
 func (p *platformDistribution) stall() callmux.Stall {
-	return callmux.Stall{Check: stallCheck, Quiet: stallQuiet, Answer: stallAnswer, Changed: p.fleet.Stalled}
+	return callmux.Stall{Check: stallCheckInterval, Quiet: stallPingAfter, Answer: stallPingTimeout, Changed: p.fleet.Stalled}
 }
 
 // Run implements distribution.
@@ -185,7 +185,7 @@
 	return p.fleet.Endpoints(service)
 }
 
-// Handlers implements distribution: everything goes over the connections for calls.
+// Handlers implements distribution. All data is exchanged over the connections for calls.
 func (p *platformDistribution) Handlers() map[lapisv1.Hello_Purpose]peer.Handler {
 	return map[lapisv1.Hello_Purpose]peer.Handler{}
 }
@@ -200,8 +200,8 @@
 	p.fleet.SpreadSuspects(records, from)
 }
 
-// Resumed implements distribution: the follower checks again whether the source has to be
-// polled, since what others reported became older at once.
+// Resumed implements distribution. The follower checks again whether the source has to be polled, since
+// the confirmations from other daemons have aged by the suspension.
 func (p *platformDistribution) Resumed() {
 	select {
 	case p.resumed <- struct{}{}:
@@ -221,7 +221,7 @@
 	}
 }
 
-// accounts returns the accounts in force, nil where callers need none.
+// accounts returns the accounts in force, or nil if callers need none.
 func (p *platformDistribution) accounts() *account.Directory {
 	if current := p.path.snapshots.Current(); current != nil {
 		return current.Accounts
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// readyEndpoints returns the number of ready instances known of each service in force.
+// readyEndpoints returns the number of known ready instances for each service in the configuration.
 func (p *platformDistribution) readyEndpoints() map[string]int {
 	counts := map[string]int{}
 	if current := p.path.snapshots.Current(); current != nil {
@@ -243,26 +243,26 @@
 // Close implements distribution.
 func (p *platformDistribution) Close() { p.platform.Close() }
 
-// minInterval is the least time between a failed poll of this daemon and its next one.
+// minInterval returns the minimum time between a failed poll by this daemon and its next poll.
 func (p *platformDistribution) minInterval() time.Duration {
 	platform := p.path.settings.Load().Platform
 	return configsource.MinInterval(int(p.members.Load()), platform.ReadsPerSecond, platform.ApplyBound.Get())
 }
 
-// ready reports whether callers may be sent here. No configuration is in force before
-// the first orders are known.
+// ready reports whether the daemon is ready for callers. It is not ready before a configuration is in
+// force, which requires that the first orders are known.
 func (p *platformDistribution) ready() bool {
 	if p.draining.Load() || p.inForce.Load() == nil {
 		return false
 	}
-	if time.Since(p.started) > readyGrace {
+	if time.Since(p.started) > readyGracePeriod {
 		return true
 	}
 	return p.fleet.Connected() > 0 && p.path.origin.LocalService() != ""
 }
 
-// Offer puts a configuration in force if it is newer than what is. It
-// implements fleet.Observer.
+// Offer puts a configuration in force if it is newer than the current one. It implements
+// fleet.Observer.
 func (p *platformDistribution) Offer(configuration *lapisv1.Configuration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -302,31 +302,32 @@
 // Withdraw implements fleet.Observer.
 func (p *platformDistribution) Withdraw(instance string) { p.path.origin.Withdraw(instance) }
 
-// startDraining sends callers elsewhere and refuses calls that would not end by endsBy. The
-// returned timer stops the instances beside the daemon after instancesDrain.
+// startDraining reports the daemon as not ready, so that callers are directed elsewhere, and refuses
+// calls that would not end by endsBy. The returned timer stops the local instances after
+// instanceDrainTime.
 func (p *platformDistribution) startDraining(endsBy time.Time) (instances *time.Timer) {
 	path := p.path
 	p.draining.Store(true)
 	path.gateway.Drain(endsBy)
 	path.origin.Drain(endsBy)
-	return time.AfterFunc(instancesDrain, func() {
+	return time.AfterFunc(instanceDrainTime, func() {
 		path.origin.Stop()
 		p.SetLocalEndpoints(path.origin.Advertised())
 	})
 }
 
-// Drain implements distribution: callers are sent elsewhere, the instances beside the daemon
-// are stopped after instancesDrain, and the calls in flight finish.
+// Drain implements distribution. The daemon reports not ready, stops its local instances after
+// instanceDrainTime, and waits for the calls in flight.
 func (p *platformDistribution) Drain(force <-chan struct{}) (cut int64) {
 	path := p.path
-	callsLimit := time.Duration(callsPart * float64(path.settings.Load().StopLimit.Get()))
+	callsLimit := time.Duration(callTimeShare * float64(path.settings.Load().StopLimit.Get()))
 	limit := time.NewTimer(callsLimit)
 	defer limit.Stop()
-	instances := p.startDraining(time.Now().Add(callsLimit - answersDrain))
+	instances := p.startDraining(time.Now().Add(callsLimit - answerDrainTime))
 	defer instances.Stop()
-	callers := time.NewTimer(callersDrain)
+	callers := time.NewTimer(callerDrainTime)
 	defer callers.Stop()
-	poll := time.NewTicker(inFlightPoll)
+	poll := time.NewTicker(inFlightPollInterval)
 	defer poll.Stop()
 	var ending stopProgress
 	for {
@@ -336,12 +337,12 @@
 		case <-limit.C:
 			return path.endCalls(path.stopLimitCause())
 		case <-callers.C:
-			// From here on a new call is refused before anything ran, so that the end of
-			// the process cuts nothing.
+			// From here on, new calls are refused before they run, so that the end of the
+			// process does not cut them.
 			path.gateway.Stop()
-			ending.callersRefused = true
+			ending.refusingCalls = true
 		case <-poll.C:
-			switch ending.next(stopFacts{serving: path.serving(), waiting: path.gateway.Waiting(), settled: path.settled(), now: time.Now()}) {
+			switch ending.next(stopState{serving: path.serving(), waiting: path.gateway.Waiting(), drained: path.drained(), now: time.Now()}) {
 			case stopAccepting:
 				path.gateway.StopAccepting()
 			case stopEnd:
--- a/internal/daemon/platform_distribution_test.go
+++ b/internal/daemon/platform_distribution_test.go
@@ -19,28 +19,28 @@
 	"github.com/lapisvane/lapisvane/internal/model/rollout"
 )
 
-// idlePlatform is a platform that says nothing.
-type idlePlatform struct{}
+// stubPlatform is a Platform without a store, a directory or any requests.
+type stubPlatform struct{}
 
-func (idlePlatform) OnStoreReturn(func()) {}
+func (stubPlatform) OnStoreReturn(func()) {}
 
-func (idlePlatform) RefusedEntries() map[platformapi.RefusedEntry]int64 { return nil }
+func (stubPlatform) RefusedEntries() map[platformapi.RefusedEntry]int64 { return nil }
 
-func (idlePlatform) Source() configsource.Source                                         { return nil }
-func (idlePlatform) Directory() fleet.Directory                                          { return nil }
-func (idlePlatform) Rollouts() rollout.Store                                             { return nil }
-func (idlePlatform) Envelope() callapi.Envelope                                          { return callapi.DefaultEnvelope }
-func (idlePlatform) Quarantine() quarantine.Store                                        { return nil }
-func (idlePlatform) ServeInstances(context.Context, net.Listener, platformapi.Instances) {}
-func (idlePlatform) ServeReadiness(context.Context, net.Listener, func() bool)           {}
-func (idlePlatform) Close()                                                              {}
+func (stubPlatform) Source() configsource.Source                                         { return nil }
+func (stubPlatform) Directory() fleet.Directory                                          { return nil }
+func (stubPlatform) Rollouts() rollout.Store                                             { return nil }
+func (stubPlatform) Envelope() callapi.Envelope                                          { return callapi.DefaultEnvelope }
+func (stubPlatform) Quarantine() quarantine.Store                                        { return nil }
+func (stubPlatform) ServeInstances(context.Context, net.Listener, platformapi.Instances) {}
+func (stubPlatform) ServeReadiness(context.Context, net.Listener, func() bool)           {}
+func (stubPlatform) Close()                                                              {}
 
-// platformPart is the part of a daemon in the distribution on a platform.
-func platformPart(t *testing.T, running *Daemon) *platformDistribution {
+// platformDistributionOf returns the distribution of a daemon on a platform.
+func platformDistributionOf(t *testing.T, running *Daemon) *platformDistribution {
 	t.Helper()
-	part, ok := running.distribution.(*platformDistribution)
+	platform, ok := running.distribution.(*platformDistribution)
 	assert.Assert(t, ok)
-	return part
+	return platform
 }
 
 func configurationOf(t *testing.T, revision uint64, prefix string) *lapisv1.Configuration {
@@ -54,16 +54,16 @@
 	return configuration
 }
 
-// The source, and other daemons, may bring an older version, or one that is
-// broken on its way; what is in force stays.
+// The configuration in force is kept if the source or another daemon offers an older or a corrupted
+// one.
 func TestNothingOlderOrBrokenIsPutInForce(t *testing.T) {
 	config := settings.DefaultDaemon()
 	config.Node, config.Zone, config.PeerAddress = "a", "z", "127.0.0.1:0"
-	running, err := New(&config, Options{Logger: logr.Discard(), Platform: idlePlatform{}})
+	running, err := New(&config, Options{Logger: logr.Discard(), Platform: stubPlatform{}})
 	assert.NilError(t, err)
 	defer running.listeners.close()
-	part := platformPart(t, running)
-	offer := part.Offer
+	platform := platformDistributionOf(t, running)
+	offer := platform.Offer
 
 	offer(configurationOf(t, 7, "/new/"))
 	assert.Equal(t, running.Revision(), uint64(7))
@@ -76,7 +76,7 @@
 	broken.Bundles[0].Content[3] ^= 1
 	offer(broken)
 	assert.Equal(t, running.Revision(), uint64(7))
-	assert.Equal(t, part.inForce.Load().GetRevision(), uint64(7))
+	assert.Equal(t, platform.inForce.Load().GetRevision(), uint64(7))
 
 	offer(configurationOf(t, 9, "/newest/"))
 	assert.Equal(t, running.Revision(), uint64(9))
--- a/internal/daemon/platform_orders.go
+++ b/internal/daemon/platform_orders.go
@@ -11,34 +11,34 @@
 	"github.com/lapisvane/lapisvane/internal/model/position"
 )
 
-// fromStore names the platform's store as where orders came from.
+// fromStore is the logged origin of orders that were read from the platform's store.
 const fromStore = "store"
 
-// ordersState is what a daemon keeps of the operators' orders.
+// ordersState is the state for applying the operators' orders.
 type ordersState struct {
-	// follow puts a set in force in place of before. It is called for one set at a time, and
-	// returns once calls are handled by it.
+	// follow applies the set now, which replaces before. Calls to follow are serialized, and it returns
+	// once calls are handled according to the new set.
 	follow func(before, now *orders.Set, by string)
 
-	// mutex is held while a set is put in force and protects unknown, the zones in
-	// force of which no daemon was known.
-	mutex   sync.Mutex
-	unknown map[string]bool
-	// held is the newest configuration that waits for the first orders;
-	// platformDistribution.mutex protects it.
-	held *lapisv1.Configuration
+	// mutex serializes the application of sets and protects unknownZones, the evacuated zones for which
+	// no daemon was known.
+	mutex        sync.Mutex
+	unknownZones map[string]bool
+	// deferred is the newest configuration that waits for the first orders. It is protected by
+	// platformDistribution.mutex.
+	deferred *lapisv1.Configuration
 }
 
-// orderKinds are the kinds of orders that operators give.
+// orderKinds returns the kinds of orders that are enabled.
 func (p *platformDistribution) orderKinds() orders.Kinds { return orderKindsOf(p.path.settings.Load()) }
 
-// orderKindsOf are the kinds of orders that settings switch on.
+// orderKindsOf returns the kinds of orders that the settings enable.
 func orderKindsOf(values *settings.Daemon) orders.Kinds {
 	return orders.Kinds{Evacuations: values.EvacuationBound > 0, Rollouts: values.Rollouts.On()}
 }
 
-// ordersBound is the time within which orders must be in force, 0 where operators
-// give none. Roll-outs have no bound of their own and are as urgent as configurations.
+// ordersBound returns the time within which orders must be in force, or 0 if orders are disabled.
+// Roll-outs have no separate bound and are as urgent as configurations.
 func (p *platformDistribution) ordersBound() time.Duration {
 	values := p.path.settings.Load()
 	if values.EvacuationBound == 0 && values.Rollouts.On() {
@@ -47,7 +47,7 @@
 	return values.EvacuationBound.Get()
 }
 
-// pollBound is the time within which everything that polls read must be in force.
+// pollBound returns the time within which all polled data must be in force.
 func (p *platformDistribution) pollBound() time.Duration {
 	bound := p.path.settings.Load().Platform.ApplyBound.Get()
 	if p.freshness.WithOrders {
@@ -56,8 +56,7 @@
 	return bound
 }
 
-// ordersReader returns the function that receives the store's orders, nil where operators give
-// none.
+// ordersReader returns the callback for orders read from the store, or nil if orders are disabled.
 func (p *platformDistribution) ordersReader() func(*orders.Set) {
 	if !p.freshness.WithOrders {
 		return nil
@@ -65,8 +64,7 @@
 	return p.readOrders
 }
 
-// ordersInForce returns the orders that are exchanged with other daemons, nil where operators give
-// none.
+// ordersInForce returns the orders to exchange with other daemons, or nil if orders are disabled.
 func (p *platformDistribution) ordersInForce() *orders.Current {
 	if !p.freshness.WithOrders {
 		return nil
@@ -74,37 +72,36 @@
 	return p.path.orders
 }
 
-// ordersKnown reports whether orders are in force, or operators give none. No configuration is put
-// in force before.
+// ordersKnown reports whether orders are in force or disabled. Configurations are deferred until then.
 func (p *platformDistribution) ordersKnown() bool {
 	versions, _ := p.freshness.InForce()
 	return !p.freshness.WithOrders || versions.Orders > 0
 }
 
-// holdBack keeps a configuration until the first orders are known, so that no call is sent
-// before, and reports whether it did; p.mutex is held.
+// holdBack defers a configuration until the first orders are known, so that no call is sent before,
+// and reports whether it did. The caller holds p.mutex.
 func (p *platformDistribution) holdBack(configuration *lapisv1.Configuration) bool {
 	if p.ordersKnown() {
 		return false
 	}
-	if configuration.GetRevision() > p.orders.held.GetRevision() {
-		p.orders.held = configuration
+	if configuration.GetRevision() > p.orders.deferred.GetRevision() {
+		p.orders.deferred = configuration
 	}
 	return true
 }
 
-// releaseHeld offers the configuration that was held back.
-func (p *platformDistribution) releaseHeld() {
+// releaseDeferred offers the deferred configuration, if any.
+func (p *platformDistribution) releaseDeferred() {
 	p.mutex.Lock()
-	held := p.orders.held
-	p.orders.held = nil
+	deferred := p.orders.deferred
+	p.orders.deferred = nil
 	p.mutex.Unlock()
-	if held != nil {
-		p.Offer(held)
+	if deferred != nil {
+		p.Offer(deferred)
 	}
 }
 
-// readOrders offers the store's answer.
+// readOrders applies orders read from the store.
 func (p *platformDistribution) readOrders(set *orders.Set) {
 	p.applyOrders(fromStore, func() (*orders.Set, bool) { return p.path.orders.ApplyStored(set) })
 }
@@ -114,8 +111,8 @@
 	p.applyOrders(from, func() (*orders.Set, bool) { return p.path.orders.ApplyReceived(set) })
 }
 
-// applyOrders puts orders in force if replace finds them newer, and passes them on; by is
-// who brought them.
+// applyOrders puts orders in force if replace reports them as newer, and passes them on to other
+// daemons. by is their origin: a daemon or the store.
 func (p *platformDistribution) applyOrders(by string, replace func() (before *orders.Set, replaced bool)) {
 	p.orders.mutex.Lock()
 	defer p.orders.mutex.Unlock()
@@ -132,27 +129,27 @@
 	p.fleet.SpreadOrders()
 	p.fleet.SendHeartbeats()
 	if before == nil {
-		p.releaseHeld()
+		p.releaseDeferred()
 	}
 }
 
-// followOrders puts orders in force for the instances beside the daemon; attempts of calls
-// read the current set themselves.
+// followOrders applies orders to the local instances and logs them. Attempts of calls read the current
+// set directly.
 func (p *platformDistribution) followOrders(before, now *orders.Set, by string) {
 	if p.rollouts != nil {
-		p.rollouts.ordered(now)
+		p.rollouts.applyOrders(now)
 	}
 	p.path.origin.SetEvacuated(now.Evacuated(p.path.settings.Load().Zone))
 	p.path.logger.Info("orders.in_force", "revision", position.Position(now.Revision()), "before", position.Position(before.Revision()), "zones", strings.Join(now.Zones(), ","), "by", by)
 	for _, zone := range now.Zones() {
-		if !p.orders.unknown[zone] && !p.fleet.ZoneKnown(zone) {
-			p.orders.unknown[zone] = true
+		if !p.orders.unknownZones[zone] && !p.fleet.ZoneKnown(zone) {
+			p.orders.unknownZones[zone] = true
 			p.path.logger.Info("orders.zone_unknown", "zone", zone)
 		}
 	}
-	for zone := range p.orders.unknown {
+	for zone := range p.orders.unknownZones {
 		if !now.Evacuated(zone) {
-			delete(p.orders.unknown, zone)
+			delete(p.orders.unknownZones, zone)
 		}
 	}
 }
--- a/internal/daemon/platform_orders_test.go
+++ b/internal/daemon/platform_orders_test.go
@@ -16,9 +16,9 @@
 	"github.com/lapisvane/lapisvane/internal/transport/callmux"
 )
 
-// startedLongAgo is a daemon of zone z whose time to wait for others is over, with the
-// lines that it logs about orders.
-func startedLongAgo(t *testing.T, ordersBound time.Duration) (part *platformDistribution, lines *[]string) {
+// newPlatformDaemon returns the distribution of a daemon in zone z that is past its readyGracePeriod,
+// and the lines that it logs about orders.
+func newPlatformDaemon(t *testing.T, ordersBound time.Duration) (platform *platformDistribution, lines *[]string) {
 	config := settings.DefaultDaemon()
 	config.Node, config.Zone, config.PeerAddress = "a", "z", "127.0.0.1:0"
 	config.EvacuationBound = tunables.Duration(ordersBound)
@@ -28,86 +28,86 @@
 			*lines = append(*lines, line)
 		}
 	}, funcr.Options{})
-	running, err := New(&config, Options{Logger: logger, Platform: idlePlatform{}})
+	running, err := New(&config, Options{Logger: logger, Platform: stubPlatform{}})
 	assert.NilError(t, err)
 	t.Cleanup(running.listeners.close)
-	part = platformPart(t, running)
-	part.started = time.Now().Add(-2 * readyGrace)
-	return part, lines
+	platform = platformDistributionOf(t, running)
+	platform.started = time.Now().Add(-2 * readyGracePeriod)
+	return platform, lines
 }
 
-func evacuating(revision, given uint64, zones ...string) *orders.Set {
+func evacuationOrders(revision, evacuationRevision uint64, zones ...string) *orders.Set {
 	message := &lapisv1.Orders{Revision: revision}
 	for _, zone := range zones {
-		message.Evacuations = append(message.Evacuations, &lapisv1.Evacuation{Zone: zone, Revision: given})
+		message.Evacuations = append(message.Evacuations, &lapisv1.Evacuation{Zone: zone, Revision: evacuationRevision})
 	}
 	return orders.NewSet(message)
 }
 
-// A daemon that starts puts no configuration in force, so that it sends nothing, and is
-// not ready before it knows the orders, be it from a neighbour or from the store.
+// A starting daemon puts no configuration in force, and so sends no calls, and is not ready before it
+// has received the orders from another daemon or from the store.
 func TestNothingIsSentBeforeTheOrdersAreKnown(t *testing.T) {
 	for name, learn := range map[string]func(*platformDistribution, *orders.Set){
-		"neighbour": func(p *platformDistribution, set *orders.Set) { p.OfferOrders(set, "b") },
-		"store":     func(p *platformDistribution, set *orders.Set) { p.readOrders(set) },
+		"other daemon": func(p *platformDistribution, set *orders.Set) { p.OfferOrders(set, "b") },
+		"store":        func(p *platformDistribution, set *orders.Set) { p.readOrders(set) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			part, _ := startedLongAgo(t, 5*time.Second)
+			platform, _ := newPlatformDaemon(t, 5*time.Second)
 			for _, revision := range []uint64{7, 5} {
-				part.Offer(configurationOf(t, revision, "/new/"))
+				platform.Offer(configurationOf(t, revision, "/new/"))
 			}
-			assert.Assert(t, !part.ready())
-			assert.Equal(t, part.path.revision(), uint64(0))
-			inForceFirst := false
-			part.orders.follow = func(_, _ *orders.Set, _ string) {
-				part.Offer(configurationOf(t, 6, "/while/"))
-				inForceFirst = part.path.revision() == 0 && !part.ready()
+			assert.Assert(t, !platform.ready())
+			assert.Equal(t, platform.path.revision(), uint64(0))
+			ordersFirst := false
+			platform.orders.follow = func(_, _ *orders.Set, _ string) {
+				platform.Offer(configurationOf(t, 6, "/while/"))
+				ordersFirst = platform.path.revision() == 0 && !platform.ready()
 			}
-			learn(part, evacuating(3, 3, "z"))
-			assert.Assert(t, inForceFirst && part.ready())
-			assert.Equal(t, part.path.revision(), uint64(7))
-			assert.Equal(t, heartbeatOf(part.freshness), callmux.Heartbeat{Revision: 7, Orders: 3})
-			assert.Assert(t, part.path.orders.Evacuated("z"))
+			learn(platform, evacuationOrders(3, 3, "z"))
+			assert.Assert(t, ordersFirst && platform.ready())
+			assert.Equal(t, platform.path.revision(), uint64(7))
+			assert.Equal(t, heartbeatOf(platform.freshness), callmux.Heartbeat{Revision: 7, Orders: 3})
+			assert.Assert(t, platform.path.orders.Evacuated("z"))
 		})
 	}
 }
 
-// Where operators give no orders, none are waited for, asked for or sent.
+// If orders are disabled, the daemon does not wait for them, poll them or send them.
 func TestNoOrdersWhereNoneAreGiven(t *testing.T) {
-	part, lines := startedLongAgo(t, 0)
-	part.Offer(configurationOf(t, 7, "/new/"))
-	assert.Assert(t, part.ready())
-	assert.Assert(t, part.follower.ApplyOrders == nil && part.ordersInForce() == nil)
+	platform, lines := newPlatformDaemon(t, 0)
+	platform.Offer(configurationOf(t, 7, "/new/"))
+	assert.Assert(t, platform.ready())
+	assert.Assert(t, platform.follower.ApplyOrders == nil && platform.ordersInForce() == nil)
 	assert.Equal(t, len(*lines), 0)
 }
 
-// What an order does is logged: put in force with who brought it, given again, for a
-// zone that nobody is in (once), and taken away.
+// Log lines state that orders were put in force, with their origin, were given again, name a zone
+// without daemons (once), and were withdrawn.
 func TestOrdersAreLogged(t *testing.T) {
-	part, lines := startedLongAgo(t, 5*time.Second)
-	expect := func(what string, wanted ...string) {
+	platform, lines := newPlatformDaemon(t, 5*time.Second)
+	expect := func(step string, wanted ...string) {
 		t.Helper()
-		assert.Equal(t, len(*lines), len(wanted), "%s: %v", what, *lines)
+		assert.Equal(t, len(*lines), len(wanted), "%s: %v", step, *lines)
 		for index, words := range wanted {
 			for _, word := range strings.Fields(words) {
-				assert.Assert(t, strings.Contains((*lines)[index], word), "%s: no %s in %s", what, word, (*lines)[index])
+				assert.Assert(t, strings.Contains((*lines)[index], word), "%s: %s is missing in %s", step, word, (*lines)[index])
 			}
 		}
 		*lines = nil
 	}
-	part.OfferOrders(evacuating(3, 3), "b")
-	expect("none yet", `"orders.in_force" "revision"="3" "before"="0" "zones"="" "by"="b"`)
-	part.readOrders(evacuating(5, 5, "z", "nowhere"))
+	platform.OfferOrders(evacuationOrders(3, 3), "b")
+	expect("no orders yet", `"orders.in_force" "revision"="3" "before"="0" "zones"="" "by"="b"`)
+	platform.readOrders(evacuationOrders(5, 5, "z", "nowhere"))
 	expect("given", `"orders.in_force" "revision"="5" "before"="3" "zones"="nowhere,z" "by"="store"`, `"orders.zone_unknown" "zone"="nowhere"`)
-	part.readOrders(evacuating(6, 5, "z", "nowhere"))
-	expect("the same")
-	part.readOrders(evacuating(8, 8, "nowhere"))
-	expect("taken away and given again", `"orders.given_again" "zone"="nowhere"`, `"orders.in_force" "zones"="nowhere"`)
-	assert.Assert(t, part.path.orders.Evacuated("nowhere") && !part.path.orders.Evacuated("z"))
-	part.OfferOrders(evacuating(5, 5, "z"), "c")
+	platform.readOrders(evacuationOrders(6, 5, "z", "nowhere"))
+	expect("unchanged")
+	platform.readOrders(evacuationOrders(8, 8, "nowhere"))
+	expect("one withdrawn, one given again", `"orders.given_again" "zone"="nowhere"`, `"orders.in_force" "zones"="nowhere"`)
+	assert.Assert(t, platform.path.orders.Evacuated("nowhere") && !platform.path.orders.Evacuated("z"))
+	platform.OfferOrders(evacuationOrders(5, 5, "z"), "c")
 	expect("older")
 	registry := prometheus.NewRegistry()
-	part.RegisterMetrics(registry)
+	platform.RegisterMetrics(registry)
 	families, err := registry.Gather()
 	assert.NilError(t, err)
 	measured := map[string]float64{}
@@ -117,6 +117,6 @@
 	assert.Equal(t, measured["lapisvane_orders_revision"], 8.0)
 	assert.Equal(t, measured["lapisvane_orders_evacuated_zones"], 1.0)
 	assert.Equal(t, measured["lapisvane_confirmation_age_seconds"], -1.0)
-	part.OfferOrders(evacuating(9, 9), "c")
-	expect("taken away", `"orders.in_force" "revision"="9" "before"="8" "zones"="" "by"="c"`)
+	platform.OfferOrders(evacuationOrders(9, 9), "c")
+	expect("withdrawn", `"orders.in_force" "revision"="9" "before"="8" "zones"="" "by"="c"`)
 }
--- a/internal/daemon/platform_rollouts.go
+++ b/internal/daemon/platform_rollouts.go
@@ -13,64 +13,64 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
 )
 
-// restingTick is how often a daemon looks at orders that have ended: nothing of them is urgent, and
-// instances of a version that gets no calls may become the only ones.
-const restingTick = time.Second
+// idleTickInterval is the interval at which a daemon evaluates orders that have ended. They are not
+// urgent, but must be evaluated since instances of a version without calls may become the only ones.
+const idleTickInterval = time.Second
 
-// rollouts is a daemon's part in roll-outs. It implements fleet.RolloutObserver, rollout.Links and
-// rollout.Instances.
+// rollouts connects the rollout.Runner of a daemon with the fleet and the request path. It implements
+// fleet.RolloutObserver, rollout.Links and rollout.Instances.
 type rollouts struct {
-	part   *platformDistribution
-	runner *rollout.Runner
+	distribution *platformDistribution
+	runner       *rollout.Runner
 
-	// newest gives the revision of the newest state known of each order's object, by its name;
-	// ordersState.mutex protects it.
-	newest map[string]uint64
-	// linked are the orders for which links to deciders are kept, probed the daemons beside the
-	// instances that are probed for them; run owns both.
-	linked []rollout.Identity
-	probed []string
+	// newestRevisions holds the revision of the newest known state of each order's object, by name. It
+	// is protected by ordersState.mutex.
+	newestRevisions map[string]uint64
+	// linkedOrders are the orders for which links to deciders are kept. probedNodes are the daemons next
+	// to the instances that are probed for them. Both are used only by the goroutine of run.
+	linkedOrders []rollout.Identity
+	probedNodes  []string
 
-	// mutex protects what is below: heard is the incarnation of each daemon from which a word came
-	// last, newcomers holds back the instances beside this daemon.
-	mutex     sync.Mutex
-	heard     map[string]uint64
-	newcomers rollout.Newcomers
+	// mutex protects the fields below. incarnations holds the incarnation of each daemon in its last
+	// RolloutWord. newcomers decides which local instances are not announced yet.
+	mutex        sync.Mutex
+	incarnations map[string]uint64
+	newcomers    rollout.Newcomers
 }
 
-// newRollouts returns the daemon's part in roll-outs, nil where operators order none.
+// newRollouts returns the rollouts of a daemon, or nil if roll-outs are disabled.
 func newRollouts(p *platformDistribution, incarnation uint64) *rollouts {
 	values := p.path.settings.Load()
 	if !values.Rollouts.On() {
 		return nil
 	}
-	part := &rollouts{
-		part: p, newest: map[string]uint64{}, heard: map[string]uint64{},
+	r := &rollouts{
+		distribution: p, newestRevisions: map[string]uint64{}, incarnations: map[string]uint64{},
 		newcomers: rollout.Newcomers{Longest: values.Platform.ApplyBound.Get()},
 	}
-	part.runner = rollout.NewRunner(rollout.RunnerConfig{
-		Node: values.Node, Incarnation: incarnation, Store: p.platform.Rollouts(), Links: part, Instances: part,
+	r.runner = rollout.NewRunner(rollout.RunnerConfig{
+		Node: values.Node, Incarnation: incarnation, Store: p.platform.Rollouts(), Links: r, Instances: r,
 		ExposureShare: values.Rollouts.ExposureShare, Logger: p.path.logger, Now: time.Now,
 	})
-	return part
+	return r
 }
 
-// trafficOf returns how the request path finds the roll-out of a service, nil where operators order
-// none.
+// trafficOf returns the function by which the request path looks up the roll-out of a service, or nil
+// if roll-outs are disabled.
 func trafficOf(d *Daemon) func(service string) *rollout.Traffic {
 	if !d.settings.Load().Rollouts.On() {
 		return nil
 	}
 	return func(service string) *rollout.Traffic {
-		part, onPlatform := d.distribution.(*platformDistribution)
+		platform, onPlatform := d.distribution.(*platformDistribution)
 		if !onPlatform {
 			return nil
 		}
-		return part.rollouts.runner.Traffic(service)
+		return platform.rollouts.runner.Traffic(service)
 	}
 }
 
-// observer returns what receives other daemons' words, nil where there are no roll-outs.
+// observer returns the fleet.RolloutObserver, or a nil interface if roll-outs are disabled.
 func (r *rollouts) observer() fleet.RolloutObserver {
 	if r == nil {
 		return nil
@@ -78,7 +78,7 @@
 	return r
 }
 
-// run decides until ctx ends.
+// run makes roll-out decisions and announces newcomers periodically until ctx ends.
 func (r *rollouts) run(ctx context.Context) {
 	ticker := time.NewTicker(rollout.TickEvery)
 	defer ticker.Stop()
@@ -94,10 +94,10 @@
 	}
 }
 
-// decide decides if it is time to, and returns when that was last done.
+// decide runs the runner if it is due, updates the links, and returns the time of the last run.
 func (r *rollouts) decide(ctx context.Context, now, decided time.Time) time.Time {
 	running := r.runner.Running()
-	if !r.runner.Idle() && (len(running) > 0 || now.Sub(decided) >= restingTick) {
+	if !r.runner.Idle() && (len(running) > 0 || now.Sub(decided) >= idleTickInterval) {
 		r.runner.Tick(ctx)
 		running, decided = r.runner.Running(), now
 	}
@@ -105,75 +105,76 @@
 	return decided
 }
 
-// linkToDeciders keeps links to the daemons that decide, so that these are in touch with all, and to
-// those beside the instances that are probed.
+// linkToDeciders maintains links to the daemons that decide on roll-outs, so that each decider is
+// connected to all daemons, and to the daemons next to probed instances.
 func (r *rollouts) linkToDeciders(running []rollout.Identity) {
 	probed := r.runner.ProbedNodes()
-	if slices.Equal(running, r.linked) && slices.Equal(probed, r.probed) {
+	if slices.Equal(running, r.linkedOrders) && slices.Equal(probed, r.probedNodes) {
 		return
 	}
-	r.linked, r.probed = running, probed
+	r.linkedOrders, r.probedNodes = running, probed
 	rankings := make([]fleet.Ranking, 0, len(running))
 	for _, order := range running {
 		rankings = append(rankings, order.Rank)
 	}
-	r.part.fleet.LinkToFirst(rankings, rollout.Deciders, probed)
+	r.distribution.fleet.LinkToFirst(rankings, rollout.Deciders, probed)
 }
 
-// ordered takes in the orders that the set now in force states; ordersState.mutex is held. A set
-// from before the newest state known of an order's object says nothing of its end.
-func (r *rollouts) ordered(now *orders.Set) {
+// applyOrders passes the roll-out orders of the set to the runner. The caller holds ordersState.mutex. An
+// order that is missing from the set has ended only if the set is newer than the newest known state of
+// the order's object.
+func (r *rollouts) applyOrders(now *orders.Set) {
 	stated := map[string]bool{}
 	for _, message := range now.Rollouts() {
 		stated[message.GetName()] = true
-		r.newest[message.GetName()] = max(message.GetRevision(), r.newest[message.GetName()])
+		r.newestRevisions[message.GetName()] = max(message.GetRevision(), r.newestRevisions[message.GetName()])
 		order := rollout.OrderOf(message)
 		r.runner.Ordered(message.GetName(), &order)
 	}
-	for name, revision := range r.newest {
+	for name, revision := range r.newestRevisions {
 		if !stated[name] && now.Revision() > revision {
-			delete(r.newest, name)
+			delete(r.newestRevisions, name)
 			r.runner.Ordered(name, nil)
 		}
 	}
 }
 
-// admit returns the instances beside this daemon that others may be told of.
+// admit returns the local instances that may be announced to other daemons.
 func (r *rollouts) admit(endpoints []*lapisv1.Endpoint) []*lapisv1.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	around := rollout.Surroundings{
-		Versions: r.versions, Ordered: r.runner.Names, Confirmed: r.part.freshness.Confirmed(),
+	surroundings := rollout.Surroundings{
+		Versions: r.versions, Ordered: r.runner.Names, Confirmed: r.distribution.freshness.Confirmed(),
 	}
-	return r.newcomers.Admit(endpoints, around, time.Now())
+	return r.newcomers.Admit(endpoints, surroundings, time.Now())
 }
 
-// versions returns the versions of the instances known of a service.
+// versions returns the set of versions of a service's known instances.
 func (r *rollouts) versions(service string) map[string]bool {
 	versions := map[string]bool{}
-	for _, endpoint := range r.part.fleet.Endpoints(service) {
+	for _, endpoint := range r.distribution.fleet.Endpoints(service) {
 		versions[endpoint.GetVersion()] = true
 	}
 	return versions
 }
 
-// releaseNewcomers tells others of the instances that need not be held back any more.
+// releaseNewcomers announces local instances that no longer have to be held back.
 func (r *rollouts) releaseNewcomers() {
 	r.mutex.Lock()
 	holding := r.newcomers.Holding()
 	r.mutex.Unlock()
 	if holding {
-		r.part.SetLocalEndpoints(r.part.path.origin.Advertised())
+		r.distribution.SetLocalEndpoints(r.distribution.path.origin.Advertised())
 	}
 }
 
-// Word implements fleet.RolloutObserver. What an earlier incarnation of the daemon said holds no
-// more.
+// Word implements fleet.RolloutObserver. A message from a new incarnation of a daemon invalidates those
+// of its earlier incarnation.
 func (r *rollouts) Word(message *lapisv1.RolloutWord) {
 	word := rollout.WordOf(message)
 	r.mutex.Lock()
-	before, known := r.heard[word.Node]
-	r.heard[word.Node] = word.Incarnation
+	before, known := r.incarnations[word.Node]
+	r.incarnations[word.Node] = word.Incarnation
 	r.mutex.Unlock()
 	if known && before != word.Incarnation {
 		r.runner.Lost(word.Node)
@@ -185,7 +186,7 @@
 func (r *rollouts) Report(message *lapisv1.RolloutReport) {
 	report, err := rollout.ReportOf(message)
 	if err != nil {
-		r.part.path.logger.Error(err, "rollout.report_refused", "member", message.GetNode())
+		r.distribution.path.logger.Error(err, "rollout.report_refused", "member", message.GetNode())
 		return
 	}
 	r.runner.Reported(message.GetService(), report)
@@ -194,36 +195,36 @@
 // Unlinked implements fleet.RolloutObserver.
 func (r *rollouts) Unlinked(node string) {
 	r.mutex.Lock()
-	delete(r.heard, node)
+	delete(r.incarnations, node)
 	r.mutex.Unlock()
 	r.runner.Lost(node)
 }
 
 // Members implements rollout.Links.
-func (r *rollouts) Members() []string { return r.part.fleet.InTouch() }
+func (r *rollouts) Members() []string { return r.distribution.fleet.InTouch() }
 
 // Known implements rollout.Links.
-func (r *rollouts) Known() int { return r.part.fleet.Running() }
+func (r *rollouts) Known() int { return r.distribution.fleet.Running() }
 
 // Serving implements rollout.Links.
-func (r *rollouts) Serving(service string) int { return r.part.fleet.Serving(service) }
+func (r *rollouts) Serving(service string) int { return r.distribution.fleet.Serving(service) }
 
 // Spread implements rollout.Links.
 func (r *rollouts) Spread(word rollout.Word, nodes []string) {
-	r.part.fleet.SpreadWord(rollout.WordMessage(word), nodes)
+	r.distribution.fleet.SpreadWord(rollout.WordMessage(word), nodes)
 }
 
 // Tell implements rollout.Links.
 func (r *rollouts) Tell(node, service string, report rollout.Report) {
-	r.part.fleet.TellReport(node, rollout.ReportMessage(service, report))
+	r.distribution.fleet.TellReport(node, rollout.ReportMessage(service, report))
 }
 
-// Of implements rollout.Instances. Those of evacuated zones are among them; those out of reach count
-// as cold, so that they are not probed.
+// Of implements rollout.Instances. The result includes instances in evacuated zones. Unreachable
+// instances count as cold, so that they are not probed.
 func (r *rollouts) Of(service string) (endpoints []*lapisv1.Endpoint, cold func(*lapisv1.Endpoint) bool) {
 	now := time.Now()
 	warm := map[string]bool{}
-	for _, target := range r.part.path.balancer.Targets(service) {
+	for _, target := range r.distribution.path.balancer.Targets(service) {
 		if !mayGetCalls(target) {
 			continue
 		}
@@ -233,7 +234,7 @@
 	return endpoints, func(endpoint *lapisv1.Endpoint) bool { return !warm[endpoint.GetInstance()] }
 }
 
-// mayGetCalls reports whether an instance is there and does not leave.
+// mayGetCalls reports whether an instance is present and not leaving.
 func mayGetCalls(target *balance.Target) bool {
 	state := target.Endpoint.GetState()
 	return state == lapisv1.Endpoint_STATE_READY || state == lapisv1.Endpoint_STATE_SUSPECT
--- a/internal/daemon/platform_rollouts_test.go
+++ b/internal/daemon/platform_rollouts_test.go
@@ -16,23 +16,23 @@
 	"github.com/lapisvane/lapisvane/internal/model/rollout"
 )
 
-// deafStore is a store of roll-outs that answers nothing.
-type deafStore struct{}
+// silentStore is a rollout.Store that never answers.
+type silentStore struct{}
 
-func (deafStore) WriteStatus(_ context.Context, write rollout.Write) rollout.Answer {
+func (silentStore) WriteStatus(_ context.Context, write rollout.Write) rollout.Answer {
 	return rollout.Answer{Write: write, Outcome: rollout.OutcomeUnknown}
 }
-func (deafStore) Ask(context.Context, string) (*rollout.Order, error) { return nil, context.Canceled }
-func (deafStore) AnsweredAt() time.Time                               { return time.Time{} }
+func (silentStore) Ask(context.Context, string) (*rollout.Order, error) { return nil, context.Canceled }
+func (silentStore) AnsweredAt() time.Time                               { return time.Time{} }
 
-// rollingPlatform is a platform with such a store.
-type rollingPlatform struct{ idlePlatform }
+// rolloutPlatform is a Platform with an silentStore.
+type rolloutPlatform struct{ stubPlatform }
 
-func (rollingPlatform) Rollouts() rollout.Store { return deafStore{} }
+func (rolloutPlatform) Rollouts() rollout.Store { return silentStore{} }
 
-// followRollout returns the part in roll-outs of a daemon that follows an order which came
-// to be at revision 5, and what it decides then: the names of its lines.
-func followRollout(t *testing.T) (part *rollouts, decide func() (lines string)) {
+// followRollout returns the rollouts of a daemon with an order created at revision 5. decide runs the
+// runner once and returns all lines logged so far.
+func followRollout(t *testing.T) (followed *rollouts, decide func() (lines string)) {
 	t.Helper()
 	config := settings.DefaultDaemon()
 	config.Node, config.Zone, config.PeerAddress = "a", "z", "127.0.0.1:0"
@@ -44,22 +44,22 @@
 		defer mutex.Unlock()
 		lines += line
 	}, funcr.Options{})
-	running, err := New(&config, Options{Logger: logger, Platform: rollingPlatform{}})
+	running, err := New(&config, Options{Logger: logger, Platform: rolloutPlatform{}})
 	assert.NilError(t, err)
 	t.Cleanup(running.listeners.close)
-	part = platformPart(t, running).rollouts
-	part.ordered(rolling(6, 5))
-	return part, func() string {
-		part.runner.Tick(t.Context())
+	followed = platformDistributionOf(t, running).rollouts
+	followed.applyOrders(rolloutOrders(6, 5))
+	return followed, func() string {
+		followed.runner.Tick(t.Context())
 		mutex.Lock()
 		defer mutex.Unlock()
 		return lines
 	}
 }
 
-// rolling are orders at a revision with a roll-out that came to be at another one, 0 for
-// none.
-func rolling(revision, created uint64) *orders.Set {
+// rolloutOrders returns orders at a revision with a roll-out created at the revision created, or without
+// one if created is 0.
+func rolloutOrders(revision, created uint64) *orders.Set {
 	message := &lapisv1.Orders{Revision: revision}
 	if created > 0 {
 		order := rollout.Order{Service: "desk", Identity: identityAt(created), Revision: created}
@@ -72,46 +72,46 @@
 	return rollout.Identity{Created: created, Target: "v2", Duration: time.Minute}
 }
 
-// wordOf is one of another daemon.
+// wordOf returns a RolloutWord message from daemon b.
 func wordOf(incarnation uint64, phase rollout.Phase) *lapisv1.RolloutWord {
 	return rollout.WordMessage(rollout.Word{
 		Service: "desk", Node: "b", Incarnation: incarnation, Sequence: 1, Order: identityAt(5), Phase: phase,
 	})
 }
 
-// What a daemon said holds no more once it started again, whatever number it has then, or
-// once it cannot be heard.
+// The messages of a daemon are invalid after it has restarted, whether its new incarnation is higher or
+// lower, and after its link is lost.
 func TestWordsHoldWhileTheirDaemonIsHeard(t *testing.T) {
 	const step = `"to"="rolling_back"`
 	for name, row := range map[string]struct {
-		happens func(*rollouts)
-		follows bool
+		event     func(*rollouts)
+		rollsBack bool
 	}{
-		"nothing": {func(*rollouts) {}, false},
-		"heard":   {func(part *rollouts) { part.Word(wordOf(9, rollout.PhaseRollingBack)) }, true},
-		"heard again": {func(part *rollouts) {
-			part.Word(wordOf(9, rollout.PhaseProbing))
-			part.Word(wordOf(3, rollout.PhaseRollingBack))
+		"nothing":  {func(*rollouts) {}, false},
+		"received": {func(followed *rollouts) { followed.Word(wordOf(9, rollout.PhaseRollingBack)) }, true},
+		"received after a restart": {func(followed *rollouts) {
+			followed.Word(wordOf(9, rollout.PhaseProbing))
+			followed.Word(wordOf(3, rollout.PhaseRollingBack))
 		}, true},
-		"lost": {func(part *rollouts) {
-			part.Word(wordOf(9, rollout.PhaseRollingBack))
-			part.Unlinked("b")
+		"link lost": {func(followed *rollouts) {
+			followed.Word(wordOf(9, rollout.PhaseRollingBack))
+			followed.Unlinked("b")
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			part, decide := followRollout(t)
-			row.happens(part)
-			assert.Equal(t, strings.Contains(decide(), step), row.follows)
+			followed, decide := followRollout(t)
+			row.event(followed)
+			assert.Equal(t, strings.Contains(decide(), step), row.rollsBack)
 		})
 	}
 }
 
-// A set from before the order came to be does not take it away; a later one does.
+// A set of orders that is older than a roll-out does not withdraw it; a newer set without it does.
 func TestOlderOrdersTakeNoRolloutAway(t *testing.T) {
-	for revision, gone := range map[uint64]bool{4: false, 5: false, 7: true} {
-		part, decide := followRollout(t)
-		part.ordered(rolling(revision, 0))
-		assert.Equal(t, strings.Contains(decide(), `"reading"="withdrawn"`), gone, "revision %d", revision)
-		assert.Equal(t, len(part.runner.Running()) > 0, !gone)
+	for revision, withdrawn := range map[uint64]bool{4: false, 5: false, 7: true} {
+		followed, decide := followRollout(t)
+		followed.applyOrders(rolloutOrders(revision, 0))
+		assert.Equal(t, strings.Contains(decide(), `"reading"="withdrawn"`), withdrawn, "revision %d", revision)
+		assert.Equal(t, len(followed.runner.Running()) > 0, !withdrawn)
 	}
 }
--- a/internal/daemon/platformapi/platform.go
+++ b/internal/daemon/platformapi/platform.go
@@ -1,7 +1,7 @@
-// Package platformapi is the interface between a daemon and the platform that its machine
-// belongs to, where that is not lapisvane's own object API. It holds types only and owns no
-// state; it relies on the packages that define what an adapter exchanges with them. An
-// adapter translates, nothing more: decisions, state and recovery stay in those packages.
+// Package platformapi defines the interface between a daemon and its machine's platform, if that is not
+// lapisvane's own object API. It contains only types, and relies on the packages that define the data
+// exchanged with an adapter. An adapter only translates: decisions, state and recovery stay in those
+// packages.
 package platformapi
 
 import (
@@ -16,50 +16,48 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/origin"
 )
 
-// Instances receives the heartbeats of the instances beside the daemon. An adapter
-// acknowledges a message once the method has returned.
+// Instances receives the heartbeats of the local instances. An adapter acknowledges a message after the
+// method has returned.
 type Instances interface {
 	// Register records a heartbeat.
 	Register(registration origin.Registration)
-	// WithdrawStart records that the start of an instance that an id and a time name retires; where
-	// the time is 0, that of the id that is known.
+	// WithdrawStart records that an instance retires. The start of the instance is identified by its id
+	// and the time born; if born is 0, the known start with that id retires.
 	WithdrawStart(id string, born uint64)
 }
 
-// RefusedEntry is a class of entries of the platform's store, or of heartbeats, that cannot be used:
-// they may be from another writer.
+// RefusedEntry is a class of invalid entries in the platform's store, or of invalid heartbeats, which
+// may come from other writers.
 type RefusedEntry struct {
-	// Kind is that of the objects, or says that they are heartbeats.
+	// Kind is the kind of the objects; heartbeats have a kind of their own.
 	Kind string
-	// Reason is "unreadable", or what is wrong with a field: "missing", "type" or "value".
+	// Reason is "unreadable", or the fault of a field: "missing", "type" or "value".
 	Reason string
 }
 
 // Platform is the adapter to one platform.
 type Platform interface {
-	// Source is where the configuration in force and the operators' orders come from.
+	// Source returns the source of configurations and of the operators' orders.
 	Source() configsource.Source
-	// Rollouts is where the status of roll-outs is written, each time under the condition that
-	// the order's object is unchanged.
+	// Rollouts returns the store for the status of roll-outs. Each write is conditional on the order's
+	// object being unchanged.
 	Rollouts() rollout.Store
-	// Directory is where daemons find each other.
+	// Directory returns the directory through which daemons discover each other.
 	Directory() fleet.Directory
-	// Quarantine stores the records of requests under which instances crashed, so that they
-	// outlast all daemons.
+	// Quarantine returns the store for records of requests that are suspected of crashing instances. It
+	// persists them beyond the lifetime of all daemons.
 	Quarantine() quarantine.Store
-	// RefusedEntries returns the numbers of entries and heartbeats that could not be used, since
-	// the start.
+	// RefusedEntries returns the numbers of invalid entries and heartbeats since the start.
 	RefusedEntries() map[RefusedEntry]int64
-	// OnStoreReturn has a function called each time that the platform's store has come back
-	// from a copy of itself: what was written there lately is gone. It is called in the
-	// background and may be called late.
+	// OnStoreReturn registers a function that is called after each restoration of the platform's store
+	// from an older copy of its data, which loses recent writes. It is called in the background and may
+	// be called late.
 	OnStoreReturn(returned func())
-	// Envelope names the header fields of requests and answers.
+	// Envelope returns the names of the header fields of requests and answers.
 	Envelope() callapi.Envelope
-	// ServeInstances serves the heartbeats of the instances beside the daemon
-	// until ctx ends.
+	// ServeInstances serves the heartbeats of the local instances until ctx ends.
 	ServeInstances(ctx context.Context, listener net.Listener, instances Instances)
-	// ServeReadiness answers whether callers may be sent here, until ctx ends.
+	// ServeReadiness answers the platform's readiness checks until ctx ends.
 	ServeReadiness(ctx context.Context, listener net.Listener, ready func() bool)
 	// Close closes the adapter's connections.
 	Close()
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -12,42 +12,41 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Times of reading and writing the records in the platform's store.
+// Intervals and delays for reading and writing the records in the platform's store.
 const (
-	// saveRetryMin and saveRetryMax bound the time between two tries after failures; the
-	// wait doubles from one to the other.
+	// saveRetryMin and saveRetryMax limit the exponential backoff after failures of the store.
 	saveRetryMin = 200 * time.Millisecond
 	saveRetryMax = 5 * time.Second
-	// idleWait is the time between two rounds when nothing is due.
-	idleWait = time.Minute
-	// othersSave is how long the daemon beside the crashed instance has to store its record
-	// before any other daemon does; it must be above a few answers of the store. The others
-	// follow at random within othersSpread, so that one write is usually enough.
-	othersSave   = time.Second
-	othersSpread = 3 * time.Second
-	// loadAgain is when a starting daemon reads the records a second time: the first
-	// answer may be some seconds old.
-	loadAgain = 4 * time.Second
+	// idleSyncInterval is the time between two synchronizations if nothing is due.
+	idleSyncInterval = time.Minute
+	// remoteSaveDelay is how long daemons wait before they store a record of another daemon, so that
+	// the daemon next to the crashed instance can store it first. It must be above a few round trips
+	// to the store. A random part of remoteSaveJitter is added, so that one write is usually enough.
+	remoteSaveDelay  = time.Second
+	remoteSaveJitter = 3 * time.Second
+	// secondLoadDelay is the time after startup at which the records are read a second time, since
+	// the first answer of the store may be some seconds old.
+	secondLoadDelay = 4 * time.Second
 )
 
-// suspects joins the registry of requests under which instances crashed with other daemons
-// and the platform's store. It reports crashes for the origin and answers the gateway
+// suspects synchronizes the registry of requests that are suspected of crashing instances with other
+// daemons and the platform's store. It receives crashes from the origin and decides for the gateway
 // whether a request is quarantined. It is safe for concurrent use.
 type suspects struct {
 	*quarantine.Registry
 	logger logr.Logger
 	// spread sends records to other daemons.
 	spread func(records []quarantine.Record, from string)
-	// store keeps what must outlast all daemons; nil where there is none.
+	// store persists records beyond the lifetime of all daemons; nil if there is none.
 	store quarantine.Store
-	// dirty wakes the keeper.
-	dirty chan struct{}
+	// changed triggers a synchronization with the store.
+	changed chan struct{}
 }
 
 func newSuspects(logger logr.Logger, store quarantine.Store, spread func(records []quarantine.Record, from string)) *suspects {
 	return &suspects{
 		Registry: quarantine.NewRegistry(boottime.Now), logger: logger,
-		store: store, spread: spread, dirty: make(chan struct{}, 1),
+		store: store, spread: spread, changed: make(chan struct{}, 1),
 	}
 }
 
@@ -65,14 +64,15 @@
 	s.noteChanged(changed, "answer")
 }
 
-// merge adds what another daemon or the store knows.
+// merge adds records from another daemon or from the store.
 func (s *suspects) merge(records []quarantine.Record, from string) {
 	changed := s.Merge(records)
 	s.spread(changed, from)
 	s.noteChanged(changed, from)
 }
 
-// storeReturned writes again what the store may have lost.
+// storeReturned triggers a rewrite of all records, since the store was restored from an older copy of its
+// data and may have lost some.
 func (s *suspects) storeReturned() {
 	s.ForgetStored()
 	s.wake()
@@ -80,12 +80,12 @@
 
 func (s *suspects) wake() {
 	select {
-	case s.dirty <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
-// noteChanged logs each record that changed and wakes the keeper.
+// noteChanged logs the changed records and triggers a synchronization with the store.
 func (s *suspects) noteChanged(changed []quarantine.Record, by string) {
 	if len(changed) == 0 {
 		return
@@ -104,42 +104,43 @@
 	}
 	granted, err := s.store.Try(ctx, verdict.Key, verdict.Trials)
 	s.logger.Info("request.trial", "key", verdict.Key, "ended", verdict.Crashes, "trials", verdict.Trials, "granted", granted, "error", err)
-	// The trial counts for whichever daemon it was granted, and also when the store did not answer.
+	// The trial is counted no matter which daemon it was granted to, and also if the store did not
+	// answer.
 	s.spread(s.NoteTrial(verdict.Key, verdict.Trials+1), "")
 	return granted
 }
 
-// run keeps the records in the store until ctx ends.
+// run synchronizes the records with the store until ctx ends.
 func (s *suspects) run(ctx context.Context) {
-	keeper := &keeper{suspects: s, started: time.Now(), due: map[fingerprint.Key]time.Time{}}
+	syncer := &storeSyncer{suspects: s, started: time.Now(), due: map[fingerprint.Key]time.Time{}}
 	for {
-		wait := keeper.sync(ctx)
+		wait := syncer.sync(ctx)
 		timer := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-s.dirty:
+		case <-s.changed:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// keeper keeps the records in the store; only one goroutine uses it.
-type keeper struct {
+// storeSyncer synchronizes the records with the store. It is used by a single goroutine.
+type storeSyncer struct {
 	*suspects
 	started time.Time
-	// loads counts the successful readings, and retry is the wait after the last failure, 0
-	// after a success.
+	// loads is the number of successful reads. retry is the backoff after the last failure, 0 after a
+	// success.
 	loads int
 	retry time.Duration
-	// due is when this daemon stores a record of another daemon, unless that one has by then.
+	// due is the time at which this daemon stores a record, unless another daemon has stored it.
 	due map[fingerprint.Key]time.Time
 }
 
-// sync does what is due and returns the time until something is due again.
-func (k *keeper) sync(ctx context.Context) time.Duration {
+// sync performs the reads and writes that are due and returns the time until the next ones.
+func (k *storeSyncer) sync(ctx context.Context) time.Duration {
 	wait, err := k.load(ctx)
 	if err == nil {
 		var next time.Duration
@@ -155,13 +156,13 @@
 	return k.retry
 }
 
-// load reads the stored records at the start and once more.
-func (k *keeper) load(ctx context.Context) (next time.Duration, err error) {
+// load reads the stored records at startup and a second time after secondLoadDelay.
+func (k *storeSyncer) load(ctx context.Context) (next time.Duration, err error) {
 	switch {
 	case k.loads > 1:
-		return idleWait, nil
-	case k.loads == 1 && time.Since(k.started) < loadAgain:
-		return loadAgain - time.Since(k.started), nil
+		return idleSyncInterval, nil
+	case k.loads == 1 && time.Since(k.started) < secondLoadDelay:
+		return secondLoadDelay - time.Since(k.started), nil
 	}
 	records, err := k.store.Load(ctx)
 	if err != nil {
@@ -169,17 +170,17 @@
 	}
 	k.loads++
 	k.merge(records, "store")
-	return loadAgain, nil
+	return secondLoadDelay, nil
 }
 
-// save writes the records that the store lacks and removes those that this daemon refuted.
-func (k *keeper) save(ctx context.Context) (next time.Duration, err error) {
-	next = idleWait
-	lacking := k.Unstored()
-	if len(lacking) == 0 {
+// save writes the records that the store does not have and removes those that this daemon refuted.
+func (k *storeSyncer) save(ctx context.Context) (next time.Duration, err error) {
+	next = idleSyncInterval
+	unstored := k.Unstored()
+	if len(unstored) == 0 {
 		clear(k.due)
 	}
-	for _, record := range lacking {
+	for _, record := range unstored {
 		if wait := time.Until(k.dueAt(record)); wait > 0 {
 			next = min(next, wait)
 			continue
@@ -201,13 +202,14 @@
 	return next, nil
 }
 
-// dueAt returns when this daemon stores a record.
-func (k *keeper) dueAt(record quarantine.Record) time.Time {
+// dueAt returns the time at which this daemon stores a record: immediately for its own, after a random
+// delay for records of other daemons.
+func (k *storeSyncer) dueAt(record quarantine.Record) time.Time {
 	at, known := k.due[record.Key]
 	if !known || record.Local {
 		at = time.Now()
 		if !record.Local {
-			at = at.Add(othersSave + time.Duration(rand.Float64()*float64(othersSpread)))
+			at = at.Add(remoteSaveDelay + time.Duration(rand.Float64()*float64(remoteSaveJitter)))
 		}
 		k.due[record.Key] = at
 	}
--- a/internal/daemon/quarantine_test.go
+++ b/internal/daemon/quarantine_test.go
@@ -13,8 +13,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// The time until a trial of a quarantined request is due goes on while the machine is
-// suspended.
+// The time for which the machine is suspended counts towards the time until a trial of a quarantined
+// request.
 func TestTrialBecomesDueWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
--- a/internal/daemon/ratelimits.go
+++ b/internal/daemon/ratelimits.go
@@ -12,17 +12,17 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/gateway"
 )
 
-// accountAllowance begins the names of the allowances of accounts.
-const accountAllowance = "account/"
+// accountAllowancePrefix is the prefix of allowance names that belong to accounts.
+const accountAllowancePrefix = "account/"
 
-// rateLimits keeps the rate limits of accounts, at all daemons together.
+// rateLimits enforces the rate limits of accounts across all daemons.
 type rateLimits struct {
 	snapshots *snapshot.Store
-	// service is set before calls are served.
+	// service is set by newAllowances before calls are served.
 	service *allowance.Service
 }
 
-// newRateLimits returns nil where the settings keep no limits.
+// newRateLimits returns nil if the settings configure no rate limits.
 func newRateLimits(values settings.RateLimits, snapshots *snapshot.Store) *rateLimits {
 	if values == (settings.RateLimits{}) {
 		return nil
@@ -30,7 +30,7 @@
 	return &rateLimits{snapshots: snapshots}
 }
 
-// quota returns what the gateway asks; nil where no limits are kept.
+// quota returns the gateway.Quota, or a nil interface if no rate limits are configured.
 func (r *rateLimits) quota() gateway.Quota {
 	if r == nil {
 		return nil
@@ -41,15 +41,15 @@
 // Take implements gateway.Quota.
 func (r *rateLimits) Take(ctx context.Context, caller *account.Account, late bool) (giveBack func(), err error) {
 	limit := allowance.Limit{Rate: caller.Rate, Burst: caller.Burst}
-	return r.service.Take(ctx, accountAllowance+caller.Name, limit, r.snapshots.Current().Revision, late)
+	return r.service.Take(ctx, accountAllowancePrefix+caller.Name, limit, r.snapshots.Current().Revision, late)
 }
 
 func allowanceBounds(values settings.RateLimits) allowance.Bounds {
 	return allowance.Bounds{Window: time.Duration(values.Window), Overshoot: values.Overshoot, Slack: values.Slack}
 }
 
-// newAllowances returns the service that keeps the limits on the links of the fleet; nil where none are
-// kept.
+// newAllowances returns the service that enforces rate limits by messages over the fleet's links, or
+// nil if no rate limits are configured.
 func (p *platformDistribution) newAllowances(values *settings.Daemon) *allowance.Service {
 	limits := p.path.rateLimits
 	if limits == nil {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -14,25 +14,27 @@
 	"github.com/lapisvane/lapisvane/internal/daemon/settings"
 )
 
-// settingsPoll is how often the settings file is checked: it may change without a signal.
-const settingsPoll = 2 * time.Second
+// settingsPollInterval is the interval at which the settings file is checked for changes, since it may
+// change without a SIGHUP.
+const settingsPollInterval = 2 * time.Second
 
-// reloadable are the settings that take effect while the daemon runs, by the
-// first part of their key.
+// reloadable is the set of settings, by the first part of their key, that take effect without a
+// restart.
 var reloadable = map[string]bool{"service": true, "retries": true, "stop_limit": true}
 
-// reloader applies changes of the settings file.
+// reloader applies changes of the settings file to a running daemon.
 type reloader struct {
 	daemon *Daemon
 	path   string
-	// read reads the file with the flags over it.
+	// read returns the settings from the file, overridden by the flags.
 	read func() (*settings.Daemon, error)
-	// signals asks for the file to be read.
+	// signals receives each SIGHUP, which triggers a reload.
 	signals <-chan os.Signal
-	seen    fileStamp
+	// lastStamp identifies the state of the file at the last reload.
+	lastStamp fileStamp
 }
 
-// fileStamp identifies a state of a file.
+// fileStamp identifies the state of a file by its size and modification time.
 type fileStamp struct {
 	size     int64
 	modified time.Time
@@ -46,10 +48,10 @@
 	return fileStamp{size: info.Size(), modified: info.ModTime()}
 }
 
-// run applies changes until ctx ends.
+// run reloads the settings on signals and file changes until ctx ends.
 func (r *reloader) run(ctx context.Context) {
-	r.seen = stampOf(r.path)
-	ticker := time.NewTicker(settingsPoll)
+	r.lastStamp = stampOf(r.path)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -58,17 +60,16 @@
 		case <-r.signals:
 			r.reload("signal")
 		case <-ticker.C:
-			if now := stampOf(r.path); now != r.seen {
+			if now := stampOf(r.path); now != r.lastStamp {
 				r.reload("file")
 			}
 		}
 	}
 }
 
-// reload reads the file and puts in force what may change; a file that cannot
-// be used changes nothing.
+// reload reads the file and applies the reloadable settings. An invalid file changes nothing.
 func (r *reloader) reload(cause string) {
-	r.seen = stampOf(r.path)
+	r.lastStamp = stampOf(r.path)
 	d := r.daemon
 	next, err := r.read()
 	var changed []string
@@ -89,7 +90,7 @@
 		"need_restart", strings.Join(waiting, ","))
 }
 
-// changedKeys returns the first parts of the keys whose values differ, in order.
+// changedKeys returns the sorted top-level keys whose values differ.
 func changedKeys(before, after *settings.Daemon) (changed []string, err error) {
 	old, err := valuesByKey(before)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return changed, nil
 }
 
-// valuesByKey returns the encoded settings by the first part of their key.
+// valuesByKey returns the JSON encoding of each top-level key.
 func valuesByKey(read *settings.Daemon) (values map[string]json.RawMessage, err error) {
 	encoded, err := json.Marshal(read)
 	if err != nil {
--- a/internal/daemon/requestpath.go
+++ b/internal/daemon/requestpath.go
@@ -21,21 +21,21 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// Times of the end of calls at a planned stop.
+// Intervals and timeouts for finishing calls at a planned stop.
 const (
-	// inFlightPoll is how often a stopping daemon counts its calls in flight. It is well below
-	// answersDrain and cutAnswers.
-	inFlightPoll = 20 * time.Millisecond
-	// cutAnswers bounds how long the answers of cut calls may take to be written. It is above a few
-	// ways of the network, 40 ms between regions.
-	cutAnswers = 300 * time.Millisecond
+	// inFlightPollInterval is the interval at which a stopping daemon counts its calls in flight. It is
+	// well below answerDrainTime and cutAnswerTimeout.
+	inFlightPollInterval = 20 * time.Millisecond
+	// cutAnswerTimeout bounds the time for writing the answers of cut calls. It is above a few one-way
+	// network delays, 40 ms between regions.
+	cutAnswerTimeout = 300 * time.Millisecond
 )
 
-// forcedCause is the cause of calls that are cut because the daemon is told to end at once.
+// forcedCause is the cause logged for calls that are cut by a forced stop.
 const forcedCause = "told to end at once"
 
-// requestPath is what carries calls: from callers to instances of any machine, and from
-// other daemons to the instances beside this one.
+// requestPath holds the components that carry calls: from local callers to instances on any machine,
+// and from other daemons to the local instances.
 type requestPath struct {
 	settings  *atomic.Pointer[settings.Daemon]
 	logger    logr.Logger
@@ -47,16 +47,16 @@
 	callServer *callmux.Server
 	gateway    *gateway.Gateway
 	suspects   *suspects
-	// rateLimits is nil where none are kept.
+	// rateLimits is nil if the settings configure no rate limits.
 	rateLimits *rateLimits
-	// orders are the operators' orders in force; always empty where none are given.
+	// orders holds the operators' orders in force. It stays empty if orders are disabled.
 	orders *orders.Current
-	// killedByForce is that of the daemon's Options.
+	// killedByForce is Options.KilledByForce.
 	killedByForce bool
 }
 
-// newRequestPath builds the parts of the request path; none of them runs yet. The changes
-// that it passes to d.distribution come only after d runs.
+// newRequestPath assembles the request path without starting it. Its callbacks use d.distribution,
+// which is set later; they are not called before d runs.
 func newRequestPath(d *Daemon, network wire.Network, mode mode) *requestPath {
 	values := d.settings.Load()
 	decisions := decision.New(d.logger, values.DecisionLinesPerSecond, time.Now)
@@ -97,7 +97,7 @@
 	return p
 }
 
-// backendsOf returns the back ends that the settings name.
+// backendsOf converts the back ends in the settings.
 func backendsOf(values *settings.Daemon) []origin.BackendConfig {
 	backends := make([]origin.BackendConfig, 0, len(values.Backends))
 	for _, backend := range values.Backends {
@@ -120,7 +120,7 @@
 	return retry.Limits{Fraction: retries.Fraction, Burst: retries.Burst, Shared: true}
 }
 
-// callerService returns the service that runs on this machine.
+// callerService returns the service on this machine, which calls from here name as their caller.
 func (p *requestPath) callerService() string {
 	if service := p.settings.Load().Service; service != "" {
 		return service
@@ -128,7 +128,7 @@
 	return p.origin.LocalService()
 }
 
-// revision returns the configuration revision in force, 0 before the first.
+// revision returns the configuration revision in force, or 0 if there is none yet.
 func (p *requestPath) revision() uint64 {
 	if current := p.snapshots.Current(); current != nil {
 		return current.Revision
@@ -136,31 +136,32 @@
 	return 0
 }
 
-// inFlight returns the number of calls of callers and at instances that are not over.
+// inFlight returns the number of unfinished calls, from callers and at local instances.
 func (p *requestPath) inFlight() int64 {
 	return p.gateway.InFlight() + int64(p.origin.InFlight())
 }
 
-// serving returns the number of calls of callers and at instances that would be cut.
+// serving returns the number of calls, from callers and at local instances, that a stop would cut.
 func (p *requestPath) serving() int64 {
 	return p.gateway.Serving() + int64(p.origin.InFlight())
 }
 
-// settled reports whether the end of the process would take nothing away: no call is in flight, none
-// is coming in, and no answer that was written is still on its way to its caller. Any further byte of that
-// caller would make the kernel drop such an answer once the process is gone: 6 of 400 kB arrived
+// drained reports whether the process can end without losing calls or answers: no call is in flight
+// or being received, and every written answer is acknowledged. If a caller sends anything after the
+// process has ended, the kernel drops the unsent rest of its answer: 6 of 400 kB arrived
 // (TestAnswersAreReadBeforeTheProcessEnds).
-func (p *requestPath) settled() bool {
-	return p.inFlight() == 0 && p.callersSettled() && p.callServer.Undelivered() == 0
+func (p *requestPath) drained() bool {
+	return p.inFlight() == 0 && p.callersDrained() && p.callServer.Undelivered() == 0
 }
 
-// logStopped logs what the end of the process takes away.
+// logStopped logs the number of calls cut and of unfinished requests and answers at the end of the
+// process.
 func (p *requestPath) logStopped(cut int64) {
 	p.logger.Info("daemon.stopped", "cut", cut, "open", p.gateway.InFlight(), "undelivered", p.gateway.Undelivered(),
 		"undelivered_to_daemons", p.callServer.Undelivered(), "unserved", p.gateway.Unserved())
 }
 
-// endByForce ends the calls in flight because the daemon is told to end at once.
+// endByForce cuts the calls in flight on a forced stop and returns their number.
 func (p *requestPath) endByForce() (cut int64) {
 	if p.killedByForce {
 		p.gateway.Close()
@@ -169,8 +170,8 @@
 	return p.endCalls(forcedCause)
 }
 
-// endCalls cuts the calls in flight and waits until their callers have the answers: from a closed
-// connection they could not tell whether the call ran.
+// endCalls cuts the calls in flight and waits, at most cutAnswerTimeout, until their callers have the
+// answers. Without an answer a caller could not determine whether its call ran.
 func (p *requestPath) endCalls(cause string) (cut int64) {
 	p.gateway.Stop()
 	if cut = p.serving(); cut > 0 {
@@ -178,13 +179,14 @@
 	}
 	p.gateway.StopAccepting()
 	p.gateway.Cut()
-	// Else a call would last as long as the writing to a daemon that reads nothing.
+	// Close the connections to other daemons, otherwise a call would last until the write to a daemon
+	// that does not read times out.
 	p.calls.Close()
-	limit := time.NewTimer(cutAnswers)
+	limit := time.NewTimer(cutAnswerTimeout)
 	defer limit.Stop()
-	poll := time.NewTicker(inFlightPoll)
+	poll := time.NewTicker(inFlightPollInterval)
 	defer poll.Stop()
-	for !p.callersSettled() {
+	for !p.callersDrained() {
 		select {
 		case <-limit.C:
 			return cut
@@ -194,12 +196,13 @@
 	return cut
 }
 
-// callersSettled is settled for callers alone: the calls of other daemons are theirs to answer.
-func (p *requestPath) callersSettled() bool {
+// callersDrained is like drained, but only for local callers. The callers of calls from other daemons
+// are answered by those daemons.
+func (p *requestPath) callersDrained() bool {
 	return p.gateway.InFlight() == 0 && p.gateway.Undelivered() == 0 && p.gateway.Receiving() == 0
 }
 
-// stopLimitCause is the cause of calls that are cut when the time of a stop is over.
+// stopLimitCause returns the cause logged for calls that are cut when StopLimit expires.
 func (p *requestPath) stopLimitCause() string {
 	return "stop_limit " + p.settings.Load().StopLimit.Get().String()
 }
--- a/internal/daemon/settings/daemon.go
+++ b/internal/daemon/settings/daemon.go
@@ -1,8 +1,8 @@
-// Package settings reads and checks the settings file of lapisvaned. A file is strict: an
-// unknown key, a bad address, a missing value or a number out of range is refused with a
-// numbered error that names the key. The package owns the keys, their forms and defaults; it
-// keeps no state, and relies on tunables for the profiles of distribution and on result for
-// the errors. Every key that a file may hold must go on loading as it does.
+// Package settings reads and validates the settings file of lapisvaned. Parsing is strict: an unknown
+// key, an invalid address, a missing value or a number out of range is refused with an error that has a
+// result code and names the key. The package defines the keys, their formats and defaults, and keeps no
+// state. It relies on package tunables for the distribution profiles and on package result for errors.
+// Existing keys must remain compatible.
 package settings
 
 import (
@@ -20,140 +20,136 @@
 	Node   string `json:"node"`
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
-	// PeerAddress is where other daemons connect.
+	// PeerAddress is the listen address for other daemons.
 	PeerAddress string `json:"peer_address"`
-	// CallerAddress is where callers connect over HTTP.
+	// CallerAddress is the listen address for callers over HTTP; empty for none.
 	CallerAddress string `json:"caller_address"`
-	// CallerTLSAddress is where callers connect over HTTPS; empty for none.
+	// CallerTLSAddress is the listen address for callers over HTTPS; empty for none.
 	CallerTLSAddress string `json:"caller_tls_address"`
-	// OperatorAddress is where lapisctl connects; empty for none.
+	// OperatorAddress is the listen address for lapisctl; empty for none.
 	OperatorAddress string `json:"operator_address"`
-	// MetricsAddress serves Prometheus metrics; empty for none.
+	// MetricsAddress is the listen address for Prometheus metrics; empty for none.
 	MetricsAddress string   `json:"metrics_address"`
 	Platform       Platform `json:"platform"`
-	// InstanceAddress receives the heartbeats of the instances beside the daemon, on a
-	// platform where they register themselves; empty for none.
+	// InstanceAddress is the listen address for heartbeats of local instances, on a platform where they
+	// register themselves; empty for none.
 	InstanceAddress string `json:"instance_address"`
-	// ReadinessAddress answers a platform whether callers may be sent here; empty for none.
+	// ReadinessAddress is the listen address for the platform's readiness checks; empty for none.
 	ReadinessAddress string `json:"readiness_address"`
-	// Service is the service that runs on the machine; calls from here name it as their
-	// caller.
+	// Service is the service that runs on the machine. Calls from this machine name it as their caller.
 	Service string `json:"service"`
-	// LinkMegabits is the rate of the machine's link in Mbit/s, 0 where it is not
-	// known. Long bodies are sent so that short calls get past them on it.
+	// LinkMegabits is the rate of the machine's network link in Mbit/s, or 0 if unknown. It limits the
+	// bytes in flight of long bodies, so that they do not delay short calls.
 	LinkMegabits float64 `json:"link_mbit"`
-	// Retries bounds the retries of each service.
+	// Retries limits the retries of each service.
 	Retries Retries `json:"retries"`
 	// Seeds are peer addresses of other daemons.
 	Seeds []string `json:"seeds"`
-	// Services are the services that callers beside this daemon use; "*" for
-	// all.
+	// Services are the services that callers on this machine use; "*" for all.
 	Services []string  `json:"services"`
 	Backends []Backend `json:"backends"`
 	PeerTLS  PeerTLS   `json:"peer_tls"`
 	Calls    Calls     `json:"calls"`
-	// EvacuationBound is the time within which an operator's order to evacuate a zone must be
-	// in force on every connected daemon; 0 where operators give no such orders.
+	// EvacuationBound is the time within which an operator's order to evacuate a zone must be in force
+	// on every connected daemon; 0 disables evacuation orders.
 	EvacuationBound tunables.Duration `json:"evacuation_bound"`
-	// Accounts bounds how old the API keys of accounts may be that a daemon serves.
+	// Accounts limits how outdated the API keys of accounts may be for calls to be served.
 	Accounts Accounts `json:"accounts"`
-	// ColdStarts bounds what instances get that have just started.
+	// ColdStarts limits the calls to instances that have just started.
 	ColdStarts ColdStarts `json:"cold_starts"`
-	// RateLimits say how exactly the rate limits of accounts are kept.
+	// RateLimits configures how precisely the rate limits of accounts are enforced.
 	RateLimits RateLimits `json:"rate_limits"`
-	// Rollouts bounds what the version that is rolled out gets; the zero value where operators
-	// order no roll-outs.
+	// Rollouts limits the calls to a version that is being rolled out; the zero value disables
+	// roll-outs.
 	Rollouts Rollouts `json:"rollouts"`
-	// SentAhead bounds what is held for requests that callers send before
-	// earlier ones on their connection are answered.
+	// SentAhead limits the resources for pipelined requests, which callers send before earlier ones on
+	// the connection are answered.
 	SentAhead SentAhead `json:"sent_ahead"`
-	// Profile chooses the tunables of distribution: convergence or bytes.
+	// Profile selects the tunables of distribution: convergence or bytes.
 	Profile string `json:"profile"`
-	// Distribution overrides single tunables of the profile.
+	// Distribution overrides individual tunables of the profile.
 	Distribution json.RawMessage `json:"distribution"`
-	// NoSeat keeps the daemon from becoming a reader.
+	// NoSeat prevents the daemon from becoming a reader.
 	NoSeat bool `json:"no_seat"`
-	// StopLimit bounds the wait for calls in flight at a planned stop.
+	// StopLimit is the maximum duration of a planned stop, which waits for calls in flight.
 	StopLimit tunables.Duration `json:"stop_limit"`
-	// Verbosity of the log: 0 events, 1 debugging.
+	// Verbosity is the log level: 0 for events, 1 for debugging.
 	Verbosity int `json:"verbosity"`
-	// DecisionLinesPerSecond is the volume of lines about requests from which
-	// these are sampled more sparsely; 0 for none at all.
+	// DecisionLinesPerSecond is the rate of log lines about requests above which they are sampled more
+	// sparsely; 0 disables them.
 	DecisionLinesPerSecond int `json:"decision_lines_per_second"`
 
 	tunables tunables.Distribution
 }
 
-// Platform is how the platform is reached and what it allows.
+// Platform holds the connection parameters and limits of the platform.
 type Platform struct {
-	// Form names the adapter; empty for lapisvane's own object API.
+	// Form is the name of the platform's adapter; empty for lapisvane's own object API.
 	Form      string   `json:"form"`
 	Addresses []string `json:"addresses"`
 	Token     string   `json:"token"`
-	// ReadsPerSecond is the limit of the platform's store on the reads of all daemons
-	// together; 0 for no limit.
+	// ReadsPerSecond is the platform store's limit on the reads by all daemons together; 0 for no limit.
 	ReadsPerSecond float64 `json:"reads_per_second"`
-	// WritesPerSecond is accepted and has no effect.
+	// WritesPerSecond is accepted for compatibility but has no effect.
 	WritesPerSecond float64 `json:"writes_per_second"`
-	// Contact is the time after which a daemon that reaches the platform again must know
-	// what the platform holds.
+	// Contact is the time within which a daemon that regains contact with the platform must have its
+	// current state.
 	Contact tunables.Duration `json:"contact"`
 	// ApplyBound is the time within which an accepted configuration must be in force on
 	// every connected daemon.
 	ApplyBound tunables.Duration `json:"apply_bound"`
 }
 
-// Retries bounds the retries of each service.
+// Retries limits the retries of each service.
 type Retries struct {
-	// Fraction of the calls of a service may be retries; 0 for the default.
+	// Fraction is the maximum share of retries among the calls of a service; 0 for the default.
 	Fraction float64 `json:"fraction"`
-	// Burst is the number of retries that may be saved up by all daemons
-	// together; 0 for the default, which each daemon has for itself.
+	// Burst is the maximum number of unused retries that accumulate over all daemons; 0 for the
+	// default, which applies to each daemon separately.
 	Burst float64 `json:"burst"`
 }
 
-// Accounts bounds how old the API keys of accounts may be that a daemon serves.
+// Accounts limits how outdated the API keys of accounts may be for calls to be served.
 type Accounts struct {
-	// StrictRevocation has a daemon serve no call by an API key once it could not confirm its
-	// configuration for RevocationBound; otherwise it goes on with the keys that it knows.
+	// StrictRevocation makes a daemon refuse calls by API key if it could not confirm its configuration
+	// for RevocationBound. Otherwise it continues to use the known keys.
 	StrictRevocation bool              `json:"strict_revocation"`
 	RevocationBound  tunables.Duration `json:"revocation_bound"`
 }
 
-// ColdStarts bounds the calls to a cold instance: in any second at most the pool's rate of
-// cold instances times Overshoot, plus Slack. Both 0 leave that rate as the only bound.
+// ColdStarts limits the calls to a cold instance in any second to the pool's rate for cold instances
+// times Overshoot, plus Slack. If both are 0, the rate itself is the only limit.
 type ColdStarts struct {
 	Overshoot float64 `json:"overshoot"`
-	// Slack is the allowance above the rate, in calls.
+	// Slack is the number of calls allowed above the rate.
 	Slack float64 `json:"slack"`
 }
 
-// RateLimits bounds the calls of an account: in no Window may more than
-// (rate * Window + burst) * (1 + Overshoot) + Slack run, at all daemons together. Without a Window
-// no limit is kept.
+// RateLimits limits the calls of an account over all daemons: in any Window, at most
+// (rate * Window + burst) * (1 + Overshoot) + Slack calls may run. The zero value disables rate limits.
 type RateLimits struct {
 	Window    tunables.Duration `json:"window"`
 	Overshoot float64           `json:"overshoot"`
-	// Slack is in calls.
+	// Slack is a number of calls.
 	Slack float64 `json:"slack"`
 }
 
-// Rollouts bounds the calls of a version that is rolled out and not completed yet.
+// Rollouts limits the calls to a version whose roll-out is not completed.
 type Rollouts struct {
-	// ExposureShare is the part of the service's calls, 0 where there are no roll-outs.
+	// ExposureShare is the maximum share of the service's calls; 0 disables roll-outs.
 	ExposureShare float64 `json:"exposure_share"`
-	// ExposureSlack is in calls beside that. It is for calls on their way while a daemon learns of
-	// an order; none of it is planned with.
+	// ExposureSlack is the number of calls allowed above the share. It covers calls in flight while a
+	// daemon learns of an order; planning does not use it.
 	ExposureSlack float64 `json:"exposure_slack"`
-	// RollBackBound is the time after its fiftieth bad answer in which a version may still get
-	// calls. A roll-back is as quick as it can be, whatever the bound.
+	// RollBackBound is the time for which a version may still get calls after its fiftieth bad answer. A
+	// roll-back is always as fast as possible, regardless of the bound.
 	RollBackBound tunables.Duration `json:"roll_back_bound"`
 }
 
-// On reports whether operators order roll-outs.
+// On reports whether roll-outs are enabled.
 func (r Rollouts) On() bool { return r.ExposureShare > 0 }
 
-// Backend is one back end beside the daemon.
+// Backend is a back end on the daemon's machine.
 type Backend struct {
 	Service  string `json:"service"`
 	Instance string `json:"instance"`
@@ -167,38 +163,37 @@
 	Authority   string `json:"authority"`
 }
 
-// Calls bounds the request path.
+// Calls holds the limits of the request path.
 type Calls struct {
 	DefaultDeadline tunables.Duration `json:"default_deadline"`
 	QueueLength     int               `json:"queue_length"`
 	QueueTime       tunables.Duration `json:"queue_time"`
 }
 
-// SentAhead bounds what is held for requests sent ahead. At a bound the
-// connection is not read on.
+// SentAhead limits the resources for pipelined requests. At a limit, reading from the connection is
+// paused.
 type SentAhead struct {
-	// RequestsPerConnection bounds the unanswered requests of one connection; 1
-	// serves them one after the other.
+	// RequestsPerConnection limits the unanswered requests of one connection; with 1, requests are
+	// served sequentially.
 	RequestsPerConnection int `json:"requests_per_connection"`
-	// Requests bounds those that are unanswered behind another one, of all
-	// connections.
+	// Requests limits the unanswered requests behind an earlier one, over all connections.
 	Requests int `json:"requests"`
-	// BytesPerConnection and Bytes bound the answers that wait for earlier ones, of one
-	// connection and of all.
+	// BytesPerConnection and Bytes limit the size of buffered answers that wait for earlier ones, per
+	// connection and over all connections.
 	BytesPerConnection int64 `json:"bytes_per_connection"`
 	Bytes              int64 `json:"bytes"`
 }
 
-// Profiles of distribution.
+// Names of the distribution profiles.
 const (
 	ProfileConvergence = "convergence"
 	ProfileBytes       = "bytes"
 )
 
-// decisionLinesPerSecond is the default of DecisionLinesPerSecond.
-const decisionLinesPerSecond = 200
+// defaultDecisionLinesPerSecond is the default of DecisionLinesPerSecond.
+const defaultDecisionLinesPerSecond = 200
 
-// DefaultDaemon returns the defaults.
+// DefaultDaemon returns the default settings.
 func DefaultDaemon() Daemon {
 	return Daemon{
 		Profile: ProfileConvergence,
@@ -211,12 +206,12 @@
 		Platform:  Platform{Contact: tunables.Duration(3 * time.Second), ApplyBound: tunables.Duration(2 * time.Second)},
 		StopLimit: tunables.Duration(10 * time.Minute),
 
-		DecisionLinesPerSecond: decisionLinesPerSecond,
+		DecisionLinesPerSecond: defaultDecisionLinesPerSecond,
 	}
 }
 
-// ReadDaemon reads path over the defaults; override then applies flags, which
-// win. Errors: a *result.List or an error that names the key.
+// ReadDaemon returns the defaults, overridden by the settings file at path, then by override, which
+// applies flags. Errors: a *result.List, or an error that names the key.
 func ReadDaemon(path string, override func(*Daemon)) (*Daemon, error) {
 	daemon := DefaultDaemon()
 	if path != "" {
@@ -228,7 +223,7 @@
 	return &daemon, daemon.Check()
 }
 
-// Check reports every fault in the settings and prepares the tunables.
+// Check validates the settings, returns all faults found, and sets the tunables.
 func (d *Daemon) Check() error {
 	check := &checker{}
 	check.required("node", d.Node)
@@ -256,7 +251,7 @@
 		check.required(key+".instance", backend.Instance)
 		check.address(key+".address", backend.Address, true)
 	}
-	check.together("peer_tls", d.PeerTLS.Certificate, d.PeerTLS.Key, d.PeerTLS.Authority)
+	check.allOrNone("peer_tls", d.PeerTLS.Certificate, d.PeerTLS.Key, d.PeerTLS.Authority)
 	check.positive("calls.default_deadline", float64(d.Calls.DefaultDeadline))
 	check.positive("calls.queue_length", float64(d.Calls.QueueLength))
 	check.positive("calls.queue_time", float64(d.Calls.QueueTime))
@@ -279,8 +274,7 @@
 	return check.Err()
 }
 
-// checkPlatform reports settings that do not go together with a platform's
-// adapter.
+// checkPlatform validates the platform settings and the numbers that must not be negative.
 func (d *Daemon) checkPlatform(check *checker) {
 	for _, bound := range []struct {
 		key   string
@@ -298,30 +292,30 @@
 	}
 	d.checkRateLimits(check)
 	if d.Rollouts.ExposureShare >= 1 {
-		check.faults.Add(result.SettingsBadNumber, "rollouts.exposure_share: %v is not a part of the calls", d.Rollouts.ExposureShare)
+		check.faults.Add(result.SettingsBadNumber, "rollouts.exposure_share: %v must be below 1", d.Rollouts.ExposureShare)
 	}
 	check.positive("platform.contact", float64(d.Platform.Contact))
 	check.positive("platform.apply_bound", float64(d.Platform.ApplyBound))
 	if d.Platform.Form != "" && d.OperatorAddress != "" {
-		check.faults.Add(result.SettingsBadAddress, "operator_address: operators write to the platform's own store")
+		check.faults.Add(result.SettingsBadAddress, "operator_address must be empty with platform.form, since operators write to the platform's own store")
 	}
 }
 
-// checkAccounts reports bounds of API keys that cannot be kept.
+// checkAccounts validates the settings of accounts.
 func (d *Daemon) checkAccounts(check *checker) {
 	bound := d.Accounts.RevocationBound
 	if bound < 0 {
 		check.faults.Add(result.SettingsBadNumber, "accounts.revocation_bound: %v is negative", bound.Get())
 	}
 	if d.Accounts.StrictRevocation && bound == 0 {
-		check.faults.Add(result.SettingsMissing, "accounts.revocation_bound, which accounts.strict_revocation needs")
+		check.faults.Add(result.SettingsMissing, "accounts.revocation_bound is required by accounts.strict_revocation")
 	}
 	if d.Accounts.StrictRevocation && d.Platform.Form == "" {
-		check.faults.Add(result.SettingsMissing, "platform.form, which accounts.strict_revocation needs")
+		check.faults.Add(result.SettingsMissing, "platform.form is required by accounts.strict_revocation")
 	}
 }
 
-// checkRateLimits reports rate limits that cannot be kept.
+// checkRateLimits validates the settings of rate limits.
 func (d *Daemon) checkRateLimits(check *checker) {
 	limits := d.RateLimits
 	if limits == (RateLimits{}) {
@@ -333,7 +327,7 @@
 		check.faults.Add(result.SettingsBadNumber, "rate_limits.slack: %v is negative", limits.Slack)
 	}
 	if d.Platform.Form == "" {
-		check.faults.Add(result.SettingsMissing, "platform.form: rate_limits need a platform")
+		check.faults.Add(result.SettingsMissing, "platform.form is required by rate_limits")
 	}
 }
 
@@ -344,7 +338,7 @@
 	case ProfileBytes:
 		d.tunables = tunables.Bytes()
 	default:
-		check.faults.Add(result.SettingsBadNumber, "profile: %q is neither convergence nor bytes", d.Profile)
+		check.faults.Add(result.SettingsBadNumber, "profile: %q must be convergence or bytes", d.Profile)
 		return
 	}
 	if len(d.Distribution) > 0 {
@@ -380,5 +374,5 @@
 	}
 }
 
-// Tunables returns the tunables of distribution after Check.
+// Tunables returns the distribution tunables. It is valid after Check.
 func (d *Daemon) Tunables() tunables.Distribution { return d.tunables }
--- a/internal/daemon/settings/names_test.go
+++ b/internal/daemon/settings/names_test.go
@@ -12,8 +12,8 @@
 	"github.com/lapisvane/lapisvane/internal/daemon/settings"
 )
 
-// everyKey names every key that a settings file may hold.
-const everyKey = `
+// allKeys is a settings file with every supported key.
+const allKeys = `
 node: n
 zone: z
 region: r
@@ -75,7 +75,7 @@
   machines_interval: 2s
 `
 
-// jsonKeys returns the keys of a settings struct and of those in it, as "outer.inner".
+// jsonKeys returns the JSON keys of a settings struct and of its nested structs, as "outer.inner".
 func jsonKeys(of reflect.Type, prefix string) []string {
 	var keys []string
 	for field := range of.Fields() {
@@ -95,10 +95,10 @@
 	return keys
 }
 
-// Settings files that were written for earlier builds load as before, and no key is left
-// out of the file above.
+// Settings files for earlier builds must still load. The test file must contain every key of the
+// settings structs.
 func TestEveryKeyLoads(t *testing.T) {
-	daemon, err := read(t, everyKey)
+	daemon, err := read(t, allKeys)
 	assert.NilError(t, err)
 	assert.Equal(t, daemon.Retries, settings.Retries{Fraction: 0.2, Burst: 192})
 	assert.Equal(t, daemon.Platform.WritesPerSecond, 1200.0)
@@ -110,7 +110,7 @@
 	keys := append(jsonKeys(reflect.TypeFor[settings.Daemon](), ""), jsonKeys(reflect.TypeOf(daemon.Tunables()), "distribution.")...)
 	for _, key := range keys {
 		last := key[strings.LastIndex(key, ".")+1:]
-		assert.Check(t, strings.Contains(everyKey, last+":"), "the file above lacks %s", key)
+		assert.Check(t, strings.Contains(allKeys, last+":"), "the test file does not contain %s", key)
 	}
 	slices.Sort(keys)
 	assert.Equal(t, len(slices.Compact(keys)), 84, "%v", keys)
--- a/internal/daemon/settings/read.go
+++ b/internal/daemon/settings/read.go
@@ -10,12 +10,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes is the maximum size of a settings file.
 const maxFileBytes = 1 << 20
 
-// readStrict decodes a YAML file into target; keys that target does not have
-// are refused. Errors: SettingsUnreadable, SettingsUnknownKey,
-// SettingsBadNumber.
+// readStrict decodes a YAML file into target and refuses unknown keys. Errors: SettingsUnreadable,
+// SettingsUnknownKey, SettingsBadNumber.
 func readStrict(path string, target any) error {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -45,11 +44,10 @@
 	}
 }
 
-// checker gathers the faults of a settings file.
+// checker collects the faults found in a settings file.
 type checker struct{ faults result.List }
 
-// address checks that value is an IP number with a port. An empty value is a
-// fault only if required.
+// address checks that value is an IP address with a port. An empty value is a fault only if required.
 func (c *checker) address(key, value string, required bool) {
 	if value == "" {
 		if required {
@@ -74,8 +72,8 @@
 	}
 }
 
-// together checks that either all or none of the values are set.
-func (c *checker) together(key string, values ...string) {
+// allOrNone checks that either all or none of the values are set.
+func (c *checker) allOrNone(key string, values ...string) {
 	set := 0
 	for _, value := range values {
 		if value != "" {
@@ -83,9 +81,9 @@
 		}
 	}
 	if set != 0 && set != len(values) {
-		c.faults.Add(result.SettingsMissing, "%s: certificate, key and authority go together", key)
+		c.faults.Add(result.SettingsMissing, "%s: certificate, key and authority must be set together", key)
 	}
 }
 
-// Err returns the faults found.
+// Err returns the faults found as one error, or nil if there are none.
 func (c *checker) Err() error { return c.faults.Err() }
--- a/internal/daemon/standstill_test.go
+++ b/internal/daemon/standstill_test.go
@@ -15,19 +15,19 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// standstill is a network with one daemon, which stands still for a while after it has read the first
-// call, answers that one then, and reads on.
-type standstill struct {
+// freezingNetwork is a network with one daemon, which freezes after it has read the first call, then
+// answers that call and continues to read.
+type freezingNetwork struct {
 	wire.Network
-	lasting time.Duration
-	// reads is closed when it has read the first call.
-	reads chan struct{}
+	freezeTime time.Duration
+	// firstRead is closed when the daemon has read the first call.
+	firstRead chan struct{}
 }
 
-// Dial implements wire.Network; it connects once.
-func (s standstill) Dial(context.Context, string) (net.Conn, error) {
+// Dial implements wire.Network. It fails after the first call was read.
+func (s freezingNetwork) Dial(context.Context, string) (net.Conn, error) {
 	select {
-	case <-s.reads:
+	case <-s.firstRead:
 		return nil, net.ErrClosed
 	default:
 	}
@@ -36,7 +36,7 @@
 	return near, nil
 }
 
-func (s standstill) serve(conn *wire.Conn) {
+func (s freezingNetwork) serve(conn *wire.Conn) {
 	welcome := &lapisv1.Welcome{Node: "other", Incarnation: 1}
 	if conn.ReadPreface() != nil || conn.Receive(&lapisv1.ControlFrame{}) != nil ||
 		conn.Send(&lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Welcome{Welcome: welcome}}) != nil {
@@ -46,8 +46,8 @@
 	if conn.Receive(first) != nil {
 		return
 	}
-	close(s.reads)
-	time.Sleep(s.lasting)
+	close(s.firstRead)
+	time.Sleep(s.freezeTime)
 	answers := []*lapisv1.CallFrame{
 		{Call: first.GetCall(), Body: &lapisv1.CallFrame_Head{Head: &lapisv1.CallHead{Status: 200}}},
 		{Call: first.GetCall(), Body: &lapisv1.CallFrame_Data{Data: &lapisv1.CallData{End: true}}},
@@ -61,14 +61,14 @@
 	}
 }
 
-// The failure: a call was answered 502 although its instance worked on it and its daemon was back within
-// the time after which a silent one counts as lost: another call could not be written to that daemon for
-// a second, which ended the connection with all its calls.
+// Guards against a call that is answered 502 although its daemon recovers within the silence timeout.
+// That happens if the write timeout is too short: while the daemon is frozen, the blocked write of
+// another call times out and closes the connection with all its calls.
 func TestBlockedWriteLosesNoOtherCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := standstill{lasting: 1400 * time.Millisecond, reads: make(chan struct{})}
+		network := freezingNetwork{freezeTime: 1400 * time.Millisecond, firstRead: make(chan struct{})}
 		timing := platformPeerTiming
-		// A heartbeat would wait for a mutex, in which virtual time stands still.
+		// No heartbeats: one would block on a mutex, and synctest's clock does not advance meanwhile.
 		timing.KeepAlive = time.Hour
 		calls := &callmux.Client{Network: network, Hello: &lapisv1.Hello{Purpose: lapisv1.Hello_PURPOSE_CALLS}, Timing: timing}
 		defer calls.Close()
@@ -80,9 +80,9 @@
 			}
 			first <- err
 		}()
-		<-network.reads
+		<-network.firstRead
 		go func() {
-			// It is not answered.
+			// This call is never answered.
 			_, _ = calls.Handle(t.Context(), "other", &callapi.Call{Open: &lapisv1.CallOpen{AttemptId: "second"}})
 		}()
 		assert.NilError(t, <-first)
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -2,62 +2,61 @@
 
 import "time"
 
-// stopProgress is the rule by which a planned stop ends.
+// stopProgress decides on the end of a planned stop. It goes through three phases. New calls are still
+// accepted until refusingCalls is set. Then, once no call is being served and no connection waits to be
+// accepted, the listeners for callers are closed; refusals that are being written still reach their
+// callers. The stop ends when the daemon has been drained for answerDrainTime.
 //
-// Inputs: whether new calls are refused already, the calls that are still served, whether answers
-// are still on their way, the time. In this order: until new calls are refused the stop goes on.
-// Once no call is served any more, and no connection waits to be accepted, the listeners for callers
-// are closed, while refusals that are being written still reach their callers. The stop ends when nothing was on its way for answersDrain.
-//
-// Reason: callers that are refused come again at once. While they are accepted there may be no
-// moment without a request, so that each stop would last until its limit and end amid requests.
+// The listeners are closed before the end because refused callers retry immediately. If they were
+// still accepted, there might never be a moment without a request, and each stop would last until its
+// limit and end in the middle of requests.
 type stopProgress struct {
-	callersRefused, notAccepting bool
-	// settledSince is since when nothing was on its way, zero while something is.
-	settledSince time.Time
+	refusingCalls, listenersClosed bool
+	// drainedSince is the time since which the daemon is drained, or zero if it is not.
+	drainedSince time.Time
 }
 
-// stopFacts is what a stopping daemon sees of its calls.
-type stopFacts struct {
-	// serving counts the calls that the end of the process would cut.
+// stopState is the state of a stopping daemon's calls at one poll.
+type stopState struct {
+	// serving is the number of calls that the end of the process would cut.
 	serving int64
-	// waiting counts the callers' connections that are not accepted yet.
+	// waiting is the number of callers' connections that are not accepted yet.
 	waiting int
-	// settled is true while no request is open and no answer on its way.
-	settled bool
+	// drained is requestPath.drained: no unfinished request and no undelivered answer.
+	drained bool
 	now     time.Time
 }
 
-// stopAction is what a stopping daemon does next.
+// stopAction is the next action of a stopping daemon.
 type stopAction int
 
 const (
 	stopWait stopAction = iota
 	// stopAccepting closes the listeners for callers.
 	stopAccepting
-	// stopEnd ends the process.
+	// stopEnd ends the stop, and with it the process.
 	stopEnd
 )
 
-// next returns what the daemon does next.
-func (p *stopProgress) next(facts stopFacts) stopAction {
-	if !p.callersRefused || facts.serving > 0 {
-		p.settledSince = time.Time{}
+// next returns the next action for the given state.
+func (p *stopProgress) next(state stopState) stopAction {
+	if !p.refusingCalls || state.serving > 0 {
+		p.drainedSince = time.Time{}
 		return stopWait
 	}
-	if !p.notAccepting && facts.waiting > 0 {
+	if !p.listenersClosed && state.waiting > 0 {
 		return stopWait
 	}
-	if !p.notAccepting {
-		p.notAccepting = true
+	if !p.listenersClosed {
+		p.listenersClosed = true
 		return stopAccepting
 	}
 	switch {
-	case !facts.settled:
-		p.settledSince = time.Time{}
-	case p.settledSince.IsZero():
-		p.settledSince = facts.now
-	case facts.now.Sub(p.settledSince) >= answersDrain:
+	case !state.drained:
+		p.drainedSince = time.Time{}
+	case p.drainedSince.IsZero():
+		p.drainedSince = state.now
+	case state.now.Sub(p.drainedSince) >= answerDrainTime:
 		return stopEnd
 	}
 	return stopWait
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -7,45 +7,45 @@
 	"gotest.tools/v3/assert"
 )
 
-// stopStep is one look of a stopping daemon at its calls, and what it must do then.
+// stopStep is the state of a stopping daemon at one poll, and the expected action.
 type stopStep struct {
-	at      time.Duration
-	refused bool
-	serving int64
-	waiting int
-	settled bool
-	action  stopAction
+	at       time.Duration
+	refusing bool
+	serving  int64
+	waiting  int
+	drained  bool
+	action   stopAction
 }
 
 func TestEndOfAStop(t *testing.T) {
 	for name, steps := range map[string][]stopStep{
-		"nothing ends before new calls are refused": {
-			{at: 0, settled: true, action: stopWait}, {at: 2 * answersDrain, settled: true, action: stopWait},
+		"does not end before new calls are refused": {
+			{at: 0, drained: true, action: stopWait}, {at: 2 * answerDrainTime, drained: true, action: stopWait},
 		},
-		"a call that is served is waited for with open listeners": {
-			{refused: true, serving: 1, action: stopWait}, {at: time.Second, refused: true, serving: 1, action: stopWait},
+		"waits for a call in service with open listeners": {
+			{refusing: true, serving: 1, action: stopWait}, {at: time.Second, refusing: true, serving: 1, action: stopWait},
 		},
-		"callers that come again and again do not hold the stop up": {
-			{refused: true, action: stopAccepting}, {refused: true, settled: false, action: stopWait},
-			{at: time.Second, refused: true, settled: true, action: stopWait},
-			{at: time.Second + answersDrain, refused: true, settled: true, action: stopEnd},
+		"is not delayed by callers that retry": {
+			{refusing: true, action: stopAccepting}, {refusing: true, drained: false, action: stopWait},
+			{at: time.Second, refusing: true, drained: true, action: stopWait},
+			{at: time.Second + answerDrainTime, refusing: true, drained: true, action: stopEnd},
 		},
-		"a connection that waits to be accepted is not reset": {
-			{refused: true, waiting: 1, action: stopWait}, {at: time.Second, refused: true, action: stopAccepting},
+		"does not reset a connection that waits to be accepted": {
+			{refusing: true, waiting: 1, action: stopWait}, {at: time.Second, refusing: true, action: stopAccepting},
 		},
-		"an answer on its way is waited for anew": {
-			{refused: true, action: stopAccepting}, {refused: true, settled: true, action: stopWait},
-			{at: answersDrain / 2, refused: true, settled: false, action: stopWait},
-			{at: answersDrain, refused: true, settled: true, action: stopWait},
-			{at: 2 * answersDrain, refused: true, settled: true, action: stopEnd},
+		"restarts the wait for a further answer": {
+			{refusing: true, action: stopAccepting}, {refusing: true, drained: true, action: stopWait},
+			{at: answerDrainTime / 2, refusing: true, drained: false, action: stopWait},
+			{at: answerDrainTime, refusing: true, drained: true, action: stopWait},
+			{at: 2 * answerDrainTime, refusing: true, drained: true, action: stopEnd},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Unix(1000, 0)
 			var ending stopProgress
 			for index, step := range steps {
-				ending.callersRefused = step.refused
-				action := ending.next(stopFacts{serving: step.serving, waiting: step.waiting, settled: step.settled, now: began.Add(step.at)})
+				ending.refusingCalls = step.refusing
+				action := ending.next(stopState{serving: step.serving, waiting: step.waiting, drained: step.drained, now: began.Add(step.at)})
 				assert.Equal(t, action, step.action, "step %d", index)
 			}
 		})
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -9,26 +9,26 @@
 	"github.com/lapisvane/lapisvane/internal/daemon/settings"
 )
 
-// The times of a daemon hang together; each row says which must be below which, and why.
+// The intervals and timeouts must be ordered as listed; why is the reason for each relation.
 func TestTimesHangTogether(t *testing.T) {
 	defaults := settings.DefaultDaemon()
 	for _, row := range []struct {
 		why          string
 		lower, upper time.Duration
 	}{
-		{"one lost frame ends no connection", 2 * platformPeerTiming.KeepAlive, platformPeerTiming.Silence},
-		{"a lost daemon is noticed within the contact time", platformPeerTiming.Silence, defaults.Platform.Contact.Get()},
-		{"a frame that cannot be sent does not outlast the silence", platformPeerTiming.Write, platformPeerTiming.Silence},
-		{"a daemon that stands still is lost by its silence", platformPeerTiming.Silence - platformPeerTiming.KeepAlive, platformPeerTiming.Write},
-		{"a stall is seen between two checks", stallCheck, stallQuiet},
-		{"a stalled daemon is suspect before its connection is lost", stallQuiet + stallAnswer, platformPeerTiming.Silence},
-		{"instances stop before callers are refused", instancesDrain, callersDrain},
-		{"the last answers are waited for over several counts", inFlightPoll, answersDrain},
-		{"answers of cut calls get longer than ordinary ones", answersDrain, cutAnswers},
-		{"the tree's refusals last over several counts", inFlightPoll, leaveNotice},
-		{"the store is asked again before others store the record", saveRetryMin, othersSave},
-		{"records of others are in the store when it is read again", othersSave + othersSpread, loadAgain + 1},
-		{"the process ends within the stop limit", time.Duration(callsPart*float64(defaults.StopLimit.Get())) + cutAnswers, defaults.StopLimit.Get()},
+		{"a connection survives one lost frame", 2 * platformPeerTiming.KeepAlive, platformPeerTiming.Silence},
+		{"a lost daemon is detected within the contact time", platformPeerTiming.Silence, defaults.Platform.Contact.Get()},
+		{"a blocked write does not outlast the silence timeout", platformPeerTiming.Write, platformPeerTiming.Silence},
+		{"the silence timeout detects a frozen daemon before the write timeout", platformPeerTiming.Silence - platformPeerTiming.KeepAlive, platformPeerTiming.Write},
+		{"the checks are more frequent than the pings", stallCheckInterval, stallPingAfter},
+		{"a daemon is marked as stalled before its connection is closed", stallPingAfter + stallPingTimeout, platformPeerTiming.Silence},
+		{"instances stop before callers are refused", instanceDrainTime, callerDrainTime},
+		{"the wait for the last answers spans several polls", inFlightPollInterval, answerDrainTime},
+		{"answers of cut calls get more time than ordinary ones", answerDrainTime, cutAnswerTimeout},
+		{"the refusals in a tree span several polls", inFlightPollInterval, refusalTime},
+		{"a failed save is retried before others store the record", saveRetryMin, remoteSaveDelay},
+		{"records of others are stored before the second load", remoteSaveDelay + remoteSaveJitter, secondLoadDelay + 1},
+		{"the process ends within the stop limit", time.Duration(callTimeShare*float64(defaults.StopLimit.Get())) + cutAnswerTimeout, defaults.StopLimit.Get()},
 	} {
 		assert.Check(t, row.lower < row.upper, "%s: %s is not below %s", row.why, row.lower, row.upper)
 	}
--- a/internal/daemon/tree_distribution.go
+++ b/internal/daemon/tree_distribution.go
@@ -21,13 +21,12 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// leaveNotice is how long a stopping daemon goes on answering new calls with a refusal,
-// while other daemons learn that it is stopping; above the endpoint debounce
-// of each hop of the tree.
-const leaveNotice = 500 * time.Millisecond
+// refusalTime is how long a stopping daemon continues to refuse new calls, while other daemons learn
+// that it is stopping. It must be above the endpoint debounce of a hop of the tree.
+const refusalTime = 500 * time.Millisecond
 
-// treeDistribution is a daemon's part in the distribution tree, with the operators'
-// interface to lapisvane's own object API.
+// treeDistribution implements distribution by a node of the distribution tree. It also serves the
+// operators' interface to lapisvane's own object API.
 type treeDistribution struct {
 	path  *requestPath
 	node  *tree.Node
@@ -68,7 +67,7 @@
 	t.node.SetLocalEndpoints(endpoints)
 }
 
-// Apply implements tree.Observer: it puts a version in force.
+// Apply implements tree.Observer: it puts a configuration version in force.
 func (t *treeDistribution) Apply(applied tree.Applied) {
 	if err := t.path.snapshots.Replace(applied.Revision, applied.AcceptedUnixMillis, applied.Bundles); err != nil {
 		t.path.logger.Error(err, "snapshot.refused", "revision", applied.Revision)
@@ -97,20 +96,20 @@
 	}
 }
 
-// AcceptedCalls implements distribution: the tree has connections of its own.
+// AcceptedCalls implements distribution. The tree uses separate connections.
 func (t *treeDistribution) AcceptedCalls() func(*lapisv1.Hello, callmux.Link) callmux.Control {
 	return nil
 }
 
-// SpreadSuspects implements distribution: each daemon of a tree counts crashes for itself.
+// SpreadSuspects implements distribution. In a tree each daemon counts crashes separately.
 func (t *treeDistribution) SpreadSuspects([]quarantine.Record, string) {}
 
-// Resumed implements distribution: the tree's leases and silences are measured by the time
-// since boot, so nothing has to be done.
+// Resumed implements distribution. It does nothing, since the tree measures leases and silence
+// timeouts by package boottime, which includes suspensions.
 func (t *treeDistribution) Resumed() {}
 
-// Drain implements distribution: new calls are refused, children are handed over, and the
-// calls in flight finish.
+// Drain implements distribution. New calls are refused, children are handed over to other parents, and
+// the calls in flight finish.
 func (t *treeDistribution) Drain(force <-chan struct{}) (cut int64) {
 	t.path.gateway.Stop()
 	t.path.origin.Stop()
@@ -118,10 +117,10 @@
 	t.node.Drain()
 	limit := time.NewTimer(t.path.settings.Load().StopLimit.Get())
 	defer limit.Stop()
-	notice := time.NewTimer(leaveNotice)
-	defer notice.Stop()
-	noticed := false
-	poll := time.NewTicker(inFlightPoll)
+	minimum := time.NewTimer(refusalTime)
+	defer minimum.Stop()
+	minimumOver := false
+	poll := time.NewTicker(inFlightPollInterval)
 	defer poll.Stop()
 	for {
 		select {
@@ -129,10 +128,10 @@
 			return t.path.endByForce()
 		case <-limit.C:
 			return t.path.endCalls(t.path.stopLimitCause())
-		case <-notice.C:
-			noticed = true
+		case <-minimum.C:
+			minimumOver = true
 		case <-poll.C:
-			if noticed && t.path.settled() {
+			if minimumOver && t.path.drained() {
 				return 0
 			}
 		}
