--- a/internal/shared/boottime/boottime.go
+++ b/internal/shared/boottime/boottime.go
@@ -1,16 +1,15 @@
-// Package boottime returns a time that goes on while the machine is suspended.
+// Package boottime provides a clock that includes the time for which the machine is suspended.
 //
-// The steady clock, by which time.Now measures and timers fire, stands while the machine is
-// suspended; CLOCK_BOOTTIME does not. What a daemon knows of others (that nothing newer was
-// accepted, that it holds a lease, that a member is there) grows old meanwhile, and is measured
-// by this clock. What concerns its own machine only (the wait for an answer, the heartbeats of an
-// instance beside the daemon) stands still as well, and is measured by the steady one.
+// The monotonic clock, which time.Now and timers use, stops while the machine is suspended;
+// CLOCK_BOOTTIME does not. State received from other daemons (confirmed revisions, leases, members)
+// ages during a suspension, so its age is measured by this clock. Processes on the same machine (the
+// wait for an answer, the heartbeats of a local instance) are suspended as well, so their timeouts are
+// measured by the monotonic clock.
 //
-// The package owns one clock for the process, and relies on CLOCK_MONOTONIC and CLOCK_BOOTTIME of
-// the kernel. It has no goroutines and is safe for concurrent use.
+// The package owns one clock per process and relies on CLOCK_MONOTONIC and CLOCK_BOOTTIME of the
+// kernel. It starts no goroutines and is safe for concurrent use.
 //
-// What must hold: the time never goes back; times of this package are compared with one another
-// only.
+// Invariants: the time never goes back; times of this package are compared only with one another.
 package boottime
 
 import (
@@ -22,84 +21,84 @@
 )
 
 const (
-	// refreshEvery bounds how often the clocks are compared, which takes two system calls: 20 a
-	// second at the most, and a time that is wrong for a tenth of a second after the machine
-	// resumes.
-	refreshEvery = 100 * time.Millisecond
-	// noticed is the least difference that counts. The two clocks are read one after the other, and
-	// the thread may be preempted in between. It is above a time slice of the scheduler, below any
-	// suspension that matters.
-	noticed = 50 * time.Millisecond
-	// readings is how often a difference is measured before it counts; the least holds. It is above
-	// 1, so that one preempted reading is no suspension.
-	readings = 3
+	// refreshInterval is the minimum interval between comparisons of the clocks, which take two system
+	// calls each. It allows at most 20 system calls per second, and the time is wrong for at most
+	// 100 ms after the machine resumes.
+	refreshInterval = 100 * time.Millisecond
+	// minSuspension is the minimum growth of the gap that counts as a suspension. The two clocks are
+	// read one after the other, and the thread may be preempted in between. It is above a scheduler time
+	// slice and below any suspension that matters.
+	minSuspension = 50 * time.Millisecond
+	// gapReadings is the number of readings that confirm a suspension; the smallest one is used. It is
+	// above 1, so that a single preempted reading does not count as a suspension.
+	gapReadings = 3
 )
 
-// Gap returns how far CLOCK_BOOTTIME is ahead of the steady clock; only its growth counts.
+// Gap returns the difference between CLOCK_BOOTTIME and the monotonic clock. Only its growth is used.
 type Gap func() time.Duration
 
-// clock follows the time for which the machine was suspended.
+// clock tracks the total time for which the machine was suspended.
 type clock struct {
-	// mutex protects everything below.
+	// mutex protects the fields below.
 	mutex sync.Mutex
 	gap   Gap
-	// least is the gap when the clock was made, and suspended what it has grown by.
-	least, suspended time.Duration
-	refreshedAt      time.Time
+	// initialGap is the gap at the creation of the clock, and suspended its growth since then.
+	initialGap, suspended time.Duration
+	refreshedAt           time.Time
 }
 
-// process is the clock of this process.
+// process is the clock used by the functions of this package.
 var process atomic.Pointer[clock]
 
 func init() { process.Store(newClock(kernelGap)) }
 
-func newClock(gap Gap) *clock { return &clock{gap: gap, least: gap()} }
+func newClock(gap Gap) *clock { return &clock{gap: gap, initialGap: gap()} }
 
-// kernelGap compares the kernel's clocks. Where one cannot be read the gap is 0: the time is
-// then that of the steady clock, as without this package.
+// kernelGap returns the gap between the kernel's clocks. If a clock cannot be read the gap is 0, so that
+// the time is that of the monotonic clock.
 func kernelGap() time.Duration {
-	var steady, boot unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
+	var monotonic, boot unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0
 	}
-	return time.Duration(boot.Nano() - steady.Nano())
+	return time.Duration(boot.Nano() - monotonic.Nano())
 }
 
-// refreshed returns the time for which the machine was suspended, as it was known at most
-// refreshEvery ago.
+// refreshed returns the total time for which the machine was suspended. The value may be up to
+// refreshInterval old.
 func (c *clock) refreshed() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	if since := now.Sub(c.refreshedAt); since >= 0 && since < refreshEvery {
+	if since := now.Sub(c.refreshedAt); since >= 0 && since < refreshInterval {
 		return c.suspended
 	}
 	c.refreshedAt = now
-	grown := c.gap() - c.least
-	for reading := 1; reading < readings && grown >= c.suspended+noticed; reading++ {
-		grown = min(grown, c.gap()-c.least)
+	grown := c.gap() - c.initialGap
+	for reading := 1; reading < gapReadings && grown >= c.suspended+minSuspension; reading++ {
+		grown = min(grown, c.gap()-c.initialGap)
 	}
-	if grown >= c.suspended+noticed {
+	if grown >= c.suspended+minSuspension {
 		c.suspended = grown
 	}
 	return c.suspended
 }
 
-// Suspended returns the time for which the machine was suspended since the process started.
+// Suspended returns the total time for which the machine was suspended since the process started.
 func Suspended() time.Duration { return process.Load().refreshed() }
 
-// Now returns a time whose differences to other times of this package include the time for which
-// the machine was suspended, from refreshEvery after it resumed at the latest.
+// Now returns the current time of this package's clock. Differences between its times include
+// suspensions, which are detected at most refreshInterval after the machine resumes.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// Since returns the time since an earlier time of this package.
+// Since returns the time elapsed since an earlier result of Now.
 func Since(earlier time.Time) time.Duration { return Now().Sub(earlier) }
 
-// Until returns the time until a later time of this package.
+// Until returns the time until a later time of this package's clock.
 func Until(later time.Time) time.Duration { return later.Sub(Now()) }
 
-// Use replaces the comparison of the kernel's clocks, until restore is called; it is for
-// tests, which suspend no machine.
+// Use replaces the comparison of the kernel's clocks by gap until restore is called. It lets tests
+// simulate a suspension of the machine.
 func Use(gap Gap) (restore func()) {
 	before := process.Swap(newClock(gap))
 	return func() { process.Store(before) }
--- a/internal/shared/boottime/boottime_test.go
+++ b/internal/shared/boottime/boottime_test.go
@@ -16,14 +16,15 @@
 		time.Sleep(time.Second)
 		assert.Equal(t, Since(began), time.Second)
 		gap += 5 * time.Second
-		time.Sleep(refreshEvery)
-		assert.Equal(t, Since(began), 6*time.Second+refreshEvery)
-		assert.Equal(t, Until(began.Add(10*time.Second)), 4*time.Second-refreshEvery)
+		time.Sleep(refreshInterval)
+		assert.Equal(t, Since(began), 6*time.Second+refreshInterval)
+		assert.Equal(t, Until(began.Add(10*time.Second)), 4*time.Second-refreshInterval)
 		assert.Equal(t, Suspended(), 5*time.Second)
 	})
 }
 
-// A thread that is preempted between the two readings makes the gap look longer once.
+// A single long reading, from a thread preempted between the reads of the two clocks, does not count as
+// a suspension.
 func TestOneLongReadingIsNoSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		readings := 0
@@ -34,7 +35,7 @@
 			return 0
 		})()
 		for range 10 {
-			time.Sleep(refreshEvery)
+			time.Sleep(refreshInterval)
 			assert.Equal(t, Suspended(), time.Duration(0))
 		}
 	})
@@ -45,10 +46,10 @@
 		gap := time.Duration(0)
 		defer Use(func() time.Duration { return gap })()
 		gap = 10 * time.Second
-		time.Sleep(refreshEvery)
+		time.Sleep(refreshInterval)
 		before := Now()
 		gap = 0
-		time.Sleep(refreshEvery)
+		time.Sleep(refreshInterval)
 		assert.Assert(t, Now().After(before))
 	})
 }
--- a/internal/shared/cli/cli.go
+++ b/internal/shared/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds what the programs' command lines share: parsing, exit codes, signals.
-// It owns the registration of signals of its process and relies on go-flags.
+// Package cli contains the common code of the programs' command lines: parsing, exit codes and signal
+// handling. It relies on go-flags.
 package cli
 
 import (
@@ -16,14 +16,14 @@
 // Exit codes of the programs.
 const (
 	ExitOK = 0
-	// ExitFailed is for a request that was refused or a check that failed.
+	// ExitFailed is the exit code for a refused request or a failed check.
 	ExitFailed = 1
-	// ExitUsage is for a command line or settings that cannot be used.
+	// ExitUsage is the exit code for an invalid command line or invalid settings.
 	ExitUsage = 2
 )
 
-// Parse reads the command line into options. done is true when the program
-// should end with code, because help was shown or the line is wrong.
+// Parse parses the command line. done is true if the program should exit with code, because help was
+// shown or the command line is invalid.
 func Parse(parser *flags.Parser, arguments []string) (rest []string, code int, done bool) {
 	rest, err := parser.ParseArgs(arguments)
 	if err == nil {
@@ -39,42 +39,43 @@
 
 // Fail prints err and returns code.
 func Fail(writer io.Writer, err error, code int) int {
-	// Where the message cannot be written the exit code still says that it failed.
+	// If the message cannot be written, the exit code still reports the failure.
 	_, _ = fmt.Fprintln(writer, err)
 	return code
 }
 
-// Signals are what a process is told by signals. They are caught from CatchSignals on.
+// Signals provides the signals received by the process as channels.
 type Signals struct {
 	stop, force chan struct{}
 	reload      chan os.Signal
 	repeated    chan os.Signal
 }
 
-// pendingSignals is how many signals of a kind are kept until they are read; more of them say
-// nothing new.
-const pendingSignals = 4
+// signalBuffer is the buffer size of the channels for signals. Further signals of the same kind can be
+// dropped, since they carry no additional information.
+const signalBuffer = 4
 
-// CatchSignals begins to catch signals. A program calls it once, before it opens a listener: until
-// then SIGTERM, SIGINT and SIGHUP end the process, and with it what was accepted.
+// CatchSignals starts to handle signals. A program must call it once, before it opens a listener. Until
+// then SIGTERM, SIGINT and SIGHUP end the process together with its accepted connections.
 //
-// SIGPIPE is caught and dropped: without that the first line to an output that nobody reads any
-// more ends the process. The write then fails with an error.
+// SIGPIPE is caught and ignored. Otherwise the first write to a standard output whose reader has exited
+// would end the process; now the write returns an error.
 func CatchSignals() *Signals {
 	caught := &Signals{
 		stop: make(chan struct{}), force: make(chan struct{}),
-		reload: make(chan os.Signal, pendingSignals), repeated: make(chan os.Signal, pendingSignals),
+		reload: make(chan os.Signal, signalBuffer), repeated: make(chan os.Signal, signalBuffer),
 	}
 	signal.Notify(caught.reload, syscall.SIGHUP)
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGPIPE)
-	ends := make(chan os.Signal, pendingSignals)
+	ends := make(chan os.Signal, signalBuffer)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT, syscall.SIGQUIT)
-	go caught.follow(ends)
+	go caught.dispatch(ends)
 	return caught
 }
 
-// follow passes on the signals that end the process, until it ends.
-func (s *Signals) follow(ends <-chan os.Signal) {
+// dispatch closes the stop and force channels for the signals that end the process, and passes on
+// repeated ones.
+func (s *Signals) dispatch(ends <-chan os.Signal) {
 	stopping, forced := false, false
 	for next := range ends {
 		switch {
@@ -90,7 +91,7 @@
 	}
 }
 
-// repeat passes on a signal that changes nothing; where nobody reads these it is dropped.
+// repeat passes on a signal that has no effect. It is dropped if the channel is full.
 func (s *Signals) repeat(next os.Signal) {
 	select {
 	case s.repeated <- next:
@@ -98,17 +99,18 @@
 	}
 }
 
-// Stop is closed at the first SIGTERM or SIGINT: stop as planned. Further ones change nothing, since
-// those who send them do not know of one another: a supervisor that repeats its stop, a terminal
-// that signals all processes of a group. When the second one ended the process, 68 requests in 36
-// stops got no answer.
+// Stop returns a channel that is closed at the first SIGTERM or SIGINT, which starts a planned stop.
+// Further ones have no effect, since they may come from independent senders, such as a supervisor that
+// repeats its stop signal or a terminal that signals the whole process group. When the second signal
+// ended the process, 68 requests in 36 stops got no answer.
 func (s *Signals) Stop() <-chan struct{} { return s.stop }
 
-// Force is closed at SIGQUIT: end at once what is in flight.
+// Force returns a channel that is closed at SIGQUIT, which stops the process immediately and cuts the
+// calls in flight.
 func (s *Signals) Force() <-chan struct{} { return s.force }
 
-// Reload receives each SIGHUP.
+// Reload returns the channel that receives each SIGHUP.
 func (s *Signals) Reload() <-chan os.Signal { return s.reload }
 
-// Repeated receives the signals that came during a stop and changed nothing.
+// Repeated returns the channel that receives the signals without effect during a stop.
 func (s *Signals) Repeated() <-chan os.Signal { return s.repeated }
--- a/internal/shared/logging/async.go
+++ b/internal/shared/logging/async.go
@@ -8,33 +8,34 @@
 	"time"
 )
 
-// queueLines bounds the lines that wait for a writer that is slow or stuck. At an estimated 200
-// bytes a line under 1 MB.
-const queueLines = 4096
+// maxQueuedLines is the maximum number of lines that wait for a slow or blocked writer. At an estimated
+// 200 bytes per line they use less than 1 MB.
+const maxQueuedLines = 4096
 
-// flushTimeout bounds the wait for the last lines at the end of the process. It is below the part
-// of the stop limit that is left for the end.
+// flushTimeout bounds the wait for the last lines at the end of the process. It must be below the share
+// of the stop limit that is reserved for the shutdown.
 const flushTimeout = 200 * time.Millisecond
 
-// AsyncWriter passes lines to a writer in the background, so that logging never waits for it. Lines
-// beyond queueLines are dropped and counted, and the count is written once there is room again.
+// AsyncWriter passes lines to a writer in the background, so that logging never blocks on it. If
+// maxQueuedLines are waiting, further lines are dropped and counted, and the count is logged later.
 type AsyncWriter struct {
 	writer  io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	// ending is closed by Close, done when the last line was written.
-	ending, done chan struct{}
-	closing      sync.Once
+	// closed is closed by Close. done is closed when the last line was written.
+	closed, done chan struct{}
+	closeOnce    sync.Once
 }
 
-// NewAsyncWriter returns a writer in front of another one. Close ends it.
+// NewAsyncWriter returns an AsyncWriter that passes lines to writer. Close must be called to stop its
+// goroutine.
 func NewAsyncWriter(writer io.Writer) *AsyncWriter {
-	started := &AsyncWriter{writer: writer, lines: make(chan []byte, queueLines), ending: make(chan struct{}), done: make(chan struct{})}
+	started := &AsyncWriter{writer: writer, lines: make(chan []byte, maxQueuedLines), closed: make(chan struct{}), done: make(chan struct{})}
 	go started.run()
 	return started
 }
 
-// Write implements io.Writer; it queues a copy of the line, and never waits or fails.
+// Write implements io.Writer. It queues a copy of the line and never blocks or fails.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
@@ -48,7 +49,7 @@
 // Dropped returns the number of lines dropped and not yet reported.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// run writes lines until Close was called and none is left.
+// run writes queued lines until Close has been called and the queue is empty.
 func (a *AsyncWriter) run() {
 	defer close(a.done)
 	for {
@@ -61,13 +62,14 @@
 		select {
 		case line := <-a.lines:
 			a.put(line)
-		case <-a.ending:
+		case <-a.closed:
 			return
 		}
 	}
 }
 
-// put writes a line. An error of the output could be reported nowhere but there.
+// put writes a line, and the number of dropped lines if there are any. Errors are ignored, since the log
+// output is the only place to report them.
 func (a *AsyncWriter) put(line []byte) {
 	_, _ = a.writer.Write(line)
 	if dropped := a.dropped.Swap(0); dropped > 0 {
@@ -75,10 +77,10 @@
 	}
 }
 
-// Close writes what waits, within flushTimeout. What is written afterwards is
-// lost. It may be called several times.
+// Close waits until the queued lines are written, for at most flushTimeout. Lines passed to Write
+// afterwards are lost. Close may be called several times.
 func (a *AsyncWriter) Close() {
-	a.closing.Do(func() { close(a.ending) })
+	a.closeOnce.Do(func() { close(a.closed) })
 	select {
 	case <-a.done:
 	case <-time.After(flushTimeout):
--- a/internal/shared/logging/async_test.go
+++ b/internal/shared/logging/async_test.go
@@ -12,36 +12,36 @@
 	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
-// stuckWriter takes nothing until it is released.
-type stuckWriter struct {
+// blockedWriter is an io.Writer that blocks until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mutex   sync.Mutex
 	written bytes.Buffer
 }
 
-func (s *stuckWriter) Write(line []byte) (int, error) {
+func (s *blockedWriter) Write(line []byte) (int, error) {
 	<-s.release
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.written.Write(line)
 }
 
-// A stuck standard output holds up nobody; what did not fit is counted.
-func TestStuckOutputNeverHoldsUpWhoLogs(t *testing.T) {
+// A blocked standard output does not block logging. Dropped lines are counted.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		stuck := &stuckWriter{release: make(chan struct{})}
-		writer := logging.NewAsyncWriter(stuck)
+		blocked := &blockedWriter{release: make(chan struct{})}
+		writer := logging.NewAsyncWriter(blocked)
 		logger := logging.New(writer, 0)
 		const lines = 10_000
 		for index := range lines {
 			logger.Info("call.refused", "call", index)
 		}
 		assert.Assert(t, writer.Dropped() > 0)
-		close(stuck.release)
+		close(blocked.release)
 		synctest.Wait()
 		writer.Close()
-		text := stuck.written.String()
-		assert.Assert(t, strings.Contains(text, "event=log.dropped lines="), "no count of dropped lines")
+		text := blocked.written.String()
+		assert.Assert(t, strings.Contains(text, "event=log.dropped lines="), "the number of dropped lines is missing")
 		assert.Assert(t, strings.Contains(text, "call=0\n"))
 		assert.Assert(t, !strings.Contains(text, "call=9999\n"))
 	})
--- a/internal/shared/logging/sink.go
+++ b/internal/shared/logging/sink.go
@@ -1,11 +1,11 @@
-// Package logging writes one line of key=value pairs for each event, behind the logr interface (logr
-// over log/slog).
+// Package logging provides logr loggers, based on log/slog, that write one line of key=value pairs per
+// event.
 //
-// It owns the goroutine of each AsyncWriter, which ends with Close. Loggers are safe for concurrent
-// use.
+// The package owns the goroutine of each AsyncWriter, which ends with Close. Loggers are safe for
+// concurrent use.
 //
-// What must hold: logging through an AsyncWriter never waits for the output; dropped lines are
-// counted, and the count is written; an event stays on one line.
+// Invariants: logging through an AsyncWriter never blocks on the output; dropped lines are counted and
+// the count is logged; an event is always a single line.
 package logging
 
 import (
@@ -21,22 +21,22 @@
 // timestampLayout is RFC 3339 with milliseconds, in UTC.
 const timestampLayout = "2006-01-02T15:04:05.000Z"
 
-// Keys of lines; keyLogrError is what logr calls keyError.
+// Keys in log lines. logr names the error key keyLogrError, which is replaced by keyError.
 const (
 	keyEvent     = "event"
 	keyError     = "error"
 	keyLogrError = "err"
 )
 
-// Names of the levels in lines.
+// Level names in log lines.
 const (
 	levelDebug = "debug"
 	levelInfo  = "info"
 	levelError = "error"
 )
 
-// New returns a logger that writes events up to verbosity (logr's V levels) to writer, each with
-// the time of day in UTC. The text handler of log/slog renders the lines.
+// New returns a logger that writes events up to verbosity (logr's V levels) to writer. Each line has a
+// timestamp in UTC.
 func New(writer io.Writer, verbosity int) logr.Logger {
 	return logr.FromSlogHandler(slog.NewTextHandler(writer, &slog.HandlerOptions{
 		// logr passes the verbosity as a negative level.
@@ -45,8 +45,8 @@
 	}))
 }
 
-// NewPlain returns a logger without time and level, for results that are
-// compared or shown on a console.
+// NewPlain returns a logger without timestamps and levels, for output that is compared or shown on a
+// console.
 func NewPlain(writer io.Writer) logr.Logger {
 	return logr.FromSlogHandler(slog.NewTextHandler(writer, &slog.HandlerOptions{
 		ReplaceAttr: func(groups []string, attribute slog.Attr) slog.Attr {
@@ -58,7 +58,8 @@
 	}))
 }
 
-// render gives the handler's own fields the project's names, and values a form on one line.
+// render is a slog.HandlerOptions.ReplaceAttr function. It renames slog's and logr's built-in keys and
+// formats values as single-line strings.
 func render(_ []string, attribute slog.Attr) slog.Attr {
 	switch attribute.Key {
 	case slog.MessageKey:
@@ -85,7 +86,7 @@
 	return attribute
 }
 
-// decimal renders a number with three decimals.
+// decimal formats a number with three decimal places.
 func decimal(value float64) string {
 	if math.IsNaN(value) {
 		return "NaN"
@@ -93,7 +94,7 @@
 	return strconv.FormatFloat(value, 'f', 3, 64)
 }
 
-// levelName returns the name of a level; logr has no more than the three.
+// levelName returns the name of a level. logr uses only the three levels debug, info and error.
 func levelName(value slog.Value) string {
 	level, ok := value.Any().(slog.Level)
 	switch {
--- a/internal/shared/rendezvous/rendezvous.go
+++ b/internal/shared/rendezvous/rendezvous.go
@@ -1,12 +1,13 @@
-// Package rendezvous is the project's one rendezvous hash (highest random weight): each
-// chooser ranks candidates by a score of its own, so that choosers spread evenly over the
-// candidates and a candidate that comes or goes changes little for anyone. It has no state.
+// Package rendezvous implements rendezvous hashing (highest random weight), which all choices of this
+// kind in the project use. Each chooser ranks the candidates by a score that depends on both names.
+// Choosers are therefore spread evenly over the candidates, and adding or removing a candidate changes
+// few choices.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Score returns how candidate ranks for chooser. Every process computes the same score
-// for the same two names.
+// Score returns the score of a candidate for a chooser. The same two names have the same score in every
+// process.
 func Score(chooser, candidate string) uint64 {
 	return xxhash.Sum64String(chooser + "|" + candidate)
 }
--- a/internal/shared/result/code.go
+++ b/internal/shared/result/code.go
@@ -1,16 +1,15 @@
-// Package result defines the numbered result codes that every part of the
-// system reports, the error type that carries them, and the table from which
-// docs/ERRORS.md is checked.
+// Package result defines the numbered result codes that all components report, the error type that
+// carries them, and the table from which docs/ERRORS.md is generated.
 //
-// It owns the table, which is not changed after the start, so that everything here is safe for
-// concurrent use but a List. It relies on nothing of the project.
+// The table is constant after initialization. Everything except List is safe for concurrent use. The
+// package does not depend on other packages of the project.
 //
-// What must hold: a code keeps its number, name and meaning for ever; Code.NotRun is true only for
-// codes that prove that no back end saw the call.
+// Invariants: the number, name and meaning of a code never change; Code.NotRun is true only for codes
+// which prove that no back end received the call.
 package result
 
-// Code is a numbered result. Codes are never reused for another meaning: operators' scripts and
-// other releases hold them.
+// Code is a numbered result. A code is never reused with another meaning, since operators' scripts and
+// other releases depend on it.
 type Code uint32
 
 // Result codes. 1xxx settings, 2xxx validation of configuration, 3xxx operator
@@ -115,7 +114,7 @@
 	PlatformNotModified  Code = 7007
 )
 
-// String returns the code's name, as it is logged; unknown-code for one of a later release.
+// String returns the code's name as used in logs, or unknown-code for a code of a later release.
 func (c Code) String() string {
 	if entry, ok := byCode[c]; ok {
 		return entry.Name
@@ -123,11 +122,11 @@
 	return "unknown-code"
 }
 
-// Validation reports whether the code is about the content of a configuration.
+// Validation reports whether the code belongs to the validation of configurations.
 func (c Code) Validation() bool { return c >= ConfigBadName && c < OperatorUnauthenticated }
 
-// NotRun reports whether the code proves that a call did not run, so that it may be sent again
-// whatever its class.
+// NotRun reports whether the code proves that a call did not run, so that it may be retried even if the
+// call is not repeatable.
 func (c Code) NotRun() bool {
 	switch c {
 	case CallNoRoute, CallNoEndpoint, CallNotReady, CallNotRunDraining, CallNotRunOverloaded,
--- a/internal/shared/result/error.go
+++ b/internal/shared/result/error.go
@@ -8,25 +8,25 @@
 	"github.com/pkg/errors"
 )
 
-// Error is a failure with a result code. It is not changed once it was returned.
+// Error is an error with a result code. It must not be modified after it was returned.
 type Error struct {
 	Code Code
-	// Detail is for logs; it may hold addresses and names of the inside.
+	// Detail is a text for logs. It may contain internal addresses and names.
 	Detail string
-	// Cause is the underlying error; nil when there is none.
+	// Cause is the underlying error, or nil.
 	Cause error
-	// RetryAfter is the time after which trying again makes sense; 0 when not known.
+	// RetryAfter is the recommended delay before a retry, or 0 if unknown.
 	RetryAfter time.Duration
-	// Crashes is the number of instances that crashed under what a call asks for; 0 for an
-	// error that is not about a crash.
+	// Crashes is the number of instance crashes attributed to the same request, or 0 if the error is not
+	// about a crash.
 	Crashes int
-	// WorkPercent is how long work takes at the instance that did not run a call, in percent of
-	// what is usual there, as it stated WorkAge ago; 0 where it stated none.
+	// WorkPercent is the current service time of the instance that refused a call, in percent of its
+	// usual service time, or 0 if the instance reported none. WorkAge is the age of the report.
 	WorkPercent uint32
 	WorkAge     time.Duration
 }
 
-// Error renders the code's number and name before the detail.
+// Error returns the code's number and name, the detail and the cause.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Detail)
 	if e.Cause != nil {
@@ -43,8 +43,8 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error that keeps cause; it returns nil for a nil cause, so that the result of a
-// last call may be wrapped as it is returned.
+// Wrap returns an Error with a formatted detail and the given cause. It returns nil for a nil cause, so
+// that the error of a final call can be wrapped in the return statement.
 func Wrap(code Code, cause error, format string, args ...any) error {
 	if cause == nil {
 		return nil
@@ -52,8 +52,8 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...), Cause: cause}
 }
 
-// CodeOf returns the code of the first Error in err's chain, OK for nil, and
-// otherwise 0 with ok false.
+// CodeOf returns the code of the first Error in err's chain, or OK if err is nil. If the chain has no
+// Error, ok is false.
 func CodeOf(err error) (code Code, ok bool) {
 	if err == nil {
 		return OK, true
@@ -71,8 +71,8 @@
 	return ok && found == code && err != nil
 }
 
-// List is a set of faults found together, such as by the validation of a
-// proposal. An empty list is no error. It is not safe for concurrent use.
+// List collects several errors, such as the faults found in a proposal. It is not safe for concurrent
+// use.
 type List struct {
 	Faults []*Error
 }
@@ -82,7 +82,7 @@
 	l.Faults = append(l.Faults, Errorf(code, format, args...))
 }
 
-// Err returns the list as an error, nil when it is empty.
+// Err returns the list as an error, or nil if it is empty.
 func (l *List) Err() error {
 	if len(l.Faults) == 0 {
 		return nil
@@ -90,7 +90,7 @@
 	return l
 }
 
-// Error renders one fault a line.
+// Error returns the faults, one per line.
 func (l *List) Error() string {
 	lines := make([]string, 0, len(l.Faults))
 	for _, fault := range l.Faults {
@@ -99,7 +99,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the faults, so that CodeOf gives the code of the first.
+// Unwrap returns the faults, so that CodeOf returns the code of the first one.
 func (l *List) Unwrap() []error {
 	faults := make([]error, 0, len(l.Faults))
 	for _, fault := range l.Faults {
--- a/internal/shared/sleep/sleep.go
+++ b/internal/shared/sleep/sleep.go
@@ -1,5 +1,5 @@
-// Package sleep waits for a time or the end of a context. It has no state. Its timers stand
-// while the machine is suspended.
+// Package sleep provides a wait that a context can interrupt. Its timers use the monotonic clock, which
+// stops while the machine is suspended.
 package sleep
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// For waits for duration, by the steady clock; it reports false when ctx ended first. A duration of
-// 0 or less does not wait.
+// For waits for duration and returns true, or returns false if ctx ends first. It does not wait if
+// duration is 0 or negative.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/shared/socket/ending.go
+++ b/internal/shared/socket/ending.go
@@ -6,73 +6,73 @@
 	"sync"
 )
 
-// endingListener closes what it accepted together with itself.
-type endingListener struct {
+// closingListener is a net.Listener that tracks its accepted connections in order to close them.
+type closingListener struct {
 	net.Listener
 
-	// mutex protects everything below.
-	mutex sync.Mutex
-	open  map[*endingConn]struct{}
-	ended bool
+	// mutex protects the fields below.
+	mutex  sync.Mutex
+	open   map[*trackedConn]struct{}
+	closed bool
 }
 
-// ClosedWith wraps a listener of a server that leaves open connections to its process: when ctx ends,
-// the listener is closed and with it every connection that it accepted. The caller calls stop once the
-// server has ended.
+// ClosedWith wraps a listener for a server that does not close its connections when it ends. When ctx
+// ends, the listener and all connections that it accepted are closed. The caller must call stop after
+// the server has ended.
 func ClosedWith(ctx context.Context, listener net.Listener) (wrapped net.Listener, stop func() bool) {
-	ending := &endingListener{Listener: listener, open: map[*endingConn]struct{}{}}
-	return ending, context.AfterFunc(ctx, ending.closeAll)
+	closing := &closingListener{Listener: listener, open: map[*trackedConn]struct{}{}}
+	return closing, context.AfterFunc(ctx, closing.closeAll)
 }
 
 // Accept implements net.Listener.
-func (l *endingListener) Accept() (net.Conn, error) {
+func (l *closingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	accepted := &endingConn{Conn: conn, listener: l}
+	accepted := &trackedConn{Conn: conn, listener: l}
 	if !l.add(accepted) {
-		_ = conn.Close() // Nobody uses it.
+		_ = conn.Close() // The connection is unused, so the error is irrelevant.
 		return nil, net.ErrClosed
 	}
 	return accepted, nil
 }
 
-// add reports false once ctx has ended.
-func (l *endingListener) add(conn *endingConn) bool {
+// add registers an accepted connection. It returns false if the listener is already closed.
+func (l *closingListener) add(conn *trackedConn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.ended {
+	if l.closed {
 		return false
 	}
 	l.open[conn] = struct{}{}
 	return true
 }
 
-func (l *endingListener) remove(conn *endingConn) {
+func (l *closingListener) remove(conn *trackedConn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.open, conn)
 }
 
-func (l *endingListener) closeAll() {
+func (l *closingListener) closeAll() {
 	_ = l.Listener.Close() // It may be closed already.
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ended = true
+	l.closed = true
 	for conn := range l.open {
 		_ = conn.Conn.Close() // It may be closed already.
 	}
 }
 
-// endingConn is a connection that an endingListener accepted.
-type endingConn struct {
+// trackedConn is a connection accepted by a closingListener. Close removes it from the listener.
+type trackedConn struct {
 	net.Conn
-	listener *endingListener
+	listener *closingListener
 }
 
 // Close implements net.Conn.
-func (c *endingConn) Close() error {
+func (c *trackedConn) Close() error {
 	c.listener.remove(c)
 	return c.Conn.Close()
 }
--- a/internal/shared/socket/listener.go
+++ b/internal/shared/socket/listener.go
@@ -8,52 +8,52 @@
 	"github.com/pkg/errors"
 )
 
-// acceptPause is the pause after a connection could not be accepted, such as for lack of file
-// descriptors. Callers wait in the kernel for so long.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the delay before Accept is retried after a failure, such as a lack of file
+// descriptors. Callers wait in the kernel's accept queue meanwhile.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// patientListener goes on after connections could not be accepted.
-type patientListener struct {
+// retryingListener is a net.Listener that retries failed accepts.
+type retryingListener struct {
 	net.Listener
 	logger logr.Logger
-	// failures counts those in a row. Only the goroutine that accepts uses it.
+	// failures is the number of consecutive failures. It is used only by the accepting goroutine.
 	failures int
 }
 
-// KeepAccepting wraps a listener for servers that end with the first error of Accept: it returns an
-// error only once the listener is closed. Without that a daemon that had run out of descriptors
-// once took no caller any more, while it said that it was ready. One goroutine may accept.
+// KeepAccepting wraps a listener for servers that end at the first error of Accept: it returns an error
+// only once the listener is closed. Otherwise a daemon that once ran out of file descriptors would
+// accept no further callers although it reports ready. Only one goroutine may call Accept.
 func KeepAccepting(listener net.Listener, logger logr.Logger) net.Listener {
-	return &patientListener{Listener: listener, logger: logger.WithValues("address", listener.Addr())}
+	return &retryingListener{Listener: listener, logger: logger.WithValues("address", listener.Addr())}
 }
 
 // Accept implements net.Listener.
-func (p *patientListener) Accept() (net.Conn, error) {
+func (r *retryingListener) Accept() (net.Conn, error) {
 	for {
-		conn, err := p.Listener.Accept()
+		conn, err := r.Listener.Accept()
 		switch {
 		case err == nil:
-			p.noteAccepted()
+			r.noteAccepted()
 			return conn, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		}
-		p.noteFailed(err)
-		time.Sleep(acceptPause)
+		r.noteFailed(err)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// noteFailed logs the first failure in a row.
-func (p *patientListener) noteFailed(err error) {
-	if p.failures == 0 {
-		p.logger.Error(err, "listener.failing")
+// noteFailed counts a failure, and logs the first of consecutive ones.
+func (r *retryingListener) noteFailed(err error) {
+	if r.failures == 0 {
+		r.logger.Error(err, "listener.failing")
 	}
-	p.failures++
+	r.failures++
 }
 
-func (p *patientListener) noteAccepted() {
-	if p.failures > 0 {
-		p.logger.Info("listener.accepts_again", "failures", p.failures)
-		p.failures = 0
+func (r *retryingListener) noteAccepted() {
+	if r.failures > 0 {
+		r.logger.Info("listener.accepts_again", "failures", r.failures)
+		r.failures = 0
 	}
 }
--- a/internal/shared/socket/socket.go
+++ b/internal/shared/socket/socket.go
@@ -1,6 +1,7 @@
-// Package socket asks the operating system about connections, and wraps listeners whose servers would
-// end too early (KeepAccepting) or leave connections behind (ClosedWith). It relies on the SIOCOUTQ,
-// SIOCINQ and TCP_INFO requests of Linux; where a connection or a system does not know it, it says nothing.
+// Package socket queries the operating system for the queues of TCP sockets, and provides listener
+// wrappers for servers that end at the first accept error (KeepAccepting) or leave connections open
+// (ClosedWith). It relies on the Linux requests SIOCOUTQ, SIOCINQ and TCP_INFO. Queries return 0 if a
+// connection or system does not support them.
 package socket
 
 import (
@@ -10,23 +11,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unacknowledged returns the number of bytes that were written to a TCP connection and that the
-// peer's system has not acknowledged; 0 where that is not known, or the connection is closed.
+// Unacknowledged returns the number of bytes written to a TCP connection that the peer's kernel has not
+// acknowledged, or 0 if that is unknown or the connection is closed.
 func Unacknowledged(conn net.Conn) int { return queued(conn, unix.SIOCOUTQ) }
 
-// Unread returns the number of bytes that the system has received on a TCP connection and that were
-// not read; 0 where that is not known, or the connection is closed.
+// Unread returns the number of bytes that the kernel has received on a TCP connection and the process
+// has not read, or 0 if that is unknown or the connection is closed.
 func Unread(conn net.Conn) int { return queued(conn, unix.SIOCINQ) }
 
-// Waiting returns the number of connections that the system has opened at a listener and that nobody
-// has accepted; 0 where that is not known, or the listener is closed.
+// Waiting returns the number of connections in the accept queue of a listener, or 0 if that is unknown
+// or the listener is closed.
 func Waiting(listener net.Listener) int {
-	if patient, ok := listener.(*patientListener); ok {
-		listener = patient.Listener
+	if retrying, ok := listener.(*retryingListener); ok {
+		listener = retrying.Listener
 	}
 	waiting := 0
 	control(listener, func(descriptor int) {
-		// For a listener the field counts these connections.
+		// For a listener, Unacked is the length of the accept queue.
 		if info, err := unix.GetsockoptTCPInfo(descriptor, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			waiting = int(info.Unacked)
 		}
@@ -34,7 +35,7 @@
 	return waiting
 }
 
-// queued returns the length of the queue of a connection that a request of the system names.
+// queued returns the length of the socket queue that the ioctl request selects.
 func queued(conn net.Conn, request uint) int {
 	length := 0
 	control(conn, func(descriptor int) {
@@ -45,16 +46,17 @@
 	return length
 }
 
-// control calls ask with the descriptor of a socket; not at all for what is none, or is closed.
-func control(socket any, ask func(descriptor int)) {
-	asked, isSocket := socket.(syscall.Conn)
+// control calls query with the descriptor of a socket. It does nothing if the value is not a socket or
+// is closed.
+func control(socket any, query func(descriptor int)) {
+	conn, isSocket := socket.(syscall.Conn)
 	if !isSocket {
 		return
 	}
-	raw, err := asked.SyscallConn()
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return
 	}
 	// An error means that the socket is closed.
-	_ = raw.Control(func(descriptor uintptr) { ask(int(descriptor)) })
+	_ = raw.Control(func(descriptor uintptr) { query(int(descriptor)) })
 }
--- a/internal/shared/socket/socket_test.go
+++ b/internal/shared/socket/socket_test.go
@@ -21,7 +21,7 @@
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	assert.NilError(t, err)
 	assert.Equal(t, socket.Unacknowledged(conn), 0)
-	// More than the buffers of both ends hold.
+	// More than the kernel buffers of both ends can hold.
 	bytes := make([]byte, 64<<20)
 	for written := 0; written == 0; {
 		assert.NilError(t, conn.SetWriteDeadline(time.Now().Add(100*time.Millisecond)))
@@ -79,14 +79,14 @@
 	assert.Equal(t, socket.Waiting(listener), 0)
 }
 
-func TestConnectionsThatAreNoSocketsSayNothing(t *testing.T) {
+func TestQueriesOfNonSocketsReturnZero(t *testing.T) {
 	near, far := net.Pipe()
 	assert.Equal(t, socket.Unacknowledged(near), 0)
 	assert.Equal(t, socket.Unread(near), 0)
 	assert.NilError(t, far.Close())
 }
 
-// A server's connections end with its context, also one that nobody has accepted yet.
+// All connections of a listener close when its context ends, including one that is not accepted yet.
 func TestConnectionsCloseWithTheContext(t *testing.T) {
 	opened, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
