--- a/internal/transport/callmux/call.go
+++ b/internal/transport/callmux/call.go
@@ -13,14 +13,15 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// errSilent is returned by awaitHead when the peer stalls before it sends the head of the answer.
-var errSilent = errors.New("the peer has stalled")
+// errStalled is returned by awaitHead when the peer stalls before it sends the head of the answer.
+var errStalled = errors.New("the peer has stalled")
 
 // Handle sends one attempt of a call to the daemon at address and returns the answer. If the
 // connection is lost, the attempt is fenced over a new connection (fenceLost) and reported as not
 // run only if the fence proves it. If the peer stalls during a repeatable call, Handle returns an
-// error that wraps a *callapi.Silence, and the attempt continues until ctx ends. Errors: CallNotRunUnreachable,
-// CallUnknownOutcome, CallDeadline, CallCancelled, and the codes of the peer's resets (5xxx).
+// error that wraps a *callapi.Silence, and the attempt continues until ctx ends. Errors:
+// CallNotRunUnreachable, CallUnknownOutcome, CallDeadline, CallCancelled, and the codes of the peer's
+// resets (5xxx).
 func (c *Client) Handle(ctx context.Context, address string, call *callapi.Call) (*callapi.Answer, error) {
 	current, err := c.sessionTo(ctx, address)
 	if err != nil {
@@ -34,7 +35,7 @@
 	bodyCtx, stopBody := context.WithCancel(ctx)
 	sent := &sentCall{client: c, address: address, stream: opened, attempt: call.Open.GetAttemptId(), stopBody: stopBody}
 	head, err := c.exchange(ctx, bodyCtx, opened, call)
-	if errors.Is(err, errSilent) {
+	if errors.Is(err, errStalled) {
 		return nil, result.Wrap(result.CallUnknownOutcome, sent.silence(ctx), "no answer yet")
 	}
 	return sent.finish(ctx, head, err)
@@ -98,7 +99,7 @@
 	return awaitHead(ctx, opened, stall, call.StaysWithSilent)
 }
 
-// awaitHead waits for the head of the answer. It returns errSilent when stall is closed, unless
+// awaitHead waits for the head of the answer. It returns errStalled when stall is closed, unless
 // staysWithSilent is set and returns true.
 func awaitHead(ctx context.Context, opened *stream, stall <-chan struct{}, staysWithSilent func() bool) (*lapisv1.CallHead, error) {
 	for {
@@ -109,7 +110,7 @@
 			return nil, opened.cause()
 		case <-stall:
 			if staysWithSilent == nil || !staysWithSilent() {
-				return nil, errSilent
+				return nil, errStalled
 			}
 			stall = nil
 		case <-ctx.Done():
