--- a/internal/daemon/platform_orders.go
+++ b/internal/daemon/platform_orders.go
@@ -34,14 +34,14 @@
 
 // orderKindsOf returns the kinds of orders that the settings enable.
 func orderKindsOf(values *settings.Daemon) orders.Kinds {
-	return orders.Kinds{Evacuations: values.EvacuationBound > 0, Rollouts: values.Rollouts.On()}
+	return orders.Kinds{Evacuations: values.EvacuationBound > 0, Rollouts: values.Rollouts.Enabled()}
 }
 
 // ordersBound returns the time within which orders must be in force, or 0 if orders are disabled.
 // Roll-outs have no separate bound and are as urgent as configurations.
 func (p *platformDistribution) ordersBound() time.Duration {
 	values := p.path.settings.Load()
-	if values.EvacuationBound == 0 && values.Rollouts.On() {
+	if values.EvacuationBound == 0 && values.Rollouts.Enabled() {
 		return values.Platform.ApplyBound.Get()
 	}
 	return values.EvacuationBound.Get()
--- a/internal/daemon/platform_rollouts.go
+++ b/internal/daemon/platform_rollouts.go
@@ -41,7 +41,7 @@
 // newRollouts returns the rollouts of a daemon, or nil if roll-outs are disabled.
 func newRollouts(p *platformDistribution, incarnation uint64) *rollouts {
 	values := p.path.settings.Load()
-	if !values.Rollouts.On() {
+	if !values.Rollouts.Enabled() {
 		return nil
 	}
 	r := &rollouts{
@@ -58,7 +58,7 @@
 // trafficOf returns the function by which the request path looks up the roll-out of a service, or nil
 // if roll-outs are disabled.
 func trafficOf(d *Daemon) func(service string) *rollout.Traffic {
-	if !d.settings.Load().Rollouts.On() {
+	if !d.settings.Load().Rollouts.Enabled() {
 		return nil
 	}
 	return func(service string) *rollout.Traffic {
--- a/internal/daemon/settings/daemon.go
+++ b/internal/daemon/settings/daemon.go
@@ -146,8 +146,8 @@
 	RollBackBound tunables.Duration `json:"roll_back_bound"`
 }
 
-// On reports whether roll-outs are enabled.
-func (r Rollouts) On() bool { return r.ExposureShare > 0 }
+// Enabled reports whether roll-outs are enabled.
+func (r Rollouts) Enabled() bool { return r.ExposureShare > 0 }
 
 // Backend is a back end on the daemon's machine.
 type Backend struct {
