--- a/internal/daemon/accounts.go
+++ b/internal/daemon/accounts.go
@@ -30,7 +30,7 @@
 		keys.bounds.Revocation = config.Accounts.RevocationBound.Get()
 	}
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "lapisvane_keys_suspended", Help: "1 while calls by API key are refused, because the daemon could not confirm its configuration within the revocation bound.",
+		Name: "lapisvane_keys_suspended", Help: "1 while no call is served by an API key, because the daemon could not confirm its configuration for the revocation bound.",
 	}, keys.suspendedGauge))
 	return gateway.Identity{Currency: keys.Currency, Bounds: keys.bounds}
 }
--- a/internal/daemon/metrics/allowances.go
+++ b/internal/daemon/metrics/allowances.go
@@ -9,19 +9,19 @@
 // Descriptions of the allowance metrics.
 var (
 	allowanceCalls = prometheus.NewDesc("lapisvane_allowance_calls_total",
-		"Requests for credit by calls on this daemon, by outcome: granted, reserved, refused or unreachable.", []string{"outcome"}, nil)
+		"Calls here that wanted credit, by outcome: granted, reserved, refused or unreachable.", []string{"outcome"}, nil)
 	allowanceLent = prometheus.NewDesc("lapisvane_allowance_lent_total",
-		"Credits lent by this daemon as the owner, by allowance.", []string{"allowance"}, nil)
+		"Credits that this daemon lent as the owner, by allowance.", []string{"allowance"}, nil)
 	allowanceReturned = prometheus.NewDesc("lapisvane_allowance_returned_total",
-		"Lent credits that were returned unused, by allowance.", []string{"allowance"}, nil)
+		"Lent credits that came back unused, by allowance.", []string{"allowance"}, nil)
 	allowanceRefused = prometheus.NewDesc("lapisvane_allowance_refused_total",
-		"Credits refused by this daemon as the owner, by allowance.", []string{"allowance"}, nil)
+		"Credits that this daemon refused as the owner, by allowance.", []string{"allowance"}, nil)
 	allowanceLeft = prometheus.NewDesc("lapisvane_allowance_left",
-		"Credit that this daemon can lend now, by allowance.", []string{"allowance"}, nil)
+		"Credit that this daemon may lend now, by allowance.", []string{"allowance"}, nil)
 	allowanceShare = prometheus.NewDesc("lapisvane_allowance_share",
-		"Fraction of the rate that this daemon may lend, by allowance; 0 if it is not the owner.", []string{"allowance"}, nil)
+		"Part of the rate that this daemon may lend, by allowance; 0 where it is not the owner.", []string{"allowance"}, nil)
 	allowanceVoters = prometheus.NewDesc("lapisvane_allowance_voters",
-		"Daemons that reported to this one which daemons they consider owners.", nil, nil)
+		"Daemons that told this one whom they see as owners.", nil, nil)
 )
 
 // RegisterAllowances adds the metrics of limits that are shared by daemons to registry.
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -39,25 +39,25 @@
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	gauge(registry, "lapisvane_call_links", "Open connections to other daemons for calls.",
 		func() float64 { return float64(sources.Calls.Links()) })
-	gauge(registry, "lapisvane_requests_suspected", "Distinct requests that are suspected of crashing instances.", func() float64 {
+	gauge(registry, "lapisvane_requests_suspected", "Requests under which instances ended, by what they ask for.", func() float64 {
 		suspects, _ := sources.Suspects()
 		return float64(suspects)
 	})
-	gauge(registry, "lapisvane_requests_quarantined", "Suspected requests that are quarantined and not sent to instances.", func() float64 {
+	gauge(registry, "lapisvane_requests_quarantined", "Those of them that do not reach instances any more.", func() float64 {
 		_, quarantined := sources.Suspects()
 		return float64(quarantined)
 	})
-	counter(registry, "lapisvane_control_bytes_in_total", "Bytes received from daemons on control connections.",
+	counter(registry, "lapisvane_control_bytes_in_total", "Bytes of control received from daemons.",
 		func() float64 { return float64(sources.Counters.BytesIn.Load()) })
-	counter(registry, "lapisvane_control_bytes_out_total", "Bytes sent to daemons on control connections.",
+	counter(registry, "lapisvane_control_bytes_out_total", "Bytes of control sent to daemons.",
 		func() float64 { return float64(sources.Counters.BytesOut.Load()) })
-	counter(registry, "lapisvane_origin_handed_over_total", "Calls handed over to back ends on this machine.",
+	counter(registry, "lapisvane_origin_handed_over_total", "Calls handed to back ends beside the daemon.",
 		func() float64 { return float64(sources.Origin.Counts().HandedOver) })
 	counter(registry, "lapisvane_origin_refused_total", "Calls refused before they ran.",
 		func() float64 { return float64(sources.Origin.Counts().Refused) })
-	counter(registry, "lapisvane_origin_duplicates_total", "Duplicate calls that were not run.",
+	counter(registry, "lapisvane_origin_duplicates_total", "Copies of calls that were kept from running.",
 		func() float64 { return float64(sources.Origin.Counts().Duplicates) })
-	counter(registry, "lapisvane_origin_unknown_total", "Calls handed over to back ends whose answer was lost.",
+	counter(registry, "lapisvane_origin_unknown_total", "Calls handed over whose answer was lost.",
 		func() float64 { return float64(sources.Origin.Counts().Broken) })
 }
 
@@ -72,31 +72,31 @@
 // RegisterTree adds the metrics of a daemon in the distribution tree to registry.
 func RegisterTree(registry *prometheus.Registry, node *tree.Node, store *objectapi.Client) {
 	registerStore(registry, store)
-	gauge(registry, "lapisvane_revision_in_force", "Configuration revision in force, 0 before the first.",
+	gauge(registry, "lapisvane_revision_in_force", "Revision in force, 0 before the first.",
 		func() float64 { return float64(node.Info().InForce) })
-	gauge(registry, "lapisvane_revision_held", "Newest configuration revision held.",
+	gauge(registry, "lapisvane_revision_held", "Newest revision held.",
 		func() float64 { return float64(node.Info().Revision) })
-	gauge(registry, "lapisvane_floor_known", "1 once the daemon knows the oldest version that it may apply.",
+	gauge(registry, "lapisvane_floor_known", "1 once the daemon knows which version it may apply.",
 		func() float64 { return boolValue(node.Info().FloorKnown) })
-	gauge(registry, "lapisvane_tree_rooted", "1 while the daemon is connected to a reader through the tree.",
+	gauge(registry, "lapisvane_tree_rooted", "1 while there is a way to a reader.",
 		func() float64 { return boolValue(node.Info().Rooted) })
 	gauge(registry, "lapisvane_tree_children", "Children in the distribution tree.",
 		func() float64 { return float64(node.Info().Children) })
-	gauge(registry, "lapisvane_tree_depth", "Depth in the distribution tree, 1 for a reader.",
+	gauge(registry, "lapisvane_tree_depth", "Levels from the reader, 1 for a reader.",
 		func() float64 { return float64(node.Info().Depth) })
 	gauge(registry, "lapisvane_reader", "1 while the daemon holds a reader seat.",
 		func() float64 { return boolValue(node.Info().Role == tree.RoleReader) })
-	gauge(registry, "lapisvane_reader_suspended", "1 while the lease of the reader seat cannot be renewed.",
+	gauge(registry, "lapisvane_reader_suspended", "1 while the seat's lease could not be renewed.",
 		func() float64 { return boolValue(node.Info().SeatState == "suspended") })
 	gauge(registry, "lapisvane_endpoints", "Back-end instances known.",
 		func() float64 { return float64(node.Info().Endpoints) })
-	counter(registry, "lapisvane_tree_joins_total", "Times that a parent accepted this daemon.",
+	counter(registry, "lapisvane_tree_joins_total", "Parents that accepted this daemon.",
 		func() float64 { return float64(node.Info().Joins) })
 	counter(registry, "lapisvane_tree_joins_served_total", "Children admitted.",
 		func() float64 { return float64(node.Info().JoinsServed) })
-	counter(registry, "lapisvane_tree_joins_refused_total", "Children refused or redirected.",
+	counter(registry, "lapisvane_tree_joins_refused_total", "Children turned away or redirected.",
 		func() float64 { return float64(node.Info().JoinsRefused) })
-	counter(registry, "lapisvane_tree_resyncs_total", "Versions refused and requested again in full.",
+	counter(registry, "lapisvane_tree_resyncs_total", "Versions refused and asked for again in full.",
 		func() float64 { return float64(node.Info().Resyncs) })
 }
 
--- a/internal/daemon/metrics/platform.go
+++ b/internal/daemon/metrics/platform.go
@@ -40,24 +40,24 @@
 
 // RegisterPlatform adds the metrics of a daemon on a platform to registry.
 func RegisterPlatform(registry *prometheus.Registry, sources Platform) {
-	gauge(registry, "lapisvane_revision_in_force", "Configuration revision in force, 0 before the first.", func() float64 {
+	gauge(registry, "lapisvane_revision_in_force", "Revision in force, 0 before the first.", func() float64 {
 		revision, _ := sources.InForce()
 		return float64(revision)
 	})
-	gauge(registry, "lapisvane_revision_age_seconds", "Time since the configuration revision was put in force.", func() float64 {
+	gauge(registry, "lapisvane_revision_age_seconds", "Time since the revision came in force.", func() float64 {
 		revision, since := sources.InForce()
 		if revision == 0 {
 			return 0
 		}
 		return time.Since(since).Seconds()
 	})
-	gauge(registry, "lapisvane_ready", "1 while the daemon is ready for callers.", func() float64 { return boolValue(sources.Ready()) })
-	gauge(registry, "lapisvane_members_known", "Number of other known daemons.", func() float64 { return float64(sources.Fleet.Known()) })
-	gauge(registry, "lapisvane_members_connected", "Number of daemons to which calls can be sent.",
+	gauge(registry, "lapisvane_ready", "1 while callers may be sent here.", func() float64 { return boolValue(sources.Ready()) })
+	gauge(registry, "lapisvane_members_known", "Other daemons known.", func() float64 { return float64(sources.Fleet.Known()) })
+	gauge(registry, "lapisvane_members_connected", "Daemons that calls can be sent to.",
 		func() float64 { return float64(sources.Fleet.Connected()) })
-	counter(registry, "lapisvane_source_questions_total", "Polls of the configuration source.",
+	counter(registry, "lapisvane_source_questions_total", "Questions to the configuration source.",
 		func() float64 { return float64(sources.Follower.ConfigurationRequests.Load()) })
-	counter(registry, "lapisvane_source_failures_total", "Failed polls of the configuration source.",
+	counter(registry, "lapisvane_source_failures_total", "Questions to the configuration source that failed.",
 		func() float64 { return float64(sources.Follower.FailedPolls.Load()) })
 	registry.MustRegister(readyEndpoints{sources.ReadyEndpoints}, refusedEntries{sources.RefusedEntries})
 	registerOrders(registry, sources)
@@ -72,19 +72,19 @@
 			return float64(total)
 		}
 	}
-	gauge(registry, "lapisvane_origin_running", "Calls that hold a slot at the instances on this machine.",
+	gauge(registry, "lapisvane_origin_running", "Calls that hold a slot of the instances beside the daemon.",
 		occupancy(func(o admission.Occupancy) int { return o.Running }))
 	gauge(registry, "lapisvane_origin_waiting", "Calls that wait for a slot.",
 		occupancy(func(o admission.Occupancy) int { return o.Waiting }))
-	gauge(registry, "lapisvane_origin_slots", "Concurrency limit of the instances on this machine, in calls.",
+	gauge(registry, "lapisvane_origin_slots", "Calls that the instances may work on at once.",
 		occupancy(func(o admission.Occupancy) int { return o.Limit }))
 	registerCold(registry, sources.Origin)
-	gauge(registry, "lapisvane_origin_withdrawn", "Withdrawn instances that are still tracked.",
+	gauge(registry, "lapisvane_origin_withdrawn", "Instances that left and are remembered.",
 		func() float64 { return float64(len(sources.Origin.Withdrawn())) })
 }
 
 // endpointsReady describes the metric collected by readyEndpoints.
-var endpointsReady = prometheus.NewDesc("lapisvane_endpoints_ready", "Known ready instances, by service.", []string{"service"}, nil)
+var endpointsReady = prometheus.NewDesc("lapisvane_endpoints_ready", "Ready instances known, by service.", []string{"service"}, nil)
 
 // readyEndpoints collects the number of known ready instances of each service.
 type readyEndpoints struct{ read func() map[string]int }
@@ -102,7 +102,7 @@
 }
 
 // entriesRefused describes the metric collected by refusedEntries.
-var entriesRefused = prometheus.NewDesc("lapisvane_entries_refused_total", "Invalid store entries and heartbeats, by kind and reason.", []string{"kind", "reason"}, nil)
+var entriesRefused = prometheus.NewDesc("lapisvane_entries_refused_total", "Entries of the store and heartbeats that could not be used, by kind and reason.", []string{"kind", "reason"}, nil)
 
 // refusedEntries collects the numbers of invalid store entries and heartbeats.
 type refusedEntries struct {
@@ -125,9 +125,9 @@
 func registerOrders(registry *prometheus.Registry, sources Platform) {
 	gauge(registry, "lapisvane_orders_revision", "Revision of the operators' orders in force, 0 before the first.",
 		func() float64 { return float64(sources.Orders.Load().Revision()) })
-	gauge(registry, "lapisvane_orders_evacuated_zones", "Evacuated zones, whose instances get no calls.",
+	gauge(registry, "lapisvane_orders_evacuated_zones", "Zones whose instances get no calls.",
 		func() float64 { return float64(len(sources.Orders.Load().Zones())) })
-	gauge(registry, "lapisvane_confirmation_age_seconds", "Time since the revisions in force were last confirmed to be the newest, -1 before the first time.",
+	gauge(registry, "lapisvane_confirmation_age_seconds", "Time since what is in force was confirmed to be the newest, -1 before the first time.",
 		func() float64 {
 			confirmed := sources.Confirmed()
 			if confirmed.IsZero() {
@@ -135,7 +135,7 @@
 			}
 			return boottime.Since(confirmed).Seconds()
 		})
-	counter(registry, "lapisvane_source_orders_questions_total", "Polls of the source for the operators' orders.",
+	counter(registry, "lapisvane_source_orders_questions_total", "Questions to the source for the operators' orders.",
 		func() float64 { return float64(sources.Follower.OrderRequests.Load()) })
 }
 
@@ -150,12 +150,12 @@
 			return total
 		}
 	}
-	gauge(registry, "lapisvane_origin_cold_rate", "Calls per second that are admitted to the cold instances on this machine.",
+	gauge(registry, "lapisvane_origin_cold_rate", "Calls a second that the cold instances beside the daemon are admitted.",
 		sum(func(use admission.PaceUse) float64 { return use.PerSecond }))
-	gauge(registry, "lapisvane_origin_cold_tokens", "Calls that could be admitted to the cold instances immediately.",
+	gauge(registry, "lapisvane_origin_cold_tokens", "Calls that the cold instances could be admitted at once.",
 		sum(func(use admission.PaceUse) float64 { return use.Tokens }))
-	gauge(registry, "lapisvane_origin_cold_admitted", "Calls that were admitted to the current instances while they were cold.",
+	gauge(registry, "lapisvane_origin_cold_admitted", "Calls that the present instances were admitted while cold.",
 		sum(func(use admission.PaceUse) float64 { return float64(use.Admitted) }))
-	gauge(registry, "lapisvane_origin_cold_refused", "Calls to the current instances that were refused because they were cold.",
+	gauge(registry, "lapisvane_origin_cold_refused", "Calls that the present instances were refused because they were cold.",
 		sum(func(use admission.PaceUse) float64 { return float64(use.Refused) }))
 }
--- a/internal/transport/peer/server.go
+++ b/internal/transport/peer/server.go
@@ -120,7 +120,7 @@
 		return nil, nil, result.Errorf(result.ProtocolUnexpected, "the first frame is %T, expected Hello", frame.GetBody())
 	}
 	if hello.GetProtocolVersion() != wire.ProtocolVersion {
-		refusal := &lapisv1.Refusal{Code: uint32(result.ProtocolBadVersion), Reason: "only protocol version 1 is supported"}
+		refusal := &lapisv1.Refusal{Code: uint32(result.ProtocolBadVersion), Reason: "version 1 is spoken here"}
 		// The refusal is sent on a best-effort basis; the wrong version is logged in any case.
 		_ = conn.Send(&lapisv1.ControlFrame{Body: &lapisv1.ControlFrame_Refusal{Refusal: refusal}})
 		return nil, nil, result.Errorf(result.ProtocolBadVersion, "the peer uses protocol version %d", hello.GetProtocolVersion())
