--- a/internal/daemon/metrics/allowances.go
+++ b/internal/daemon/metrics/allowances.go
@@ -6,7 +6,7 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/allowance"
 )
 
-// Descriptions of the metrics of allowances.
+// Descriptions of the allowance metrics.
 var (
 	allowanceCalls = prometheus.NewDesc("lapisvane_allowance_calls_total",
 		"Calls here that wanted credit, by outcome: granted, reserved, refused or unreachable.", []string{"outcome"}, nil)
@@ -24,12 +24,12 @@
 		"Daemons that told this one whom they see as owners.", nil, nil)
 )
 
-// RegisterAllowances adds the metrics of the limits that daemons share.
+// RegisterAllowances adds the metrics of limits that are shared by daemons to registry.
 func RegisterAllowances(registry *prometheus.Registry, report func() allowance.Report) {
 	registry.MustRegister(allowances{report})
 }
 
-// allowances collects what a daemon reports of the limits that daemons share.
+// allowances collects the metrics of limits that are shared by daemons.
 type allowances struct{ report func() allowance.Report }
 
 // Describe implements prometheus.Collector.
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package metrics exposes a daemon's state to Prometheus. It owns the names and help texts
-// of the metrics and the server of GET /metrics. It keeps no figures: each is read, when
-// the page is fetched, from the part that counts it, so those reads must be safe for
-// concurrent use. The names are those of docs/OPERATIONS.md, and dashboards rely on them.
+// Package metrics exposes a daemon's state to Prometheus. It owns the names and help texts of the
+// metrics and the HTTP server for GET /metrics. It stores no values: each scrape reads them from the
+// components that count them, so those reads must be safe for concurrent use. The names are documented
+// in docs/OPERATIONS.md and used by dashboards.
 package metrics
 
 import (
@@ -24,13 +24,13 @@
 	"github.com/lapisvane/lapisvane/internal/transport/wire"
 )
 
-// Sources are the parts of a daemon that are measured.
+// Sources holds the components of a daemon from which metrics are read.
 type Sources struct {
 	Counters *wire.Counters
 	Origin   *origin.Origin
 	Calls    *callmux.Client
-	// Suspects returns the number of requests under which instances crashed, and of those
-	// quarantined.
+	// Suspects returns the number of requests that are suspected of crashing instances, and the number
+	// of those that are quarantined.
 	Suspects func() (suspects, quarantined int)
 }
 
@@ -61,7 +61,7 @@
 		func() float64 { return float64(sources.Origin.Counts().Broken) })
 }
 
-// registerStore adds the metrics of the object API's client.
+// registerStore adds the metrics of the object API client.
 func registerStore(registry *prometheus.Registry, store *objectapi.Client) {
 	counter(registry, "lapisvane_source_requests_total", "Requests sent to the platform.",
 		func() float64 { return float64(store.Requests.Load()) })
@@ -115,7 +115,7 @@
 	return 0
 }
 
-// Serve answers GET /metrics on listener until ctx ends.
+// Serve serves GET /metrics on listener until ctx ends.
 func Serve(ctx context.Context, listener net.Listener, registry *prometheus.Registry) {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(ownFirst{registry}, promhttp.HandlerOpts{}))
@@ -125,12 +125,12 @@
 	_ = server.Serve(listener)
 }
 
-// ownPrefix begins the names of lapisvane's own metrics.
+// ownPrefix is the prefix of lapisvane's own metrics.
 const ownPrefix = "lapisvane_"
 
-// ownFirst gathers lapisvane's own metrics ahead of those of the language's runtime and of
-// the process, whose page alone fills 4,000 bytes: a collector that keeps only the first few
-// kilobytes would get none of ours.
+// ownFirst is a Gatherer that sorts lapisvane's own metrics before those of the Go runtime and the
+// process. The latter fill 4,000 bytes, so a collector that keeps only the first few kilobytes would
+// otherwise get none of lapisvane's.
 type ownFirst struct{ gatherer prometheus.Gatherer }
 
 // Gather implements prometheus.Gatherer.
--- a/internal/daemon/metrics/platform.go
+++ b/internal/daemon/metrics/platform.go
@@ -15,26 +15,26 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// Platform are the parts of a daemon on a platform that are measured.
+// Platform holds the components of a daemon on a platform from which metrics are read.
 type Platform struct {
 	Fleet    *fleet.Fleet
 	Follower *configsource.Follower
 	Origin   *origin.Origin
-	// InForce returns the revision in force and since when it is; 0 before the
-	// first.
+	// InForce returns the configuration revision in force, 0 before the first, and the time at which it
+	// was applied.
 	InForce func() (revision uint64, since time.Time)
-	// Ready reports whether callers may be sent here.
+	// Ready reports whether the daemon is ready for callers.
 	Ready func() bool
-	// ReadyEndpoints returns the number of ready instances known of each service.
+	// ReadyEndpoints returns the number of known ready instances of each service.
 	ReadyEndpoints func() map[string]int
-	// Accounts returns the accounts in force, nil where callers need none.
+	// Accounts returns the accounts in force, or nil if callers need none.
 	Accounts func() *account.Directory
-	// RefusedEntries returns the numbers of entries and heartbeats that could not be used.
+	// RefusedEntries returns the numbers of invalid store entries and heartbeats.
 	RefusedEntries func() map[platformapi.RefusedEntry]int64
-	// Orders are the operators' orders in force.
+	// Orders holds the operators' orders in force.
 	Orders *orders.Current
-	// Confirmed returns when what is in force was last confirmed to be the newest,
-	// zero before the first time.
+	// Confirmed returns the time at which the revisions in force were last confirmed to be the newest,
+	// or zero if they were not yet.
 	Confirmed func() time.Time
 }
 
@@ -83,10 +83,10 @@
 		func() float64 { return float64(len(sources.Origin.Withdrawn())) })
 }
 
-// endpointsReady describes the metric of readyEndpoints.
+// endpointsReady describes the metric collected by readyEndpoints.
 var endpointsReady = prometheus.NewDesc("lapisvane_endpoints_ready", "Ready instances known, by service.", []string{"service"}, nil)
 
-// readyEndpoints collects the number of ready instances known of each service.
+// readyEndpoints collects the number of known ready instances of each service.
 type readyEndpoints struct{ read func() map[string]int }
 
 // Describe implements prometheus.Collector.
@@ -101,10 +101,10 @@
 	}
 }
 
-// entriesRefused describes the metric of refusedEntries.
+// entriesRefused describes the metric collected by refusedEntries.
 var entriesRefused = prometheus.NewDesc("lapisvane_entries_refused_total", "Entries of the store and heartbeats that could not be used, by kind and reason.", []string{"kind", "reason"}, nil)
 
-// refusedEntries collects the numbers of entries that could not be used.
+// refusedEntries collects the numbers of invalid store entries and heartbeats.
 type refusedEntries struct {
 	read func() map[platformapi.RefusedEntry]int64
 }
@@ -121,7 +121,7 @@
 	}
 }
 
-// registerOrders adds what concerns the operators' orders.
+// registerOrders adds the metrics of the operators' orders.
 func registerOrders(registry *prometheus.Registry, sources Platform) {
 	gauge(registry, "lapisvane_orders_revision", "Revision of the operators' orders in force, 0 before the first.",
 		func() float64 { return float64(sources.Orders.Load().Revision()) })
@@ -139,7 +139,7 @@
 		func() float64 { return float64(sources.Follower.OrderRequests.Load()) })
 }
 
-// registerCold adds the metrics of the admission to cold instances.
+// registerCold adds the metrics of call admission to cold instances.
 func registerCold(registry *prometheus.Registry, instances *origin.Origin) {
 	sum := func(read func(admission.PaceUse) float64) func() float64 {
 		return func() float64 {
--- a/internal/shared/result/table.go
+++ b/internal/shared/result/table.go
@@ -5,14 +5,14 @@
 // Entry is one row of the table of result codes.
 type Entry struct {
 	Code Code
-	// Name is what logs and answers show, unique in the table.
+	// Name is the unique name in logs and answers.
 	Name string
-	// Meaning is one sentence for callers and operators, Action what they can do.
+	// Meaning is a short description for callers and operators. Action is the recommended action.
 	Meaning string
 	Action  string
 }
 
-// entries is the table; docs/ERRORS.md is generated from it.
+// entries is the table of result codes, from which docs/ERRORS.md is generated.
 var entries = []Entry{
 	{OK, "ok", "The request was done.", "None."},
 	{SettingsUnreadable, "settings-unreadable", "The settings file is missing or is not valid YAML.", "Correct the file; the message gives the line."},
@@ -116,14 +116,14 @@
 	return index
 }
 
-// Table returns all entries in ascending order of code.
+// Table returns all entries, sorted by code.
 func Table() []Entry {
 	table := append([]Entry(nil), entries...)
 	sort.Slice(table, func(i, j int) bool { return table[i].Code < table[j].Code })
 	return table
 }
 
-// Lookup returns the entry of code; ok is false for an unknown code.
+// Lookup returns the entry of a code. ok is false if the code is unknown.
 func Lookup(code Code) (entry Entry, ok bool) {
 	entry, ok = byCode[code]
 	return entry, ok
