--- a/internal/operators/ctl/client.go
+++ b/internal/operators/ctl/client.go
@@ -1,12 +1,12 @@
-// Package ctl is the operators' client, lapisctl: it runs commands of the query language
-// against a daemon and prints the answers.
+// Package ctl implements lapisctl, the operators' command line: it runs commands of the query
+// language against a daemon and prints the answers.
 //
-// It owns one HTTP client, reads proposal and token files, and stores nothing. It relies on
-// package query for the language and the conditions, and on any daemon's operators'
-// interface (package operator).
+// The package owns one HTTP client, reads proposal and token files, and stores nothing. It uses
+// package query for the language and the conditions, and the operators' interface of any daemon
+// (package operator).
 //
-// What must hold: a change is sent under one operation id however often it is repeated, and
-// a failure is shown with its numbered codes.
+// Invariants: all attempts at a change use the same operation id; a failure is printed with its
+// result codes.
 package ctl
 
 import (
@@ -26,8 +26,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// maxAttempts bounds how often a change is sent while its outcome is unknown. The operator may
-// repeat the command afterwards.
+// maxAttempts is the maximum number of attempts at a change while its outcome is unknown. After that
+// the operator may repeat the command.
 const maxAttempts = 3
 
 // Client sends commands to the operators' interface of one daemon. It is safe for
@@ -44,9 +44,9 @@
 	return &Client{Address: address, Token: token, HTTP: &http.Client{}}
 }
 
-// Run carries out one command. Errors: OperatorBadCommand, ConfigUnreadable for a proposal
-// file that cannot be read, OperatorOutcomeUnknown without a whole answer, and a
-// *result.List of what the daemon answered.
+// Run executes one command. Errors: OperatorBadCommand, ConfigUnreadable for a proposal file that
+// cannot be read, OperatorOutcomeUnknown without a complete answer, and a *result.List of the faults
+// that the daemon reported.
 func (c *Client) Run(ctx context.Context, command *query.Command) (*opapi.Table, error) {
 	switch {
 	case command.Show != nil:
@@ -70,16 +70,16 @@
 	}
 }
 
-// operationIDLength is the number of random characters of an operation id, 5 bits each:
-// two of a million ids are alike with a chance of 4 in 10 million.
+// operationIDLength is the number of random characters of an operation id, 5 bits each: the
+// probability that any two of a million ids are equal is 4 in 10 million.
 const operationIDLength = 12
 
-// newOperationID returns an identifier for one intent of the operator.
+// newOperationID returns a random id, which all attempts at one command share.
 func newOperationID() string { return "p-" + rand.Text()[:operationIDLength] }
 
 func (c *Client) show(ctx context.Context, show *query.Show) (*opapi.Table, error) {
 	table := &opapi.Table{}
-	if err := c.exchange(ctx, http.MethodGet, opapi.PathShow, url.Values{"what": {show.Kind}}, nil, table); err != nil {
+	if err := c.send(ctx, http.MethodGet, opapi.PathShow, url.Values{"what": {show.Kind}}, nil, table); err != nil {
 		return nil, err
 	}
 	return query.Filter(table, show.Conditions)
@@ -88,7 +88,7 @@
 func (c *Client) diff(ctx context.Context, diff *query.Diff) (*opapi.Table, error) {
 	values := url.Values{"from": {strconv.FormatUint(diff.From, 10)}, "to": {strconv.FormatUint(diff.To, 10)}}
 	table := &opapi.Table{}
-	return table, c.exchange(ctx, http.MethodGet, opapi.PathDiff, values, nil, table)
+	return table, c.send(ctx, http.MethodGet, opapi.PathDiff, values, nil, table)
 }
 
 func (c *Client) wait(ctx context.Context, wait *query.WaitFor) (*opapi.Table, error) {
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit+opapi.ClientTimeout)
 	defer cancel()
 	table := &opapi.Table{}
-	return table, c.exchange(ctx, http.MethodGet, opapi.PathWait, values, nil, table)
+	return table, c.send(ctx, http.MethodGet, opapi.PathWait, values, nil, table)
 }
 
 func (c *Client) propose(ctx context.Context, path, file string) (*opapi.Table, error) {
@@ -117,7 +117,7 @@
 	if path == opapi.PathValidate {
 		request.OperationID = ""
 	}
-	if err := c.repeat(ctx, path, request, answer); err != nil {
+	if err := c.sendWithRetry(ctx, path, request, answer); err != nil {
 		return nil, err
 	}
 	return &opapi.Table{
@@ -128,7 +128,7 @@
 
 func (c *Client) change(ctx context.Context, path string, request any) (*opapi.Table, error) {
 	answer := &opapi.AcceptAnswer{}
-	if err := c.repeat(ctx, path, request, answer); err != nil {
+	if err := c.sendWithRetry(ctx, path, request, answer); err != nil {
 		return nil, err
 	}
 	return &opapi.Table{
@@ -137,29 +137,28 @@
 	}, nil
 }
 
-// repeat sends a change again while its outcome is unknown, at most maxAttempts times. Its
-// operation id makes it take effect once.
-func (c *Client) repeat(ctx context.Context, path string, request, answer any) error {
+// sendWithRetry sends a change and repeats it while its outcome is unknown, with at most maxAttempts
+// attempts. The operation id makes the change take effect once.
+func (c *Client) sendWithRetry(ctx context.Context, path string, request, answer any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return result.Wrap(result.OperatorRequestMalformed, err, "encoding the request")
 	}
 	for attempt := 1; ; attempt++ {
-		err = c.exchange(ctx, http.MethodPost, path, nil, body, answer)
-		if !outcomeUnknown(err) || attempt == maxAttempts || ctx.Err() != nil {
+		err = c.send(ctx, http.MethodPost, path, nil, body, answer)
+		if !isOutcomeUnknown(err) || attempt == maxAttempts || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
-// outcomeUnknown reports whether a change that ended with err may or may not have taken
-// effect.
-func outcomeUnknown(err error) bool {
+// isOutcomeUnknown reports whether a change that failed with err may have taken effect.
+func isOutcomeUnknown(err error) bool {
 	return result.Is(err, result.OperatorOutcomeUnknown) || result.Is(err, result.PlatformUnavailable)
 }
 
-// exchange sends one request. A failure answer becomes a *result.List.
-func (c *Client) exchange(ctx context.Context, method, path string, values url.Values, body []byte, answer any) error {
+// send sends one request and decodes the answer. A failure answer is returned as a *result.List.
+func (c *Client) send(ctx context.Context, method, path string, values url.Values, body []byte, answer any) error {
 	if _, bounded := ctx.Deadline(); !bounded {
 		bound, cancel := context.WithTimeout(ctx, opapi.ClientTimeout)
 		defer cancel()
@@ -174,7 +173,7 @@
 	if err != nil {
 		return result.Wrap(result.OperatorOutcomeUnknown, err, "no answer from %s", c.Address)
 	}
-	// Reading the body has its own error; closing it adds nothing.
+	// An error of Close is irrelevant, since reading the body reports its own error.
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -186,7 +185,7 @@
 	return failureOf(response.StatusCode, content)
 }
 
-// failureOf decodes the answer to a request that was refused.
+// failureOf decodes the answer to a refused request.
 func failureOf(status int, content []byte) error {
 	var failure opapi.Failure
 	if json.Unmarshal(content, &failure) != nil || len(failure.Faults) == 0 {
--- a/internal/operators/ctl/client_test.go
+++ b/internal/operators/ctl/client_test.go
@@ -16,14 +16,14 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// refusingDaemon answers every request with one numbered fault and keeps the bodies.
-type refusingDaemon struct {
+// failingDaemon answers every request with one fault and records the request bodies.
+type failingDaemon struct {
 	t      *testing.T
 	code   result.Code
 	bodies []string
 }
 
-func (d *refusingDaemon) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (d *failingDaemon) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	content, err := io.ReadAll(request.Body)
 	assert.Check(d.t, err)
 	d.bodies = append(d.bodies, string(content))
@@ -46,7 +46,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.command+" "+test.code.String(), func(t *testing.T) {
-			daemon := &refusingDaemon{t: t, code: test.code}
+			daemon := &failingDaemon{t: t, code: test.code}
 			server := httptest.NewServer(daemon)
 			defer server.Close()
 			output := &strings.Builder{}
@@ -58,14 +58,14 @@
 			assert.Assert(t, result.Is(err, test.code), "%v", err)
 			assert.Equal(t, len(daemon.bodies), test.sent)
 			for _, body := range daemon.bodies {
-				assert.Equal(t, body, daemon.bodies[0], "a repeated change has another operation id")
+				assert.Equal(t, body, daemon.bodies[0], "a repeated change must have the same operation id")
 			}
 		})
 	}
 }
 
 func TestFailuresDoNotEndASession(t *testing.T) {
-	server := httptest.NewServer(&refusingDaemon{t: t, code: result.OperatorForbidden})
+	server := httptest.NewServer(&failingDaemon{t: t, code: result.OperatorForbidden})
 	defer server.Close()
 	output, failures := &strings.Builder{}, &strings.Builder{}
 	session := &ctl.Session{
--- a/internal/operators/ctl/main.go
+++ b/internal/operators/ctl/main.go
@@ -12,8 +12,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// TokenVariable is the environment variable from which the token is read when
-// no flag names one.
+// TokenVariable is the environment variable that holds the token if no token file is given.
 const TokenVariable = "LAPISVANE_TOKEN"
 
 type controlFlags struct {
@@ -22,8 +21,8 @@
 	Output    string `short:"o" long:"output" description:"form of the answer" choice:"table" choice:"json" default:"table"`
 }
 
-// Main runs the program and returns its exit code: 0 when the command was
-// done, 1 when it was refused, 2 for a wrong command line.
+// Main runs the program and returns its exit code: 0 if the command succeeded, 1 if it failed, 2 for
+// an invalid command line.
 func Main(arguments []string) int {
 	options := &controlFlags{}
 	parser := flags.NewNamedParser("lapisctl", flags.HelpFlag|flags.PassDoubleDash)
--- a/internal/operators/ctl/print.go
+++ b/internal/operators/ctl/print.go
@@ -26,8 +26,8 @@
 	return printTable(writer, table)
 }
 
-// printTable writes columns aligned. The aligned writer keeps what it gets in memory, so
-// that only Flush can fail.
+// printTable writes the table with aligned columns, then its notes. The tabwriter buffers its input in
+// memory, so that only Flush can fail.
 func printTable(writer io.Writer, table *opapi.Table) error {
 	if len(table.Columns) > 0 {
 		aligned := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
--- a/internal/operators/ctl/session.go
+++ b/internal/operators/ctl/session.go
@@ -10,18 +10,18 @@
 	"github.com/lapisvane/lapisvane/internal/operators/query"
 )
 
-// Session runs commands one after the other. It is not safe for concurrent use.
+// Session runs commands sequentially. It is not safe for concurrent use.
 type Session struct {
 	Client *Client
 	// Format is OutputTable or OutputJSON.
 	Format string
-	// Out receives answers and the prompt, Err the failures.
+	// Out receives the answers and the prompt, Err the failures.
 	Out io.Writer
 	Err io.Writer
 }
 
-// Execute runs one command line and prints its answer. quit reports that the session should
-// end. Errors: those of query.Parse and Client.Run, and of writing to Out.
+// Execute runs one command and prints its answer. quit is true if the command ends the session.
+// Errors: those of query.Parse and Client.Run, and of writing to Out.
 func (s *Session) Execute(ctx context.Context, line string) (quit bool, err error) {
 	command, err := query.Parse(line)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return false, Print(s.Out, table, s.Format)
 }
 
-// Interactive reads commands from in until its end or quit. Failures of commands are
-// printed and do not end the session; one to read or to print does.
+// Interactive reads and runs commands from in until its end or a quit command. Failed commands are
+// printed and do not end the session; errors of reading or printing do.
 func (s *Session) Interactive(ctx context.Context, in io.Reader) error {
 	scanner := bufio.NewScanner(in)
 	for {
--- a/internal/operators/opapi/opapi.go
+++ b/internal/operators/opapi/opapi.go
@@ -1,9 +1,9 @@
-// Package opapi defines the requests and answers between lapisctl and the operators'
-// interface of a daemon, which are JSON over HTTP, and the times and sizes that both sides
-// must agree on. It owns no state and relies on nothing.
+// Package opapi defines the protocol between lapisctl and the operators' interface of a daemon: the
+// requests and answers, which are JSON over HTTP, and the timeouts and size limits that both sides
+// must agree on. It owns no state and uses no other package of the module.
 //
-// What must hold: field names and paths are the protocol and stay, because operators'
-// scripts and older clients use them; the client waits for longer than the daemon serves.
+// Invariants: field names and paths do not change, because operators' scripts and older clients use
+// them; the client's timeout is longer than the daemon's.
 package opapi
 
 import "time"
@@ -19,20 +19,20 @@
 	PathWait     = "/v1/wait"
 )
 
-// Bounds of a request.
+// Limits of a request.
 const (
-	// MaxRequestBytes bounds a request body. It is larger than a proposal of a whole
+	// MaxRequestBytes is the maximum size of a request body, larger than a proposal of a whole
 	// configuration.
 	MaxRequestBytes = 8 << 20
-	// ServeTimeout is how long a daemon works on one request; a wait gets its own limit
-	// besides.
+	// ServeTimeout limits the time that a daemon spends on one request; a wait for a revision adds its
+	// own limit.
 	ServeTimeout = 20 * time.Second
-	// ClientTimeout is how long a client waits for an answer; a wait gets its own limit
-	// besides. It must be larger than ServeTimeout, or the client gives up a request that
-	// the daemon still carries out.
+	// ClientTimeout limits the time that a client waits for an answer; a wait for a revision adds its
+	// own limit. It must be larger than ServeTimeout, or the client abandons a request that the daemon
+	// still carries out.
 	ClientTimeout = 30 * time.Second
-	// DefaultWait is how long a wait for a revision lasts when the operator names no time,
-	// MaxWait the longest that a daemon accepts.
+	// DefaultWait is the limit of a wait for a revision if the operator gives none, MaxWait the maximum
+	// that a daemon accepts.
 	DefaultWait = 30 * time.Second
 	MaxWait     = 5 * time.Minute
 )
@@ -40,7 +40,7 @@
 // Column describes one column of a table.
 type Column struct {
 	Name string `json:"name"`
-	// Numeric columns compare as numbers.
+	// Numeric is true if conditions compare the column's cells as numbers.
 	Numeric bool `json:"numeric,omitempty"`
 }
 
@@ -48,7 +48,7 @@
 type Table struct {
 	Columns []Column   `json:"columns"`
 	Rows    [][]string `json:"rows"`
-	// Notes are remarks on the whole, such as what is not covered.
+	// Notes are remarks on the table, such as rows that were left out.
 	Notes []string `json:"notes,omitempty"`
 }
 
@@ -58,7 +58,7 @@
 	File        string `json:"file"`
 }
 
-// ProposeAnswer is what was proposed.
+// ProposeAnswer describes the stored or validated proposal.
 type ProposeAnswer struct {
 	Proposal     string `json:"proposal,omitempty"`
 	BaseRevision uint64 `json:"base_revision"`
@@ -70,12 +70,12 @@
 	Proposal string `json:"proposal"`
 }
 
-// AcceptAnswer is the revision that a change became.
+// AcceptAnswer holds the revision that an accepted change became.
 type AcceptAnswer struct {
 	Revision uint64 `json:"revision"`
 }
 
-// Action is what to do with a back end.
+// Action is an operator's action on a back end.
 type Action string
 
 // Actions on back ends.
@@ -89,16 +89,16 @@
 type BackendRequest struct {
 	OperationID string `json:"operation_id"`
 	Action      Action `json:"action"`
-	// Backend is "pool/instance", or the instance alone where it is unique.
+	// Backend is "pool/instance", or the instance alone if that is unique.
 	Backend string `json:"backend"`
 }
 
-// Failure is the answer to a request that was refused.
+// Failure is the answer to a refused request.
 type Failure struct {
 	Faults []Fault `json:"faults"`
 }
 
-// Fault is one numbered reason.
+// Fault is one reason of a failure, with its result code.
 type Fault struct {
 	Code   uint32 `json:"code"`
 	Name   string `json:"name"`
--- a/internal/operators/operator/auth.go
+++ b/internal/operators/operator/auth.go
@@ -15,16 +15,17 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// TokensKey is the object that holds the operators.
+// TokensKey is the key of the platform's object that holds the operators.
 const TokensKey = "operators/tokens"
 
-// AdminGroup may change the objects of every group.
+// AdminGroup is the group of administrators, who may change the objects of all groups.
 const AdminGroup = "*"
 
-// tokensLifetime is how long the operators are cached; a revoked token works that much longer.
-const tokensLifetime = 5 * time.Second
+// tokenCacheTTL is the lifetime of the cache of operators. A revoked token stays valid for up to
+// that time.
+const tokenCacheTTL = 5 * time.Second
 
-// Operator is one operator as kept in the platform.
+// Operator is one operator as stored in the platform.
 type Operator struct {
 	Name  string `json:"name"`
 	Group string `json:"group"`
@@ -32,21 +33,21 @@
 	TokenSHA256 string `json:"token_sha256"`
 }
 
-// HashToken returns what Operator.TokenSHA256 holds for token.
+// HashToken returns the value of Operator.TokenSHA256 for token.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// authenticator finds the operator of a token.
+// authenticator finds the operator of a token. It is safe for concurrent use.
 type authenticator struct {
 	store objectapi.Store
 
-	// mutex protects the cache and is held while it is refreshed, so that concurrent requests read
-	// the operators once.
-	mutex     sync.Mutex
-	operators []Operator
-	readAt    time.Time
+	// mutex protects the cache. It is held during a refresh, so that concurrent requests read the
+	// operators only once.
+	mutex       sync.Mutex
+	operators   []Operator
+	refreshedAt time.Time
 }
 
 // identify returns the operator of token. Errors: OperatorUnauthenticated,
@@ -68,7 +69,7 @@
 func (a *authenticator) current(ctx context.Context) ([]Operator, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if time.Since(a.readAt) < tokensLifetime {
+	if time.Since(a.refreshedAt) < tokenCacheTTL {
 		return a.operators, nil
 	}
 	object, err := a.store.Get(ctx, TokensKey)
@@ -83,15 +84,15 @@
 		return nil, result.Wrap(result.PlatformBadAnswer, err, "decoding %s", TokensKey)
 	}
 	a.operators = operators
-	a.readAt = time.Now()
+	a.refreshedAt = time.Now()
 	return operators, nil
 }
 
-// authorize checks that every change touches only objects of the operator's group, before
-// the change and after it. A share belongs to the group that owns the pool it divides, so
-// that no group can raise its own share; a pool that the same proposal creates counts. A
-// share of an unknown pool has no owner: validation refuses it. Accounts belong to administrators, so
-// that no group can raise its own limit. An administrator may change everything. Errors: a *result.List of OperatorForbidden.
+// authorize checks that all objects of the changes belong to the operator's group, both before and
+// after the change. A share belongs to the group that owns its pool, which may be created by the same
+// proposal, so that no group can raise its own share. A share of an unknown pool has no owner, and
+// validation refuses it. Accounts belong to administrators, so that no group can raise its own limit.
+// Administrators may change all objects. Errors: a *result.List of OperatorForbidden.
 func authorize(operator Operator, state *meshconfig.State, changes []*lapisv1.Change) error {
 	if operator.Group == AdminGroup {
 		return nil
@@ -105,7 +106,7 @@
 	}
 	for _, change := range changes {
 		key := meshconfig.ChangeKey(change)
-		for _, owner := range owners(state, proposedPools, change) {
+		for _, owner := range ownerGroups(state, proposedPools, change) {
 			if owner != operator.Group {
 				faults.Add(result.OperatorForbidden, "%s belongs to group %s", key, owner)
 				break
@@ -115,8 +116,8 @@
 	return faults.Err()
 }
 
-// owners returns the groups that own what a change touches, before and after it.
-func owners(state *meshconfig.State, proposedPools map[string]string, change *lapisv1.Change) []string {
+// ownerGroups returns the groups that own the object of a change, before and after the change.
+func ownerGroups(state *meshconfig.State, proposedPools map[string]string, change *lapisv1.Change) []string {
 	var groups []string
 	key := meshconfig.ChangeKey(change)
 	share := change.GetShare()
@@ -144,7 +145,7 @@
 	return groups
 }
 
-// poolOwner returns the group of a pool that exists or is proposed, none for an unknown one.
+// poolOwner returns the group of an existing or proposed pool, no group for an unknown pool.
 func poolOwner(state *meshconfig.State, proposed map[string]string, pool string) []string {
 	if present, ok := state.Pools[pool]; ok {
 		return []string{present.GetGroup()}
--- a/internal/operators/operator/backends.go
+++ b/internal/operators/operator/backends.go
@@ -13,15 +13,15 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// maxRebases bounds how often a change of a back end is rebased because another change of the pool
-// was accepted first. It is larger than the operators that change one pool at the same time.
+// maxRebases is the maximum number of attempts at a change of a back end, which is rebased if another
+// change of the pool was accepted first. It is larger than the number of operators that change one
+// pool at the same time.
 const maxRebases = 20
 
-// changeBackend drains, undrains or retires a back end. The change commutes with those of
-// other back ends of the pool, so when another change of the pool was accepted first it is
-// made again from the new state. Errors: OperatorRequestMalformed without an operation id,
-// those of changedPool, a *result.List of OperatorForbidden, OperatorBusy after maxRebases,
-// those of changelog.Log.Accept.
+// changeBackend drains, undrains or retires a back end. Changes of different back ends of a pool
+// commute, so after a conflict the change is applied again to the new state. Errors:
+// OperatorRequestMalformed without an operation id, those of applyBackendAction, a *result.List of
+// OperatorForbidden, OperatorBusy after maxRebases attempts, those of changelog.Log.Accept.
 func (s *Server) changeBackend(ctx context.Context, operator Operator, request opapi.BackendRequest) (*opapi.AcceptAnswer, error) {
 	if request.OperationID == "" {
 		return nil, result.Errorf(result.OperatorRequestMalformed, "operation_id")
@@ -34,7 +34,7 @@
 		if accepted, ok := state.Operations[request.OperationID]; ok {
 			return &opapi.AcceptAnswer{Revision: accepted}, nil
 		}
-		pool, err := s.changedPool(state, request)
+		pool, err := s.applyBackendAction(state, request)
 		if err != nil {
 			return nil, err
 		}
@@ -55,13 +55,13 @@
 		s.config.Logger.Info("operator.backend", "operator", operator.Name, "action", request.Action, "backend", request.Backend, "revision", number)
 		return &opapi.AcceptAnswer{Revision: number}, nil
 	}
-	return nil, result.Errorf(result.OperatorBusy, "lost %d races for the pool of %s", maxRebases, request.Backend)
+	return nil, result.Errorf(result.OperatorBusy, "%d attempts conflicted with other changes of the pool of %s", maxRebases, request.Backend)
 }
 
-// changedPool returns the pool with the action applied. Errors:
+// applyBackendAction returns a copy of the back end's pool with the action applied. Errors:
 // ConfigUnknownBackend, ConfigRetiredIsForever.
-func (s *Server) changedPool(state *meshconfig.State, request opapi.BackendRequest) (*lapisv1.Pool, error) {
-	name, instance, err := s.locate(state, request.Backend)
+func (s *Server) applyBackendAction(state *meshconfig.State, request opapi.BackendRequest) (*lapisv1.Pool, error) {
+	name, instance, err := s.findPoolOfBackend(state, request.Backend)
 	if err != nil {
 		return nil, err
 	}
@@ -85,9 +85,9 @@
 	return pool, nil
 }
 
-// locate finds the pool of a back end given as "pool/instance" or, where it is
-// unique among the instances this daemon sees, "instance".
-func (s *Server) locate(state *meshconfig.State, backend string) (pool, instance string, err error) {
+// findPoolOfBackend returns the pool and the instance of a back end given as "pool/instance", or as
+// "instance" if that is unique among the instances known to this daemon.
+func (s *Server) findPoolOfBackend(state *meshconfig.State, backend string) (pool, instance string, err error) {
 	if name, rest, found := strings.Cut(backend, "/"); found {
 		if _, ok := state.Pools[name]; !ok {
 			return "", "", result.Errorf(result.ConfigUnknownPool, "%q", name)
--- a/internal/operators/operator/doc.go
+++ b/internal/operators/operator/doc.go
@@ -1,14 +1,15 @@
-// Package operator serves the operators' interface of a daemon: it
-// authenticates operators by token, checks that they touch only objects of
-// their own group, and reads and extends the log of accepted configurations.
-// Any daemon can serve it, because all it needs is in the platform.
+// Package operator implements the HTTP interface of a daemon for operators: it
+// authenticates operators by token, authorizes changes by the group that owns an
+// object, and reads and extends the log of accepted configurations. Any daemon can
+// serve the interface, because its persistent state is in the platform.
 //
-// It owns the listener and connections of the interface, a cache of the accepted
-// configuration and one of the operators; nothing that must last. It relies on package
-// changelog to accept and to read revisions, on meshconfig to parse and validate, on the
-// status that readers write beside their seats, and on the tree's node for back ends.
+// The package owns the listener and connections of the interface and caches of the
+// accepted configuration and of the operators, none of which is persistent. It uses
+// package changelog to accept and read revisions, meshconfig to parse and validate
+// proposals, the status that readers write to their seats, and the distribution tree's
+// node as the source of back ends.
 //
-// What must hold: operators change only what belongs to their group, whoever proposed it; no
-// answer shows a private key; every failure carries a numbered code; a change that is repeated
-// with the same operation id takes effect once.
+// Invariants: an operator can only accept changes of objects of the own group, also if
+// another operator proposed them; no answer contains a private key; every failure has a
+// result code; a change repeated with the same operation id takes effect once.
 package operator
--- a/internal/operators/operator/failure.go
+++ b/internal/operators/operator/failure.go
@@ -10,10 +10,10 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// firstPlatformCode is the lowest code of a failure of the platform.
-const firstPlatformCode result.Code = 7000
+// minPlatformCode is the lowest result code of a platform failure.
+const minPlatformCode result.Code = 7000
 
-// writeFailure answers with every fault of err.
+// writeFailure answers a request with all faults of err.
 func writeFailure(rc *app.RequestContext, err error) {
 	failure := opapi.Failure{}
 	var list *result.List
@@ -24,8 +24,8 @@
 	} else {
 		code, coded := result.CodeOf(err)
 		if !coded {
-			// No error without a code is known to occur. Code 0 would mean success; this one
-			// tells the operator to repeat, which is safe.
+			// Errors without a code are not expected. Code 0 would mean success;
+			// OperatorOutcomeUnknown makes the client repeat the request, which is safe.
 			code = result.OperatorOutcomeUnknown
 		}
 		failure.Faults = append(failure.Faults, opapi.Fault{Code: uint32(code), Name: code.String(), Detail: err.Error()})
@@ -33,7 +33,7 @@
 	rc.JSON(statusOf(result.Code(failure.Faults[0].Code)), failure)
 }
 
-// statusOf returns the HTTP status of a result code. What may be repeated as it is has 503.
+// statusOf returns the HTTP status of a result code. Requests that may be repeated unchanged get 503.
 func statusOf(code result.Code) int {
 	switch {
 	case code == result.OperatorUnauthenticated:
@@ -42,7 +42,7 @@
 		return http.StatusForbidden
 	case code == result.OperatorConflict || code == result.OperatorOperationReused:
 		return http.StatusConflict
-	case code >= firstPlatformCode || code == result.OperatorBusy || code == result.OperatorOutcomeUnknown:
+	case code >= minPlatformCode || code == result.OperatorBusy || code == result.OperatorOutcomeUnknown:
 		return http.StatusServiceUnavailable
 	case code == result.OperatorWaitExpired:
 		return http.StatusGatewayTimeout
--- a/internal/operators/operator/history.go
+++ b/internal/operators/operator/history.go
@@ -11,8 +11,8 @@
 	"github.com/lapisvane/lapisvane/internal/operators/opapi"
 )
 
-// diff lists the objects that changed after revision from, up to revision to; the two may come in
-// either order. Errors: OperatorUnknownRevision for one that is no longer kept.
+// diff lists the objects changed after revision from, up to and including revision to. The arguments
+// may be in either order. Errors: OperatorUnknownRevision for a revision that is no longer kept.
 func (s *Server) diff(ctx context.Context, from, to uint64) (*opapi.Table, error) {
 	if from > to {
 		from, to = to, from
@@ -28,25 +28,25 @@
 		}
 		for _, change := range revision.GetProposal().GetChanges() {
 			table.Rows = append(table.Rows, []string{
-				fmt.Sprint(number), string(meshconfig.ChangeKey(change)), describe(change), revision.GetProposal().GetAuthor(),
+				fmt.Sprint(number), string(meshconfig.ChangeKey(change)), describeChange(change), revision.GetProposal().GetAuthor(),
 			})
 		}
 	}
 	return table, nil
 }
 
-// describe renders a change without any secret's value and without the digests of keys.
-func describe(change *lapisv1.Change) string {
+// describeChange formats a change without the values of secrets and the digests of API keys.
+func describeChange(change *lapisv1.Change) string {
 	if change.GetRemovedKind() != "" {
 		return "removed"
 	}
 	if secret := change.GetSecret(); secret != nil {
-		fingerprint, expires := certificateOf(secret)
+		fingerprint, expires := certificateSummary(secret)
 		return "set to fingerprint " + fingerprint + " expiring " + expires
 	}
-	if stated := change.GetAccount(); stated != nil {
+	if account := change.GetAccount(); account != nil {
 		return fmt.Sprintf("set to %d keys, priority %d, %v calls a second, burst %d",
-			len(stated.GetKeyDigests()), stated.GetPriority(), stated.GetCallsPerSecond(), stated.GetBurst())
+			len(account.GetKeyDigests()), account.GetPriority(), account.GetCallsPerSecond(), account.GetBurst())
 	}
 	compact := prototext.MarshalOptions{}
 	return "set to " + compact.Format(change)
--- a/internal/operators/operator/proposals.go
+++ b/internal/operators/operator/proposals.go
@@ -13,7 +13,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// prepare parses, authorizes and validates a proposal against the present state, in this
+// prepare parses, authorizes and validates a proposal against the current state, in this
 // order. Errors: ConfigUnreadable, a *result.List of OperatorForbidden or of validation
 // faults, platform codes.
 func (s *Server) prepare(ctx context.Context, operator Operator, request opapi.ProposeRequest) (*lapisv1.Proposal, error) {
@@ -59,9 +59,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// When the stored proposal cannot be read, the write below finds out whether it exists.
+	// If reading the stored proposal fails, the write below detects whether it exists.
 	if stored, err := s.log.Proposal(ctx, request.OperationID); err == nil {
-		return repeatedAnswer(proposal, stored)
+		return answerRepeatedProposal(proposal, stored)
 	}
 	if err := s.log.Propose(ctx, proposal); err != nil {
 		return nil, err
@@ -69,9 +69,10 @@
 	return answerOf(proposal), nil
 }
 
-// repeatedAnswer answers a proposal that is repeated because its first answer was lost: the base
-// revision may have moved, the rest must be the same. Errors: OperatorOperationReused.
-func repeatedAnswer(proposal, stored *lapisv1.Proposal) (*opapi.ProposeAnswer, error) {
+// answerRepeatedProposal answers a proposal that the client repeats because the first answer was lost. The
+// base revision may differ from the stored one, all other fields must be equal. Errors:
+// OperatorOperationReused.
+func answerRepeatedProposal(proposal, stored *lapisv1.Proposal) (*opapi.ProposeAnswer, error) {
 	again := proto.Clone(proposal).(*lapisv1.Proposal)
 	again.BaseRevision = stored.GetBaseRevision()
 	if !proto.Equal(again, stored) {
@@ -86,8 +87,8 @@
 	}
 }
 
-// accept makes a stored proposal the next revision. The operator must be
-// allowed to make every change, whoever proposed them.
+// accept makes a stored proposal the next revision. The accepting operator must be authorized for
+// every change, regardless of who proposed it.
 func (s *Server) accept(ctx context.Context, operator Operator, request opapi.AcceptRequest) (*opapi.AcceptAnswer, error) {
 	state, err := s.log.Refresh(ctx)
 	if err != nil {
--- a/internal/operators/operator/server.go
+++ b/internal/operators/operator/server.go
@@ -22,12 +22,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/socket"
 )
 
-// Bounds of the interface.
+// Limits of the operators' interface.
 const (
-	// maxConcurrent bounds the requests that are served at a time, waits for a revision
-	// included; one more is answered with OperatorBusy.
+	// maxConcurrent is the maximum number of concurrent requests, including waits for a revision;
+	// further requests are answered with OperatorBusy.
 	maxConcurrent = 16
-	// idleTimeout is how long an unused connection of a client stays open.
+	// idleTimeout is the keep-alive time of an idle client connection.
 	idleTimeout = time.Minute
 )
 
@@ -36,7 +36,7 @@
 	Endpoints(service string) []*lapisv1.Endpoint
 }
 
-// Config is what a Server needs from its surroundings.
+// Config holds the dependencies of a Server.
 type Config struct {
 	// Store is the object API.
 	Store     objectapi.Store
@@ -49,11 +49,11 @@
 	config Config
 	log    *changelog.Log
 	auth   *authenticator
-	// slots holds one value for each request that is being served.
+	// slots is a semaphore with one value per request that is being served.
 	slots chan struct{}
 }
 
-// New returns a server that does nothing until Serve.
+// New returns a server; Serve starts it.
 func New(config Config) *Server {
 	return &Server{
 		config: config, log: changelog.New(config.Store, time.Now),
@@ -61,7 +61,7 @@
 	}
 }
 
-// Serve answers requests on listener until ctx ends, and closes listener and its connections then.
+// Serve serves requests on listener until ctx ends, then closes listener and its connections.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
 	listener, stop := socket.ClosedWith(ctx, listener)
 	defer stop()
@@ -77,14 +77,14 @@
 	engine.POST(opapi.PathPropose, s.endpoint(opapi.ServeTimeout, decoded(s.propose)))
 	engine.POST(opapi.PathAccept, s.endpoint(opapi.ServeTimeout, decoded(s.accept)))
 	engine.POST(opapi.PathBackend, s.endpoint(opapi.ServeTimeout, decoded(s.changeBackend)))
-	// Run ends when the listener is closed, with an error that says only that.
+	// Run returns when the listener is closed; its error reports only that.
 	_ = engine.Run()
 }
 
-// handler answers one authenticated request with a value to encode.
+// handler processes one authenticated request and returns the value to encode as its answer.
 type handler func(ctx context.Context, operator Operator, rc *app.RequestContext) (any, error)
 
-// endpoint wraps handle: it bounds the number of requests and the time of each,
+// endpoint wraps handle: it limits the number of concurrent requests and the time of each,
 // authenticates the operator, and encodes the answer or the failure, in this order.
 func (s *Server) endpoint(timeout time.Duration, handle handler) app.HandlerFunc {
 	return func(ctx context.Context, rc *app.RequestContext) {
@@ -133,7 +133,7 @@
 	return s.wait(ctx, revision, limit)
 }
 
-// decoded returns the handler that decodes the request's body for handle. Errors:
+// decoded returns a handler that decodes the JSON body of a request and calls handle. Errors:
 // OperatorRequestMalformed, and those of handle.
 func decoded[Request, Answer any](handle func(context.Context, Operator, Request) (Answer, error)) handler {
 	return func(ctx context.Context, operator Operator, rc *app.RequestContext) (any, error) {
--- a/internal/operators/operator/server_test.go
+++ b/internal/operators/operator/server_test.go
@@ -28,18 +28,18 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-type noEndpoints struct{}
+type emptyEndpoints struct{}
 
-func (noEndpoints) Endpoints(string) []*lapisv1.Endpoint { return nil }
+func (emptyEndpoints) Endpoints(string) []*lapisv1.Endpoint { return nil }
 
-// office is an operators' interface with operators of two rival groups.
-type office struct {
+// testServer is an operators' interface with operators of two groups and an administrator.
+type testServer struct {
 	t       *testing.T
 	address string
 	stub    *objectapistub.Server
 }
 
-func open(t *testing.T) *office {
+func startServer(t *testing.T) *testServer {
 	t.Helper()
 	stub, err := objectapistub.Start(objectapistub.Options{Address: "127.0.0.1:0", Seed: 3})
 	assert.NilError(t, err)
@@ -57,7 +57,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		operator.New(operator.Config{Store: store, Endpoints: noEndpoints{}, Logger: logr.Discard()}).Serve(ctx, listener)
+		operator.New(operator.Config{Store: store, Endpoints: emptyEndpoints{}, Logger: logr.Discard()}).Serve(ctx, listener)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -65,17 +65,17 @@
 		store.Close()
 		stub.Close()
 	})
-	return &office{t: t, address: listener.Addr().String(), stub: stub}
+	return &testServer{t: t, address: listener.Addr().String(), stub: stub}
 }
 
-func (o *office) run(group, line string) (*opapi.Table, error) {
+func (o *testServer) run(group, line string) (*opapi.Table, error) {
 	command, err := query.Parse(line)
 	assert.NilError(o.t, err)
 	return ctl.NewClient(o.address, "token-"+group).Run(context.Background(), command)
 }
 
-// accept proposes and accepts the given file.
-func (o *office) accept(group, content string) error {
+// proposeAndAccept proposes and accepts the given file.
+func (o *testServer) proposeAndAccept(group, content string) error {
 	path := filepath.Join(o.t.TempDir(), "proposal.yaml")
 	assert.NilError(o.t, os.WriteFile(path, []byte(content), 0o600))
 	table, err := o.run(group, "propose "+path)
@@ -86,15 +86,15 @@
 	return err
 }
 
-const shared = `
+const baseProposal = `
 pools: [{name: shop, group: archers, slots: 6, connection_limit: 130}]
 routes: [{name: quote, group: archers, pool: shop, path_prefix: /quote}]
 shares: [{name: for-bakers, group: bakers, pool: shop, percent: 30}]
 `
 
 func TestGroupsTouchOnlyWhatIsTheirs(t *testing.T) {
-	o := open(t)
-	assert.NilError(t, o.accept("archers", shared))
+	o := startServer(t)
+	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
 	cases := []struct {
 		name, group, file string
 		expect            result.Code
@@ -111,7 +111,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			code, _ := result.CodeOf(o.accept(test.group, test.file))
+			code, _ := result.CodeOf(o.proposeAndAccept(test.group, test.file))
 			assert.Equal(t, code, test.expect)
 		})
 	}
@@ -120,8 +120,8 @@
 }
 
 func TestRacingDrainsOfOnePoolAllTakeEffect(t *testing.T) {
-	o := open(t)
-	assert.NilError(t, o.accept("archers", shared))
+	o := startServer(t)
+	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
 	o.stub.SetFaults(objectapistub.Faults{LoseAnswerPercent: 20})
 	var racing sync.WaitGroup
 	const drains = 6
@@ -139,33 +139,33 @@
 }
 
 func TestRetiredIsForever(t *testing.T) {
-	o := open(t)
-	assert.NilError(t, o.accept("archers", shared))
+	o := startServer(t)
+	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
 	_, err := o.run("archers", "retire shop/shop-1")
 	assert.NilError(t, err)
 	_, err = o.run("archers", "undrain shop/shop-1")
 	assert.Assert(t, result.Is(err, result.ConfigRetiredIsForever), "%v", err)
 }
 
-func TestWaitTellsThatItExpired(t *testing.T) {
-	o := open(t)
-	assert.NilError(t, o.accept("archers", shared))
+func TestWaitReportsExpiry(t *testing.T) {
+	o := startServer(t)
+	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
 	_, err := o.run("archers", "wait in-force 1 for "+(200*time.Millisecond).String())
 	assert.Assert(t, result.Is(err, result.OperatorWaitExpired), "%v", err)
 	_, err = o.run("archers", "wait in-force 99")
 	assert.Assert(t, result.Is(err, result.OperatorUnknownRevision), "%v", err)
 }
 
-func TestPlatformDownIsSaidSo(t *testing.T) {
-	o := open(t)
-	assert.NilError(t, o.accept("archers", shared))
+func TestPlatformOutageIsReported(t *testing.T) {
+	o := startServer(t)
+	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
 	o.stub.SetFaults(objectapistub.Faults{Down: true})
 	_, err := o.run("archers", "show routes")
 	assert.Assert(t, result.Is(err, result.PlatformUnavailable), "%v", err)
 }
 
 func TestSecretsAreNeverShown(t *testing.T) {
-	o := open(t)
+	o := startServer(t)
 	authority, err := testsite.NewAuthority("test")
 	assert.NilError(t, err)
 	pair, err := authority.Issue("shop.example")
@@ -176,7 +176,7 @@
 		"secrets": []any{map[string]any{"name": "key", "group": "archers", "certificate_pem": string(pair.Certificate), "private_key_pem": string(pair.Key)}},
 	})
 	assert.NilError(t, err)
-	assert.NilError(t, o.accept("archers", string(file)))
+	assert.NilError(t, o.proposeAndAccept("archers", string(file)))
 	line := strings.Split(string(pair.Key), "\n")[1]
 	for _, command := range []string{"show secrets", "show routes", "show pools", "show proposals", "diff 0 1", "show versions"} {
 		table, err := o.run("bakers", command)
@@ -185,19 +185,20 @@
 		assert.NilError(t, err)
 		assert.Assert(t, !strings.Contains(string(answer), line), "%s shows the key", command)
 	}
-	code, _ := result.CodeOf(o.accept("bakers", "routes: [{name: steal, group: bakers, pool: shop, path_prefix: /s, secret: key}]"))
+	code, _ := result.CodeOf(o.proposeAndAccept("bakers", "routes: [{name: steal, group: bakers, pool: shop, path_prefix: /s, secret: key}]"))
 	assert.Equal(t, code, result.ConfigForeignSecret)
 }
 
-// Only administrators change accounts; everybody sees what they allow and nobody a key or its digest.
+// Only administrators may change accounts. All operators see the limits of accounts, but no answer
+// contains a key or its digest.
 func TestAccountsAreShownWithoutKeys(t *testing.T) {
-	o := open(t)
+	o := startServer(t)
 	const key = "key0of0the0archers"
 	file := "accounts: [{name: archers, api_keys: [" + key + ", other], priority: 1, calls_per_second: 2.5, burst: 7}, {name: none}]"
-	code, _ := result.CodeOf(o.accept("archers", file))
+	code, _ := result.CodeOf(o.proposeAndAccept("archers", file))
 	assert.Equal(t, code, result.OperatorForbidden)
-	assert.NilError(t, o.accept(operator.AdminGroup, file))
-	code, _ = result.CodeOf(o.accept("archers", "remove: [{kind: account, name: archers}]"))
+	assert.NilError(t, o.proposeAndAccept(operator.AdminGroup, file))
+	code, _ = result.CodeOf(o.proposeAndAccept("archers", "remove: [{kind: account, name: archers}]"))
 	assert.Equal(t, code, result.OperatorForbidden)
 	table, err := o.run("archers", "show accounts where keys > 0")
 	assert.NilError(t, err)
--- a/internal/operators/operator/show.go
+++ b/internal/operators/operator/show.go
@@ -8,9 +8,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// show answers a query for all rows of one kind; lapisctl filters them.
-func (s *Server) show(ctx context.Context, what string) (*opapi.Table, error) {
-	switch what {
+// show returns all rows of one kind; lapisctl filters them.
+func (s *Server) show(ctx context.Context, kind string) (*opapi.Table, error) {
+	switch kind {
 	case "versions":
 		return s.showVersions(ctx)
 	case "proxies":
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	switch what {
+	switch kind {
 	case "routes":
 		return showRoutes(state), nil
 	case "pools":
@@ -36,7 +36,7 @@
 	case "backends":
 		return s.showBackends(state), nil
 	default:
-		return nil, result.Errorf(result.OperatorBadCommand, "nothing to show called %q", what)
+		return nil, result.Errorf(result.OperatorBadCommand, "nothing to show called %q", kind)
 	}
 }
 
--- a/internal/operators/operator/show_configuration.go
+++ b/internal/operators/operator/show_configuration.go
@@ -27,13 +27,13 @@
 		table.Rows = append(table.Rows, []string{
 			name, route.GetGroup(), route.GetPool(), route.GetHost(), route.GetPathPrefix(), strings.Join(route.GetMethods(), ","),
 			route.GetSecret(), classOf(route.GetCallClass()), number(uint64(route.GetCallClass().GetDeadlineMillis())),
-			lastChanged(state, meshconfig.KindRoute, name),
+			lastChangedRevision(state, meshconfig.KindRoute, name),
 		})
 	}
 	return table
 }
 
-// classOf renders how calls of a route may be treated.
+// classOf formats the call class of a route.
 func classOf(class *lapisv1.CallClass) string {
 	words := []string{"once"}
 	if class.GetRepeatable() {
@@ -57,7 +57,7 @@
 		pool := state.Pools[name]
 		table.Rows = append(table.Rows, []string{
 			name, pool.GetGroup(), number(uint64(pool.GetSlots())), number(uint64(pool.GetConnectionLimit())),
-			strings.Join(pool.GetDrained(), ","), strings.Join(pool.GetRetired(), ","), lastChanged(state, meshconfig.KindPool, name),
+			strings.Join(pool.GetDrained(), ","), strings.Join(pool.GetRetired(), ","), lastChangedRevision(state, meshconfig.KindPool, name),
 		})
 	}
 	return table
@@ -70,50 +70,50 @@
 	for _, name := range slices.Sorted(maps.Keys(state.Shares)) {
 		share := state.Shares[name]
 		table.Rows = append(table.Rows, []string{
-			name, share.GetGroup(), share.GetPool(), number(uint64(share.GetPercent())), lastChanged(state, meshconfig.KindShare, name),
+			name, share.GetGroup(), share.GetPool(), number(uint64(share.GetPercent())), lastChangedRevision(state, meshconfig.KindShare, name),
 		})
 	}
 	return table
 }
 
-// showAccounts shows what bounds accounts and how many keys they have, never a key.
+// showAccounts lists the limits and the number of keys of each account, without the keys.
 func showAccounts(state *meshconfig.State) *opapi.Table {
 	table := &opapi.Table{Columns: []opapi.Column{
 		{Name: "name"}, {Name: "keys", Numeric: true}, {Name: "priority", Numeric: true},
 		{Name: "calls_per_second", Numeric: true}, {Name: "burst", Numeric: true}, {Name: "changed", Numeric: true},
 	}}
 	for _, name := range slices.Sorted(maps.Keys(state.Accounts)) {
-		stated := state.Accounts[name]
+		account := state.Accounts[name]
 		table.Rows = append(table.Rows, []string{
-			name, strconv.Itoa(len(stated.GetKeyDigests())), number(uint64(stated.GetPriority())),
-			strconv.FormatFloat(stated.GetCallsPerSecond(), 'g', -1, 64), number(uint64(stated.GetBurst())),
-			lastChanged(state, meshconfig.KindAccount, name),
+			name, strconv.Itoa(len(account.GetKeyDigests())), number(uint64(account.GetPriority())),
+			strconv.FormatFloat(account.GetCallsPerSecond(), 'g', -1, 64), number(uint64(account.GetBurst())),
+			lastChangedRevision(state, meshconfig.KindAccount, name),
 		})
 	}
 	return table
 }
 
-// showSecrets shows what identifies a key pair, never its value.
+// showSecrets lists the fingerprint and the expiry of each key pair, without its value.
 func showSecrets(state *meshconfig.State) *opapi.Table {
 	table := &opapi.Table{Columns: []opapi.Column{
 		{Name: "name"}, {Name: "group"}, {Name: "fingerprint"}, {Name: "expires"}, {Name: "changed", Numeric: true},
 	}}
 	for _, name := range slices.Sorted(maps.Keys(state.Secrets)) {
-		fingerprint, expires := certificateOf(state.Secrets[name])
+		fingerprint, expires := certificateSummary(state.Secrets[name])
 		table.Rows = append(table.Rows, []string{
-			name, state.Secrets[name].GetGroup(), fingerprint, expires, lastChanged(state, meshconfig.KindSecret, name),
+			name, state.Secrets[name].GetGroup(), fingerprint, expires, lastChangedRevision(state, meshconfig.KindSecret, name),
 		})
 	}
 	return table
 }
 
-// fingerprintBytes is how much of a certificate's SHA-256 is shown: enough to tell the
-// certificates of a site apart.
+// fingerprintBytes is the length of the prefix of a certificate's SHA-256 that is shown, enough to
+// distinguish the certificates of a site.
 const fingerprintBytes = 8
 
-// certificateOf returns the start of the SHA-256 of a secret's certificate and when it expires.
-// Both are empty for anything else than a certificate, which validation refuses.
-func certificateOf(secret *lapisv1.Secret) (fingerprint, expires string) {
+// certificateSummary returns the prefix of the SHA-256 of a secret's certificate and its expiry time.
+// Both are empty if the secret holds no certificate, which validation refuses.
+func certificateSummary(secret *lapisv1.Secret) (fingerprint, expires string) {
 	block, _ := pem.Decode(secret.GetCertificatePem())
 	if block == nil {
 		return "", ""
@@ -126,8 +126,8 @@
 	return fingerprint, expires
 }
 
-// lastChanged returns the revision that last changed an object.
-func lastChanged(state *meshconfig.State, kind meshconfig.Kind, name string) string {
+// lastChangedRevision returns the revision that last changed an object.
+func lastChangedRevision(state *meshconfig.State, kind meshconfig.Kind, name string) string {
 	return number(state.ObjectRevisions[meshconfig.KeyOf(kind, name)])
 }
 
--- a/internal/operators/operator/show_fleet.go
+++ b/internal/operators/operator/show_fleet.go
@@ -16,12 +16,12 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// fleetStatus is the sum of the readers' reports.
+// fleetStatus holds the status reports of all readers.
 type fleetStatus struct {
 	reports []*lapisv1.StatusReport
-	// unreadable names the seats whose object cannot be decoded.
+	// unreadable lists the keys of seats whose object cannot be decoded.
 	unreadable []string
-	// machines is the number of machines on the machine list.
+	// machines is the number of machines on the platform's machine list.
 	machines int
 }
 
@@ -51,13 +51,14 @@
 	return status, nil
 }
 
-// allAtLeast reports whether any proxy reports and all have the revision in force.
-func (f *fleetStatus) allAtLeast(revision uint64) bool {
+// allRunAtLeast reports whether all reporting proxies, at least one, have revision or a later one in
+// force.
+func (f *fleetStatus) allRunAtLeast(revision uint64) bool {
 	_, nodes, lowest := f.counts()
 	return nodes > 0 && lowest >= revision
 }
 
-// notes returns the remark on what the reports do not cover.
+// notes returns the notes of a table on seats that are left out.
 func (f *fleetStatus) notes() []string {
 	if len(f.unreadable) == 0 {
 		return nil
@@ -65,8 +66,8 @@
 	return []string{"not decoded and left out: " + strings.Join(f.unreadable, ", ")}
 }
 
-// counts adds the reports up: proxies by revision in force, proxies in all, and the lowest
-// revision, which is exact.
+// counts sums up the reports: the proxies per revision in force, the total number of proxies, and the
+// lowest revision in force, which is exact.
 func (f *fleetStatus) counts() (counts map[uint64]uint32, nodes uint32, lowest uint64) {
 	counts = map[uint64]uint32{}
 	for _, report := range f.reports {
@@ -109,7 +110,7 @@
 	return table, nil
 }
 
-// acceptance returns who proposed a revision and when it was accepted, both empty for one that
+// acceptance returns the author and the acceptance time of a revision, both empty for a revision that
 // is no longer kept. Errors: platform codes.
 func (s *Server) acceptance(ctx context.Context, revision uint64) (author, accepted string, err error) {
 	record, err := s.log.Revision(ctx, revision)
--- a/internal/operators/operator/wait.go
+++ b/internal/operators/operator/wait.go
@@ -9,13 +9,13 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// waitInterval is the time between two reads of the status. The status itself is a status interval
-// old for each level of the tree.
-const waitInterval = 100 * time.Millisecond
+// statusPollInterval is the time between two reads of the status. The status itself is delayed by one
+// status interval per level of the tree.
+const statusPollInterval = 100 * time.Millisecond
 
-// wait returns when a revision is in force on every proxy that reports. A status that
-// cannot be read is read again until limit. Errors: OperatorUnknownRevision,
-// OperatorWaitExpired with the last failure to read the status, platform codes.
+// wait returns as soon as revision is in force on all proxies that report. Failed reads of the status
+// are repeated until limit. Errors: OperatorUnknownRevision, OperatorWaitExpired with the last error of
+// reading the status, platform codes.
 func (s *Server) wait(ctx context.Context, revision uint64, limit time.Duration) (*opapi.Table, error) {
 	state, err := s.log.Refresh(ctx)
 	if err != nil {
@@ -27,28 +27,28 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	started := time.Now()
-	var unread error
+	var readErr error
 	for {
 		fleet, err := s.readFleet(ctx)
-		if err == nil && fleet.allAtLeast(revision) {
+		if err == nil && fleet.allRunAtLeast(revision) {
 			return waitedTable(revision, fleet, time.Since(started)), nil
 		}
 		if ctx.Err() == nil {
-			unread = err
+			readErr = err
 		}
 		select {
 		case <-ctx.Done():
-			return nil, waitExpired(revision, unread)
-		case <-time.After(waitInterval):
+			return nil, waitExpiredError(revision, readErr)
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
 
-// waitExpired returns the answer to a wait whose limit passed; unread is why the status
-// could not be read the last time, nil when it could.
-func waitExpired(revision uint64, unread error) error {
-	if unread != nil {
-		return result.Errorf(result.OperatorWaitExpired, "revision %d; the status could not be read: %v", revision, unread)
+// waitExpiredError returns the error of a wait whose limit has passed; readErr is the error of the
+// last read of the status, nil if that succeeded.
+func waitExpiredError(revision uint64, readErr error) error {
+	if readErr != nil {
+		return result.Errorf(result.OperatorWaitExpired, "revision %d; the status could not be read: %v", revision, readErr)
 	}
 	return result.Errorf(result.OperatorWaitExpired, "revision %d", revision)
 }
--- a/internal/operators/query/filter.go
+++ b/internal/operators/query/filter.go
@@ -9,46 +9,46 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Filter returns the table with only the rows that meet all conditions.
-// Errors: OperatorBadCommand for an unknown field or a bad number in a condition,
-// OperatorRequestMalformed for a bad number in the table.
+// Filter returns a table with the rows that meet all conditions. Errors: OperatorBadCommand for an
+// unknown field or an invalid number in a condition, OperatorRequestMalformed for an invalid number in
+// the table.
 func Filter(table *opapi.Table, conditions []*Condition) (*opapi.Table, error) {
 	filtered := &opapi.Table{Columns: table.Columns, Notes: table.Notes}
-	tests := make([]rowTest, 0, len(conditions))
+	predicates := make([]rowPredicate, 0, len(conditions))
 	for _, condition := range conditions {
 		test, err := compile(table.Columns, condition)
 		if err != nil {
 			return nil, err
 		}
-		tests = append(tests, test)
+		predicates = append(predicates, test)
 	}
 	for _, row := range table.Rows {
-		met, err := meetsAll(row, tests)
+		matched, err := matchesAll(row, predicates)
 		if err != nil {
 			return nil, err
 		}
-		if met {
+		if matched {
 			filtered.Rows = append(filtered.Rows, row)
 		}
 	}
 	return filtered, nil
 }
 
-// rowTest decides on one row. Errors: OperatorRequestMalformed for a cell of a numeric
-// column that is not a number.
-type rowTest func(row []string) (bool, error)
+// rowPredicate reports whether a row meets a condition. Errors: OperatorRequestMalformed for a cell of
+// a numeric column that is not a number.
+type rowPredicate func(row []string) (bool, error)
 
-func meetsAll(row []string, tests []rowTest) (bool, error) {
+func matchesAll(row []string, tests []rowPredicate) (bool, error) {
 	for _, test := range tests {
-		if met, err := test(row); err != nil || !met {
+		if matched, err := test(row); err != nil || !matched {
 			return false, err
 		}
 	}
 	return true, nil
 }
 
-// compile returns the test of rows for a condition.
-func compile(columns []opapi.Column, condition *Condition) (rowTest, error) {
+// compile converts a condition to a predicate on rows. Errors: OperatorBadCommand.
+func compile(columns []opapi.Column, condition *Condition) (rowPredicate, error) {
 	for index, column := range columns {
 		if column.Name != condition.Field {
 			continue
@@ -62,7 +62,7 @@
 		}
 		return func(row []string) (bool, error) {
 			order, err := compare(row[index])
-			return err == nil && holds(condition.Operator, order), err
+			return err == nil && operatorAccepts(condition.Operator, order), err
 		}, nil
 	}
 	names := make([]string, 0, len(columns))
@@ -72,8 +72,8 @@
 	return nil, result.Errorf(result.OperatorBadCommand, "no field %q; there are %s", condition.Field, strings.Join(names, ", "))
 }
 
-// comparison returns a function that compares a cell with value: below 0, 0 or above 0 for a
-// smaller, equal or larger cell.
+// comparison returns a function that compares a cell with value and returns a negative number, 0 or a
+// positive number for a smaller, equal or larger cell.
 func comparison(column opapi.Column, value string) (func(cell string) (int, error), error) {
 	if !column.Numeric {
 		return func(cell string) (int, error) { return strings.Compare(cell, value), nil }, nil
@@ -91,8 +91,8 @@
 	}, nil
 }
 
-// holds reports whether operator allows a comparison with this outcome.
-func holds(operator string, order int) bool {
+// operatorAccepts reports whether a comparison with result order satisfies operator.
+func operatorAccepts(operator string, order int) bool {
 	switch operator {
 	case "=":
 		return order == 0
--- a/internal/operators/query/language.go
+++ b/internal/operators/query/language.go
@@ -1,9 +1,9 @@
-// Package query is the operators' query and command language: its grammar and the evaluation
+// Package query implements the operators' query and command language: its grammar and the evaluation
 // of conditions on the rows of an answer.
 //
-// It owns no state; its functions are safe for concurrent use. It relies on participle for
-// parsing. What must hold: a text that does not parse is refused as a whole with the place
-// of the fault, and nothing is sent.
+// The package owns no state; its functions are safe for concurrent use. It parses with participle.
+// Invariant: a text that does not parse is refused as a whole with the position of the error, and
+// nothing is sent to the daemon.
 package query
 
 import (
@@ -39,18 +39,18 @@
 	Value    string `parser:"@(Word | String)"`
 }
 
-// File names a proposal file.
+// File is the path of a proposal file.
 type File struct {
 	Path string `parser:"@(Word | String)"`
 }
 
-// Diff names two revisions.
+// Diff lists the changes between two revisions.
 type Diff struct {
 	From uint64 `parser:"@Word"`
 	To   uint64 `parser:"@Word"`
 }
 
-// Accept names a proposal.
+// Accept accepts a stored proposal.
 type Accept struct {
 	Proposal string `parser:"@Word"`
 }
@@ -67,21 +67,19 @@
 	Limit    string `parser:"('for' @Word)?"`
 }
 
-var tokens = lexer.MustSimple([]lexer.SimpleRule{
+var commandLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "String", Pattern: `"[^"]*"`},
 	{Name: "Operator", Pattern: `!=|<=|>=|=|<|>|~`},
 	{Name: "Word", Pattern: `[^\s"=<>!~]+`},
 	{Name: "space", Pattern: `\s+`},
 })
 
-var parser = participle.MustBuild[Command](participle.Lexer(tokens), participle.Unquote("String"))
+var parser = participle.MustBuild[Command](participle.Lexer(commandLexer), participle.Unquote("String"))
 
-// MaxCommandBytes bounds the length of a command. It is longer than any command with a few
-// conditions.
+// MaxCommandBytes is the maximum length of a command, longer than any command with a few conditions.
 const MaxCommandBytes = 4096
 
-// Parse reads one command. Errors: OperatorBadCommand with the place of the
-// fault.
+// Parse parses one command. Errors: OperatorBadCommand with the position of the error.
 func Parse(text string) (*Command, error) {
 	if len(text) > MaxCommandBytes {
 		return nil, result.Errorf(result.OperatorBadCommand, "a command has at most %d characters", MaxCommandBytes)
@@ -93,7 +91,7 @@
 	return command, nil
 }
 
-// HelpText describes the language.
+// HelpText is the help text of the language.
 const HelpText = `Commands:
   show versions | proxies | routes | pools | backends | shares | secrets | accounts | proposals
        [where FIELD OP VALUE {and FIELD OP VALUE}]   OP: = != < <= > >= ~ (contains)
--- a/internal/operators/query/query_test.go
+++ b/internal/operators/query/query_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestNumericColumnWithoutANumberIsRefused(t *testing.T) {
+func TestNonNumericCellOfANumericColumnIsRefused(t *testing.T) {
 	table := &opapi.Table{Columns: []opapi.Column{{Name: "slots", Numeric: true}}, Rows: [][]string{{"many"}}}
 	command, err := query.Parse("show pools where slots < 1")
 	assert.NilError(t, err)
