--- a/internal/model/digest/digest.go
+++ b/internal/model/digest/digest.go
@@ -1,10 +1,10 @@
-// Package digest computes the digests by which received configuration is
-// verified: one over the content of each bundle, and one over a set of bundles
-// that can be kept up to date bundle by bundle and taken over any subset.
+// Package digest computes the digests that verify received configuration: one over
+// the content of each bundle, and one over a set of bundles, which can be updated
+// incrementally per bundle and computed for any subset.
 //
-// It owns nothing and relies on SHA-256. What must hold: equal contents and equal sets have
-// equal digests in every process and release, since the digests are stored and sent. Values are not
-// safe for concurrent use while they are changed.
+// The package owns no state and uses SHA-256. Invariant: equal contents and equal sets have equal
+// digests in every process and release, because the digests are stored and sent. A Set is not safe
+// for concurrent use while it is changed.
 package digest
 
 import (
@@ -12,10 +12,10 @@
 	"encoding/binary"
 )
 
-// Size is the length of a digest in bytes: half of a SHA-256, which is enough against corruption.
+// Size is the length of a digest in bytes: half of a SHA-256, which is sufficient to detect corruption.
 const Size = 16
 
-// Sum is a digest of one content or of a set.
+// Sum is the digest of one content.
 type Sum [Size]byte
 
 // OfContent returns the digest of a bundle's serialized content.
@@ -28,18 +28,18 @@
 
 // Set is the digest of a set of named contents. Members can be added and
 // removed in any order; equal sets have equal digests. It detects corruption
-// and omissions; against forgery the connection's TLS protects.
+// and omissions. It does not protect against forgery, which is left to TLS.
 type Set struct {
 	low, high uint64
 }
 
-// Member is what one named content adds to a set.
+// Member is the contribution of one named content to a Set.
 type Member struct {
 	low, high uint64
 }
 
-// MemberOf returns the member for a name and the digest of its content. The name is hashed with
-// its length, so that no two pairs have the same input.
+// MemberOf returns the member for a name and the digest of its content. The length of the name is
+// hashed too, so that different pairs have different hash inputs.
 func MemberOf(name string, content []byte) Member {
 	hasher := sha256.New()
 	var length [4]byte
@@ -57,20 +57,20 @@
 	s.high += member.high
 }
 
-// Remove removes a member that was added before; after removing any other the digest is wrong.
+// Remove removes a member that was added before. Removing any other member makes the digest invalid.
 func (s *Set) Remove(member Member) {
 	s.low -= member.low
 	s.high -= member.high
 }
 
-// Bytes returns the digest as it is sent.
+// Bytes returns the encoded digest.
 func (s *Set) Bytes() []byte {
 	encoded := make([]byte, 0, Size)
 	encoded = binary.BigEndian.AppendUint64(encoded, s.low)
 	return binary.BigEndian.AppendUint64(encoded, s.high)
 }
 
-// ParseSet decodes what Bytes returned; ok is false for a wrong length.
+// ParseSet decodes a digest encoded by Bytes; ok is false if the length is wrong.
 func ParseSet(encoded []byte) (set Set, ok bool) {
 	if len(encoded) != Size {
 		return Set{}, false
--- a/internal/model/fingerprint/fingerprint.go
+++ b/internal/model/fingerprint/fingerprint.go
@@ -1,9 +1,9 @@
-// Package fingerprint derives keys of requests from what they ask for, so that a request that
-// comes again with another id, from another client or at another daemon is recognised.
+// Package fingerprint derives keys of requests from their method, host, target and body, so that a
+// request repeated with another id, by another client or at another daemon is recognised.
 //
-// It owns nothing and relies on SHA-256 and on callapi.HostName. What must hold: every daemon
-// derives the same keys, and stored keys stay valid over releases; nobody can make a request with
-// the key of another, hence a cryptographic hash.
+// The package owns no state and uses SHA-256 and callapi.HostName. Invariants: all daemons derive the
+// same keys, and stored keys stay valid over releases. A client must not be able to construct a request
+// with the key of another request, hence the cryptographic hash.
 package fingerprint
 
 import (
@@ -18,22 +18,22 @@
 	"github.com/lapisvane/lapisvane/internal/model/callapi"
 )
 
-// Head identifies the method, host and path of a request; it is known before the body is.
+// Head is a hash of the method, host and path of a request, which is known before the body.
 type Head uint64
 
 // String returns the head in hexadecimal digits.
 func (h Head) String() string { return strconv.FormatUint(uint64(h), 16) }
 
-// Key identifies a request at one level of Keys. It is half of a SHA-256.
+// Key identifies a request at one level of Keys. It is the first half of a SHA-256.
 type Key [16]byte
 
 // String returns the key in hexadecimal digits.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Line is the line and host of a request.
+// Line holds the parts of a request line, and the host of the request.
 type Line struct {
 	Method string
-	// Host may hold a port, which does not matter.
+	// Host may contain a port, which is ignored.
 	Host string
 	// Target is the path with the query.
 	Target string
@@ -44,19 +44,19 @@
 	return Line{Method: open.GetMethod(), Host: open.GetHost(), Target: open.GetTarget()}
 }
 
-// Keys are the keys of one request at several levels; the zero value of a level is not known.
+// Keys holds the keys of one request at several levels; a zero value means that the key is not known.
 type Keys struct {
 	Head Head
 	// Full covers method, host, path, query and body.
 	Full Key
-	// Path leaves the query out. It equals Full where there is none.
+	// Path covers method, host, path and body without the query. It equals Full if there is no query.
 	Path Key
-	// Partial covers method, host, path and stated length, for a request whose body is not known
-	// to its end.
+	// Partial covers method, host, path and declared body length, for a request whose body is not
+	// completely known.
 	Partial Key
 }
 
-// Whole returns the keys of a request whose body is known.
+// Whole returns the keys that cover the body: Full, and Path if it differs.
 func (k Keys) Whole() []Key {
 	if k.Full == k.Path {
 		return []Key{k.Full}
@@ -71,8 +71,8 @@
 	return Head(binary.BigEndian.Uint64(sum[:8]))
 }
 
-// PartialOf returns the key of a request of which only the head and the stated length of
-// the body are known; the length is negative where none is stated.
+// PartialOf returns the key of a request of which only the head and the declared length of
+// the body are known; length is negative if none is declared.
 func PartialOf(line Line, length int64) Key {
 	path, _ := line.split()
 	return keyOf("partial", line.Method, line.host(), path, string(binary.BigEndian.AppendUint64(nil, uint64(length))))
@@ -85,7 +85,7 @@
 	return OfDigest(line, int64(len(body)), digest)
 }
 
-// NewBody returns the hash that a body's bytes are written to. It is not safe for concurrent use.
+// NewBody returns the hash for a body, to be passed to OfDigest. It is not safe for concurrent use.
 func NewBody() hash.Hash { return sha256.New() }
 
 // OfDigest returns all keys of a request whose body, of length bytes, was written to digest.
@@ -113,7 +113,7 @@
 	return Key(sum[:16])
 }
 
-// digestOf hashes the parts with their lengths, so that no two lists run into one another.
+// digestOf hashes the parts with their lengths, so that different lists have different hash inputs.
 func digestOf(parts ...string) [sha256.Size]byte {
 	var joined []byte
 	for _, part := range parts {
--- a/internal/model/fingerprint/fingerprint_test.go
+++ b/internal/model/fingerprint/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/lapisvane/lapisvane/internal/model/fingerprint"
 )
 
-func TestRequestsForTheSameShareTheirKeys(t *testing.T) {
+func TestEqualRequestsHaveEqualKeys(t *testing.T) {
 	line := fingerprint.Line{Method: "POST", Host: "a.example", Target: "/orders/7?page=1"}
 	keys := fingerprint.Of(line, []byte("body"))
 	same := line
@@ -39,7 +39,7 @@
 	assert.Equal(t, len(other.Whole()), 1)
 }
 
-func TestABodyInPiecesHasTheSameKeys(t *testing.T) {
+func TestKeysOfABodyWrittenInPieces(t *testing.T) {
 	line := fingerprint.Line{Method: "POST", Host: "a", Target: "/b"}
 	digest := fingerprint.NewBody()
 	_, _ = digest.Write([]byte("one "))
--- a/internal/model/incarnation/incarnation.go
+++ b/internal/model/incarnation/incarnation.go
@@ -1,10 +1,10 @@
-// Package incarnation names the starts of an instance, which may start again under the id that it
-// had. A start is known by its name, the id and the time of the start in one text, so that whatever
-// compares names tells one start from another: registrations, drains, ejections, what is known of an
-// instance's speed, the instances that a call was at, announcements between daemons.
+// Package incarnation identifies the starts of an instance, which may restart under the same id. The
+// name of a start combines the id and the start time, so that all code that compares names
+// distinguishes the starts: registrations, drains, ejections, speed statistics of instances, the
+// instances tried by a call, and announcements between daemons.
 //
-// The package is pure and owns no state. What must hold: "the same instance" is asked of names, and
-// an id alone is used only towards the instance itself and in what operators write.
+// The package is pure and owns no state. Invariant: instances are compared by name; an id alone is
+// used only towards the instance itself and in objects written by operators.
 package incarnation
 
 import (
@@ -12,18 +12,18 @@
 	"strings"
 )
 
-// separator stands between the id and the start in a name.
+// separator separates the id and the start time in a name.
 const separator = "@"
 
 // Incarnation is one start of an instance.
 type Incarnation struct {
 	ID string
-	// Born is when it started, in milliseconds since 1970, as the instance states it; 0 where it
-	// does not. Two starts of an id that state none, or the same one, are not told apart.
+	// Born is the start time reported by the instance, in milliseconds since 1970; 0 if it reports
+	// none. Two starts of an id with the same Born, also 0, are not distinguished.
 	Born uint64
 }
 
-// Name returns what the incarnation is known by: its id, and its start where that is stated.
+// Name returns the name of the incarnation: its id, followed by its start time if that is reported.
 func (i Incarnation) Name() string {
 	if i.Born == 0 && !strings.Contains(i.ID, separator) {
 		return i.ID
@@ -31,7 +31,7 @@
 	return i.ID + separator + strconv.FormatUint(i.Born, 10)
 }
 
-// Parse returns the incarnation of a name; a text that Name does not return is taken as an id.
+// Parse returns the incarnation of a name. A text that is not in the form of Name is taken as an id.
 func Parse(name string) Incarnation {
 	at := strings.LastIndex(name, separator)
 	if at < 0 {
@@ -44,8 +44,8 @@
 	return Incarnation{ID: name[:at], Born: born}
 }
 
-// StartedAfter reports whether i is known to have started after other. Both are of one machine, whose
-// clock gave both times.
+// StartedAfter reports whether i is known to have started after other. Both must have run on the same
+// machine, so that the times are of one clock.
 func (i Incarnation) StartedAfter(other Incarnation) bool {
 	return other.Born > 0 && i.Born > other.Born
 }
--- a/internal/model/incarnation/incarnation_test.go
+++ b/internal/model/incarnation/incarnation_test.go
@@ -8,7 +8,7 @@
 	"github.com/lapisvane/lapisvane/internal/model/incarnation"
 )
 
-func TestNamesTellStartsApart(t *testing.T) {
+func TestNamesIdentifyStarts(t *testing.T) {
 	names := map[string]bool{}
 	for _, one := range []incarnation.Incarnation{
 		{ID: "i-1"}, {ID: "i-1", Born: 5}, {ID: "i-1", Born: 6}, {ID: "i-1@5"}, {ID: "i-1@5", Born: 5}, {ID: "@"}, {ID: "i-1@"},
--- a/internal/model/locality/locality.go
+++ b/internal/model/locality/locality.go
@@ -1,11 +1,11 @@
-// Package locality ranks how far instances and daemons are from one another, by zone and region.
-// It owns nothing; its values may be used by several goroutines.
+// Package locality ranks the distance between instances and daemons by zone and region.
+// It owns no state; its values are safe for concurrent use.
 //
-// What must hold: where regions are not known nothing is far, so that a fleet of one region, or
-// of none, behaves as if there were no regions.
+// Invariant: an unknown region never counts as another region, so that a fleet with one region, or
+// without regions, behaves as if there were no regions.
 package locality
 
-// Tier is how far something is; a lower one is nearer.
+// Tier is a class of distance; a lower tier is nearer.
 type Tier int
 
 // Tiers, nearest first.
@@ -15,12 +15,12 @@
 	OtherRegion
 )
 
-// Place is where a daemon or an instance runs; an empty region is not known.
+// Place is the zone and region of a daemon or an instance; an empty region is unknown.
 type Place struct {
 	Zone, Region string
 }
 
-// TierOf returns how far other is from p. An unknown region counts as the own one.
+// TierOf returns the tier of other as seen from p. An unknown region counts as the region of p.
 func (p Place) TierOf(other Place) Tier {
 	switch {
 	case other.Zone == p.Zone:
--- a/internal/model/meshconfig/accept.go
+++ b/internal/model/meshconfig/accept.go
@@ -20,7 +20,7 @@
 	case KindShare:
 		return groupOf(s.Shares, name)
 	case KindAccount:
-		// An account has the name of its callers' group.
+		// The name of an account is also the group of its callers.
 		_, ok = s.Accounts[name]
 		return name, ok
 	default:
@@ -41,14 +41,14 @@
 	return ok
 }
 
-// Conflict names the accepted revision that a proposal collides with.
+// Conflict is an object that an accepted revision changed after the base of a proposal.
 type Conflict struct {
 	Key      ObjectKey
 	Revision uint64
 }
 
 // FindConflict returns the first object of the proposal that another revision
-// changed after the proposal's base; ok is false when there is none.
+// changed after the proposal's base; ok is false if there is none.
 func (s *State) FindConflict(proposal *lapisv1.Proposal) (conflict Conflict, ok bool) {
 	for _, change := range proposal.GetChanges() {
 		key := ChangeKey(change)
@@ -59,9 +59,9 @@
 	return Conflict{}, false
 }
 
-// Accept returns the revision that accepting proposal on top of s makes, and
-// the state after it. The caller must already have excluded conflicts. Errors:
-// a *result.List with every fault of the resulting configuration, or
+// Accept returns the revision that results from accepting proposal on top of s, and
+// the state after it. The caller must have excluded conflicts (FindConflict). Errors:
+// a *result.List with all faults of the resulting configuration, or
 // OperatorStaleProposal.
 func (s *State) Accept(proposal *lapisv1.Proposal, now time.Time) (*lapisv1.Revision, *State, error) {
 	if proposal.GetBaseRevision()+HistoryWindow < s.Revision {
@@ -147,9 +147,9 @@
 }
 
 // Advance applies an accepted revision read from the log. It verifies that the
-// revision follows s, that every bundle has its digest and that the whole has
-// the digest that the acceptor wrote. Errors: DistributionWrongBase,
-// DistributionDigestMismatch, DistributionBadBundle.
+// revision follows s, that every bundle matches its digest and that the resulting
+// configuration matches the digest written by the acceptor. Errors:
+// DistributionWrongBase, DistributionDigestMismatch, DistributionBadBundle.
 func (s *State) Advance(revision *lapisv1.Revision) (*State, error) {
 	if revision.GetNumber() != s.Revision+1 {
 		return nil, result.Errorf(result.DistributionWrongBase,
--- a/internal/model/meshconfig/accounts.go
+++ b/internal/model/meshconfig/accounts.go
@@ -11,7 +11,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// sortedAccounts returns the accounts in order of their names.
+// sortedAccounts returns the accounts sorted by name.
 func (s *State) sortedAccounts() []*lapisv1.Account {
 	sorted := make([]*lapisv1.Account, 0, len(s.Accounts))
 	for _, name := range slices.Sorted(maps.Keys(s.Accounts)) {
@@ -20,49 +20,50 @@
 	return sorted
 }
 
-// validateAccounts checks accounts by themselves and against each other. Faults name an account by
-// its place too, since its name may be at fault, and a key by its place only.
+// validateAccounts checks the accounts individually and against each other. Faults identify an account
+// by its index in addition to its name, which may be invalid, and a key only by its index, because a
+// message must not contain keys.
 func validateAccounts(faults *result.List, accounts []*lapisv1.Account) {
 	names := map[string]int{}
-	holders := map[account.Digest]int{}
-	for index, stated := range accounts {
-		validateAccount(faults, index, stated)
-		if other, taken := names[stated.GetName()]; taken {
-			faults.Add(result.ConfigDuplicateObject, "accounts[%d].name %q is that of accounts[%d]", index, stated.GetName(), other)
+	accountByKey := map[account.Digest]int{}
+	for index, checked := range accounts {
+		validateAccount(faults, index, checked)
+		if other, taken := names[checked.GetName()]; taken {
+			faults.Add(result.ConfigDuplicateObject, "accounts[%d].name %q is that of accounts[%d]", index, checked.GetName(), other)
 		}
-		names[stated.GetName()] = index
-		validateKeys(faults, index, stated, holders)
+		names[checked.GetName()] = index
+		validateKeys(faults, index, checked, accountByKey)
 	}
 }
 
-func validateAccount(faults *result.List, index int, stated *lapisv1.Account) {
-	if !usableAccountName(stated.GetName()) {
-		faults.Add(result.ConfigBadName, "accounts[%d].name %q", index, stated.GetName())
+func validateAccount(faults *result.List, index int, checked *lapisv1.Account) {
+	if !isValidAccountName(checked.GetName()) {
+		faults.Add(result.ConfigBadName, "accounts[%d].name %q", index, checked.GetName())
 	}
-	if rate := stated.GetCallsPerSecond(); rate < 0 || math.IsNaN(rate) || math.IsInf(rate, 0) {
-		faults.Add(result.ConfigBadLimit, "accounts[%d].calls_per_second %v of account %q", index, rate, stated.GetName())
+	if rate := checked.GetCallsPerSecond(); rate < 0 || math.IsNaN(rate) || math.IsInf(rate, 0) {
+		faults.Add(result.ConfigBadLimit, "accounts[%d].calls_per_second %v of account %q", index, rate, checked.GetName())
 	}
 }
 
-// usableAccountName reports whether a name can be stated in a header field: printable ASCII, with no
-// space at either end.
-func usableAccountName(name string) bool {
+// isValidAccountName reports whether a name can be sent in a header field: printable ASCII without
+// leading or trailing space, of at most maxNameLength bytes.
+func isValidAccountName(name string) bool {
 	unprintable := func(char rune) bool { return char < ' ' || char > '~' }
 	return name != "" && len(name) <= maxNameLength && strings.TrimSpace(name) == name && !strings.ContainsFunc(name, unprintable)
 }
 
 // validateKeys checks the keys of an account; holders are the accounts, by place, whose keys were
 // seen before.
-func validateKeys(faults *result.List, index int, stated *lapisv1.Account, holders map[account.Digest]int) {
-	for place, content := range stated.GetKeyDigests() {
+func validateKeys(faults *result.List, index int, checked *lapisv1.Account, accountByKey map[account.Digest]int) {
+	for keyIndex, content := range checked.GetKeyDigests() {
 		if len(content) != account.DigestBytes {
-			faults.Add(result.ConfigBadLimit, "accounts[%d].key_digests[%d] of account %q has %d bytes", index, place, stated.GetName(), len(content))
+			faults.Add(result.ConfigBadLimit, "accounts[%d].key_digests[%d] of account %q has %d bytes", index, keyIndex, checked.GetName(), len(content))
 			continue
 		}
 		digest := account.Digest(content)
-		if other, taken := holders[digest]; taken && other != index {
-			faults.Add(result.ConfigDuplicateObject, "accounts[%d].key_digests[%d] of account %q is a key of accounts[%d] too", index, place, stated.GetName(), other)
+		if other, taken := accountByKey[digest]; taken && other != index {
+			faults.Add(result.ConfigDuplicateObject, "accounts[%d].key_digests[%d] of account %q is a key of accounts[%d] too", index, keyIndex, checked.GetName(), other)
 		}
-		holders[digest] = index
+		accountByKey[digest] = index
 	}
 }
--- a/internal/model/meshconfig/accounts_test.go
+++ b/internal/model/meshconfig/accounts_test.go
@@ -17,7 +17,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-func keyedAccount(name string, keys ...string) *lapisv1.Account {
+func accountWithKeys(name string, keys ...string) *lapisv1.Account {
 	made := &lapisv1.Account{Name: name}
 	for _, key := range keys {
 		digest := account.DigestOf([]byte(key))
@@ -26,9 +26,9 @@
 	return made
 }
 
-// Bad accounts are refused by number, with their place; a key is in no message.
-func TestBadAccountsAreRefusedByNumber(t *testing.T) {
-	short := keyedAccount("short", "key")
+// Invalid accounts are refused with their result code and index; messages contain no keys.
+func TestInvalidAccountsAreRefusedWithTheirCode(t *testing.T) {
+	short := accountWithKeys("short", "key")
 	short.KeyDigests[0] = short.KeyDigests[0][:5]
 	limited := func(rate float64) *lapisv1.Account { return &lapisv1.Account{Name: "limited", CallsPerSecond: rate} }
 	for name, row := range map[string]struct {
@@ -36,46 +36,46 @@
 		code result.Code
 		path string
 	}{
-		"a key in two accounts":    {[]*lapisv1.Account{keyedAccount("alpha", "k1", "k2"), keyedAccount("beta", "k3", "k2")}, result.ConfigDuplicateObject, "accounts[2].key_digests[1]"},
-		"one name twice":           {[]*lapisv1.Account{keyedAccount("alpha", "k1"), keyedAccount("alpha", "k2")}, result.ConfigDuplicateObject, "accounts[2].name"},
-		"no name":                  {[]*lapisv1.Account{keyedAccount("", "k1")}, result.ConfigBadName, "accounts[1].name"},
-		"spaces for a name":        {[]*lapisv1.Account{keyedAccount("  ", "k1")}, result.ConfigBadName, "accounts[1].name"},
-		"a name of two lines":      {[]*lapisv1.Account{keyedAccount("a\r\nb", "k1")}, result.ConfigBadName, "accounts[1].name"},
-		"a name that is too long":  {[]*lapisv1.Account{keyedAccount(strings.Repeat("a", 64), "k1")}, result.ConfigBadName, "accounts[1].name"},
+		"a key in two accounts":    {[]*lapisv1.Account{accountWithKeys("alpha", "k1", "k2"), accountWithKeys("beta", "k3", "k2")}, result.ConfigDuplicateObject, "accounts[2].key_digests[1]"},
+		"one name twice":           {[]*lapisv1.Account{accountWithKeys("alpha", "k1"), accountWithKeys("alpha", "k2")}, result.ConfigDuplicateObject, "accounts[2].name"},
+		"no name":                  {[]*lapisv1.Account{accountWithKeys("", "k1")}, result.ConfigBadName, "accounts[1].name"},
+		"spaces for a name":        {[]*lapisv1.Account{accountWithKeys("  ", "k1")}, result.ConfigBadName, "accounts[1].name"},
+		"a name of two lines":      {[]*lapisv1.Account{accountWithKeys("a\r\nb", "k1")}, result.ConfigBadName, "accounts[1].name"},
+		"a name that is too long":  {[]*lapisv1.Account{accountWithKeys(strings.Repeat("a", 64), "k1")}, result.ConfigBadName, "accounts[1].name"},
 		"a limit below 0":          {[]*lapisv1.Account{limited(-1)}, result.ConfigBadLimit, "accounts[1].calls_per_second"},
 		"a limit that is none":     {[]*lapisv1.Account{limited(math.NaN())}, result.ConfigBadLimit, "accounts[1].calls_per_second"},
 		"a limit without an end":   {[]*lapisv1.Account{limited(math.Inf(1))}, result.ConfigBadLimit, "accounts[1].calls_per_second"},
 		"a digest that is cut off": {[]*lapisv1.Account{short}, result.ConfigBadLimit, "accounts[1].key_digests[0]"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			composition := meshconfig.Composition{Revision: 3, Accounts: &lapisv1.Accounts{Accounts: append([]*lapisv1.Account{keyedAccount("good", "k0")}, row.bad...)}}
+			composition := meshconfig.Composition{Revision: 3, Accounts: &lapisv1.Accounts{Accounts: append([]*lapisv1.Account{accountWithKeys("good", "k0")}, row.bad...)}}
 			configuration, err := meshconfig.Compose(composition, nil)
-			assert.Assert(t, configuration == nil, "a part is taken over")
+			assert.Assert(t, configuration == nil, "a refused composition must give no configuration")
 			assert.Assert(t, result.Is(err, row.code), "%v", err)
 			assert.Assert(t, strings.Contains(err.Error(), row.path), "%v", err)
 		})
 	}
 }
 
-// Names that a platform may give, a key that one account lists twice, and accounts without keys or
-// limits are good.
+// Names that a platform may assign, a key listed twice by one account, and accounts without keys or
+// limits are valid.
 func TestGoodAccountsAreComposed(t *testing.T) {
 	accounts := &lapisv1.Accounts{Accounts: []*lapisv1.Account{
-		keyedAccount("hule930", "k1", "k1"), keyedAccount("Two Words_9"), {Name: "limited", CallsPerSecond: 0.5, Burst: 7},
+		accountWithKeys("hule930", "k1", "k1"), accountWithKeys("Two Words_9"), {Name: "limited", CallsPerSecond: 0.5, Burst: 7},
 	}}
 	configuration, err := meshconfig.Compose(meshconfig.Composition{Revision: 3, Accounts: accounts}, nil)
 	assert.NilError(t, err)
 	assert.Assert(t, configuration.GetAccounts() == accounts)
 }
 
-// Of a proposed key only the digest is kept, whichever form the file has it in.
+// Only the digest of a proposed key is kept, for both forms of keys in a proposal file.
 func TestProposedKeysAreNotKept(t *testing.T) {
 	sum := sha256.Sum256([]byte("a proposed key"))
 	for _, file := range []string{
 		"accounts: [{name: a, api_keys: [a proposed key]}]",
 		"accounts: [{name: a, key_digests: [" + hex.EncodeToString(sum[:]) + "]}]",
 	} {
-		revision, state, err := accept(t, meshconfig.NewState(), "op", file)
+		revision, state, err := acceptFile(t, meshconfig.NewState(), "op", file)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, state.Accounts["a"].GetKeyDigests(), [][]byte{sum[:account.DigestBytes]})
 		content, err := proto.Marshal(revision)
@@ -84,9 +84,10 @@
 	}
 }
 
-// Accounts travel in a bundle of their own, that holds nothing else and is held nowhere else.
+// The accounts are distributed in a separate bundle, which contains nothing else; no other bundle
+// contains accounts.
 func TestBundlesOfAccountsAreClosed(t *testing.T) {
-	accounts := &lapisv1.Accounts{Accounts: []*lapisv1.Account{keyedAccount("alpha", "k1")}}
+	accounts := &lapisv1.Accounts{Accounts: []*lapisv1.Account{accountWithKeys("alpha", "k1")}}
 	pool := &lapisv1.Pool{Name: "desk"}
 	for name, row := range map[string]struct {
 		service string
--- a/internal/model/meshconfig/bundle.go
+++ b/internal/model/meshconfig/bundle.go
@@ -11,11 +11,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// AccountsService is the name under which the bundle of the accounts is distributed; no pool can
-// have it.
+// AccountsService is the service name of the bundle that contains the accounts. It is not a valid
+// pool name, so that it cannot collide with one.
 const AccountsService = "@accounts"
 
-// serviceOf returns the name under which a bundle is distributed.
+// serviceOf returns the service name under which a bundle is distributed.
 func serviceOf(bundle *lapisv1.Bundle) string {
 	if bundle.GetAccounts() != nil {
 		return AccountsService
@@ -23,7 +23,7 @@
 	return bundle.GetPool().GetName()
 }
 
-// EncodeBundle serializes bundle and takes its digest.
+// EncodeBundle serializes bundle and computes its digest.
 func EncodeBundle(bundle *lapisv1.Bundle, revision uint64) (*lapisv1.EncodedBundle, error) {
 	service := serviceOf(bundle)
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(bundle)
@@ -39,9 +39,8 @@
 	}, nil
 }
 
-// DecodeBundle verifies the digest and closure of encoded and decodes it.
-// Errors: DistributionDigestMismatch, DistributionBadBundle,
-// DistributionNotClosed.
+// DecodeBundle decodes a bundle and verifies its digest and that it is closed (CheckClosed).
+// Errors: DistributionDigestMismatch, DistributionBadBundle, DistributionNotClosed.
 func DecodeBundle(encoded *lapisv1.EncodedBundle) (*lapisv1.Bundle, error) {
 	sum := digest.OfContent(encoded.GetContent())
 	if string(sum[:]) != string(encoded.GetDigest()) {
@@ -54,11 +53,11 @@
 	return bundle, CheckClosed(encoded.GetService(), bundle)
 }
 
-// CheckClosed reports DistributionNotClosed when a route or share of the
-// bundle refers to a pool or secret that the bundle lacks.
+// CheckClosed checks that a bundle contains all pools and secrets that its routes and shares refer to,
+// and that only the bundle of AccountsService contains accounts. Errors: DistributionNotClosed.
 func CheckClosed(service string, bundle *lapisv1.Bundle) error {
 	if service == AccountsService {
-		return checkAccountsAlone(bundle)
+		return checkOnlyAccounts(bundle)
 	}
 	if bundle.GetAccounts() != nil {
 		return result.Errorf(result.DistributionNotClosed, "bundle %s holds accounts", service)
@@ -86,8 +85,9 @@
 	return nil
 }
 
-// checkAccountsAlone reports DistributionNotClosed for a bundle that holds anything but accounts.
-func checkAccountsAlone(bundle *lapisv1.Bundle) error {
+// checkOnlyAccounts checks that a bundle contains accounts and nothing else. Errors:
+// DistributionNotClosed.
+func checkOnlyAccounts(bundle *lapisv1.Bundle) error {
 	others := len(bundle.GetRoutes()) + len(bundle.GetSecrets()) + len(bundle.GetShares())
 	if bundle.GetAccounts() == nil || bundle.GetPool() != nil || others > 0 {
 		return result.Errorf(result.DistributionNotClosed, "bundle %s holds more or less than accounts", AccountsService)
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// replaceBundle verifies a bundle and puts it in place of the earlier one of its service, or
-// removes that. Errors: those of DecodeBundle.
+// replaceBundle verifies a bundle and replaces the previous bundle of its service, or removes that if
+// the bundle is marked as removed. Errors: those of DecodeBundle.
 func (s *State) replaceBundle(encoded *lapisv1.EncodedBundle) error {
 	service := encoded.GetService()
 	if previous, ok := s.Bundles[service]; ok {
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// addAffected adds the services whose bundle the changes may change, by the references of s.
+// addAffected adds the services whose bundles may differ because of the changes, according to the
+// references in s.
 func (s *State) addAffected(affected map[string]bool, changes []*lapisv1.Change) {
 	for _, change := range changes {
 		kind, name := ChangeKey(change).split()
@@ -130,14 +131,14 @@
 				affected[share.GetPool()] = true
 			}
 		case KindSecret:
-			s.addUsersOf(affected, name)
+			s.addPoolsUsingSecret(affected, name)
 		case KindAccount:
 			affected[AccountsService] = true
 		}
 	}
 }
 
-func (s *State) addUsersOf(affected map[string]bool, secret string) {
+func (s *State) addPoolsUsingSecret(affected map[string]bool, secret string) {
 	for _, route := range s.Routes {
 		if route.GetSecret() == secret {
 			affected[route.GetPool()] = true
@@ -145,7 +146,7 @@
 	}
 }
 
-// rebuildBundles encodes the affected bundles and returns those that changed, in order of service.
+// rebuildBundles encodes the affected bundles and returns those that changed, sorted by service.
 func (s *State) rebuildBundles(affected map[string]bool) ([]*lapisv1.EncodedBundle, error) {
 	members := s.collectMembers(affected)
 	var changed []*lapisv1.EncodedBundle
@@ -161,7 +162,7 @@
 	return changed, nil
 }
 
-// rebuildBundle encodes the bundle of a service; it returns nil where nothing changed.
+// rebuildBundle encodes the bundle of a service; it returns nil if the bundle did not change.
 func (s *State) rebuildBundle(service string, bundle *lapisv1.Bundle) (*lapisv1.EncodedBundle, error) {
 	previous, existed := s.Bundles[service]
 	if !s.hasBundle(service) {
@@ -191,8 +192,7 @@
 	return exists
 }
 
-// collectMembers gathers the objects of each affected service in a stable
-// order.
+// collectMembers returns the objects of each affected service except its pool, in a stable order.
 func (s *State) collectMembers(affected map[string]bool) map[string]*lapisv1.Bundle {
 	members := map[string]*lapisv1.Bundle{}
 	for service := range affected {
@@ -229,7 +229,7 @@
 	bundle.Secrets = append(bundle.Secrets, s.Secrets[name])
 }
 
-// DigestOf returns the digest over the bundles of the given services.
+// DigestOf returns the digest over a set of bundles, keyed by service.
 func DigestOf(bundles map[string]*lapisv1.EncodedBundle) digest.Set {
 	var set digest.Set
 	for service, encoded := range bundles {
--- a/internal/model/meshconfig/compose.go
+++ b/internal/model/meshconfig/compose.go
@@ -8,23 +8,21 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// DefaultGroup owns the objects of a configuration source that knows no
-// groups.
+// DefaultGroup is the group of the objects of a configuration source without groups.
 const DefaultGroup = "default"
 
-// Composition is a whole configuration as an outside source states it.
+// Composition is a whole configuration as provided by an outside source.
 type Composition struct {
 	Revision uint64
 	Pools    []*lapisv1.Pool
 	Routes   []*lapisv1.Route
 	Limits   *lapisv1.Limits
-	// Accounts is nil where callers need no API key.
+	// Accounts is nil if callers need no API key.
 	Accounts *lapisv1.Accounts
 }
 
-// Compose validates a composition as a whole and encodes it. Bundles that are
-// the same as in previous, which may be nil, are taken from there. Errors: a
-// *result.List with every fault.
+// Compose validates a composition as a whole and encodes it. Unchanged bundles are
+// reused from previous, which may be nil. Errors: a *result.List with all faults.
 func Compose(composition Composition, previous *lapisv1.Configuration) (*lapisv1.Configuration, error) {
 	state := NewState()
 	state.Revision = composition.Revision
--- a/internal/model/meshconfig/doc.go
+++ b/internal/model/meshconfig/doc.go
@@ -1,12 +1,12 @@
-// Package meshconfig is the model of the configuration: pools, routes, secrets
-// and shares. It parses proposals, validates a whole configuration, decides
-// conflicts between proposals and cuts the configuration into bundles, the
-// unit of distribution.
+// Package meshconfig implements the configuration model: pools, routes, secrets, shares
+// and accounts. It parses proposals, validates a whole configuration, detects conflicts
+// between proposals and divides the configuration into bundles, the unit of distribution.
 //
-// It owns nothing and does no I/O: a State is a value at one revision, made from a proposal
-// (Accept), from an accepted revision (Advance), from what is stored (FromStored) or from an
-// outside source (Compose). It relies on package digest.
+// The package owns no state and does no I/O. A State is an immutable value at one revision,
+// made from a proposal (Accept), an accepted revision (Advance), a stored snapshot
+// (FromStored) or an outside source (Compose). Digests are those of package digest.
 //
-// What must hold: every daemon that applies the same revisions has the same digest; a bundle
-// refers to nothing that it lacks; a proposal is accepted whole or refused with every fault.
+// Invariants: all daemons that apply the same revisions have the same digest; a bundle
+// contains every object that it refers to; a proposal is accepted as a whole or refused
+// with all its faults.
 package meshconfig
--- a/internal/model/meshconfig/file.go
+++ b/internal/model/meshconfig/file.go
@@ -11,22 +11,22 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// MaxProposalBytes bounds a proposal file, in bytes.
+// MaxProposalBytes is the maximum size of a proposal file.
 const MaxProposalBytes = 4 << 20
 
-// File is the form in which operators write a proposal.
+// File is the YAML format of an operator's proposal.
 type File struct {
 	Pools   []PoolFile   `json:"pools,omitempty"`
 	Routes  []RouteFile  `json:"routes,omitempty"`
 	Secrets []SecretFile `json:"secrets,omitempty"`
 	Shares  []ShareFile  `json:"shares,omitempty"`
-	// Accounts are those of callers; administrators propose them.
+	// Accounts are the accounts of callers; only administrators may propose them.
 	Accounts []AccountFile `json:"accounts,omitempty"`
 	Remove   []RemoveFile  `json:"remove,omitempty"`
 }
 
-// The types below are the objects of a proposal file; api/lapisv1 says what
-// the fields mean.
+// The types below are the objects of a proposal file; the messages of api/lapisv1
+// document their fields.
 
 // PoolFile is one pool.
 type PoolFile struct {
@@ -71,8 +71,8 @@
 	Percent uint32 `json:"percent"`
 }
 
-// AccountFile is one account. Its keys are given as they are, of which the digests are kept, or as
-// their SHA-256 in hexadecimal digits, so that the file holds no secret.
+// AccountFile is one account. A key is given in plain text (APIKeys) or as its SHA-256 in hexadecimal
+// digits (KeyDigests), so that the file need not contain a secret. Only digests are kept.
 type AccountFile struct {
 	Name           string   `json:"name"`
 	APIKeys        []string `json:"api_keys,omitempty"`
@@ -82,13 +82,13 @@
 	Burst          uint32   `json:"burst,omitempty"`
 }
 
-// RemoveFile names an object to remove.
+// RemoveFile identifies an object to remove.
 type RemoveFile struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// ParseFile reads a proposal file strictly. Errors: ConfigUnreadable.
+// ParseFile parses a proposal file; unknown fields are errors. Errors: ConfigUnreadable.
 func ParseFile(content []byte) ([]*lapisv1.Change, error) {
 	if len(content) > MaxProposalBytes {
 		return nil, result.Errorf(result.ConfigUnreadable, "the file is larger than %d bytes", MaxProposalBytes)
@@ -100,8 +100,8 @@
 	return file.Changes()
 }
 
-// Changes converts the file's objects. Errors: ConfigUnreadable for a removal
-// of an unknown kind and for a digest that is none.
+// Changes converts the file's objects to changes. Errors: ConfigUnreadable for a removal
+// of an unknown kind and for a malformed key digest.
 func (f *File) Changes() ([]*lapisv1.Change, error) {
 	var changes []*lapisv1.Change
 	for _, pool := range f.Pools {
@@ -124,8 +124,8 @@
 			Name: share.Name, Group: share.Group, Pool: share.Pool, Percent: share.Percent,
 		}}})
 	}
-	for index, stated := range f.Accounts {
-		message, err := stated.message(index)
+	for index, accountFile := range f.Accounts {
+		message, err := accountFile.message(index)
 		if err != nil {
 			return nil, err
 		}
@@ -160,18 +160,18 @@
 	}
 }
 
-// message converts an account, the index-th of its file. Errors: ConfigUnreadable, without the text
-// at fault, which may be a key.
+// message converts an account with the given index in its file. Errors: ConfigUnreadable; the message
+// leaves out the malformed digest, which may be a key.
 func (a AccountFile) message(index int) (*lapisv1.Account, error) {
 	message := &lapisv1.Account{Name: a.Name, Priority: a.Priority, CallsPerSecond: a.CallsPerSecond, Burst: a.Burst}
 	for _, key := range a.APIKeys {
 		digest := account.DigestOf([]byte(key))
 		message.KeyDigests = append(message.KeyDigests, digest[:])
 	}
-	for place, stated := range a.KeyDigests {
-		digest, err := hex.DecodeString(stated)
+	for place, encoded := range a.KeyDigests {
+		digest, err := hex.DecodeString(encoded)
 		if err != nil || len(digest) != sha256.Size {
-			return nil, result.Errorf(result.ConfigUnreadable, "accounts[%d].key_digests[%d] is no SHA-256 in hexadecimal digits", index, place)
+			return nil, result.Errorf(result.ConfigUnreadable, "accounts[%d].key_digests[%d] is not a SHA-256 in hexadecimal digits", index, place)
 		}
 		message.KeyDigests = append(message.KeyDigests, digest[:account.DigestBytes])
 	}
--- a/internal/model/meshconfig/key.go
+++ b/internal/model/meshconfig/key.go
@@ -14,11 +14,11 @@
 	KindRoute  Kind = "route"
 	KindSecret Kind = "secret"
 	KindShare  Kind = "share"
-	// KindAccount is that of accounts, which only administrators may change.
+	// KindAccount is the kind of accounts, which only administrators may change.
 	KindAccount Kind = "account"
 )
 
-// ObjectKey names one configuration object as "kind/name".
+// ObjectKey identifies one configuration object as "kind/name".
 type ObjectKey string
 
 // KeyOf returns the key of an object.
@@ -46,7 +46,7 @@
 	return name
 }
 
-// ChangeKey returns the object that change replaces or removes.
+// ChangeKey returns the key of the object that change replaces or removes.
 func ChangeKey(change *lapisv1.Change) ObjectKey {
 	switch object := change.GetObject().(type) {
 	case *lapisv1.Change_Pool:
--- a/internal/model/meshconfig/meshconfig_test.go
+++ b/internal/model/meshconfig/meshconfig_test.go
@@ -18,7 +18,7 @@
 shares: [{name: desk-a, group: a, pool: desk, percent: 70}]
 `
 
-func accept(t *testing.T, state *meshconfig.State, operation, file string) (*lapisv1.Revision, *meshconfig.State, error) {
+func acceptFile(t *testing.T, state *meshconfig.State, operation, file string) (*lapisv1.Revision, *meshconfig.State, error) {
 	t.Helper()
 	changes, err := meshconfig.ParseFile([]byte(file))
 	if err != nil {
@@ -27,9 +27,9 @@
 	return state.Accept(&lapisv1.Proposal{OperationId: operation, BaseRevision: state.Revision, Changes: changes}, time.Unix(5, 0))
 }
 
-func based(t *testing.T) *meshconfig.State {
+func baseState(t *testing.T) *meshconfig.State {
 	t.Helper()
-	_, state, err := accept(t, meshconfig.NewState(), "base", base)
+	_, state, err := acceptFile(t, meshconfig.NewState(), "base", base)
 	assert.NilError(t, err)
 	return state
 }
@@ -62,7 +62,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			_, _, err := accept(t, based(t), "op", test.file)
+			_, _, err := acceptFile(t, baseState(t), "op", test.file)
 			assert.DeepEqual(t, codesOf(err), test.expect)
 		})
 	}
@@ -92,7 +92,7 @@
 		"accounts: [{name: a, api_keys: [k2]}]\nremove: [{kind: account, name: b}]",
 	}
 	for index, file := range files {
-		revision, next, err := accept(t, state, string(rune('a'+index)), file)
+		revision, next, err := acceptFile(t, state, string(rune('a'+index)), file)
 		assert.NilError(t, err)
 		state = next
 		wire, err := proto.Marshal(revision)
@@ -112,14 +112,14 @@
 	assert.DeepEqual(t, restored.ObjectRevisions, state.ObjectRevisions)
 	assert.DeepEqual(t, restored.Operations, state.Operations)
 	assert.Assert(t, proto.Equal(restored.Accounts["a"], state.Accounts["a"]))
-	_, emptied, err := accept(t, restored, "last", "remove: [{kind: account, name: a}]")
+	_, emptied, err := acceptFile(t, restored, "last", "remove: [{kind: account, name: a}]")
 	assert.NilError(t, err)
 	assert.Equal(t, len(emptied.Bundles), 1, "the bundle of no accounts")
 }
 
 func TestConflictIsFoundPerObject(t *testing.T) {
-	state := based(t)
-	_, state, err := accept(t, state, "other", "routes: [{name: docks, group: a, pool: desk, path_prefix: /docks, repeatable: true}]")
+	state := baseState(t)
+	_, state, err := acceptFile(t, state, "other", "routes: [{name: docks, group: a, pool: desk, path_prefix: /docks, repeatable: true}]")
 	assert.NilError(t, err)
 	touching, _ := meshconfig.ParseFile([]byte("remove: [{kind: route, name: docks}]"))
 	conflict, found := state.FindConflict(&lapisv1.Proposal{BaseRevision: 1, Changes: touching})
@@ -131,7 +131,7 @@
 }
 
 func TestTamperedRevisionIsRefused(t *testing.T) {
-	revision, _, err := accept(t, meshconfig.NewState(), "op", base)
+	revision, _, err := acceptFile(t, meshconfig.NewState(), "op", base)
 	assert.NilError(t, err)
 	cases := map[string]func(*lapisv1.Revision){
 		"whole digest":   func(r *lapisv1.Revision) { r.Digest[0] ^= 1 },
--- a/internal/model/meshconfig/state.go
+++ b/internal/model/meshconfig/state.go
@@ -11,29 +11,30 @@
 
 const (
 	// HistoryWindow is the number of revisions for which removed objects and operation ids are
-	// remembered. A proposal written against an older base is refused as stale.
+	// kept. A proposal with an older base is refused as stale, because conflicts with removed
+	// objects could not be detected.
 	HistoryWindow = 4096
-	// forgetEvery is the number of revisions between two rounds of forgetting, each of which looks
-	// at all objects. It is far below HistoryWindow.
-	forgetEvery = HistoryWindow / 16
+	// historyPruneInterval is the number of revisions between two prunings of the history, each of
+	// which visits all objects. It is far below HistoryWindow.
+	historyPruneInterval = HistoryWindow / 16
 )
 
-// State is the whole configuration at one revision. It is not changed once it is made, so that it
-// may be read by several goroutines: Accept and Advance return a new one.
+// State is the whole configuration at one revision. It is immutable and therefore safe for concurrent
+// reads: Accept and Advance return a new State.
 type State struct {
 	Revision uint64
 	Pools    map[string]*lapisv1.Pool
 	Routes   map[string]*lapisv1.Route
 	Secrets  map[string]*lapisv1.Secret
 	Shares   map[string]*lapisv1.Share
-	// Accounts are those of callers; while there is none, no caller needs an API key.
+	// Accounts are the accounts of callers; if there are none, callers need no API key.
 	Accounts map[string]*lapisv1.Account
-	// ObjectRevisions gives the last change of each object, also of objects
-	// removed within HistoryWindow.
+	// ObjectRevisions maps each object to the revision that last changed it, including
+	// objects removed within HistoryWindow.
 	ObjectRevisions map[ObjectKey]uint64
 	// Operations maps recent operation ids to the revision they became.
 	Operations map[string]uint64
-	// Bundles holds the encoded bundle of each pool, and that of the accounts.
+	// Bundles holds the encoded bundles by service: one per pool, and that of AccountsService.
 	Bundles map[string]*lapisv1.EncodedBundle
 	// Digest covers all Bundles.
 	Digest digest.Set
@@ -68,7 +69,7 @@
 	return &copied
 }
 
-// Stored returns the form in which the state is kept in the object API.
+// Stored converts the state to the message that is stored in the object API.
 func (s *State) Stored() *lapisv1.StoredSnapshot {
 	used := map[string]bool{}
 	for _, route := range s.Routes {
@@ -95,7 +96,7 @@
 	return stored
 }
 
-// FromStored rebuilds a state. Errors: DistributionDigestMismatch,
+// FromStored restores a state from its stored message. Errors: DistributionDigestMismatch,
 // DistributionBadBundle.
 func FromStored(stored *lapisv1.StoredSnapshot) (*State, error) {
 	state := NewState()
@@ -109,7 +110,7 @@
 		state.Secrets[secret.GetName()] = secret
 	}
 	for _, encoded := range stored.GetBundles() {
-		if err := state.adoptBundle(encoded); err != nil {
+		if err := state.loadBundle(encoded); err != nil {
 			return nil, err
 		}
 	}
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// adoptBundle adds a verified bundle and its objects to the state.
-func (s *State) adoptBundle(encoded *lapisv1.EncodedBundle) error {
+// loadBundle decodes and verifies a bundle and adds it and its objects to the state.
+func (s *State) loadBundle(encoded *lapisv1.EncodedBundle) error {
 	bundle, err := DecodeBundle(encoded)
 	if err != nil {
 		return err
@@ -151,20 +152,20 @@
 	return nil
 }
 
-// recordOperation remembers the id of the operation that made the revision, and forgets old ones
-// now and then.
+// recordOperation records the id of the operation that created the current revision, and prunes the
+// history every historyPruneInterval revisions.
 func (s *State) recordOperation(operation string) {
 	if operation != "" {
 		s.Operations[operation] = s.Revision
 	}
-	if s.Revision%forgetEvery != 0 || s.Revision < HistoryWindow {
+	if s.Revision%historyPruneInterval != 0 || s.Revision < HistoryWindow {
 		return
 	}
-	s.forgetBefore(s.Revision - HistoryWindow)
+	s.pruneHistory(s.Revision - HistoryWindow)
 }
 
-// forgetBefore drops operation ids and removed objects older than revision.
-func (s *State) forgetBefore(revision uint64) {
+// pruneHistory deletes operation ids and entries of removed objects older than revision.
+func (s *State) pruneHistory(revision uint64) {
 	for id, accepted := range s.Operations {
 		if accepted < revision {
 			delete(s.Operations, id)
--- a/internal/model/meshconfig/validate.go
+++ b/internal/model/meshconfig/validate.go
@@ -15,14 +15,15 @@
 
 // Limits of configuration values.
 const (
-	// maxNameLength is in bytes: that of a DNS label.
+	// maxNameLength is the maximum length of a DNS label, in bytes.
 	maxNameLength = 63
-	// maxSlots bounds the calls that one instance runs at a time.
+	// maxSlots is the maximum number of concurrent calls per instance.
 	maxSlots = 4096
-	// maxConnectionLimit bounds the connections of one instance, by the number of ports.
+	// maxConnectionLimit is the maximum number of connections per instance, given by the number of
+	// TCP ports.
 	maxConnectionLimit = 65535
 	maxSharePercent    = 100
-	// maxDeadlineMillis is a day.
+	// maxDeadlineMillis is the maximum deadline of a route: one day, in milliseconds.
 	maxDeadlineMillis = 24 * 60 * 60 * 1000
 )
 
@@ -32,9 +33,9 @@
 	methodPattern = regexp.MustCompile(`^[A-Z]{1,20}$`)
 )
 
-// Validate checks the whole configuration, with the costly checks limited to
-// what touches the affected services. It returns a *result.List with every
-// fault found, in a stable order.
+// Validate checks the whole configuration; the costly checks are limited to the
+// affected services, all if affected is nil. It returns a *result.List with all
+// faults, in a stable order.
 func (s *State) Validate(affected map[string]bool) error {
 	faults := &result.List{}
 	for _, name := range slices.Sorted(maps.Keys(s.Pools)) {
@@ -129,7 +130,7 @@
 
 func validateMatch(faults *result.List, route *lapisv1.Route) {
 	prefix := route.GetPathPrefix()
-	if !cleanPrefix(prefix) {
+	if !isCleanPrefix(prefix) {
 		faults.Add(result.ConfigBadPath, "path_prefix %q of route %s", prefix, route.GetName())
 	}
 	if route.GetHost() != "" && !hostPattern.MatchString(route.GetHost()) {
@@ -145,16 +146,17 @@
 	}
 }
 
-// cleanPrefix reports whether prefix is an absolute clean path; one slash at
-// its end is allowed.
-func cleanPrefix(prefix string) bool {
+// isCleanPrefix reports whether prefix is an absolute clean path (path.Clean); one
+// trailing slash is allowed.
+func isCleanPrefix(prefix string) bool {
 	if !strings.HasPrefix(prefix, "/") {
 		return false
 	}
 	return prefix == "/" || path.Clean(prefix) == strings.TrimSuffix(prefix, "/")
 }
 
-// matchKeys returns what a route matches, a text for each method; two routes must share none.
+// matchKeys returns one key per method of a route, from the method, the host and the path prefix. Two
+// routes with a common key are duplicates.
 func matchKeys(route *lapisv1.Route) []string {
 	methods := route.GetMethods()
 	if len(methods) == 0 {
@@ -167,7 +169,8 @@
 	return keys
 }
 
-// validateSecrets checks the secrets that the revision changed: parsing a key pair is costly.
+// validateSecrets checks only the secrets that the revision changed, because parsing a key pair is
+// costly.
 func (s *State) validateSecrets(faults *result.List) {
 	for _, name := range slices.Sorted(maps.Keys(s.Secrets)) {
 		if s.ObjectRevisions[KeyOf(KindSecret, name)] != s.Revision {
@@ -176,7 +179,7 @@
 		secret := s.Secrets[name]
 		validateName(faults, KindSecret, name)
 		validateGroup(faults, KindSecret, name, secret.GetGroup())
-		// The parser's message may quote the input, so it is left out.
+		// The parser's error is left out, because it may quote its input.
 		if _, err := tls.X509KeyPair(secret.GetCertificatePem(), secret.GetPrivateKeyPem()); err != nil {
 			faults.Add(result.ConfigBadKeyPair, "secret %s", name)
 		}
--- a/internal/model/snapshot/route.go
+++ b/internal/model/snapshot/route.go
@@ -7,8 +7,8 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// compareSpecificity puts a longer prefix before a shorter one, then a route with methods before
-// one without.
+// compareSpecificity orders routes for matching: longer prefixes first, then routes with methods
+// before routes without, then by name.
 func compareSpecificity(a, b *lapisv1.Route) int {
 	if difference := len(b.GetPathPrefix()) - len(a.GetPathPrefix()); difference != 0 {
 		return difference
@@ -22,10 +22,11 @@
 	return strings.Compare(a.GetName(), b.GetName())
 }
 
-// Match returns the route for a request, nil when there is none. Conditions, in this order: routes
-// of the request's host before those of any host; the longest path prefix of whole segments;
-// routes that name the request's method before those that name none. A route that names other
-// methods does not match. host has no port and is in lower case (callapi.HostName).
+// Match returns the route of a request, nil if no route matches. The precedence is: routes of the
+// request's host before routes of any host; then the longest path prefix of whole segments; then
+// routes that list the request's method before routes without methods. A route that lists only other
+// methods does not match. host must be in the form of callapi.HostName: in lower case and without a
+// port.
 func (s *Snapshot) Match(host, path, method string) *lapisv1.Route {
 	if route := matchIn(s.routes[host], path, method); route != nil || host == "" {
 		return route
@@ -33,7 +34,7 @@
 	return matchIn(s.routes[""], path, method)
 }
 
-// matchIn returns the first of the routes, which are sorted by specificity, that matches.
+// matchIn returns the first matching route; routes must be sorted by compareSpecificity.
 func matchIn(routes []*lapisv1.Route, path, method string) *lapisv1.Route {
 	for _, route := range routes {
 		if !pathHasPrefix(path, route.GetPathPrefix()) {
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// pathHasPrefix matches whole segments: /dock matches /dock and /dock/1 but
-// not /docks.
+// pathHasPrefix reports whether path begins with the whole segments of prefix: the
+// prefix /dock matches /dock and /dock/1 but not /docks.
 func pathHasPrefix(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
--- a/internal/model/snapshot/route_test.go
+++ b/internal/model/snapshot/route_test.go
@@ -10,8 +10,8 @@
 	"github.com/lapisvane/lapisvane/internal/model/snapshot"
 )
 
-// The route of a request: its host before any host, the longest prefix of whole segments, one that
-// names the method before one that names none.
+// Precedence of routes: the request's host before any host, then the longest prefix of whole segments,
+// then routes that list the method before routes without methods.
 func TestMatch(t *testing.T) {
 	route := func(name, host, prefix string, methods ...string) *lapisv1.Route {
 		return &lapisv1.Route{Name: name, Group: meshconfig.DefaultGroup, Pool: "desk", Host: host, PathPrefix: prefix, Methods: methods}
--- a/internal/model/snapshot/snapshot.go
+++ b/internal/model/snapshot/snapshot.go
@@ -1,12 +1,12 @@
-// Package snapshot holds the configuration in force on a daemon: an immutable
-// Snapshot, prepared for routing, that is replaced by one atomic swap.
+// Package snapshot provides the configuration in force on a daemon: an immutable
+// Snapshot, indexed for routing, which is replaced by an atomic pointer swap.
 //
-// The package owns the snapshot in force (Store), in memory only; after a restart there is none until
-// the distribution plane brings one. It has no goroutines. It relies on package meshconfig to
-// decode and verify bundles.
+// The package owns the snapshot in force (Store), in memory only: after a restart there is none until
+// the distribution plane delivers a configuration. The package starts no goroutines. It uses package
+// meshconfig to decode and verify bundles.
 //
-// What must hold: a call sees one snapshot over all its attempts; a revision is put in force whole
-// or not at all, and never after a higher one.
+// Invariants: a call uses the same snapshot for all its attempts; a revision is put in force as a
+// whole or not at all, and never after a higher one.
 package snapshot
 
 import (
@@ -24,10 +24,10 @@
 // Service is one pool with its routes and shares. It is immutable and safe for concurrent use.
 type Service struct {
 	Bundle *lapisv1.Bundle
-	// Drained and Retired are the pool's instances that take no new work.
+	// Drained and Retired are the ids of the pool's instances that take no new work.
 	Drained map[string]bool
 	Retired map[string]bool
-	// Shares gives the percentage of each group, 1 to 100 in all.
+	// Shares maps each group to its percentage of the pool; the percentages sum to at most 100.
 	Shares map[string]uint32
 	// source is the bundle that the service was decoded from.
 	source *lapisv1.EncodedBundle
@@ -38,15 +38,16 @@
 // Snapshot is an immutable configuration version. It is safe for concurrent use.
 type Snapshot struct {
 	Revision uint64
-	// AcceptedUnixMillis is when the revision was accepted, by the acceptor's clock in
-	// milliseconds since 1970; 0 where the source does not state it.
+	// AcceptedUnixMillis is the acceptance time of the revision by the acceptor's clock, in
+	// milliseconds since 1970; 0 if the source does not provide it.
 	AcceptedUnixMillis int64
 	services           map[string]*Service
-	// Limits bound what callers may send; nil where the source sets none.
+	// Limits are the limits of callers' requests; nil if the source sets none.
 	Limits *lapisv1.Limits
-	// Accounts are those of the callers; nil where callers need none.
+	// Accounts are the accounts of callers; nil if callers need no API key.
 	Accounts *account.Directory
-	// accountsSource is the bundle that Accounts come from, nil where they come otherwise.
+	// accountsSource is the bundle that Accounts was decoded from; nil if the accounts did not come
+	// in a bundle.
 	accountsSource *lapisv1.EncodedBundle
 	// routes holds the routes of each host, "" for any, sorted by descending
 	// specificity.
@@ -54,9 +55,9 @@
 	certificates map[string]*tls.Certificate
 }
 
-// Build decodes and checks bundles into a snapshot; unchanged services are reused from previous,
-// which may be nil. Errors: DistributionDigestMismatch,
-// DistributionBadBundle (also for a key pair that cannot be used), DistributionNotClosed.
+// Build decodes and checks bundles and returns the snapshot made of them. Unchanged services are
+// reused from previous, which may be nil. Errors: DistributionDigestMismatch, DistributionBadBundle
+// (also for an invalid key pair), DistributionNotClosed.
 func Build(revision uint64, acceptedUnixMillis int64, bundles map[string]*lapisv1.EncodedBundle, previous *Snapshot) (*Snapshot, error) {
 	next := &Snapshot{
 		Revision: revision, AcceptedUnixMillis: acceptedUnixMillis,
@@ -64,7 +65,7 @@
 		certificates: map[string]*tls.Certificate{},
 	}
 	accounts, hasAccounts := bundles[meshconfig.AccountsService]
-	if err := next.adoptAccounts(accounts, previous); err != nil {
+	if err := next.loadAccounts(accounts, previous); err != nil {
 		return nil, err
 	}
 	pools := len(bundles)
@@ -98,9 +99,9 @@
 	return next, next.checkSplits()
 }
 
-// adoptAccounts takes the accounts out of their bundle, nil for none; unchanged ones are reused from
-// previous, which may be nil. Errors: those of meshconfig.DecodeBundle.
-func (s *Snapshot) adoptAccounts(encoded *lapisv1.EncodedBundle, previous *Snapshot) error {
+// loadAccounts decodes the accounts from their bundle, which is nil if there are none. Unchanged
+// accounts are reused from previous, which may be nil. Errors: those of meshconfig.DecodeBundle.
+func (s *Snapshot) loadAccounts(encoded *lapisv1.EncodedBundle, previous *Snapshot) error {
 	if encoded == nil {
 		return nil
 	}
@@ -148,8 +149,8 @@
 	return set
 }
 
-// checkSplits reports DistributionNotClosed when a route sends a part of its
-// calls to a pool that the snapshot lacks.
+// checkSplits checks that the snapshot contains all pools that routes are split between.
+// Errors: DistributionNotClosed.
 func (s *Snapshot) checkSplits() error {
 	for _, routes := range s.routes {
 		for _, route := range routes {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// index sorts the routes and maps hosts to certificates.
+// index builds the sorted route list of each host and the map of certificates by host.
 func (s *Snapshot) index() {
 	s.routes = map[string][]*lapisv1.Route{}
 	for _, name := range slices.Sorted(maps.Keys(s.services)) {
@@ -180,19 +181,19 @@
 	}
 }
 
-// Service returns a service; ok is false when the daemon does not hold it.
+// Service returns a service; ok is false if the snapshot does not contain it.
 func (s *Snapshot) Service(name string) (service *Service, ok bool) {
 	service, ok = s.services[name]
 	return service, ok
 }
 
-// ServiceNames returns the names of the services, in no order.
+// ServiceNames returns the names of the services, in no particular order.
 func (s *Snapshot) ServiceNames() []string {
 	return slices.Collect(maps.Keys(s.services))
 }
 
-// Certificate returns the key pair for a host, falling back to that of routes
-// without a host; nil when there is none.
+// Certificate returns the key pair for a host, or else that of routes without a
+// host; nil if there is neither.
 func (s *Snapshot) Certificate(host string) *tls.Certificate {
 	if certificate, ok := s.certificates[host]; ok {
 		return certificate
@@ -200,8 +201,8 @@
 	return s.certificates[""]
 }
 
-// TakesNewWork reports whether an instance, given by the name of its incarnation, may take new work:
-// it is neither drained nor retired by operators, who name ids.
+// TakesNewWork reports whether an instance, given by its incarnation name, may take new work: its id
+// is neither drained nor retired by operators.
 func (s *Service) TakesNewWork(instance string) bool {
 	if len(s.Drained) == 0 && len(s.Retired) == 0 {
 		return true
--- a/internal/model/snapshot/store.go
+++ b/internal/model/snapshot/store.go
@@ -12,14 +12,15 @@
 )
 
 // Store holds the snapshot in force. It is safe for concurrent use, except that only one goroutine
-// at a time may replace the snapshot. Reading it takes no lock.
+// at a time may replace the snapshot. Reading the snapshot takes no lock.
 type Store struct {
 	current atomic.Pointer[Snapshot]
 
-	// waiting are the calls that wait for the first snapshot.
-	waiting atomic.Int64
+	// waitingCalls is the number of calls that wait for the first snapshot.
+	waitingCalls atomic.Int64
 
-	// mutex protects replaced, which is closed with the next snapshot.
+	// mutex protects replaced, which is closed when the next snapshot is in force; nil if no
+	// goroutine waits for it.
 	mutex    sync.Mutex
 	replaced chan struct{}
 }
@@ -27,22 +28,22 @@
 // Current returns the snapshot in force, nil before the first.
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// Await returns the snapshot in force. Before the first one it waits, at most for timeout and
-// until ctx ends, and returns nil when none came.
+// Await returns the snapshot in force. If there is none yet, it waits for the first one until timeout
+// passes or ctx ends, and then returns nil.
 func (s *Store) Await(ctx context.Context, timeout time.Duration) *Snapshot {
 	if current := s.current.Load(); current != nil {
 		return current
 	}
-	s.waiting.Add(1)
-	defer s.waiting.Add(-1)
+	s.waitingCalls.Add(1)
+	defer s.waitingCalls.Add(-1)
 	return s.AwaitAfter(ctx, nil, timeout)
 }
 
-// AwaitAfter returns the snapshot in force. While that is the given one it waits, at most for
-// timeout and until ctx ends.
+// AwaitAfter returns the snapshot in force once it differs from seen. If timeout passes or ctx ends
+// first, it returns the snapshot in force at that time.
 func (s *Store) AwaitAfter(ctx context.Context, seen *Snapshot, timeout time.Duration) *Snapshot {
-	// Taken first, so that no snapshot is missed in between.
-	replaced := s.next()
+	// Get the channel before comparing, so that no replacement in between is missed.
+	replaced := s.nextReplacement()
 	if current := s.current.Load(); current != seen {
 		return current
 	}
@@ -56,11 +57,11 @@
 	return s.current.Load()
 }
 
-// Awaited reports whether a call waits for the first snapshot.
-func (s *Store) Awaited() bool { return s.waiting.Load() > 0 }
+// Awaited reports whether any call waits for the first snapshot.
+func (s *Store) Awaited() bool { return s.waitingCalls.Load() > 0 }
 
-// next returns the channel that is closed with the next snapshot.
-func (s *Store) next() <-chan struct{} {
+// nextReplacement returns a channel that is closed when the next snapshot is in force.
+func (s *Store) nextReplacement() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.replaced == nil {
@@ -69,8 +70,8 @@
 	return s.replaced
 }
 
-// wake has all that wait for the next snapshot look at it.
-func (s *Store) wake() {
+// notifyReplaced wakes all goroutines that wait for the next snapshot.
+func (s *Store) notifyReplaced() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.replaced != nil {
@@ -79,30 +80,30 @@
 	}
 }
 
-// ReplaceConfiguration puts a whole configuration in force, or nothing of it.
+// ReplaceConfiguration puts a whole configuration in force, with its limits and accounts.
 // Errors: those of Replace.
 func (s *Store) ReplaceConfiguration(configuration *lapisv1.Configuration) error {
 	bundles := make(map[string]*lapisv1.EncodedBundle, len(configuration.GetBundles()))
 	for _, bundle := range configuration.GetBundles() {
 		bundles[bundle.GetService()] = bundle
 	}
-	return s.replace(configuration.GetRevision(), 0, bundles, wholeParts{limits: configuration.GetLimits(), accounts: configuration.GetAccounts()})
+	return s.replace(configuration.GetRevision(), 0, bundles, configurationExtras{limits: configuration.GetLimits(), accounts: configuration.GetAccounts()})
 }
 
-// Replace puts a version in force, whole or not at all. Errors:
-// DistributionBelowFloor for a revision not above the one in force, and those
-// of Build; the snapshot in force stays then. acceptedUnixMillis is in milliseconds since 1970.
+// Replace puts a revision in force. acceptedUnixMillis is its acceptance time in milliseconds since
+// 1970. On an error the snapshot in force stays unchanged. Errors: DistributionBelowFloor for a
+// revision not above the one in force, and those of Build.
 func (s *Store) Replace(revision uint64, acceptedUnixMillis int64, bundles map[string]*lapisv1.EncodedBundle) error {
-	return s.replace(revision, acceptedUnixMillis, bundles, wholeParts{})
+	return s.replace(revision, acceptedUnixMillis, bundles, configurationExtras{})
 }
 
-// wholeParts are what a configuration holds beside its bundles.
-type wholeParts struct {
+// configurationExtras holds the parts of a Configuration that are not in bundles.
+type configurationExtras struct {
 	limits   *lapisv1.Limits
 	accounts *lapisv1.Accounts
 }
 
-func (s *Store) replace(revision uint64, acceptedUnixMillis int64, bundles map[string]*lapisv1.EncodedBundle, parts wholeParts) error {
+func (s *Store) replace(revision uint64, acceptedUnixMillis int64, bundles map[string]*lapisv1.EncodedBundle, parts configurationExtras) error {
 	previous := s.current.Load()
 	if previous != nil && revision <= previous.Revision {
 		return result.Errorf(result.DistributionBelowFloor, "revision %d after %d", revision, previous.Revision)
@@ -116,6 +117,6 @@
 		next.Accounts = account.NewDirectory(parts.accounts)
 	}
 	s.current.Store(next)
-	s.wake()
+	s.notifyReplaced()
 	return nil
 }
--- a/internal/model/snapshot/store_test.go
+++ b/internal/model/snapshot/store_test.go
@@ -15,7 +15,7 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-func configurationOf(t *testing.T, revision uint64) *lapisv1.Configuration {
+func newConfiguration(t *testing.T, revision uint64) *lapisv1.Configuration {
 	t.Helper()
 	configuration, err := meshconfig.Compose(meshconfig.Composition{
 		Revision: revision,
@@ -25,8 +25,8 @@
 	return configuration
 }
 
-// A call that comes before the first configuration waits for it, and no longer than it
-// may; later ones do not wait.
+// A call made before the first configuration waits for it, at most until its timeout; later calls do
+// not wait.
 func TestAwaitEndsWithTheFirstSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &snapshot.Store{}
@@ -38,56 +38,56 @@
 		cancel()
 		assert.Assert(t, store.Await(ended, time.Minute) == nil, "the caller disconnected")
 
-		time.AfterFunc(300*time.Millisecond, func() { assert.NilError(t, store.ReplaceConfiguration(configurationOf(t, 3))) })
+		time.AfterFunc(300*time.Millisecond, func() { assert.NilError(t, store.ReplaceConfiguration(newConfiguration(t, 3))) })
 		began = time.Now()
 		assert.Equal(t, store.Await(context.Background(), time.Second).Revision, uint64(3))
 		assert.Equal(t, time.Since(began), 300*time.Millisecond)
 
-		assert.NilError(t, store.ReplaceConfiguration(configurationOf(t, 5)))
+		assert.NilError(t, store.ReplaceConfiguration(newConfiguration(t, 5)))
 		began = time.Now()
 		assert.Equal(t, store.Await(context.Background(), time.Second).Revision, uint64(5))
 		assert.Equal(t, time.Since(began), time.Duration(0))
 	})
 }
 
-// A call that waits for a newer version gets the next one, and does not miss one that came in force
-// before it waits.
+// A call that waits for a newer snapshot gets the next one, and does not miss one that was put in force
+// before the wait.
 func TestAwaitAfterEndsWithTheNextSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &snapshot.Store{}
-		assert.NilError(t, store.ReplaceConfiguration(configurationOf(t, 3)))
+		assert.NilError(t, store.ReplaceConfiguration(newConfiguration(t, 3)))
 		seen := store.Current()
 		began := time.Now()
 		assert.Assert(t, store.AwaitAfter(context.Background(), seen, time.Second) == seen)
 		assert.Equal(t, time.Since(began), time.Second)
 
-		time.AfterFunc(300*time.Millisecond, func() { assert.NilError(t, store.ReplaceConfiguration(configurationOf(t, 5))) })
+		time.AfterFunc(300*time.Millisecond, func() { assert.NilError(t, store.ReplaceConfiguration(newConfiguration(t, 5))) })
 		began = time.Now()
 		assert.Equal(t, store.AwaitAfter(context.Background(), seen, time.Second).Revision, uint64(5))
 		assert.Equal(t, time.Since(began), 300*time.Millisecond)
 
 		began = time.Now()
 		assert.Equal(t, store.AwaitAfter(context.Background(), seen, time.Second).Revision, uint64(5))
-		assert.Equal(t, time.Since(began), time.Duration(0), "it came before")
+		assert.Equal(t, time.Since(began), time.Duration(0), "the newer snapshot was already in force")
 	})
 }
 
 // A revision that is not above the one in force, or that cannot be decoded, is refused, and the
 // snapshot in force stays.
 func TestRefusedConfigurationLeavesTheSnapshot(t *testing.T) {
-	tampered := configurationOf(t, 9)
+	tampered := newConfiguration(t, 9)
 	tampered.Bundles[0].Content = append(tampered.Bundles[0].Content, 0)
 	for name, row := range map[string]struct {
 		offered *lapisv1.Configuration
 		code    result.Code
 	}{
-		"older":    {configurationOf(t, 4), result.DistributionBelowFloor},
-		"the same": {configurationOf(t, 5), result.DistributionBelowFloor},
+		"older":    {newConfiguration(t, 4), result.DistributionBelowFloor},
+		"the same": {newConfiguration(t, 5), result.DistributionBelowFloor},
 		"tampered": {tampered, result.DistributionDigestMismatch},
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := &snapshot.Store{}
-			assert.NilError(t, store.ReplaceConfiguration(configurationOf(t, 5)))
+			assert.NilError(t, store.ReplaceConfiguration(newConfiguration(t, 5)))
 			inForce := store.Current()
 			err := store.ReplaceConfiguration(row.offered)
 			assert.Assert(t, result.Is(err, row.code), "%v", err)
@@ -96,7 +96,7 @@
 	}
 }
 
-// accountsBundle returns the bundle of an account with one key.
+// accountsBundle returns a bundle that contains one account with one key.
 func accountsBundle(t *testing.T, key string) *lapisv1.EncodedBundle {
 	t.Helper()
 	digest := account.DigestOf([]byte(key))
@@ -106,11 +106,11 @@
 	return encoded
 }
 
-// Accounts that come as a bundle are in force with their revision, are no service, are reused while
-// they are the same, and never come back by an older revision.
+// Accounts from a bundle are put in force with their revision, are not listed as a service, are reused
+// while the bundle is unchanged, and are not replaced by an older revision.
 func TestAccountsOfABundle(t *testing.T) {
 	store := &snapshot.Store{}
-	pool := configurationOf(t, 1).GetBundles()[0]
+	pool := newConfiguration(t, 1).GetBundles()[0]
 	old, renewed := accountsBundle(t, "old"), accountsBundle(t, "renewed")
 	replace := func(revision uint64, accounts *lapisv1.EncodedBundle) error {
 		bundles := map[string]*lapisv1.EncodedBundle{"desk": pool}
