--- a/api/generated_test.go
+++ b/api/generated_test.go
@@ -1,5 +1,5 @@
-// Package api_test checks that the generated code is in step with the protocol
-// definitions, without needing the generator.
+// Package api_test checks that the generated code matches the protocol definitions,
+// without running the generator.
 package api_test
 
 import (
--- a/cmd/lapislab/main.go
+++ b/cmd/lapislab/main.go
@@ -1,5 +1,5 @@
-// Command lapislab has stand-ins for the platform, back ends and callers, an emulated platform,
-// and the tools that read logs.
+// Command lapislab runs stand-ins for the platform, back ends and callers, an emulated platform,
+// and tools that analyse logs.
 package main
 
 import (
--- a/cmd/lapisvaned/main.go
+++ b/cmd/lapisvaned/main.go
@@ -1,5 +1,5 @@
-// Command lapisvaned is the daemon that runs on every machine beside back ends
-// and callers.
+// Command lapisvaned is the daemon that runs on every machine with back ends
+// or callers.
 package main
 
 import (
--- a/internal/imports_test.go
+++ b/internal/imports_test.go
@@ -1,4 +1,5 @@
-// Package internal_test holds the rules about which part of the code may use which.
+// Package internal_test checks the import rules between the parts of the code, and that the pages
+// match the code.
 package internal_test
 
 import (
@@ -16,9 +17,9 @@
 
 const module = "github.com/lapisvane/lapisvane/"
 
-// allowedImports lists for each plane the planes that its programs may use besides
-// itself; docs/ARCHITECTURE.md draws them. The request path and the distribution do not
-// use one another: they meet in what is in force, which is the model's.
+// allowedImports lists for each plane the other planes that its packages may import;
+// docs/ARCHITECTURE.md shows the diagram. The request path and the distribution must not import
+// each other: they share data only through the configuration in force, which is in the model.
 var allowedImports = map[string][]string{
 	"shared":       {},
 	"model":        {"shared"},
@@ -32,11 +33,11 @@
 	"cmd":          {"daemon", "operators", "lab", "platform"},
 }
 
-// daemonPackagesOfPlatform are the only packages of the daemon that the adapter of a
-// platform may use: what the daemon asks of it.
+// daemonPackagesOfPlatform are the only packages of the daemon that a platform adapter may
+// import: the interface that the adapter implements.
 var daemonPackagesOfPlatform = []string{"internal/daemon/platformapi"}
 
-// planeOf returns the plane of a package, which is given by its path below the module.
+// planeOf returns the plane of a package, given by its path below the module.
 func planeOf(path string) string {
 	parts := strings.Split(path, "/")
 	if parts[0] == "internal" && len(parts) > 1 {
@@ -45,7 +46,7 @@
 	return parts[0]
 }
 
-// importsOf calls visit for each file that is not a test, with the packages of this module
+// importsOf calls visit for each Go file that is not a test, with the packages of this module
 // that it imports, given by their paths below the module.
 func importsOf(t *testing.T, visit func(file string, paths []string)) {
 	t.Helper()
@@ -81,15 +82,15 @@
 		user := planeOf(file)
 		seen[user] = true
 		allowed, known := allowedImports[user]
-		assert.Check(t, known, "%s is in no plane", file)
+		assert.Check(t, known, "%s does not belong to a plane of allowedImports", file)
 		for _, path := range paths {
 			used := planeOf(path)
 			if used == user || path == "api/lapisv1" {
 				continue
 			}
-			assert.Check(t, slices.Contains(allowed, used), "%s uses %s", file, path)
+			assert.Check(t, slices.Contains(allowed, used), "%s imports %s", file, path)
 			if user == "platform" && used == "daemon" {
-				assert.Check(t, slices.Contains(daemonPackagesOfPlatform, path), "%s uses %s", file, path)
+				assert.Check(t, slices.Contains(daemonPackagesOfPlatform, path), "%s imports %s", file, path)
 			}
 		}
 	})
--- a/internal/pages_test.go
+++ b/internal/pages_test.go
@@ -15,22 +15,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// eventName is the form of the names of log events, metricName that of metrics.
+// eventName matches the names of log events, metricName those of metrics.
 var (
 	eventName  = regexp.MustCompile(`^[a-z]+\.[a-z_]+$`)
 	metricName = regexp.MustCompile(`^lapisvane_[a-z_]+$`)
-	// formatted is an event in a line that is written without the logger.
-	formatted = regexp.MustCompile(`event=([a-z]+\.[a-z_]+)`)
+	// formattedEvent matches an event in a log line that is written without the logger.
+	formattedEvent = regexp.MustCompile(`event=([a-z]+\.[a-z_]+)`)
 )
 
-// notDaemons are the parts whose literals are no events or metrics of a daemon: the
+// excludedPaths are directories whose string literals are not events or metrics of a daemon: the
 // programs of the lab, and the settings, whose keys look like events.
-var notDaemons = []string{"lab", "daemon/settings"}
+var excludedPaths = []string{"lab", "daemon/settings"}
 
-// otherLiterals look like events and are none.
-var otherLiterals = map[string]bool{"vcs.revision": true}
+// nonEventLiterals are literals that match eventName without being events.
+var nonEventLiterals = map[string]bool{"vcs.revision": true}
 
-// literalsOf returns the string literals of the daemons' code that match a pattern.
+// literalsOf returns the string literals of the daemon's code that match a pattern.
 func literalsOf(t *testing.T, pattern *regexp.Regexp) map[string]bool {
 	t.Helper()
 	found := map[string]bool{}
@@ -39,7 +39,7 @@
 			if err != nil {
 				return err
 			}
-			for _, excluded := range notDaemons {
+			for _, excluded := range excludedPaths {
 				if filepath.ToSlash(name) == excluded {
 					return filepath.SkipDir
 				}
@@ -57,10 +57,10 @@
 					return true
 				}
 				text, err := strconv.Unquote(literal.Value)
-				if event := formatted.FindStringSubmatch(text); event != nil {
+				if event := formattedEvent.FindStringSubmatch(text); event != nil {
 					text = event[1]
 				}
-				if err == nil && pattern.MatchString(text) && !otherLiterals[text] {
+				if err == nil && pattern.MatchString(text) && !nonEventLiterals[text] {
 					found[text] = true
 				}
 				return true
@@ -72,8 +72,8 @@
 	return found
 }
 
-// namesInFirstColumn returns the names in backticks in the first column of the page's
-// tables that match a pattern.
+// namesInFirstColumn returns the names in the first column of the page's tables that match
+// a pattern. Backticks and commas separate names.
 func namesInFirstColumn(t *testing.T, page string, pattern *regexp.Regexp) map[string]bool {
 	t.Helper()
 	content, err := os.ReadFile(page)
@@ -93,7 +93,7 @@
 	return names
 }
 
-// OPERATIONS.md lists just the events and the metrics that the code has.
+// OPERATIONS.md must list exactly the events and metrics of the code.
 func TestOperationsPageListsEventsAndMetrics(t *testing.T) {
 	for kind, pattern := range map[string]*regexp.Regexp{"event": eventName, "metric": metricName} {
 		inCode := literalsOf(t, pattern)
@@ -108,10 +108,10 @@
 	}
 }
 
-// testName is a test or fuzz target as pages name it.
+// testName matches the name of a test, fuzz target or benchmark.
 var testName = regexp.MustCompile(`\b(Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9]+\b`)
 
-// testsOf returns the names of the tests of the whole module.
+// testsOf returns the names of all functions in the test files of internal, platform and api.
 func testsOf(t *testing.T) map[string]bool {
 	t.Helper()
 	found := map[string]bool{}
@@ -136,22 +136,23 @@
 	return found
 }
 
-// The pages that say which test holds what name tests that exist.
+// The tests that the pages name must exist.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	tests := testsOf(t)
 	for _, page := range []string{"../docs/proofs.md", "../docs/DECISIONS.md", "../docs/ARCHITECTURE.md"} {
 		content, err := os.ReadFile(page)
 		assert.NilError(t, err)
 		for _, name := range testName.FindAllString(string(content), -1) {
-			assert.Check(t, tests[name], "%s names %s", page, name)
+			assert.Check(t, tests[name], "%s names %s, which does not exist", page, name)
 		}
 	}
 }
 
-// functionName is a function as pages name it: package, dot, function or method.
+// functionName matches a function or method on a page: package, dot and name, in backticks.
 var functionName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z][a-zA-Z]+)`")
 
-// functionsOf returns the functions and methods of the daemons' packages, as "package.Name".
+// functionsOf returns the functions and methods of the packages in internal and platform, as
+// "package.Name", and the names of the packages.
 func functionsOf(t *testing.T) (functions, packages map[string]bool) {
 	t.Helper()
 	functions, packages = map[string]bool{}, map[string]bool{}
@@ -177,8 +178,7 @@
 	return functions, packages
 }
 
-// The pages that lead from a question to the code name functions that exist. A name that
-// is an event or a setting as well is left alone.
+// The functions that the pages name must exist. Names that are also events or settings are not checked.
 func TestPagesNameFunctionsThatExist(t *testing.T) {
 	functions, packages := functionsOf(t)
 	events := literalsOf(t, eventName)
@@ -188,7 +188,7 @@
 		for _, match := range functionName.FindAllStringSubmatch(string(content), -1) {
 			name := match[1] + "." + match[2]
 			if packages[match[1]] && !events[name] {
-				assert.Check(t, functions[name], "%s names %s", page, name)
+				assert.Check(t, functions[name], "%s names %s, which does not exist", page, name)
 			}
 		}
 	}
