--- a/internal/model/meshconfig/bundle.go
+++ b/internal/model/meshconfig/bundle.go
@@ -54,7 +54,8 @@
 }
 
 // CheckClosed checks that a bundle contains all pools and secrets that its routes and shares refer to,
-// and that only the bundle of AccountsService contains accounts. Errors: DistributionNotClosed.
+// and that only the bundle of AccountsService contains accounts. The pools of a split are not checked,
+// since they are in other bundles. Errors: DistributionNotClosed.
 func CheckClosed(service string, bundle *lapisv1.Bundle) error {
 	if service == AccountsService {
 		return checkOnlyAccounts(bundle)
