--- a/internal/operators/operator/server_test.go
+++ b/internal/operators/operator/server_test.go
@@ -68,21 +68,21 @@
 	return &testServer{t: t, address: listener.Addr().String(), stub: stub}
 }
 
-func (o *testServer) run(group, line string) (*opapi.Table, error) {
+func (s *testServer) run(group, line string) (*opapi.Table, error) {
 	command, err := query.Parse(line)
-	assert.NilError(o.t, err)
-	return ctl.NewClient(o.address, "token-"+group).Run(context.Background(), command)
+	assert.NilError(s.t, err)
+	return ctl.NewClient(s.address, "token-"+group).Run(context.Background(), command)
 }
 
 // proposeAndAccept proposes and accepts the given file.
-func (o *testServer) proposeAndAccept(group, content string) error {
-	path := filepath.Join(o.t.TempDir(), "proposal.yaml")
-	assert.NilError(o.t, os.WriteFile(path, []byte(content), 0o600))
-	table, err := o.run(group, "propose "+path)
+func (s *testServer) proposeAndAccept(group, content string) error {
+	path := filepath.Join(s.t.TempDir(), "proposal.yaml")
+	assert.NilError(s.t, os.WriteFile(path, []byte(content), 0o600))
+	table, err := s.run(group, "propose "+path)
 	if err != nil {
 		return err
 	}
-	_, err = o.run(group, "accept "+table.Rows[0][0])
+	_, err = s.run(group, "accept "+table.Rows[0][0])
 	return err
 }
 
@@ -93,8 +93,8 @@
 `
 
 func TestGroupsTouchOnlyWhatIsTheirs(t *testing.T) {
-	o := startServer(t)
-	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
+	s := startServer(t)
+	assert.NilError(t, s.proposeAndAccept("archers", baseProposal))
 	cases := []struct {
 		name, group, file string
 		expect            result.Code
@@ -107,65 +107,65 @@
 		{"an own route to a shared pool", "bakers", "routes: [{name: bake, group: bakers, pool: shop, path_prefix: /bake}]", result.OK},
 		{"the owner sets shares", "archers", "shares: [{name: for-bakers, group: bakers, pool: shop, percent: 40}]", result.OK},
 		{"an administrator", operator.AdminGroup, "shares: [{name: for-bakers, group: bakers, pool: shop, percent: 35}]", result.OK},
-		{"nobody", "strangers", "remove: [{kind: route, name: quote}]", result.OperatorUnauthenticated},
+		{"an unknown token", "strangers", "remove: [{kind: route, name: quote}]", result.OperatorUnauthenticated},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			code, _ := result.CodeOf(o.proposeAndAccept(test.group, test.file))
+			code, _ := result.CodeOf(s.proposeAndAccept(test.group, test.file))
 			assert.Equal(t, code, test.expect)
 		})
 	}
-	_, err := o.run("bakers", "drain shop/shop-1")
+	_, err := s.run("bakers", "drain shop/shop-1")
 	assert.Assert(t, result.Is(err, result.OperatorForbidden), "%v", err)
 }
 
 func TestRacingDrainsOfOnePoolAllTakeEffect(t *testing.T) {
-	o := startServer(t)
-	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
-	o.stub.SetFaults(objectapistub.Faults{LoseAnswerPercent: 20})
+	s := startServer(t)
+	assert.NilError(t, s.proposeAndAccept("archers", baseProposal))
+	s.stub.SetFaults(objectapistub.Faults{LoseAnswerPercent: 20})
 	var racing sync.WaitGroup
 	const drains = 6
 	for index := range drains {
 		racing.Go(func() {
-			_, err := o.run("archers", fmt.Sprintf("drain shop/shop-%d", index))
+			_, err := s.run("archers", fmt.Sprintf("drain shop/shop-%d", index))
 			assert.Check(t, err == nil, "%v", err)
 		})
 	}
 	racing.Wait()
-	o.stub.SetFaults(objectapistub.Faults{})
-	table, err := o.run("archers", "show pools where name = shop")
+	s.stub.SetFaults(objectapistub.Faults{})
+	table, err := s.run("archers", "show pools where name = shop")
 	assert.NilError(t, err)
 	assert.Equal(t, len(strings.Split(table.Rows[0][4], ",")), drains, "%v", table.Rows)
 }
 
 func TestRetiredIsForever(t *testing.T) {
-	o := startServer(t)
-	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
-	_, err := o.run("archers", "retire shop/shop-1")
+	s := startServer(t)
+	assert.NilError(t, s.proposeAndAccept("archers", baseProposal))
+	_, err := s.run("archers", "retire shop/shop-1")
 	assert.NilError(t, err)
-	_, err = o.run("archers", "undrain shop/shop-1")
+	_, err = s.run("archers", "undrain shop/shop-1")
 	assert.Assert(t, result.Is(err, result.ConfigRetiredIsForever), "%v", err)
 }
 
 func TestWaitReportsExpiry(t *testing.T) {
-	o := startServer(t)
-	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
-	_, err := o.run("archers", "wait in-force 1 for "+(200*time.Millisecond).String())
+	s := startServer(t)
+	assert.NilError(t, s.proposeAndAccept("archers", baseProposal))
+	_, err := s.run("archers", "wait in-force 1 for "+(200*time.Millisecond).String())
 	assert.Assert(t, result.Is(err, result.OperatorWaitExpired), "%v", err)
-	_, err = o.run("archers", "wait in-force 99")
+	_, err = s.run("archers", "wait in-force 99")
 	assert.Assert(t, result.Is(err, result.OperatorUnknownRevision), "%v", err)
 }
 
 func TestPlatformOutageIsReported(t *testing.T) {
-	o := startServer(t)
-	assert.NilError(t, o.proposeAndAccept("archers", baseProposal))
-	o.stub.SetFaults(objectapistub.Faults{Down: true})
-	_, err := o.run("archers", "show routes")
+	s := startServer(t)
+	assert.NilError(t, s.proposeAndAccept("archers", baseProposal))
+	s.stub.SetFaults(objectapistub.Faults{Down: true})
+	_, err := s.run("archers", "show routes")
 	assert.Assert(t, result.Is(err, result.PlatformUnavailable), "%v", err)
 }
 
 func TestSecretsAreNeverShown(t *testing.T) {
-	o := startServer(t)
+	s := startServer(t)
 	authority, err := testsite.NewAuthority("test")
 	assert.NilError(t, err)
 	pair, err := authority.Issue("shop.example")
@@ -176,39 +176,39 @@
 		"secrets": []any{map[string]any{"name": "key", "group": "archers", "certificate_pem": string(pair.Certificate), "private_key_pem": string(pair.Key)}},
 	})
 	assert.NilError(t, err)
-	assert.NilError(t, o.proposeAndAccept("archers", string(file)))
+	assert.NilError(t, s.proposeAndAccept("archers", string(file)))
 	line := strings.Split(string(pair.Key), "\n")[1]
 	for _, command := range []string{"show secrets", "show routes", "show pools", "show proposals", "diff 0 1", "show versions"} {
-		table, err := o.run("bakers", command)
+		table, err := s.run("bakers", command)
 		assert.NilError(t, err)
 		answer, err := json.Marshal(table)
 		assert.NilError(t, err)
 		assert.Assert(t, !strings.Contains(string(answer), line), "%s shows the key", command)
 	}
-	code, _ := result.CodeOf(o.proposeAndAccept("bakers", "routes: [{name: steal, group: bakers, pool: shop, path_prefix: /s, secret: key}]"))
+	code, _ := result.CodeOf(s.proposeAndAccept("bakers", "routes: [{name: steal, group: bakers, pool: shop, path_prefix: /s, secret: key}]"))
 	assert.Equal(t, code, result.ConfigForeignSecret)
 }
 
 // Only administrators may change accounts. All operators see the limits of accounts, but no answer
 // contains a key or its digest.
 func TestAccountsAreShownWithoutKeys(t *testing.T) {
-	o := startServer(t)
+	s := startServer(t)
 	const key = "key0of0the0archers"
 	file := "accounts: [{name: archers, api_keys: [" + key + ", other], priority: 1, calls_per_second: 2.5, burst: 7}, {name: none}]"
-	code, _ := result.CodeOf(o.proposeAndAccept("archers", file))
+	code, _ := result.CodeOf(s.proposeAndAccept("archers", file))
 	assert.Equal(t, code, result.OperatorForbidden)
-	assert.NilError(t, o.proposeAndAccept(operator.AdminGroup, file))
-	code, _ = result.CodeOf(o.proposeAndAccept("archers", "remove: [{kind: account, name: archers}]"))
+	assert.NilError(t, s.proposeAndAccept(operator.AdminGroup, file))
+	code, _ = result.CodeOf(s.proposeAndAccept("archers", "remove: [{kind: account, name: archers}]"))
 	assert.Equal(t, code, result.OperatorForbidden)
-	table, err := o.run("archers", "show accounts where keys > 0")
+	table, err := s.run("archers", "show accounts where keys > 0")
 	assert.NilError(t, err)
 	assert.DeepEqual(t, table.Rows, [][]string{{"archers", "2", "1", "2.5", "7", "1"}})
-	table, err = o.run("archers", "diff 0 1")
+	table, err = s.run("archers", "diff 0 1")
 	assert.NilError(t, err)
 	assert.Equal(t, table.Rows[0][2], "set to 2 keys, priority 1, 2.5 calls a second, burst 7")
 	digest := account.DigestOf([]byte(key))
 	for _, command := range []string{"show accounts", "show proposals", "diff 0 1", "show versions", "show pools"} {
-		table, err := o.run("archers", command)
+		table, err := s.run("archers", command)
 		assert.NilError(t, err)
 		answer, err := json.Marshal(table)
 		assert.NilError(t, err)
