--- a/internal/model/meshconfig/accounts.go
+++ b/internal/model/meshconfig/accounts.go
@@ -28,7 +28,7 @@
 	accountByKey := map[account.Digest]int{}
 	for index, checked := range accounts {
 		validateAccount(faults, index, checked)
-		if other, taken := names[checked.GetName()]; taken {
+		if other, exists := names[checked.GetName()]; exists {
 			faults.Add(result.ConfigDuplicateObject, "accounts[%d].name %q is that of accounts[%d]", index, checked.GetName(), other)
 		}
 		names[checked.GetName()] = index
@@ -61,7 +61,7 @@
 			continue
 		}
 		digest := account.Digest(content)
-		if other, taken := accountByKey[digest]; taken && other != index {
+		if other, exists := accountByKey[digest]; exists && other != index {
 			faults.Add(result.ConfigDuplicateObject, "accounts[%d].key_digests[%d] of account %q is a key of accounts[%d] too", index, keyIndex, checked.GetName(), other)
 		}
 		accountByKey[digest] = index
--- a/internal/model/meshconfig/compose.go
+++ b/internal/model/meshconfig/compose.go
@@ -29,14 +29,14 @@
 	faults := &result.List{}
 	affected := map[string]bool{}
 	for _, pool := range composition.Pools {
-		if _, twice := state.Pools[pool.GetName()]; twice {
+		if _, duplicate := state.Pools[pool.GetName()]; duplicate {
 			faults.Add(result.ConfigDuplicateObject, "pool %s", pool.GetName())
 		}
 		state.Pools[pool.GetName()] = pool
 		affected[pool.GetName()] = true
 	}
 	for _, route := range composition.Routes {
-		if _, twice := state.Routes[route.GetName()]; twice {
+		if _, duplicate := state.Routes[route.GetName()]; duplicate {
 			faults.Add(result.ConfigDuplicateObject, "route %s", route.GetName())
 		}
 		state.Routes[route.GetName()] = route
--- a/internal/model/meshconfig/state.go
+++ b/internal/model/meshconfig/state.go
@@ -134,8 +134,8 @@
 	s.Bundles[encoded.GetService()] = encoded
 	s.Digest.Add(digest.MemberOf(encoded.GetService(), encoded.GetDigest()))
 	if encoded.GetService() == AccountsService {
-		for _, stated := range bundle.GetAccounts().GetAccounts() {
-			s.Accounts[stated.GetName()] = stated
+		for _, account := range bundle.GetAccounts().GetAccounts() {
+			s.Accounts[account.GetName()] = account
 		}
 		return nil
 	}
--- a/internal/model/meshconfig/validate.go
+++ b/internal/model/meshconfig/validate.go
@@ -91,7 +91,7 @@
 		s.validateSplit(faults, route)
 		s.validateRouteSecret(faults, route)
 		for _, key := range matchKeys(route) {
-			if other, taken := matches[key]; taken {
+			if other, exists := matches[key]; exists {
 				faults.Add(result.ConfigDuplicateRoute, "routes %s and %s both match %s", other, name, key)
 			}
 			matches[key] = name
--- a/internal/model/snapshot/store_test.go
+++ b/internal/model/snapshot/store_test.go
@@ -100,8 +100,8 @@
 func accountsBundle(t *testing.T, key string) *lapisv1.EncodedBundle {
 	t.Helper()
 	digest := account.DigestOf([]byte(key))
-	stated := &lapisv1.Account{Name: "alpha", KeyDigests: [][]byte{digest[:]}}
-	encoded, err := meshconfig.EncodeBundle(&lapisv1.Bundle{Accounts: &lapisv1.Accounts{Accounts: []*lapisv1.Account{stated}}}, 1)
+	alpha := &lapisv1.Account{Name: "alpha", KeyDigests: [][]byte{digest[:]}}
+	encoded, err := meshconfig.EncodeBundle(&lapisv1.Bundle{Accounts: &lapisv1.Accounts{Accounts: []*lapisv1.Account{alpha}}}, 1)
 	assert.NilError(t, err)
 	return encoded
 }
