--- a/internal/lab/emulator/client/burst.go
+++ b/internal/lab/emulator/client/burst.go
@@ -131,7 +131,7 @@
 // noteUnanswered enters requests without an answer into the ledger.
 func (s *sender) noteUnanswered(requests []*sent, how string) {
 	for _, one := range requests {
-		s.load.Ledger.Unanswered(promise.Unanswered{Request: one.id, SentAt: one.sentAt, EndedAt: time.Now(), How: how})
+		s.load.Ledger.Unanswered(promise.Unanswered{Request: one.id, SentAt: one.sentAt, EndedAt: time.Now(), Cause: how})
 	}
 }
 
--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -209,8 +209,8 @@
 	id := "r" + strconv.FormatUint(nextRequest.Add(1), 36)
 	l.Ledger.Sent(promise.Request{
 		ID: id, Services: set(class.Services), Safe: class.Safe, BodyDigest: promise.DigestOf(body),
-		Caller: target.Service(), SentAt: time.Now(), Daemon: address, Wait: time.Duration(wait) * time.Millisecond, Attempts: class.Attempts, Regions: class.Regions,
-		Key: class.Key, Accounts: accountSet(class.Accounts),
+		Caller: target.Service(), SentAt: time.Now(), DaemonAddress: address, Timeout: time.Duration(wait) * time.Millisecond, MaxAttempts: class.Attempts, AllowedRegions: class.Regions,
+		APIKey: class.Key, AllowedAccounts: accountSet(class.Accounts),
 	})
 	return id
 }
@@ -251,7 +251,7 @@
 		return Failed, 0, class.Safe
 	}
 	whole := stamp != "" && string(received) == instance.Body(stamp, class.AnswerBytes)
-	l.Ledger.Answered(promise.Answer{Request: id, Status: response.StatusCode, Stamp: stamp, Whole: whole})
+	l.Ledger.Answered(promise.Answer{Request: id, Status: response.StatusCode, Stamp: stamp, Complete: whole})
 	switch {
 	case success:
 		return Served, 0, false
--- a/internal/lab/emulator/client/kept.go
+++ b/internal/lab/emulator/client/kept.go
@@ -222,7 +222,7 @@
 		// Its last byte was never sent.
 		return
 	}
-	k.load.Ledger.Unanswered(promise.Unanswered{Request: request.id, SentAt: time.Unix(0, sentAt), EndedAt: time.Now(), How: how})
+	k.load.Ledger.Unanswered(promise.Unanswered{Request: request.id, SentAt: time.Unix(0, sentAt), EndedAt: time.Now(), Cause: how})
 }
 
 // paced reads no faster than a bound, 0 for none.
--- a/internal/lab/emulator/client/sendwatch.go
+++ b/internal/lab/emulator/client/sendwatch.go
@@ -41,5 +41,5 @@
 	if sentAt.IsZero() {
 		return
 	}
-	s.ledger.Unanswered(promise.Unanswered{Request: s.id, SentAt: sentAt, EndedAt: time.Now(), How: how})
+	s.ledger.Unanswered(promise.Unanswered{Request: s.id, SentAt: sentAt, EndedAt: time.Now(), Cause: how})
 }
--- a/internal/lab/emulator/day/accounts_test.go
+++ b/internal/lab/emulator/day/accounts_test.go
@@ -81,7 +81,7 @@
 	id := fmt.Sprint("asked-", asked.count)
 	asked.Unlock()
 	site.Ledger.Sent(promise.Request{
-		ID: id, Safe: true, Caller: machine.Service, SentAt: time.Now(), Services: map[string]bool{"desk": true}, Key: key,
+		ID: id, Safe: true, Caller: machine.Service, SentAt: time.Now(), Services: map[string]bool{"desk": true}, APIKey: key,
 	})
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+machine.Caller()+"/look/asked", nil)
 	assert.NilError(t, err)
--- a/internal/lab/emulator/day/machine.go
+++ b/internal/lab/emulator/day/machine.go
@@ -305,8 +305,8 @@
 // bounds are those that the ledger checks.
 func (o Options) bounds() promise.Bounds {
 	return promise.Bounds{
-		Drain: o.DrainBound, Evacuation: o.EvacuationBound, Contact: o.Contact, LossSlack: lossSlack, Grace: o.Grace, Apply: o.ApplyBound,
-		ColdPerSecond: o.ColdRate*o.ColdOvershoot*(1+jam.Seconds()) + o.ColdSlack,
+		DrainDelay: o.DrainBound, EvacuationDelay: o.EvacuationBound, PropagationDelay: o.Contact, LossSlack: lossSlack, GracePeriod: o.Grace, RevocationDelay: o.ApplyBound,
+		MaxColdPerSecond: o.ColdRate*o.ColdOvershoot*(1+jam.Seconds()) + o.ColdSlack,
 	}
 }
 
--- a/internal/lab/emulator/instance/cold.go
+++ b/internal/lab/emulator/instance/cold.go
@@ -23,7 +23,7 @@
 	until time.Time
 	// boundFrom is from when on the rate of a cold instance holds.
 	boundFrom time.Time
-	recent    promise.Second
+	recent    promise.RateWindow
 }
 
 // remaining returns how much longer the instance is cold, 0 for a warm one.
--- a/internal/lab/emulator/instance/instance_test.go
+++ b/internal/lab/emulator/instance/instance_test.go
@@ -41,7 +41,7 @@
 func start(t *testing.T, change func(*instance.Options)) *started {
 	t.Helper()
 	running := &started{
-		ledger:     promise.NewLedger(promise.Bounds{ColdPerSecond: 3}),
+		ledger:     promise.NewLedger(promise.Bounds{MaxColdPerSecond: 3}),
 		heartbeats: make(chan platform.Heartbeat, 1), crashes: make(chan *instance.Instance, 1),
 	}
 	beside := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/lab/emulator/instance/serve.go
+++ b/internal/lab/emulator/instance/serve.go
@@ -229,9 +229,9 @@
 	stamp := fmt.Sprintf("%s.%s.%d", i.Name(), id, i.sequence.Add(1))
 	millis, _ := strconv.Atoi(request.Header.Get(platform.HeaderDeadline))
 	i.options.Ledger.Ran(promise.Run{
-		Given: time.Duration(millis) * time.Millisecond, Request: id, Instance: i.Name(), Service: i.options.Service, BodyDigest: promise.DigestOf(body),
+		Timeout: time.Duration(millis) * time.Millisecond, Request: id, Instance: i.Name(), Service: i.options.Service, BodyDigest: promise.DigestOf(body),
 		Caller: request.Header.Get(platform.HeaderCallerService), Stamp: stamp, At: time.Now(),
-		Account: request.Header.Get(platform.HeaderAccount), Head: request.Header,
+		Account: request.Header.Get(platform.HeaderAccount), Header: request.Header,
 	})
 	return stamp
 }
--- a/internal/lab/emulator/promise/accounts.go
+++ b/internal/lab/emulator/promise/accounts.go
@@ -11,26 +11,27 @@
 func (l *Ledger) KeyRevoked(key string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.revoked[key] = time.Now()
+	l.revokedAt[key] = time.Now()
 }
 
-// checkAccount checks that the instance is told the account of the request and not its key, and that
-// the key was not revoked when the request was sent. The caller holds mutex.
+// checkAccount checks that the instance received the request's account but not its API key, and that
+// the key had not been revoked for longer than the bound when the request was sent. The caller holds
+// mutex.
 func (l *Ledger) checkAccount(request Request, run Run) {
-	if request.Accounts != nil && !request.Accounts[run.Account] {
-		l.note(Unasked, run.Request, fmt.Sprintf("the instance was told account %q", run.Account))
+	if request.AllowedAccounts != nil && !request.AllowedAccounts[run.Account] {
+		l.addBreach(Unasked, run.Request, fmt.Sprintf("the instance received account %q", run.Account))
 	}
-	if request.Key != "" && holds(run.Head, request.Key) {
-		l.note(Unasked, run.Request, "the instance was shown the API key")
+	if request.APIKey != "" && headerContains(run.Header, request.APIKey) {
+		l.addBreach(Unasked, run.Request, "the instance received the API key")
 	}
-	revokedAt, revoked := l.revoked[request.Key]
-	if revoked && l.bounds.Apply > 0 && request.SentAt.Sub(revokedAt) > l.bounds.Apply {
-		l.note(Config, run.Request, fmt.Sprintf("sent %s after its key was revoked", request.SentAt.Sub(revokedAt)))
+	revokedAt, revoked := l.revokedAt[request.APIKey]
+	if revoked && l.bounds.RevocationDelay > 0 && request.SentAt.Sub(revokedAt) > l.bounds.RevocationDelay {
+		l.addBreach(Config, run.Request, fmt.Sprintf("sent %s after its key was revoked", request.SentAt.Sub(revokedAt)))
 	}
 }
 
-// holds reports whether a text is a part of any field of a head.
-func holds(head http.Header, text string) bool {
+// headerContains reports whether the values of any header field contain text.
+func headerContains(head http.Header, text string) bool {
 	for _, values := range head {
 		if strings.Contains(strings.Join(values, "\n"), text) {
 			return true
@@ -39,8 +40,9 @@
 	return false
 }
 
-// mayBeUnauthorized reports whether a request may be answered with 401. The caller holds mutex.
+// mayBeUnauthorized reports whether the answer is a 401 for a request whose API key was revoked, which
+// is allowed. The caller holds mutex.
 func (l *Ledger) mayBeUnauthorized(answer Answer) bool {
-	_, revoked := l.revoked[l.requests[answer.Request].Key]
+	_, revoked := l.revokedAt[l.requests[answer.Request].APIKey]
 	return answer.Status == http.StatusUnauthorized && revoked
 }
--- a/internal/lab/emulator/promise/accounts_test.go
+++ b/internal/lab/emulator/promise/accounts_test.go
@@ -8,31 +8,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// Instances are told the account of a key and never the key, and a revoked key is served no longer
-// than the bound.
+// Guards against instances that receive an API key or the wrong account, and against a revoked key
+// that is accepted for longer than the bound.
 func TestAccountsOfRuns(t *testing.T) {
 	now := time.Now()
 	for name, row := range map[string]struct {
 		account string
 		head    http.Header
-		// revoked is how long before it was sent the request's key was revoked; 0 for never.
+		// revoked is the time between the revocation of the key and the sending of the request; 0 means
+		// that the key was not revoked.
 		revoked time.Duration
 		breach  Kind
 	}{
-		"as it should be":      {"alpha", http.Header{"Other": {"x"}}, 0, ""},
+		"correct account":      {"alpha", http.Header{"Other": {"x"}}, 0, ""},
 		"another account":      {"beta", nil, 0, Unasked},
 		"no account":           {"", nil, 0, Unasked},
-		"the key shown":        {"alpha", http.Header{"Other": {"x", "has a key inside"}}, 0, Unasked},
-		"revoked a moment ago": {"alpha", nil, 900 * time.Millisecond, ""},
+		"key in the header":    {"alpha", http.Header{"Other": {"x", "has a key inside"}}, 0, Unasked},
+		"revoked just before":  {"alpha", nil, 900 * time.Millisecond, ""},
 		"revoked for too long": {"alpha", nil, 1100 * time.Millisecond, Config},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := NewLedger(Bounds{Apply: time.Second})
+			ledger := NewLedger(Bounds{RevocationDelay: time.Second})
 			if row.revoked > 0 {
-				ledger.revoked["a key"] = now.Add(-row.revoked)
+				ledger.revokedAt["a key"] = now.Add(-row.revoked)
 			}
-			ledger.Sent(Request{ID: "r", Safe: true, Services: map[string]bool{"desk": true}, SentAt: now, Key: "a key", Accounts: map[string]bool{"alpha": true}})
-			ledger.Ran(Run{Request: "r", Service: "desk", Account: row.account, Head: row.head, At: now})
+			ledger.Sent(Request{ID: "r", Safe: true, Services: map[string]bool{"desk": true}, SentAt: now, APIKey: "a key", AllowedAccounts: map[string]bool{"alpha": true}})
+			ledger.Ran(Run{Request: "r", Service: "desk", Account: row.account, Header: row.head, At: now})
 			breaches := ledger.Breaches()
 			if row.breach == "" {
 				assert.Equal(t, len(breaches), 0, "%+v", breaches)
@@ -44,12 +45,12 @@
 	}
 }
 
-// Only a request whose key was revoked may get 401.
+// Only a request with a revoked key may be answered with 401.
 func TestUnauthorizedIsDeniedUnlessTheKeyWasRevoked(t *testing.T) {
 	ledger := NewLedger(Bounds{})
 	ledger.KeyRevoked("gone")
 	for _, key := range []string{"gone", "kept", ""} {
-		ledger.Sent(Request{ID: "r-" + key, Key: key})
+		ledger.Sent(Request{ID: "r-" + key, APIKey: key})
 		ledger.Answered(Answer{Request: "r-" + key, Status: http.StatusUnauthorized})
 	}
 	ledger.Answered(Answer{Request: "r-gone", Status: http.StatusNotFound})
--- a/internal/lab/emulator/promise/delivery.go
+++ b/internal/lab/emulator/promise/delivery.go
@@ -6,110 +6,111 @@
 	"time"
 )
 
-// Delivery is a request that an instance received and that was meant for it.
+// Delivery is a request that reached the instance it was addressed to.
 type Delivery struct {
 	Request  string
 	Instance string
 	Zone     string
 	Region   string
-	// Cold is true when the instance is in slow start and daemons had time to hear of it.
+	// Cold is true when the instance is in slow start and daemons have had time to learn of it.
 	Cold bool
-	// Poison names what the request asks for where each instance that runs it ends;
-	// empty for any other.
+	// Poison is the name of the poison request, under which each instance that runs it crashes; empty
+	// for an ordinary request.
 	Poison string
 	At     time.Time
 }
 
-// Evacuated notes that the order to evacuate a zone was acknowledged.
+// Evacuated records when the store acknowledged the order to evacuate a zone.
 func (l *Ledger) Evacuated(zone string, at time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.evacuated[zone] = at
+	l.evacuatedAt[zone] = at
 }
 
-// EvacuationEnded notes that a zone's evacuation is over.
+// EvacuationEnded records the end of a zone's evacuation.
 func (l *Ledger) EvacuationEnded(zone string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	delete(l.evacuated, zone)
+	delete(l.evacuatedAt, zone)
 }
 
-// StoreUnavailable notes that daemons cannot hear of orders until StoreAvailable.
+// StoreUnavailable records the start of a store outage: daemons cannot receive orders until
+// StoreAvailable.
 func (l *Ledger) StoreUnavailable() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.storeLost++
+	l.storeOutages++
 }
 
-// StoreAvailable notes that daemons can hear of orders again, and from when they must
-// have heard of them.
-func (l *Ledger) StoreAvailable(inTouch time.Time) {
+// StoreAvailable records the end of a store outage; daemons must know all orders by syncedBy.
+func (l *Ledger) StoreAvailable(syncedBy time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.storeLost--
-	l.inTouch = inTouch
+	l.storeOutages--
+	l.syncedBy = syncedBy
 }
 
-// Delivered records a delivery, and checks whether the request may have been sent there.
+// Delivered records a delivery and checks that the request was allowed to reach the instance.
 func (l *Ledger) Delivered(delivery Delivery) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.checkEvacuation(delivery)
-	l.checkHome(delivery)
+	l.checkRegion(delivery)
 	l.checkCold(delivery)
 	l.checkPoison(delivery)
 }
 
-// checkEvacuation checks that the instance's zone takes calls. While daemons cannot
-// hear of orders none is late. The caller holds mutex.
+// checkEvacuation checks that the instance's zone is not evacuated. During a store outage daemons
+// cannot receive the order, so a delivery is never late then. The caller holds mutex.
 func (l *Ledger) checkEvacuation(delivery Delivery) {
-	since, evacuated := l.evacuated[delivery.Zone]
-	if l.bounds.Evacuation == 0 || !evacuated || l.storeLost > 0 {
+	since, evacuated := l.evacuatedAt[delivery.Zone]
+	if l.bounds.EvacuationDelay == 0 || !evacuated || l.storeOutages > 0 {
 		return
 	}
-	if l.inTouch.After(since) {
-		since = l.inTouch
+	if l.syncedBy.After(since) {
+		since = l.syncedBy
 	}
-	if late := delivery.At.Sub(since); late > l.bounds.Evacuation {
-		l.note(Evacuation, delivery.Request, fmt.Sprintf("%s in zone %s got it %s after the order", delivery.Instance, delivery.Zone, late))
+	if late := delivery.At.Sub(since); late > l.bounds.EvacuationDelay {
+		l.addBreach(Evacuation, delivery.Request, fmt.Sprintf("%s in zone %s received the request %s after the evacuation order", delivery.Instance, delivery.Zone, late))
 	}
 }
 
-// checkHome checks the instance's region; the caller holds mutex.
-func (l *Ledger) checkHome(delivery Delivery) {
-	allowed := l.requests[delivery.Request].Regions
+// checkRegion checks that the instance is in a region that the request's route allows. The caller
+// holds mutex.
+func (l *Ledger) checkRegion(delivery Delivery) {
+	allowed := l.requests[delivery.Request].AllowedRegions
 	if len(allowed) > 0 && !slices.Contains(allowed, delivery.Region) {
-		l.note(Home, delivery.Request, fmt.Sprintf("%s in region %s got it, allowed are %v", delivery.Instance, delivery.Region, allowed))
+		l.addBreach(Home, delivery.Request, fmt.Sprintf("%s in region %s received the request, allowed regions: %v", delivery.Instance, delivery.Region, allowed))
 	}
 }
 
-// checkCold checks what a cold instance gets; a second that holds too many is noted
-// once. The caller holds mutex.
+// checkCold checks the request rate of a cold instance. The window is reset after a breach, so that
+// one burst is reported once. The caller holds mutex.
 func (l *Ledger) checkCold(delivery Delivery) {
-	if l.bounds.ColdPerSecond == 0 || !delivery.Cold {
+	if l.bounds.MaxColdPerSecond == 0 || !delivery.Cold {
 		return
 	}
-	if l.cold[delivery.Instance] == nil {
-		l.cold[delivery.Instance] = &Second{}
+	if l.coldDeliveries[delivery.Instance] == nil {
+		l.coldDeliveries[delivery.Instance] = &RateWindow{}
 	}
-	second := l.cold[delivery.Instance]
-	if count := second.Add(delivery.At); float64(count) > l.bounds.ColdPerSecond {
-		l.note(Failback, delivery.Request, fmt.Sprintf("%s is cold and got %d in a second, of %g", delivery.Instance, count, l.bounds.ColdPerSecond))
-		second.Reset()
+	window := l.coldDeliveries[delivery.Instance]
+	if count := window.Add(delivery.At); float64(count) > l.bounds.MaxColdPerSecond {
+		l.addBreach(Failback, delivery.Request, fmt.Sprintf("cold instance %s received %d requests in a second, limit %g", delivery.Instance, count, l.bounds.MaxColdPerSecond))
+		window.Reset()
 	}
 }
 
-// Second counts what came in the second up to the newest. It is not safe for concurrent use.
-type Second struct{ times []time.Time }
+// RateWindow counts events in a sliding window of one second. It is not safe for concurrent use.
+type RateWindow struct{ times []time.Time }
 
-// Add counts one more and returns how many came in the second that ends with it.
-func (s *Second) Add(at time.Time) int {
+// Add adds an event and returns the number of events in the second that ends with it.
+func (s *RateWindow) Add(at time.Time) int {
 	s.times = append(s.times, at)
 	return s.Count(at)
 }
 
-// Count returns how many came in the second that ends with at.
-func (s *Second) Count(at time.Time) int {
+// Count returns the number of events in the second that ends at the given time.
+func (s *RateWindow) Count(at time.Time) int {
 	recent := 0
 	for recent < len(s.times) && at.Sub(s.times[recent]) >= time.Second {
 		recent++
@@ -118,7 +119,7 @@
 	return len(s.times)
 }
 
-// Oldest returns the first that Count last counted; there must be one.
-func (s *Second) Oldest() time.Time { return s.times[0] }
+// Oldest returns the time of the oldest event in the window. The window must not be empty.
+func (s *RateWindow) Oldest() time.Time { return s.times[0] }
 
-func (s *Second) Reset() { s.times = nil }
+func (s *RateWindow) Reset() { s.times = nil }
--- a/internal/lab/emulator/promise/delivery_test.go
+++ b/internal/lab/emulator/promise/delivery_test.go
@@ -10,11 +10,11 @@
 	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
 )
 
-// noon is when the events below begin; only the times between them matter.
+// noon is the time of the first event; only the intervals between events matter.
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// arrive notes count arrivals at a cold instance of zone a in region north, the first
-// after start and each step after the one before.
+// arrive records count deliveries to a cold instance of zone a in region north: the first at start
+// after noon, the others at intervals of step.
 func arrive(l *promise.Ledger, count int, start, step time.Duration) {
 	for index := range count {
 		l.Delivered(promise.Delivery{
@@ -24,10 +24,10 @@
 	}
 }
 
-// The ledger sees requests that were sent where they must not go, and no others.
+// The ledger reports deliveries to instances that must not receive them, and no other deliveries.
 func TestLedgerSeesRequestsInTheWrongPlace(t *testing.T) {
 	const bound = 2 * time.Second
-	bounds := promise.Bounds{Evacuation: bound, ColdPerSecond: 10}
+	bounds := promise.Bounds{EvacuationDelay: bound, MaxColdPerSecond: 10}
 	for name, row := range map[string]struct {
 		bounds promise.Bounds
 		play   func(*promise.Ledger)
@@ -39,7 +39,7 @@
 		"beyond the rate of a cold instance": {bounds: bounds, play: func(l *promise.Ledger) {
 			arrive(l, 11, 0, 99*time.Millisecond)
 		}, want: []promise.Kind{promise.Failback}},
-		"at once after a rest": {bounds: bounds, play: func(l *promise.Ledger) {
+		"burst after a pause": {bounds: bounds, play: func(l *promise.Ledger) {
 			arrive(l, 5, 0, time.Millisecond)
 			arrive(l, 6, 900*time.Millisecond, time.Millisecond)
 		}, want: []promise.Kind{promise.Failback}},
@@ -82,12 +82,12 @@
 			l.Evacuated("a", noon)
 			l.Delivered(promise.Delivery{Request: "r", Instance: "i", Zone: "b", At: noon.Add(time.Hour)})
 		}},
-		"taken back": {bounds: bounds, play: func(l *promise.Ledger) {
+		"evacuation withdrawn": {bounds: bounds, play: func(l *promise.Ledger) {
 			l.Evacuated("a", noon)
 			l.EvacuationEnded("a")
 			arrive(l, 1, time.Hour, 0)
 		}},
-		"the store is lost": {bounds: bounds, play: func(l *promise.Ledger) {
+		"the store is down": {bounds: bounds, play: func(l *promise.Ledger) {
 			l.Evacuated("a", noon)
 			l.StoreUnavailable()
 			arrive(l, 1, time.Hour, 0)
@@ -104,18 +104,18 @@
 			l.StoreAvailable(noon.Add(time.Minute))
 			arrive(l, 1, time.Minute+bound+time.Millisecond, 0)
 		}, want: []promise.Kind{promise.Evacuation}},
-		"the store was lost before the order": {bounds: bounds, play: func(l *promise.Ledger) {
+		"the store was down before the order": {bounds: bounds, play: func(l *promise.Ledger) {
 			l.StoreUnavailable()
 			l.StoreAvailable(noon.Add(-time.Minute))
 			l.Evacuated("a", noon)
 			arrive(l, 1, bound+time.Millisecond, 0)
 		}, want: []promise.Kind{promise.Evacuation}},
 		"in an allowed region": {play: func(l *promise.Ledger) {
-			l.Sent(promise.Request{ID: "r0", Regions: []string{"south", "north"}})
+			l.Sent(promise.Request{ID: "r0", AllowedRegions: []string{"south", "north"}})
 			arrive(l, 1, 0, 0)
 		}},
 		"in another region": {play: func(l *promise.Ledger) {
-			l.Sent(promise.Request{ID: "r0", Regions: []string{"south"}})
+			l.Sent(promise.Request{ID: "r0", AllowedRegions: []string{"south"}})
 			arrive(l, 1, 0, 0)
 		}, want: []promise.Kind{promise.Home}},
 	} {
--- a/internal/lab/emulator/promise/lost.go
+++ b/internal/lab/emulator/promise/lost.go
@@ -7,121 +7,125 @@
 	"time"
 )
 
-// Unanswered is a request on a connection that a daemon ended before the whole answer.
+// Unanswered is a request whose connection a daemon closed before it sent the complete answer.
 type Unanswered struct {
 	Request string
-	// SentAt is when the request's last byte was sent, EndedAt when its caller saw the
-	// connection end.
+	// SentAt is the time at which the request's last byte was sent, EndedAt the time at which its caller
+	// saw the connection end.
 	SentAt, EndedAt time.Time
-	// How tells how the connection ended.
-	How string
+	// Cause describes how the connection ended.
+	Cause string
 }
 
-// Unanswered records a request that got no answer. It is lost unless it crossed the end of its
-// connection: sent so late that the daemon need not have read it, and not passed on either.
+// Unanswered records a request without an answer. The request counts as lost unless it crossed the
+// close of its connection: it was sent at most LossSlack before the close, so that the daemon need not
+// have read it, and it reached no instance.
 func (l *Ledger) Unanswered(unanswered Unanswered) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	age := unanswered.EndedAt.Sub(unanswered.SentAt)
-	passedOn := len(l.runs[unanswered.Request]) > 0
-	if age <= l.bounds.LossSlack && !passedOn {
+	forwarded := len(l.runs[unanswered.Request]) > 0
+	if age <= l.bounds.LossSlack && !forwarded {
 		return
 	}
 	if excuse := l.lossExcuse(unanswered.Request, unanswered.SentAt, unanswered.EndedAt); excuse != "" {
 		l.excused[excuse]++
 		return
 	}
-	l.note(Lost, unanswered.Request, fmt.Sprintf("%s after it was sent its connection ended (%s), passed on: %t", age, unanswered.How, passedOn))
+	l.addBreach(Lost, unanswered.Request, fmt.Sprintf("connection ended %s after the request was sent (%s), forwarded: %t", age, unanswered.Cause, forwarded))
 }
 
-// checkOwnFailure checks that a daemon does not put a failure of its own in place of the answer
-// of an instance that is at work; the caller holds mutex.
-func (l *Ledger) checkOwnFailure(answer Answer, at time.Time) {
-	own := answer.Stamp == "" && (answer.Status == http.StatusBadGateway || answer.Status == http.StatusGatewayTimeout)
+// checkGatewayError checks that a daemon does not answer with 502 or 504 while an instance works on
+// the request. The caller holds mutex.
+func (l *Ledger) checkGatewayError(answer Answer, at time.Time) {
+	gatewayError := answer.Stamp == "" && (answer.Status == http.StatusBadGateway || answer.Status == http.StatusGatewayTimeout)
 	request, known := l.requests[answer.Request]
-	if l.bounds.LossSlack == 0 || !own || !known || len(l.runs[answer.Request]) == 0 {
+	if l.bounds.LossSlack == 0 || !gatewayError || !known || len(l.runs[answer.Request]) == 0 {
 		return
 	}
 	if excuse := l.lossExcuse(answer.Request, request.SentAt, at); excuse != "" {
 		l.excused[excuse]++
 	} else {
-		l.note(Lost, answer.Request, fmt.Sprintf("answered %d after %s although its instance worked on it", answer.Status, at.Sub(request.SentAt)))
+		l.addBreach(Lost, answer.Request, fmt.Sprintf("answered %d after %s although an instance worked on the request", answer.Status, at.Sub(request.SentAt)))
 	}
 }
 
-// Excuses of requests that ended without their answer.
+// Reasons that allow a request to end without its answer.
 const (
-	excuseTime     = "its time was over"
-	excuseKill     = "daemons were killed or stood still"
-	excuseStop     = "at work in the last part of the grace time"
+	excuseDeadline = "its deadline had passed"
+	excuseKill     = "daemons were killed or suspended"
+	excuseStop     = "still running in the last part of a stop's grace period"
 	excuseInstance = "its instance failed or ended"
 )
 
-// Excused returns how many requests ended without their answer, by what excuses it.
+// Excused returns the number of requests that were allowed to end without their answer, by reason.
 func (l *Ledger) Excused() map[string]int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return maps.Clone(l.excused)
 }
 
-// lossExcuse returns why a request may end without its answer, empty where it may not: its time was
-// over, an instance failed under it, daemons were killed shortly before it or while it was open, or
-// it outlasted the stop of its daemon. The caller holds mutex.
+// lossExcuse returns the reason that allows a request to end without its answer, empty if there is
+// none. The reasons are a passed deadline, a failed instance, daemons that were killed shortly before
+// or during the request, and a request that outlasted the planned stop of its daemon. The caller holds
+// mutex.
 func (l *Ledger) lossExcuse(id string, sentAt, endedAt time.Time) string {
-	if wait := l.requests[id].Wait; wait > 0 && !endedAt.Before(l.requests[id].SentAt.Add(wait)) {
-		return excuseTime
+	if wait := l.requests[id].Timeout; wait > 0 && !endedAt.Before(l.requests[id].SentAt.Add(wait)) {
+		return excuseDeadline
 	}
-	for _, killed := range l.killed {
-		if killed.Add(l.bounds.Contact).After(sentAt) && !killed.After(endedAt) {
+	for _, killed := range l.killTimes {
+		if killed.Add(l.bounds.PropagationDelay).After(sentAt) && !killed.After(endedAt) {
 			return excuseKill
 		}
 	}
-	if len(l.runs[id]) > 0 && l.outlastedStop(l.requests[id].Daemon, sentAt, endedAt) {
+	if len(l.runs[id]) > 0 && l.outlastedStop(l.requests[id].DaemonAddress, sentAt, endedAt) {
 		return excuseStop
 	}
 	for _, run := range l.runs[id] {
-		if l.failedRuns[run.Stamp] || l.ended[run.Instance] {
+		if l.failedRuns[run.Stamp] || l.endedInstances[run.Instance] {
 			return excuseInstance
 		}
 	}
 	return ""
 }
 
-// A request that was sent within lateRequest of a planned stop may be broken off in the last
-// lastPart of the grace time, while its instance is at work. Both are the platform's.
+// Requests that a planned stop may cut: those sent at most stopRequestWindow after the stop began, in
+// the last finalGraceShare of the grace period, while an instance works on them. The platform's rules
+// state both values.
 const (
-	lateRequest = 3 * time.Second
-	lastPart    = 1.0 / 6
+	stopRequestWindow = 3 * time.Second
+	finalGraceShare   = 1.0 / 6
 )
 
-// outlastedStop reports whether a request ended in the last part of a planned stop of its daemon; the
-// caller holds mutex.
+// outlastedStop reports whether a planned stop of its daemon was allowed to cut a request: the request
+// ended in the last part of the grace period. The caller holds mutex.
 func (l *Ledger) outlastedStop(daemon string, sentAt, endedAt time.Time) bool {
-	for _, began := range l.stops[daemon] {
-		end := began.Add(l.bounds.Grace)
-		last := end.Add(-time.Duration(lastPart * float64(l.bounds.Grace)))
-		if sentAt.Sub(began) <= lateRequest && !endedAt.Before(last) && !endedAt.After(end) {
+	for _, began := range l.stopTimes[daemon] {
+		end := began.Add(l.bounds.GracePeriod)
+		cutAllowedFrom := end.Add(-time.Duration(finalGraceShare * float64(l.bounds.GracePeriod)))
+		if sentAt.Sub(began) <= stopRequestWindow && !endedAt.Before(cutAllowedFrom) && !endedAt.After(end) {
 			return true
 		}
 	}
 	return false
 }
 
-// StopBegan records that a planned stop of the daemon with an address for callers begins.
+// StopBegan records the start of a planned stop of a daemon, which is identified by its address for
+// callers.
 func (l *Ledger) StopBegan(daemon string, at time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.stops[daemon] = append(l.stops[daemon], at)
+	l.stopTimes[daemon] = append(l.stopTimes[daemon], at)
 }
 
-// DaemonsKilled records that daemons are about to end without a planned stop, or to be cut off.
+// DaemonsKilled records that daemons are about to end without a planned stop or to be disconnected.
 func (l *Ledger) DaemonsKilled(at time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.killed = append(l.killed, at)
+	l.killTimes = append(l.killTimes, at)
 }
 
-// RunFailed records that an instance does not answer a run as it should; stamp is the run's.
+// RunFailed records that an instance does not answer a run correctly. stamp identifies the run.
 func (l *Ledger) RunFailed(stamp string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -132,5 +136,5 @@
 func (l *Ledger) InstanceEnded(instance string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ended[instance] = true
+	l.endedInstances[instance] = true
 }
--- a/internal/lab/emulator/promise/promise.go
+++ b/internal/lab/emulator/promise/promise.go
@@ -1,9 +1,10 @@
-// Package promise keeps the ledger of a run on the emulated platform: what clients sent, what
-// instances ran, what was answered and acknowledged. From it follow the broken promises.
+// Package promise checks the guarantees that the system gives its callers, called promises. It keeps a
+// ledger of a run on the emulated platform: the requests that clients sent, the runs at instances, the
+// answers and the acknowledgements. Each violation of a promise is recorded as a breach.
 //
-// It owns the ledger, in memory, and is safe for concurrent use. It does no I/O and relies on its
-// users to record each event once, with the time at which it happened. A promise is evaluated
-// at the end of the run; what the disturbances excuse is part of its rule.
+// The ledger is kept in memory and is safe for concurrent use. The package does no I/O and relies on
+// its users to record each event once, with the time at which it happened. A promise's rule includes
+// the exceptions that injected faults allow.
 package promise
 
 import (
@@ -15,73 +16,73 @@
 	"time"
 )
 
-// Kind names a promise.
+// Kind is the name of a promise.
 type Kind string
 
-// The promises that are checked.
+// The checked promises, each with its violation.
 const (
-	// Twice: a request that may not be repeated ran more than once.
+	// Twice: a request that must not be repeated ran more than once.
 	Twice Kind = "twice"
-	// Refused: a request that was refused as not run has run.
+	// Refused: a request that was refused with the statement that it did not run has run.
 	Refused Kind = "refused"
-	// Mixed: a success is not the whole answer of the instance that ran it.
+	// Mixed: a successful answer is not the complete answer of an instance that ran the request.
 	Mixed Kind = "mixed"
-	// Unasked: an instance ran what no client sent, or other content than was sent.
+	// Unasked: an instance ran a request that no client sent, or one with changed content.
 	Unasked Kind = "unasked"
-	// Drain: an instance got a request too long after its drain was acknowledged.
+	// Drain: an instance received a request too long after its drain was acknowledged.
 	Drain Kind = "drain"
-	// Route: a request ran at a service that no configuration allows.
+	// Route: a request ran at a service that no configuration allows for it.
 	Route Kind = "route"
-	// Config: a request was handled by a version that must no longer be in force.
+	// Config: a request was handled under a configuration version that must no longer be in force.
 	Config Kind = "config"
 	// Denied: a valid request was answered as an invalid one.
 	Denied Kind = "denied"
-	// Budget: instances got more repeats or more time than is allowed.
+	// Budget: instances received more repeats or a longer deadline than is allowed.
 	Budget Kind = "budget"
-	// Failback: an instance in slow start got more in a second than its limit.
+	// Failback: an instance in slow start received more requests in a second than its limit.
 	Failback Kind = "failback"
-	// Evacuation: an instance of an evacuated zone got a request too long after the
-	// order was acknowledged.
+	// Evacuation: an instance of an evacuated zone received a request too long after the order was
+	// acknowledged.
 	Evacuation Kind = "evacuation"
 	// Home: a request reached an instance outside the regions of its route.
 	Home Kind = "home"
-	// Lost: a request that a daemon had taken ended without its answer.
+	// Lost: a request that a daemon had accepted ended without its answer.
 	Lost Kind = "lost"
 )
 
-// Breach is one broken promise.
+// Breach is one violation of a promise.
 type Breach struct {
 	Kind    Kind
 	Request string
 	Detail  string
 }
 
-// Request is what a client sent.
+// Request is a request that a client sent, with the rules that apply to it.
 type Request struct {
 	ID string
-	// Services are those that configurations allow it to run at.
+	// Services are the services that configurations allow the request to run at.
 	Services map[string]bool
 	Safe     bool
-	// BodyDigest is that of the body, empty for none.
+	// BodyDigest is the digest of the body, empty for no body.
 	BodyDigest string
-	// Caller is the service of the machine where it starts.
+	// Caller is the service of the machine from which the request is sent.
 	Caller string
 	SentAt time.Time
-	// Wait is how long the client says that it waits; 0 where that is not checked.
-	Wait time.Duration
-	// Daemon is the address that it was sent to; empty where that is not checked.
-	Daemon string
-	// Attempts bounds the instances that may run it; 0 where that is not checked.
-	Attempts int
-	// Regions are those in which its route allows it to run; empty for all.
-	Regions []string
-	// Key is the API key that it presents, empty for none. Accounts are those that have had the key;
-	// nil where that is not checked.
-	Key      string
-	Accounts map[string]bool
+	// Timeout is the deadline that the request states, as time left; 0 disables the check.
+	Timeout time.Duration
+	// DaemonAddress is the address of the daemon that the request was sent to; empty if unknown.
+	DaemonAddress string
+	// MaxAttempts bounds the number of instances that run the request; 0 disables the check.
+	MaxAttempts int
+	// AllowedRegions are the regions in which the route allows the request to run; empty for all.
+	AllowedRegions []string
+	// APIKey is the key that the request presents, empty for none. AllowedAccounts are the accounts that
+	// have owned the key; nil disables the check.
+	APIKey          string
+	AllowedAccounts map[string]bool
 }
 
-// DigestOf returns the digest of a body, empty for none.
+// DigestOf returns the SHA-256 digest of a body in hexadecimal, empty for an empty body.
 func DigestOf(body []byte) string {
 	if len(body) == 0 {
 		return ""
@@ -99,26 +100,27 @@
 	Caller     string
 	Stamp      string
 	At         time.Time
-	// Given is the deadline that the request stated to the instance; 0 for none.
-	Given time.Duration
-	// Account is the one that the instance was told, Head the fields of the request's head.
+	// Timeout is the deadline that the instance received with the request, as time left; 0 for none.
+	Timeout time.Duration
+	// Account is the account name that the instance received, Header the header of the request.
 	Account string
-	Head    http.Header
+	Header  http.Header
 }
 
-// Answer is what a client got.
+// Answer is the outcome of a request at the client.
 type Answer struct {
 	Request string
 	Status  int
 	Stamp   string
-	// Whole is true when the body was received to its end and is the one that belongs to Stamp.
-	Whole bool
-	// NotRead is true for a request without an answer that stood behind one that
-	// closed its connection.
+	// Complete is true when the whole body was received and is the one that belongs to Stamp.
+	Complete bool
+	// NotRead is true for a pipelined request without an answer that followed a request whose answer
+	// closed the connection.
 	NotRead bool
 }
 
-// Ledger records a run and its breaches. It is safe for concurrent use.
+// Ledger records the events of a run and the breaches that follow from them. It is safe for concurrent
+// use.
 type Ledger struct {
 	bounds Bounds
 
@@ -128,79 +130,81 @@
 	runs     map[string][]Run
 	answers  map[string]Answer
 	arrivals map[string]int
-	// left gives the time when an instance's drain was acknowledged.
-	left map[string]time.Time
-	// evacuated gives the time when a zone's evacuation was acknowledged.
-	evacuated map[string]time.Time
-	// storeLost counts what keeps the daemons from hearing of orders, and inTouch
-	// is when they must have heard of all that was given meanwhile.
-	storeLost int
-	inTouch   time.Time
-	// cold counts what cold instances got.
-	cold map[string]*Second
-	// poison is by the name of a poison request, and disturbedAt when daemons were last disturbed.
-	poison      map[string]*poison
-	disturbedAt time.Time
-	// killed are the times at which daemons ended without a planned stop, failedRuns the stamps
-	// of runs that an instance did not answer as it should, ended the instances that are gone.
-	killed []time.Time
-	// stops are the times at which planned stops began, by the daemon's address for callers.
-	stops      map[string][]time.Time
-	failedRuns map[string]bool
-	ended      map[string]bool
-	// revoked gives the time when the revocation of an API key was acknowledged.
-	revoked map[string]time.Time
-	// excused counts requests that ended without their answer, by their excuse.
+	// drainAckedAt is the time at which the drain was acknowledged, by instance.
+	drainAckedAt map[string]time.Time
+	// evacuatedAt is the time at which the evacuation was acknowledged, by zone.
+	evacuatedAt map[string]time.Time
+	// storeOutages counts the current outages that keep daemons from receiving orders. syncedBy is the
+	// time by which daemons must have received the orders of the last outage.
+	storeOutages int
+	syncedBy     time.Time
+	// coldDeliveries counts the recent deliveries to cold instances, by instance.
+	coldDeliveries map[string]*RateWindow
+	// poisonRequests are the poison requests by name. disturbedAt is the end of the last disturbance of
+	// daemons.
+	poisonRequests map[string]*poisonRequest
+	disturbedAt    time.Time
+	// killTimes are the times at which daemons ended without a planned stop.
+	killTimes []time.Time
+	// stopTimes are the times at which planned stops began, by the daemon's address for callers.
+	stopTimes map[string][]time.Time
+	// failedRuns are the stamps of the runs that an instance did not answer correctly, endedInstances
+	// the instances that have ended.
+	failedRuns     map[string]bool
+	endedInstances map[string]bool
+	// revokedAt is the time at which the revocation was acknowledged, by API key.
+	revokedAt map[string]time.Time
+	// excused counts the requests that were allowed to end without their answer, by reason.
 	excused  map[string]int
 	breaches []Breach
 }
 
-// Bounds are a platform's bounds.
+// Bounds are the limits that the promises state. A zero value disables the check where that is noted.
 type Bounds struct {
-	// Drain is the time after which a draining instance gets nothing.
-	Drain time.Duration
-	// Evacuation is the time after which the instances of an evacuated zone get
-	// nothing; 0 where that is not checked.
-	Evacuation time.Duration
-	// ColdPerSecond is the most requests that a cold instance gets in any second; 0
-	// where that is not checked.
-	ColdPerSecond float64
-	// Apply is the time after which a revoked API key serves nobody; 0 where that is not checked.
-	Apply time.Duration
-	// Contact is the time in which all daemons know what one of them does.
-	Contact time.Duration
-	// LossSlack is how long after its last byte a request may still cross the end of its
-	// connection; 0 where lost requests are not checked.
+	// DrainDelay is the time after which a draining instance receives no more requests.
+	DrainDelay time.Duration
+	// EvacuationDelay is the time after which the instances of an evacuated zone receive no more
+	// requests; 0 disables the check.
+	EvacuationDelay time.Duration
+	// MaxColdPerSecond is the maximum number of requests that a cold instance receives in any second; 0
+	// disables the check.
+	MaxColdPerSecond float64
+	// RevocationDelay is the time after which a revoked API key is rejected; 0 disables the check.
+	RevocationDelay time.Duration
+	// PropagationDelay is the time after which all daemons know what one of them knows.
+	PropagationDelay time.Duration
+	// LossSlack is the time after its last byte during which a request may cross the close of its
+	// connection; 0 disables the check of gateway errors.
 	LossSlack time.Duration
-	// Grace is the time that a planned stop may take.
-	Grace time.Duration
+	// GracePeriod is the time that a planned stop may take.
+	GracePeriod time.Duration
 }
 
-// NewLedger returns a ledger for a platform with the given bounds.
+// NewLedger returns an empty ledger that checks promises against the given bounds.
 func NewLedger(bounds Bounds) *Ledger {
 	return &Ledger{
 		bounds: bounds, requests: map[string]Request{}, runs: map[string][]Run{},
-		answers: map[string]Answer{}, arrivals: map[string]int{}, left: map[string]time.Time{},
-		evacuated: map[string]time.Time{}, cold: map[string]*Second{}, poison: map[string]*poison{},
-		failedRuns: map[string]bool{}, ended: map[string]bool{}, stops: map[string][]time.Time{}, revoked: map[string]time.Time{}, excused: map[string]int{},
+		answers: map[string]Answer{}, arrivals: map[string]int{}, drainAckedAt: map[string]time.Time{},
+		evacuatedAt: map[string]time.Time{}, coldDeliveries: map[string]*RateWindow{}, poisonRequests: map[string]*poisonRequest{},
+		failedRuns: map[string]bool{}, endedInstances: map[string]bool{}, stopTimes: map[string][]time.Time{}, revokedAt: map[string]time.Time{}, excused: map[string]int{},
 	}
 }
 
-// Sent records a request before it is sent.
+// Sent records a request. It must be called before the request is sent.
 func (l *Ledger) Sent(request Request) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.requests[request.ID] = request
 }
 
-// Arrived records that an instance received a request, also one that it refuses.
+// Arrived records that an instance received a request, including one that it refuses.
 func (l *Ledger) Arrived(request string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.arrivals[request]++
 }
 
-// Repeats returns the arrivals after the first of each request.
+// Repeats returns the number of requests, and the number of arrivals beyond the first of each request.
 func (l *Ledger) Repeats() (requests, repeats int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -210,39 +214,40 @@
 	return len(l.requests), repeats
 }
 
-// DrainAcknowledged records that a daemon acknowledged that an instance drains.
+// DrainAcknowledged records that a daemon acknowledged the drain of an instance.
 func (l *Ledger) DrainAcknowledged(instance string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if _, before := l.left[instance]; !before {
-		l.left[instance] = time.Now()
+	if _, before := l.drainAckedAt[instance]; !before {
+		l.drainAckedAt[instance] = time.Now()
 	}
 }
 
-// Ran records that an instance began to work on a request, and checks what can be checked then.
+// Ran records that an instance began to work on a request, and checks the promises that a run can
+// break.
 func (l *Ledger) Ran(run Run) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	request, sent := l.requests[run.Request]
 	switch {
 	case !sent:
-		l.note(Unasked, run.Request, "no client sent it")
+		l.addBreach(Unasked, run.Request, "no client sent it")
 	case run.BodyDigest != request.BodyDigest:
-		l.note(Unasked, run.Request, "the body was changed")
+		l.addBreach(Unasked, run.Request, "the body does not match the one that was sent")
 	case run.Caller != request.Caller:
-		l.note(Unasked, run.Request, fmt.Sprintf("the caller's service is %q, not %q", run.Caller, request.Caller))
+		l.addBreach(Unasked, run.Request, fmt.Sprintf("caller service is %q, want %q", run.Caller, request.Caller))
 	case !request.Services[run.Service]:
-		l.note(Route, run.Request, "ran at "+run.Service)
+		l.addBreach(Route, run.Request, "ran at service "+run.Service)
 	}
 	if sent {
 		l.checkBudget(request, run)
 		l.checkAccount(request, run)
 	}
 	if sent && !request.Safe && len(l.runs[run.Request]) > 0 {
-		l.note(Twice, run.Request, "ran at "+l.runs[run.Request][0].Instance+" and at "+run.Instance)
+		l.addBreach(Twice, run.Request, "ran at "+l.runs[run.Request][0].Instance+" and at "+run.Instance)
 	}
-	if at, leaving := l.left[run.Instance]; leaving && run.At.Sub(at) > l.bounds.Drain {
-		l.note(Drain, run.Request, fmt.Sprintf("%s got it %s after its leaving was acknowledged", run.Instance, run.At.Sub(at)))
+	if at, leaving := l.drainAckedAt[run.Instance]; leaving && run.At.Sub(at) > l.bounds.DrainDelay {
+		l.addBreach(Drain, run.Request, fmt.Sprintf("%s received the request %s after its drain was acknowledged", run.Instance, run.At.Sub(at)))
 	}
 	l.runs[run.Request] = append(l.runs[run.Request], run)
 	if answer, over := l.answers[run.Request]; over {
@@ -250,41 +255,41 @@
 	}
 }
 
-// timeRounding is what whole milliseconds may add to a time that is handed on.
-const timeRounding = time.Millisecond
+// deadlineRounding is the maximum error of a deadline that is forwarded in whole milliseconds.
+const deadlineRounding = time.Millisecond
 
-// checkBudget checks the instances and the time that a request takes. Times are
-// compared as they were stated, not by the clock, so that a slow machine does
-// not matter: no instance may have more than the client waits. The caller holds mutex.
+// checkBudget checks the number of instances that run a request and the deadline that they receive: no
+// instance may get more time than the client waits. It compares the stated deadlines instead of
+// measured times, so that a slow machine does not change the result. The caller holds mutex.
 func (l *Ledger) checkBudget(request Request, run Run) {
-	if request.Wait > 0 && (run.Given == 0 || run.Given > request.Wait+timeRounding) {
-		l.note(Budget, run.Request, fmt.Sprintf("%s was given %s of %s", run.Instance, run.Given, request.Wait))
+	if request.Timeout > 0 && (run.Timeout == 0 || run.Timeout > request.Timeout+deadlineRounding) {
+		l.addBreach(Budget, run.Request, fmt.Sprintf("%s received a deadline of %s, client deadline %s", run.Instance, run.Timeout, request.Timeout))
 	}
 	instances := map[string]bool{run.Instance: true}
 	for _, earlier := range l.runs[run.Request] {
 		instances[earlier.Instance] = true
 	}
-	if request.Attempts > 0 && len(instances) > request.Attempts {
-		l.note(Budget, run.Request, fmt.Sprintf("ran at %d instances of %d", len(instances), request.Attempts))
+	if request.MaxAttempts > 0 && len(instances) > request.MaxAttempts {
+		l.addBreach(Budget, run.Request, fmt.Sprintf("ran at %d instances, limit %d", len(instances), request.MaxAttempts))
 	}
 }
 
-// Answered records a client's answer.
+// Answered records the answer that a client received and checks it.
 func (l *Ledger) Answered(answer Answer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.answers[answer.Request] = answer
 	l.checkRefusal(answer)
-	l.checkOwnFailure(answer, time.Now())
+	l.checkGatewayError(answer, time.Now())
 	success := answer.Status/100 == 2
 	if !success {
 		if answer.Stamp == "" && answer.Status/100 == 4 && !notRun(answer.Status) && !l.mayBeUnauthorized(answer) {
-			l.note(Denied, answer.Request, fmt.Sprintf("answered %d", answer.Status))
+			l.addBreach(Denied, answer.Request, fmt.Sprintf("answered %d", answer.Status))
 		}
 		return
 	}
-	if !answer.Whole {
-		l.note(Mixed, answer.Request, "a success is not whole")
+	if !answer.Complete {
+		l.addBreach(Mixed, answer.Request, "a successful answer is incomplete")
 		return
 	}
 	for _, run := range l.runs[answer.Request] {
@@ -292,30 +297,31 @@
 			return
 		}
 	}
-	l.note(Mixed, answer.Request, "a success has the stamp of no run of it")
+	l.addBreach(Mixed, answer.Request, "the stamp of a successful answer matches no run of the request")
 }
 
-// Record adds a breach that the caller found.
+// Record adds a breach that the caller detected.
 func (l *Ledger) Record(kind Kind, request, detail string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.note(kind, request, detail)
+	l.addBreach(kind, request, detail)
 }
 
-// checkRefusal checks that a refused request did not run; the caller holds mutex.
+// checkRefusal checks that an unsafe request that was reported as not run did not run. The caller
+// holds mutex.
 func (l *Ledger) checkRefusal(answer Answer) {
-	promised := answer.NotRead || (answer.Stamp == "" && notRun(answer.Status))
-	if promised && !l.requests[answer.Request].Safe && len(l.runs[answer.Request]) > 0 {
-		l.note(Refused, answer.Request, fmt.Sprintf("answered %d (not read: %t) and ran at %s", answer.Status, answer.NotRead, l.runs[answer.Request][0].Instance))
+	claimedNotRun := answer.NotRead || (answer.Stamp == "" && notRun(answer.Status))
+	if claimedNotRun && !l.requests[answer.Request].Safe && len(l.runs[answer.Request]) > 0 {
+		l.addBreach(Refused, answer.Request, fmt.Sprintf("answered %d (not read: %t) and ran at %s", answer.Status, answer.NotRead, l.runs[answer.Request][0].Instance))
 	}
 }
 
-// notRun reports whether a status promises that the request did not run.
+// notRun reports whether a status from a daemon guarantees that the request did not run.
 func notRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
-func (l *Ledger) note(kind Kind, request, detail string) {
+func (l *Ledger) addBreach(kind Kind, request, detail string) {
 	l.breaches = append(l.breaches, Breach{Kind: kind, Request: request, Detail: detail})
 }
 
