--- a/internal/lab/emulator/day/day_test.go
+++ b/internal/lab/emulator/day/day_test.go
@@ -118,17 +118,17 @@
 // Faults of instances never break a promise, and the site serves on.
 func TestInstancesThatMisbehave(t *testing.T) {
 	for name, behaviour := range map[string]instance.Behaviour{
-		"answers lost":           {LoseAnswer: 0.3},
-		"answers cut off":        {Cut: 0.3},
-		"a second answer":        {Extra: 0.4},
-		"a second answer, late":  {Extra: 0.4, ExtraAfter: 15 * time.Millisecond},
-		"answers without length": {Unframed: 0.4},
-		"no HTTP":                {Garbage: 0.3},
-		"refused early":          {Early: 0.5},
+		"answers lost":           {LostAnswerShare: 0.3},
+		"answers cut off":        {TruncatedShare: 0.3},
+		"a second answer":        {DuplicateShare: 0.4},
+		"a second answer, late":  {DuplicateShare: 0.4, DuplicateDelay: 15 * time.Millisecond},
+		"answers without length": {UnframedShare: 0.4},
+		"no HTTP":                {GarbageShare: 0.3},
+		"refused early":          {EarlyRefusalShare: 0.5},
 		"slow":                   {Slowdown: 8},
-		"failures":               {Fail: 0.5},
-		"connections forgotten":  {ForgetIdle: 20 * time.Millisecond},
-		"all at once":            {LoseAnswer: 0.1, Cut: 0.1, Extra: 0.2, Unframed: 0.1, Garbage: 0.1, Early: 0.2, Slowdown: 3},
+		"failures":               {FailureShare: 0.5},
+		"connections forgotten":  {IdleTimeout: 20 * time.Millisecond},
+		"all at once":            {LostAnswerShare: 0.1, TruncatedShare: 0.1, DuplicateShare: 0.2, UnframedShare: 0.1, GarbageShare: 0.1, EarlyRefusalShare: 0.2, Slowdown: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			site, tally, stop := start(t)
--- a/internal/lab/emulator/day/explain_test.go
+++ b/internal/lab/emulator/day/explain_test.go
@@ -51,11 +51,11 @@
 		kill      bool
 		cause     explain.Cause
 	}{
-		"answers lost":    {behaviour: instance.Behaviour{LoseAnswer: 0.5}, cause: explain.CauseInstanceBroke},
-		"failures":        {behaviour: instance.Behaviour{Fail: 0.5}, cause: explain.CauseInstanceFailed},
+		"answers lost":    {behaviour: instance.Behaviour{LostAnswerShare: 0.5}, cause: explain.CauseInstanceBroke},
+		"failures":        {behaviour: instance.Behaviour{FailureShare: 0.5}, cause: explain.CauseInstanceFailed},
 		"too slow":        {behaviour: instance.Behaviour{Slowdown: 60}, cause: explain.CauseOverload},
 		"daemons killed":  {kill: true},
-		"answers spoiled": {behaviour: instance.Behaviour{Garbage: 0.3, Cut: 0.3}, cause: explain.CauseInstanceBroke},
+		"answers spoiled": {behaviour: instance.Behaviour{GarbageShare: 0.3, TruncatedShare: 0.3}, cause: explain.CauseInstanceBroke},
 	} {
 		t.Run(name, func(t *testing.T) {
 			output := &lockedBuffer{}
@@ -120,7 +120,7 @@
 	options.DecisionLines = allLines
 	site, tally, stop := startOptions(t, options, routes, day.StandardClasses(1))
 	for _, machine := range site.Machines {
-		machine.Instance().Set(instance.Behaviour{LoseAnswer: 0.4, Fail: 0.2})
+		machine.Instance().Set(instance.Behaviour{LostAnswerShare: 0.4, FailureShare: 0.2})
 	}
 	awaitEnded(t, tally, 400)
 	stop()
--- a/internal/lab/emulator/day/machine.go
+++ b/internal/lab/emulator/day/machine.go
@@ -204,10 +204,10 @@
 		coldFor = options.ColdFor
 	}
 	started, err := instance.Start(instance.Options{
-		Service: service, Zone: m.Zone, Address: address, ID: id, Registration: m.addresses.Instances, Outbound: m.addresses.Caller, Host: m.host,
-		Slots: options.Slots, Queue: options.Slots, ServiceTime: options.ServiceTime, HeartbeatInterval: options.HeartbeatInterval,
-		ColdFor: coldFor, Region: options.region(m.Zone), CrashesAbove: options.crashesAbove(), ColdCrashed: m.crashedCold,
-		PoisonCrashed: func(ended *instance.Instance) { m.restart(ended, m.site.open) }, Ledger: m.site.Ledger, Seed: options.Seed,
+		Service: service, Zone: m.Zone, Address: address, ID: id, RegistrationAddress: m.addresses.Instances, OutboundAddress: m.addresses.Caller, Host: m.host,
+		Slots: options.Slots, QueueLength: options.Slots, ServiceTime: options.ServiceTime, HeartbeatInterval: options.HeartbeatInterval,
+		ColdDuration: coldFor, Region: options.region(m.Zone), ColdCrashRate: options.crashesAbove(), OnColdCrash: m.crashedCold,
+		OnPoisonCrash: func(ended *instance.Instance) { m.restart(ended, m.site.open) }, Ledger: m.site.Ledger, Seed: options.Seed,
 	})
 	if err != nil {
 		return fmt.Errorf("instance of %s: %w", service, err)
--- a/internal/lab/emulator/day/pipelining_test.go
+++ b/internal/lab/emulator/day/pipelining_test.go
@@ -17,13 +17,13 @@
 	for name, disturb := range map[string]func(t *testing.T, site *day.Site){
 		"undisturbed": func(*testing.T, *day.Site) {},
 		"answers cut off": func(_ *testing.T, site *day.Site) {
-			site.Machines[0].Instance().Set(instance.Behaviour{Cut: 0.3})
+			site.Machines[0].Instance().Set(instance.Behaviour{TruncatedShare: 0.3})
 		},
 		"answers without length reset on the way": func(_ *testing.T, site *day.Site) {
-			site.Machines[0].Instance().Set(instance.Behaviour{UnframedCut: 0.3})
+			site.Machines[0].Instance().Set(instance.Behaviour{UnframedResetShare: 0.3})
 		},
 		"a second answer": func(_ *testing.T, site *day.Site) {
-			site.Machines[0].Instance().Set(instance.Behaviour{Extra: 0.4})
+			site.Machines[0].Instance().Set(instance.Behaviour{DuplicateShare: 0.4})
 		},
 		"daemons stopped in turn": func(t *testing.T, site *day.Site) {
 			for _, machine := range site.Machines[:2] {
--- a/internal/lab/emulator/day/play.go
+++ b/internal/lab/emulator/day/play.go
@@ -244,16 +244,16 @@
 	case FaultInstanceSlow:
 		return instance.Behaviour{Slowdown: 6}
 	case FaultAnswersLost:
-		return instance.Behaviour{LoseAnswer: 0.2}
+		return instance.Behaviour{LostAnswerShare: 0.2}
 	case FaultAnswersFail:
-		return instance.Behaviour{Fail: 0.5}
+		return instance.Behaviour{FailureShare: 0.5}
 	case FaultInstanceHangs:
 		return instance.Behaviour{Slowdown: 6, Capacity: 2, OnFull: instance.OnFullHang}
 	case FaultIdleForgotten:
-		return instance.Behaviour{ForgetIdle: 20 * time.Millisecond}
+		return instance.Behaviour{IdleTimeout: 20 * time.Millisecond}
 	default:
 		return instance.Behaviour{
-			Cut: 0.1, Extra: 0.2, ExtraAfter: 10 * time.Millisecond, Unframed: 0.1, Garbage: 0.1, Early: 0.2,
+			TruncatedShare: 0.1, DuplicateShare: 0.2, DuplicateDelay: 10 * time.Millisecond, UnframedShare: 0.1, GarbageShare: 0.1, EarlyRefusalShare: 0.2,
 		}
 	}
 }
--- a/internal/lab/emulator/instance/cold.go
+++ b/internal/lab/emulator/instance/cold.go
@@ -8,69 +8,69 @@
 )
 
 const (
-	// coldSlowdown is how many times longer work takes while an instance is cold.
+	// coldSlowdown is the factor by which work takes longer while an instance is cold.
 	coldSlowdown = 2
-	// coldNotice is the time in which daemons hear that an instance turned cold while it gets
-	// requests: five heartbeats of the default day.
-	coldNotice = time.Second
+	// coldPropagationDelay is the time until all daemons know that an instance under load has become
+	// cold. It is five heartbeat intervals of day.DefaultOptions.
+	coldPropagationDelay = time.Second
 )
 
-// coldness is whether an instance is cold, and its requests of the last second. The zero value is
-// warm; it is safe for concurrent use.
-type coldness struct {
+// slowStart tracks whether an instance is cold and how many requests it received in the last second.
+// The zero value is warm. It is safe for concurrent use.
+type slowStart struct {
 	// mutex protects everything below.
-	mutex sync.Mutex
-	until time.Time
-	// boundFrom is from when on the rate of a cold instance holds.
-	boundFrom time.Time
-	recent    promise.RateWindow
+	mutex  sync.Mutex
+	endsAt time.Time
+	// limitedFrom is the time from which the request rate of the cold instance is limited.
+	limitedFrom    time.Time
+	recentRequests promise.RateWindow
 }
 
-// remaining returns how much longer the instance is cold, 0 for a warm one.
-func (c *coldness) remaining(now time.Time) time.Duration {
+// remaining returns the time for which the instance stays cold, 0 for a warm instance.
+func (c *slowStart) remaining(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return max(c.until.Sub(now), 0)
+	return max(c.endsAt.Sub(now), 0)
 }
 
-// start makes the instance cold. One that gets requests now is bound coldNotice later, since daemons
-// have to hear of it first.
-func (c *coldness) start(now time.Time, length time.Duration) {
+// start makes the instance cold. If the instance received requests in the last second, its rate is
+// limited only after coldPropagationDelay, since daemons have to learn of the slow start first.
+func (c *slowStart) start(now time.Time, duration time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.until = now.Add(length)
-	c.boundFrom = now
-	if c.recent.Count(now) > 0 {
-		c.boundFrom = now.Add(coldNotice)
+	c.endsAt = now.Add(duration)
+	c.limitedFrom = now
+	if c.recentRequests.Count(now) > 0 {
+		c.limitedFrom = now.Add(coldPropagationDelay)
 	}
 }
 
-// noteRequest counts a request. bound is true where the rate of a cold instance holds; count is then
-// the requests of the last second, but none of before boundFrom.
-func (c *coldness) noteRequest(now time.Time) (bound bool, count int) {
+// recordRequest counts a request. limited reports whether the rate of a cold instance applies; count is
+// then the number of requests in the last second, without those before limitedFrom.
+func (c *slowStart) recordRequest(now time.Time) (limited bool, count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	bound = now.Before(c.until) && !now.Before(c.boundFrom)
-	if bound && c.recent.Count(now) > 0 && c.recent.Oldest().Before(c.boundFrom) {
-		c.recent.Reset()
+	limited = now.Before(c.endsAt) && !now.Before(c.limitedFrom)
+	if limited && c.recentRequests.Count(now) > 0 && c.recentRequests.Oldest().Before(c.limitedFrom) {
+		c.recentRequests.Reset()
 	}
-	return bound, c.recent.Add(now)
+	return limited, c.recentRequests.Add(now)
 }
 
-// MakeCold makes the instance cold for a time, as after a start.
-func (i *Instance) MakeCold(length time.Duration) { i.cold.start(time.Now(), length) }
+// MakeCold puts the instance into slow start for the given time, as after a restart.
+func (i *Instance) MakeCold(duration time.Duration) { i.slowStart.start(time.Now(), duration) }
 
-// noteDelivered records a request that is meant for the instance, which crashes a cold one that gets
-// too many.
-func (i *Instance) noteDelivered(id, poison string) {
+// recordDelivery records a request that is addressed to the instance. It crashes a cold instance that
+// receives more than Options.ColdCrashRate requests in a second.
+func (i *Instance) recordDelivery(id, poison string) {
 	now := time.Now()
 	i.received.Add(1)
-	bound, count := i.cold.noteRequest(now)
+	limited, count := i.slowStart.recordRequest(now)
 	i.options.Ledger.Delivered(promise.Delivery{
-		Request: id, Instance: i.Name(), Zone: i.options.Zone, Region: i.options.Region, Cold: bound, Poison: poison, At: now,
+		Request: id, Instance: i.Name(), Zone: i.options.Zone, Region: i.options.Region, Cold: limited, Poison: poison, At: now,
 	})
-	if bound && i.options.CrashesAbove > 0 && float64(count) > i.options.CrashesAbove {
-		// In the background: the instance's end waits for this request.
-		i.crashOnce.Do(func() { go i.options.ColdCrashed(i) })
+	if limited && i.options.ColdCrashRate > 0 && float64(count) > i.options.ColdCrashRate {
+		// Runs in the background, since the end of the instance waits for this request.
+		i.crashOnce.Do(func() { go i.options.OnColdCrash(i) })
 	}
 }
--- a/internal/lab/emulator/instance/instance.go
+++ b/internal/lab/emulator/instance/instance.go
@@ -1,7 +1,7 @@
-// Package instance is a stand-in for an application instance of the emulated platform: it registers
-// with the daemon beside it, works on requests in slots with a short queue, states its load, drains,
-// crashes, and misbehaves as instances do. An Instance owns its listener, its connections and their
-// goroutines until Crash or Shutdown, and records what it got in a promise.Ledger.
+// Package instance emulates an application instance. It registers with the daemon on its machine, runs
+// requests in a fixed number of slots with a short queue, reports its load, drains and crashes, and can
+// be made to misbehave. An Instance owns its listener, its connections and their goroutines until Crash
+// or Shutdown, and records the requests that it receives in a promise.Ledger.
 package instance
 
 import (
@@ -22,47 +22,50 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Behaviour is what can be changed while an instance runs. The zero value is a well-behaved one.
+// Behaviour is the misbehaviour of an instance, which can be changed while it runs. The zero value is
+// an instance without faults.
 type Behaviour struct {
-	// Slowdown is how many times longer work takes; below 1 counts as 1.
+	// Slowdown is the factor by which work takes longer; values below 1 count as 1.
 	Slowdown float64
-	// LoseAnswer is the share of the requests that run and are never answered.
-	LoseAnswer float64
-	// Cut is the share of the answers that break off.
-	Cut float64
-	// Extra is the share of the answers that come a second time.
-	Extra float64
-	// ExtraAfter is how long after the first the second one comes.
-	ExtraAfter time.Duration
-	// Unframed is the share of the answers without length, which end with the connection.
-	Unframed float64
-	// UnframedCut is the share of the answers without length whose connection is reset on the way.
-	UnframedCut float64
-	// Garbage is the share of the answers that are not HTTP.
-	Garbage float64
-	// Early is the share of the requests that are refused before their body is read.
-	Early float64
-	// Fail is the share of the requests that run and are answered with a failure.
-	Fail float64
-	// ForgetIdle is the idle time after which a connection is dropped without closing it: the next
-	// request over it is reset. 0 keeps all.
-	ForgetIdle time.Duration
-	// Capacity bounds the requests at once, running and waiting; 0 for the slots and the queue.
+	// LostAnswerShare is the share of requests that run but are never answered.
+	LostAnswerShare float64
+	// TruncatedShare is the share of answers that end before their declared length.
+	TruncatedShare float64
+	// DuplicateShare is the share of answers that are sent twice.
+	DuplicateShare float64
+	// DuplicateDelay is the time between an answer and its duplicate.
+	DuplicateDelay time.Duration
+	// UnframedShare is the share of answers without Content-Length, which end with the connection.
+	UnframedShare float64
+	// UnframedResetShare is the share of answers without Content-Length whose connection is reset before
+	// the end of the body.
+	UnframedResetShare float64
+	// GarbageShare is the share of answers that are not HTTP.
+	GarbageShare float64
+	// EarlyRefusalShare is the share of requests with a body that are refused before the body is read.
+	EarlyRefusalShare float64
+	// FailureShare is the share of requests that run and are answered with status 500.
+	FailureShare float64
+	// IdleTimeout is the idle time after which a connection is dropped without being closed: the next
+	// request on it is answered with a reset. 0 keeps all connections.
+	IdleTimeout time.Duration
+	// Capacity is the maximum number of running and waiting requests; 0 leaves the limit to the slots
+	// and the queue.
 	Capacity int
-	// OnFull is what the instance does with a request beyond that.
+	// OnFull is the treatment of a request beyond the capacity.
 	OnFull OnFull
-	// Silent keeps the instance from reading, answering and registering.
+	// Silent makes the instance stop answering requests and sending heartbeats.
 	Silent bool
 }
 
-// OnFull is what an instance does with a request beyond its capacity.
+// OnFull is the treatment of a request beyond the capacity of an instance.
 type OnFull int
 
-// Ways to treat such a request.
+// The treatments of such a request.
 const (
-	// OnFullRefuse says that the request did not run.
+	// OnFullRefuse answers that the request did not run.
 	OnFullRefuse OnFull = iota
-	// OnFullHang never answers it, nor anything further on its connection.
+	// OnFullHang answers neither the request nor any later one on its connection.
 	OnFullHang
 )
 
@@ -70,54 +73,56 @@
 type Options struct {
 	Service string
 	Zone    string
-	// Address is where to listen; "127.0.0.1:0" picks a port.
+	// Address is the listen address; "127.0.0.1:0" picks a free port.
 	Address string
-	// Registration is where the daemon beside it takes heartbeats.
-	Registration string
-	// Outbound is where the daemon beside it takes calls, and Host the number of
-	// the machine, from which the instance makes its own.
-	Outbound string
-	Host     string
-	// ID is that of an earlier instance that starts again; empty for a new one.
-	ID    string
-	Slots int
-	Queue int
-	// ServiceTime is the mean time of work on a request.
+	// RegistrationAddress is the address at which the daemon on the machine accepts heartbeats.
+	RegistrationAddress string
+	// OutboundAddress is the address at which the daemon on the machine accepts calls. Host is the
+	// machine's IP address, which is the source address of the instance's own calls.
+	OutboundAddress string
+	Host            string
+	// ID is the id of an earlier instance that is restarted; empty for a new instance.
+	ID          string
+	Slots       int
+	QueueLength int
+	// ServiceTime is the mean time that a request runs.
 	ServiceTime       time.Duration
 	HeartbeatInterval time.Duration
-	// ColdFor is how long the instance is cold after the start: its work takes twice as long.
-	ColdFor time.Duration
-	// Region is that of the machine.
+	// ColdDuration is the time for which the instance is cold after its start. Work takes coldSlowdown
+	// times as long meanwhile.
+	ColdDuration time.Duration
+	// Region is the region of the machine.
 	Region string
-	// CrashesAbove is the number of requests in a second above which the instance crashes while it
-	// is cold; 0 for never.
-	CrashesAbove float64
-	// ColdCrashed and PoisonCrashed are called when the instance crashes, by that or under a poison
-	// request, and must end it. One of them is called, once.
-	ColdCrashed   func(*Instance)
-	PoisonCrashed func(*Instance)
+	// ColdCrashRate is the number of requests in a second above which the instance crashes while it is
+	// cold; 0 disables these crashes.
+	ColdCrashRate float64
+	// OnColdCrash is called when the instance crashes from too many requests while it is cold, and
+	// OnPoisonCrash when it crashes under a poison request. The callback must end the instance. Only one
+	// of them is called, once.
+	OnColdCrash   func(*Instance)
+	OnPoisonCrash func(*Instance)
 	Ledger        *promise.Ledger
 	Seed          uint64
 }
 
-// Instance is one incarnation of an instance.
+// Instance is a running instance: one incarnation of an instance id.
 type Instance struct {
-	options   Options
-	start     incarnation.Incarnation
-	listener  net.Listener
-	slots     chan struct{}
-	waiting   atomic.Int64
-	running   atomic.Int64
-	received  atomic.Int64
-	cold      coldness
-	crashOnce sync.Once
-	sequence  atomic.Uint64
-	draining  atomic.Bool
+	options     Options
+	incarnation incarnation.Incarnation
+	listener    net.Listener
+	slots       chan struct{}
+	waiting     atomic.Int64
+	running     atomic.Int64
+	received    atomic.Int64
+	slowStart   slowStart
+	crashOnce   sync.Once
+	sequence    atomic.Uint64
+	draining    atomic.Bool
 
-	stopped context.Context
-	stop    context.CancelFunc
-	work    sync.WaitGroup
-	calls   *http.Client
+	stopped    context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+	httpClient *http.Client
 
 	// mutex protects everything below.
 	mutex     sync.Mutex
@@ -126,24 +131,25 @@
 	conns     map[net.Conn]bool
 }
 
-// nextID makes the ids of instances unique within the process, and newestStart their starts.
-var nextID, newestStart atomic.Uint64
+// nextID makes instance ids unique within the process. lastBorn makes the start times of incarnations
+// unique.
+var nextID, lastBorn atomic.Uint64
 
-// newIncarnation returns the next start of an id, or the first one of a new id where that is empty.
+// newIncarnation returns the next incarnation of an instance id. An empty id stands for a new one.
 func newIncarnation(id string) incarnation.Incarnation {
 	if id == "" {
 		id = fmt.Sprintf("i-%08x", nextID.Add(1))
 	}
 	for {
-		before := newestStart.Load()
+		before := lastBorn.Load()
 		born := max(uint64(time.Now().UnixMilli()), before+1)
-		if newestStart.CompareAndSwap(before, born) {
+		if lastBorn.CompareAndSwap(before, born) {
 			return incarnation.Incarnation{ID: id, Born: born}
 		}
 	}
 }
 
-// Start opens the listener, registers and serves in the background.
+// Start opens the listener and starts registration and serving in the background.
 func Start(options Options) (*Instance, error) {
 	listener, err := net.Listen("tcp", options.Address)
 	if err != nil {
@@ -151,54 +157,54 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	started := &Instance{
-		options: options, start: newIncarnation(options.ID), listener: listener,
+		options: options, incarnation: newIncarnation(options.ID), listener: listener,
 		slots: make(chan struct{}, options.Slots), stopped: ctx, stop: cancel,
 		random: rand.New(rand.NewPCG(options.Seed, nextID.Load())), conns: map[net.Conn]bool{},
 	}
-	started.cold.until = time.Now().Add(options.ColdFor)
+	started.slowStart.endsAt = time.Now().Add(options.ColdDuration)
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(options.Host)}}
-	started.calls = &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}}
-	started.work.Go(started.accept)
-	started.work.Go(started.sendHeartbeats)
+	started.httpClient = &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}}
+	started.goroutines.Go(started.accept)
+	started.goroutines.Go(started.sendHeartbeats)
 	return started, nil
 }
 
-// ID returns the instance's id, which it keeps when it starts again.
-func (i *Instance) ID() string { return i.start.ID }
+// ID returns the instance's id, which stays the same across restarts.
+func (i *Instance) ID() string { return i.incarnation.ID }
 
 // Name returns the name of this incarnation.
-func (i *Instance) Name() string { return i.start.Name() }
+func (i *Instance) Name() string { return i.incarnation.Name() }
 
-// Address returns where the instance listens.
+// Address returns the address at which the instance listens.
 func (i *Instance) Address() string { return i.listener.Addr().String() }
 
-// Running returns the requests that are worked on.
+// Running returns the number of requests that occupy a slot.
 func (i *Instance) Running() int { return int(i.running.Load()) }
 
-// Received returns the requests so far that were meant for the instance.
+// Received returns the number of requests received so far that were addressed to the instance.
 func (i *Instance) Received() int64 { return i.received.Load() }
 
-// Set replaces the behaviour.
+// Set replaces the instance's behaviour.
 func (i *Instance) Set(behaviour Behaviour) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.behaviour = behaviour
 }
 
-func (i *Instance) current() Behaviour {
+func (i *Instance) currentBehaviour() Behaviour {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.behaviour
 }
 
-// chance reports true for a share of the calls.
-func (i *Instance) chance(share float64) bool {
+// chance reports true with the given probability.
+func (i *Instance) chance(probability float64) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.random.Float64() < share
+	return i.random.Float64() < probability
 }
 
-// Crash ends the instance at once and closes its connections.
+// Crash ends the instance immediately and closes its connections.
 func (i *Instance) Crash() {
 	i.options.Ledger.InstanceEnded(i.Name())
 	i.stop()
@@ -208,18 +214,18 @@
 		_ = conn.Close()
 	}
 	i.mutex.Unlock()
-	i.work.Wait()
-	i.calls.CloseIdleConnections()
+	i.goroutines.Wait()
+	i.httpClient.CloseIdleConnections()
 }
 
-// Shutdown ends the instance as planned: it registers as draining, serves on for keep after the
-// acknowledgement, deregisters and ends. With abrupt it deregisters at once. It reports whether the
-// drain was acknowledged.
-func (i *Instance) Shutdown(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool) {
+// Shutdown stops the instance gracefully: it registers as draining, continues to serve for linger after
+// the acknowledgement, deregisters and ends. With skipDrain it deregisters first instead. It reports
+// whether the daemon acknowledged.
+func (i *Instance) Shutdown(ctx context.Context, linger time.Duration, skipDrain bool) (acknowledged bool) {
 	i.draining.Store(true)
 	for !acknowledged && sleep.For(ctx, 0) {
-		if abrupt {
-			acknowledged = i.withdraw(ctx) == nil
+		if skipDrain {
+			acknowledged = i.deregister(ctx) == nil
 		} else {
 			acknowledged = i.heartbeat(ctx) == nil
 		}
@@ -230,9 +236,9 @@
 	if acknowledged {
 		i.options.Ledger.DrainAcknowledged(i.Name())
 	}
-	sleep.For(ctx, keep)
-	if !abrupt {
-		_ = i.withdraw(ctx)
+	sleep.For(ctx, linger)
+	if !skipDrain {
+		_ = i.deregister(ctx)
 	}
 	i.Crash()
 	return acknowledged
@@ -240,7 +246,7 @@
 
 func (i *Instance) sendHeartbeats() {
 	for {
-		if !i.current().Silent && !i.draining.Load() {
+		if !i.currentBehaviour().Silent && !i.draining.Load() {
 			_ = i.heartbeat(i.stopped)
 		}
 		if !sleep.For(i.stopped, i.options.HeartbeatInterval) {
@@ -249,7 +255,7 @@
 	}
 }
 
-// heartbeat sends the next heartbeat; an error means that it was not acknowledged.
+// heartbeat sends the next heartbeat. An error means that the daemon did not acknowledge it.
 func (i *Instance) heartbeat(ctx context.Context) error {
 	state := platform.StateReady
 	if i.draining.Load() {
@@ -263,9 +269,9 @@
 		Address: i.Address(),
 		Info:    platform.HeartbeatInfo{Service: i.options.Service, Version: "v1", Zone: i.options.Zone, Slots: i.options.Slots},
 		Status: platform.HeartbeatStatus{
-			State: state, Sequence: sequence, ColdRemainingMillis: i.cold.remaining(time.Now()).Milliseconds(),
+			State: state, Sequence: sequence, ColdRemainingMillis: i.slowStart.remaining(time.Now()).Milliseconds(),
 		},
-		Start: platform.Start{Born: i.start.Born},
+		Start: platform.Start{Born: i.incarnation.Born},
 	}
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
@@ -274,25 +280,26 @@
 	return i.callRegistration(ctx, http.MethodPut, body)
 }
 
-// SendLateHeartbeat sends a heartbeat from before the shutdown, as one that was delayed.
+// SendLateHeartbeat sends an old heartbeat that reports the instance as ready, to emulate one that was
+// delayed until after the shutdown.
 func (i *Instance) SendLateHeartbeat(ctx context.Context) {
 	_ = i.sendHeartbeat(ctx, platform.StateReady, 1)
 }
 
-// withdraw says that the instance retires.
-func (i *Instance) withdraw(ctx context.Context) error {
-	body, err := json.Marshal(platform.Start{Born: i.start.Born})
+// deregister reports the instance's retirement to the daemon.
+func (i *Instance) deregister(ctx context.Context) error {
+	body, err := json.Marshal(platform.Start{Born: i.incarnation.Born})
 	if err != nil {
 		return err
 	}
 	return i.callRegistration(ctx, http.MethodDelete, body)
 }
 
-// callRegistration calls the registration of the daemon beside the instance.
+// callRegistration sends a request to the registration endpoint of the daemon on the machine.
 func (i *Instance) callRegistration(ctx context.Context, method string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+i.options.Registration+platform.PathInstances+i.ID(), bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+i.options.RegistrationAddress+platform.PathInstances+i.ID(), bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -302,7 +309,7 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode/100 != 2 {
-		return fmt.Errorf("answered %d", response.StatusCode)
+		return fmt.Errorf("daemon answered status %d", response.StatusCode)
 	}
 	return nil
 }
--- a/internal/lab/emulator/instance/serve.go
+++ b/internal/lab/emulator/instance/serve.go
@@ -15,36 +15,37 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Header fields by which a client asks an instance for something.
+// Request header fields that control how an instance handles the request.
 const (
-	// HeaderAnswerBytes asks for an answer of that size.
+	// HeaderAnswerBytes is the size of the answer's body in bytes.
 	HeaderAnswerBytes = "Emulator-Answer-Bytes"
-	// HeaderCall asks for a call of the given path, at the host of the request,
-	// through the daemon beside the instance.
+	// HeaderCall is the path of a call that the instance makes while it runs the request. The call goes
+	// to the request's host, through the daemon on the instance's machine.
 	HeaderCall = "Emulator-Call"
-	// HeaderCrash makes the request a poison request; its value is the name.
+	// HeaderCrash marks a poison request; the value is its name.
 	HeaderCrash = "Emulator-Crash"
 )
 
-// PathHealth is where an instance answers the question for its health.
+// PathHealth is the path of an instance's health check.
 const PathHealth = "/health"
 
 const defaultAnswerBytes = 200
 
-// resetPause is the time between a part of an answer and the reset of its connection.
-const resetPause = 5 * time.Millisecond
+// resetDelay is the time between a partial answer and the reset of its connection. Without it the reset
+// could discard the part that was sent.
+const resetDelay = 5 * time.Millisecond
 
-// connectionFate is what becomes of a connection after a request.
-type connectionFate int
+// disposition is the state of a connection after a request.
+type disposition int
 
 const (
-	connectionKept connectionFate = iota
+	connectionKept disposition = iota
 	connectionClosed
-	// connectionHangs stays open without another answer.
+	// connectionHangs leaves the connection open without any further answer.
 	connectionHangs
 )
 
-// accept takes connections until the instance ends.
+// accept accepts connections until the instance ends.
 func (i *Instance) accept() {
 	for {
 		conn, err := i.listener.Accept()
@@ -54,7 +55,7 @@
 		i.mutex.Lock()
 		i.conns[conn] = true
 		i.mutex.Unlock()
-		i.work.Go(func() {
+		i.goroutines.Go(func() {
 			i.serveConnection(conn)
 			_ = conn.Close()
 			i.mutex.Lock()
@@ -67,25 +68,25 @@
 // serveConnection serves the requests of one connection.
 func (i *Instance) serveConnection(conn net.Conn) {
 	reader := bufio.NewReader(conn)
-	rested := time.Duration(0)
+	idle := time.Duration(0)
 	for i.stopped.Err() == nil {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if forget := i.current().ForgetIdle; forget > 0 && rested > forget {
+		if idleTimeout := i.currentBehaviour().IdleTimeout; idleTimeout > 0 && idle > idleTimeout {
 			reset(conn)
 			return
 		}
-		if i.current().Silent {
+		if i.currentBehaviour().Silent {
 			<-i.stopped.Done()
 			return
 		}
-		verdict, rest := i.serve(conn, reader, request)
-		if verdict == connectionClosed {
+		result, nextIdle := i.serve(conn, reader, request)
+		if result == connectionClosed {
 			return
 		}
-		rested = rest
+		idle = nextIdle
 	}
 }
 
@@ -96,8 +97,8 @@
 	_ = conn.Close()
 }
 
-// serve answers one request, and returns how long the connection was idle then.
-func (i *Instance) serve(conn net.Conn, reader *bufio.Reader, request *http.Request) (verdict connectionFate, rest time.Duration) {
+// serve answers one request and returns the idle time of the connection after the answer.
+func (i *Instance) serve(conn net.Conn, reader *bufio.Reader, request *http.Request) (result disposition, idle time.Duration) {
 	id := request.Header.Get(platform.HeaderRequestID)
 	if request.URL.Path == PathHealth {
 		return i.health(conn), 0
@@ -106,10 +107,10 @@
 	expected := request.Header.Get(platform.HeaderExpectedInstance)
 	misdirected := expected != "" && expected != i.ID()
 	if !misdirected {
-		i.noteDelivered(id, request.Header.Get(HeaderCrash))
+		i.recordDelivery(id, request.Header.Get(HeaderCrash))
 	}
-	behaviour := i.current()
-	if i.chance(behaviour.Early) && request.ContentLength > 0 {
+	behaviour := i.currentBehaviour()
+	if i.chance(behaviour.EarlyRefusalShare) && request.ContentLength > 0 {
 		return i.refuse(conn, request, http.StatusServiceUnavailable, connectionClosed), 0
 	}
 	if misdirected {
@@ -122,33 +123,33 @@
 	}
 	ctx, cancel, ended := i.watch(request, reader)
 	defer cancel()
-	verdict = i.handle(ctx, conn, request, id, body)
-	switch verdict {
+	result = i.handle(ctx, conn, request, id, body)
+	switch result {
 	case connectionClosed:
 		_ = conn.Close()
 	case connectionHangs:
 		<-ended
-		// Whatever comes further is read and not answered.
+		// Later requests are read but not answered.
 		_, _ = io.Copy(io.Discard, reader)
 		return connectionClosed, 0
 	}
 	answered := time.Now()
-	// The watch reads on until the next request begins or the connection ends.
+	// The watch ends when the next request begins or the connection ends.
 	<-ended
-	return verdict, time.Since(answered)
+	return result, time.Since(answered)
 }
 
 // handle works on a request and answers it.
-func (i *Instance) handle(ctx context.Context, conn net.Conn, request *http.Request, id string, body []byte) connectionFate {
-	entered, full := i.acquireSlot(ctx)
-	if full && i.current().OnFull == OnFullHang {
+func (i *Instance) handle(ctx context.Context, conn net.Conn, request *http.Request, id string, body []byte) disposition {
+	acquired, full := i.acquireSlot(ctx)
+	if full && i.currentBehaviour().OnFull == OnFullHang {
 		return connectionHangs
 	}
-	if !entered {
+	if !acquired {
 		return i.refuse(conn, request, http.StatusServiceUnavailable, connectionClosed)
 	}
 	defer i.releaseSlot()
-	behaviour := i.current()
+	behaviour := i.currentBehaviour()
 	stamp := i.run(request, id, body)
 	status := http.StatusOK
 	if name := request.Header.Get(HeaderCrash); name != "" {
@@ -156,29 +157,29 @@
 		i.crashUnder(name)
 		return connectionClosed
 	}
-	if !i.perform(ctx, request, behaviour) || i.chance(behaviour.Fail) {
+	if !i.perform(ctx, request, behaviour) || i.chance(behaviour.FailureShare) {
 		status = http.StatusInternalServerError
 	}
-	if i.chance(behaviour.LoseAnswer) {
+	if i.chance(behaviour.LostAnswerShare) {
 		i.options.Ledger.RunFailed(stamp)
 		return connectionClosed
 	}
 	return i.answer(conn, request, behaviour, status, stamp)
 }
 
-// crashUnder crashes the instance, a service time after it began to work on a poison request.
+// crashUnder crashes the instance after it has worked on a poison request for a service time.
 func (i *Instance) crashUnder(name string) {
 	if !sleep.For(i.stopped, i.options.ServiceTime) {
 		return
 	}
 	i.options.Ledger.CrashedUnder(name, i.Name(), time.Now())
-	// In the background: the instance's end waits for this request.
-	i.crashOnce.Do(func() { go i.options.PoisonCrashed(i) })
+	// Runs in the background, since the end of the instance waits for this request.
+	i.crashOnce.Do(func() { go i.options.OnPoisonCrash(i) })
 	<-i.stopped.Done()
 }
 
-// watch returns a context that ends with the request's deadline or with its
-// connection; ended is closed once nothing reads the connection any more.
+// watch returns a context that ends at the request's deadline or when its connection ends. The returned
+// channel is closed once the watch no longer reads from the connection.
 func (i *Instance) watch(request *http.Request, reader *bufio.Reader) (context.Context, context.CancelFunc, <-chan struct{}) {
 	ctx, cancel := context.WithCancel(i.stopped)
 	if millis, err := strconv.Atoi(request.Header.Get(platform.HeaderDeadline)); err == nil {
@@ -194,9 +195,9 @@
 	return ctx, cancel, ended
 }
 
-// acquireSlot waits for a slot; it gets none when the queue is full or ctx ends.
-func (i *Instance) acquireSlot(ctx context.Context) (entered, full bool) {
-	if room := i.current().Capacity; room > 0 && i.running.Load()+i.waiting.Load() >= int64(room) {
+// acquireSlot waits for a slot. It fails if the capacity is reached, the queue is full or ctx ends.
+func (i *Instance) acquireSlot(ctx context.Context) (acquired, full bool) {
+	if capacity := i.currentBehaviour().Capacity; capacity > 0 && i.running.Load()+i.waiting.Load() >= int64(capacity) {
 		return false, true
 	}
 	select {
@@ -205,7 +206,7 @@
 		return true, false
 	default:
 	}
-	if i.waiting.Add(1) > int64(i.options.Queue) {
+	if i.waiting.Add(1) > int64(i.options.QueueLength) {
 		i.waiting.Add(-1)
 		return false, true
 	}
@@ -224,7 +225,7 @@
 	<-i.slots
 }
 
-// run records that work on a request begins, and returns its stamp.
+// run records the start of a run and returns its stamp, which identifies the run.
 func (i *Instance) run(request *http.Request, id string, body []byte) string {
 	stamp := fmt.Sprintf("%s.%s.%d", i.Name(), id, i.sequence.Add(1))
 	millis, _ := strconv.Atoi(request.Header.Get(platform.HeaderDeadline))
@@ -236,10 +237,11 @@
 	return stamp
 }
 
-// perform spends the time of work and makes the calls that the request asks for.
+// perform spends the service time and makes the call that the request asks for. It reports whether both
+// were completed before ctx ended.
 func (i *Instance) perform(ctx context.Context, request *http.Request, behaviour Behaviour) bool {
 	factor := max(behaviour.Slowdown, 1)
-	if i.cold.remaining(time.Now()) > 0 {
+	if i.slowStart.remaining(time.Now()) > 0 {
 		factor *= coldSlowdown
 	}
 	i.mutex.Lock()
@@ -260,7 +262,7 @@
 		ID: id, Safe: true, Caller: i.options.Service, SentAt: time.Now(),
 		Services: map[string]bool{parent.Header.Get(HeaderCall + "-Service"): true},
 	})
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.options.Outbound+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.options.OutboundAddress+path, nil)
 	if err != nil {
 		return false
 	}
@@ -272,7 +274,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		request.Header.Set(platform.HeaderDeadline, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
 	}
-	response, err := i.calls.Do(request)
+	response, err := i.httpClient.Do(request)
 	if err != nil {
 		return false
 	}
@@ -281,34 +283,34 @@
 	return err == nil && response.StatusCode == http.StatusOK
 }
 
-func (i *Instance) health(conn net.Conn) connectionFate {
+func (i *Instance) health(conn net.Conn) disposition {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %d\r\nContent-Length: 0\r\n\r\n", platform.HeaderInstance, i.ID(),
-		platform.HeaderColdRemaining, i.cold.remaining(time.Now()).Milliseconds())
+		platform.HeaderColdRemaining, i.slowStart.remaining(time.Now()).Milliseconds())
 	if _, err := io.WriteString(conn, head); err != nil {
 		return connectionClosed
 	}
 	return connectionKept
 }
 
-// refuse answers that the request did not run.
-func (i *Instance) refuse(conn net.Conn, request *http.Request, status int, then connectionFate) connectionFate {
+// refuse sends an answer stating that the request did not run.
+func (i *Instance) refuse(conn net.Conn, request *http.Request, status int, after disposition) disposition {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\n%s: %s\r\n%s: %s\r\nContent-Length: 0\r\n", status, http.StatusText(status),
 		platform.HeaderRequestID, request.Header.Get(platform.HeaderRequestID), platform.HeaderInstance, i.ID())
 	if status != http.StatusMisdirectedRequest {
 		head += platform.HeaderNotExecuted + ": 1\r\n"
 	}
-	if then == connectionClosed {
+	if after == connectionClosed {
 		head += "Connection: close\r\n"
 	}
 	_, err := io.WriteString(conn, head+"\r\n")
 	if err != nil {
 		return connectionClosed
 	}
-	return then
+	return after
 }
 
-// answer sends the answer, or what the behaviour makes of it.
-func (i *Instance) answer(conn net.Conn, request *http.Request, behaviour Behaviour, status int, stamp string) connectionFate {
+// answer sends the answer with the faults that the behaviour injects.
+func (i *Instance) answer(conn net.Conn, request *http.Request, behaviour Behaviour, status int, stamp string) disposition {
 	size := defaultAnswerBytes
 	if wanted, err := strconv.Atoi(request.Header.Get(HeaderAnswerBytes)); err == nil {
 		size = wanted
@@ -319,36 +321,36 @@
 		platform.HeaderLoad, i.running.Load(), i.waiting.Load(), i.options.Slots)
 	framed := head + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) + body
 	switch {
-	case i.chance(behaviour.Garbage):
+	case i.chance(behaviour.GarbageShare):
 		i.options.Ledger.RunFailed(stamp)
 		_, _ = io.WriteString(conn, "this is no answer\r\n\r\n")
 		return connectionClosed
-	case i.chance(behaviour.Cut):
+	case i.chance(behaviour.TruncatedShare):
 		i.options.Ledger.RunFailed(stamp)
 		_, _ = io.WriteString(conn, framed[:len(framed)-len(body)/2])
 		return connectionClosed
-	case i.chance(behaviour.UnframedCut):
+	case i.chance(behaviour.UnframedResetShare):
 		i.options.Ledger.RunFailed(stamp)
 		_, _ = io.WriteString(conn, head+"Connection: close\r\n\r\n"+body[:len(body)/2])
-		// What was sent arrives before the reset.
-		time.Sleep(resetPause)
+		// The delay lets the part that was sent arrive before the reset.
+		time.Sleep(resetDelay)
 		reset(conn)
 		return connectionClosed
-	case i.chance(behaviour.Unframed):
+	case i.chance(behaviour.UnframedShare):
 		_, _ = io.WriteString(conn, head+"Connection: close\r\n\r\n"+body)
 		return connectionClosed
 	}
 	if _, err := io.WriteString(conn, framed); err != nil {
 		return connectionClosed
 	}
-	if i.chance(behaviour.Extra) {
-		time.Sleep(behaviour.ExtraAfter)
+	if i.chance(behaviour.DuplicateShare) {
+		time.Sleep(behaviour.DuplicateDelay)
 		_, _ = io.WriteString(conn, framed)
 	}
 	return connectionKept
 }
 
-// Body returns the body of the answer with a stamp; a client can make it again.
+// Body returns the body of the answer with the given stamp. Clients compute it to check an answer.
 func Body(stamp string, size int) string {
 	body := make([]byte, size)
 	for index := range body {
