--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -96,9 +96,9 @@
 // FailStoreFor puts faults of the store in force for some machines, while it
 // serves the others and the operator.
 func (s *Site) FailStoreFor(faults objectstore.Faults, machines ...*Machine) {
-	faults.Only = map[string]bool{}
+	faults.Addresses = map[string]bool{}
 	for _, machine := range machines {
-		faults.Only[machine.store] = true
+		faults.Addresses[machine.store] = true
 	}
 	s.Store.SetFaults(faults)
 }
--- a/internal/lab/emulator/objectstore/faults.go
+++ b/internal/lab/emulator/objectstore/faults.go
@@ -7,107 +7,108 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Writes that are done late are done after lateMin and up to lateSpread more.
+// A delayed write takes effect after minWriteDelay plus a random part of writeDelayJitter.
 const (
-	lateMin    = 50 * time.Millisecond
-	lateSpread = 200 * time.Millisecond
+	minWriteDelay    = 50 * time.Millisecond
+	writeDelayJitter = 200 * time.Millisecond
 )
 
-// Faults are the disturbances that can be switched on. The zero value is a healthy store.
+// Faults are the faults that can be injected. The zero value is a healthy store.
 type Faults struct {
-	// Down answers every call with 503; nothing is done.
+	// Down answers every call with 503 without performing it.
 	Down bool
-	// Silent answers nothing until the caller gives up; nothing is done.
+	// Silent leaves every call unanswered until the caller gives up, without performing it.
 	Silent bool
-	// Reset closes the connection of every call; nothing is done.
+	// Reset closes the connection of every call without performing it.
 	Reset bool
-	// Delay slows every answer.
+	// Delay is the time by which every call is delayed.
 	Delay time.Duration
-	// LoseWrites is the share of the writes that are done and not answered;
-	// with Late they are done only a moment later.
+	// LoseWrites is the share of writes that are performed but not answered. With Late they are
+	// performed after a random delay.
 	LoseWrites float64
 	Late       bool
-	// FreezeWatches has watches report no changes.
+	// FreezeWatches makes watches report no changes.
 	FreezeWatches bool
-	// Only are the addresses, as ListenAlso returned them, at which the faults are in force; empty
-	// for everywhere.
-	Only map[string]bool
+	// Addresses are the listen addresses at which the faults apply, as ListenAlso returned them; empty
+	// for all addresses.
+	Addresses map[string]bool
 }
 
-// unavailable reports whether calls are not served.
+// unavailable reports whether the store serves no calls.
 func (f Faults) unavailable() bool { return f.Down || f.Silent || f.Reset }
 
-// at returns the faults in force at an address.
-func (f Faults) at(address string) Faults {
-	if len(f.Only) > 0 && !f.Only[address] {
+// activeAt returns the faults that apply at a listen address.
+func (f Faults) activeAt(address string) Faults {
+	if len(f.Addresses) > 0 && !f.Addresses[address] {
 		return Faults{}
 	}
 	return f
 }
 
-// SetFaults replaces the faults in force. Watches that wait end when the store goes down.
+// SetFaults replaces the injected faults. Waiting watches end if the store becomes unavailable.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
 	if faults.Down || faults.Reset || faults.Silent {
-		s.cutWatches(faults)
+		s.endWatches(faults)
 	}
 }
 
-// CompactHistory drops the history of changes and cuts the watches.
+// CompactHistory drops the history of changes and ends the waiting watches.
 func (s *Server) CompactHistory() {
 	s.table.compactHistory()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.cutWatches(Faults{Reset: true})
+	s.endWatches(Faults{Reset: true})
 }
 
-// cutWatches ends the waiting watches where the faults make the store unavailable; the caller holds
-// mutex.
-func (s *Server) cutWatches(faults Faults) {
-	for address, cut := range s.cuts {
-		if faults.at(address).unavailable() {
-			close(cut)
-			delete(s.cuts, address)
+// endWatches ends the waiting watches at all addresses at which the faults make the store unavailable.
+// The caller holds mutex.
+func (s *Server) endWatches(faults Faults) {
+	for address, end := range s.watchEnds {
+		if faults.activeAt(address).unavailable() {
+			close(end)
+			delete(s.watchEnds, address)
 		}
 	}
 }
 
-// disturbance is what the faults do to one call.
-type disturbance struct {
-	faults  Faults
-	lose    bool
-	late    time.Duration
-	cut     <-chan struct{}
-	address string
+// injectedFaults are the faults that apply to one call.
+type injectedFaults struct {
+	faults     Faults
+	dropAnswer bool
+	writeDelay time.Duration
+	watchEnd   <-chan struct{}
+	address    string
 }
 
-// disturb returns what the faults do to a call at an address.
-func (s *Server) disturb(address string) disturbance {
+// injectFaults selects the faults of a call at a listen address.
+func (s *Server) injectFaults(address string) injectedFaults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.cuts[address] == nil {
-		s.cuts[address] = make(chan struct{})
+	if s.watchEnds[address] == nil {
+		s.watchEnds[address] = make(chan struct{})
 	}
-	faults := s.faults.at(address)
-	disturbed := disturbance{faults: faults, cut: s.cuts[address], address: address}
-	disturbed.lose = s.random.Float64() < faults.LoseWrites
+	faults := s.faults.activeAt(address)
+	injected := injectedFaults{faults: faults, watchEnd: s.watchEnds[address], address: address}
+	injected.dropAnswer = s.random.Float64() < faults.LoseWrites
 	if faults.Late {
-		disturbed.late = lateMin + time.Duration(s.random.Float64()*float64(lateSpread))
+		injected.writeDelay = minWriteDelay + time.Duration(s.random.Float64()*float64(writeDelayJitter))
 	}
-	return disturbed
+	return injected
 }
 
-// admit applies the faults that keep a call from being done, and the rates.
-func (s *Server) admit(w http.ResponseWriter, r *http.Request, disturbed disturbance) bool {
-	faults := disturbed.faults
+// admit applies the rate limits and the faults that prevent a call from being performed. It reports
+// whether the call is to be performed.
+func (s *Server) admit(w http.ResponseWriter, r *http.Request, injected injectedFaults) bool {
+	faults := injected.faults
 	switch {
 	case faults.Silent:
 		<-r.Context().Done()
 		return false
 	case faults.Reset:
-		hangUp(w)
+		closeConnection(w)
 		return false
 	case faults.Down:
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -1,7 +1,7 @@
-// Package objectstore is a stand-in for the platform's metadata store: kinds of
-// objects with revisions, status and finalizers, conditional writes, lists in
-// pages, watches with a history, rates, and faults that are switched on at run time. A Server owns
-// its listeners and all objects, in memory; Close ends it.
+// Package objectstore emulates the platform's metadata store. It supports kinds of objects with
+// revisions, status and finalizers, conditional writes, paginated lists, watches with a history, rate
+// limits, and faults that are injected at run time. A Server owns its listeners and keeps all objects
+// in memory; Close ends it.
 package objectstore
 
 import (
@@ -21,34 +21,34 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Bounds of the stand-in.
+// Limits of the server.
 const (
-	// maxWait bounds the wait of a watch.
+	// maxWait is the maximum time that a watch waits for changes.
 	maxWait      = 30 * time.Second
 	maxBodyBytes = 2 << 20
 )
 
 // Options configure a Server.
 type Options struct {
-	// Address is where to listen; "127.0.0.1:0" picks a port.
+	// Address is the listen address; "127.0.0.1:0" picks a free port.
 	Address string
-	// ReadsPerSecond and WritesPerSecond bound all callers together, who get 429 beyond; 0 for no
-	// bound.
+	// ReadsPerSecond and WritesPerSecond limit the rates of all callers together. Calls above a limit
+	// are answered with 429; 0 disables the limit.
 	ReadsPerSecond, WritesPerSecond float64
-	// Seed seeds the faults' randomness.
+	// Seed is the random seed of the faults.
 	Seed uint64
-	// WithoutEra leaves the era out of all answers.
+	// WithoutEra omits the era header from all answers.
 	WithoutEra bool
 }
 
-// Server is the stand-in. Create it with Start and end it with Close.
+// Server is an emulated metadata store. Create it with Start and end it with Close.
 type Server struct {
 	table    *table
 	listener net.Listener
 	http     *http.Server
 	reads    *rate.Limiter
 	writes   *rate.Limiter
-	// withoutEra is that of the Options.
+	// withoutEra is Options.WithoutEra.
 	withoutEra bool
 	traffic    traffic
 
@@ -56,13 +56,14 @@
 	mutex  sync.Mutex
 	faults Faults
 	random *rand.Rand
-	// cuts are closed and replaced to end the watches that wait at an address.
-	cuts map[string]chan struct{}
-	// reported gives by kind the newest revision that a list or watch was answered with.
+	// watchEnds holds a channel for each listen address, which is closed to end the watches that wait
+	// there.
+	watchEnds map[string]chan struct{}
+	// reported is the newest revision in an answer to a list or watch, by kind.
 	reported map[string]uint64
 }
 
-// Start opens the listener and serves in the background.
+// Start opens the listener and starts serving in the background.
 func Start(options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", options.Address)
 	if err != nil {
@@ -70,8 +71,8 @@
 	}
 	server := &Server{
 		table: newTable(), listener: listener, withoutEra: options.WithoutEra,
-		reads: limiter(options.ReadsPerSecond), writes: limiter(options.WritesPerSecond),
-		random: rand.New(rand.NewPCG(options.Seed, 1)), cuts: map[string]chan struct{}{}, reported: map[string]uint64{},
+		reads: newLimiter(options.ReadsPerSecond), writes: newLimiter(options.WritesPerSecond),
+		random: rand.New(rand.NewPCG(options.Seed, 1)), watchEnds: map[string]chan struct{}{}, reported: map[string]uint64{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.PathObjects, server.serve)
@@ -80,8 +81,8 @@
 	return server, nil
 }
 
-// ListenAlso serves at another address too, so that faults may strike there only.
-// It returns the address.
+// ListenAlso serves at an additional address, so that faults can be restricted to it. It returns the
+// address.
 func (s *Server) ListenAlso(address string) (string, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -91,65 +92,64 @@
 	return listener.Addr().String(), nil
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1))
 }
 
-// Address returns where the server listens.
+// Address returns the address of the first listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Close ends the server and all watches.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// Objects returns the objects of a kind, whatever the faults.
+// Objects returns the objects of a kind, regardless of the faults.
 func (s *Server) Objects(kind string) []platform.Object { return s.table.list(kind, "").Items }
 
-// PutSpec writes an object's spec as an operator does, whatever the faults.
+// PutSpec writes an object's spec in place of an operator, regardless of the faults.
 func (s *Server) PutSpec(kind, name string, value any) error {
 	spec, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	s.table.mutate(kind, name, 0, func(present platform.Object, _ bool) (platform.Object, bool) {
-		present.Spec = spec
-		return present, true
+	s.table.mutate(kind, name, 0, func(current platform.Object, _ bool) (platform.Object, bool) {
+		current.Spec = spec
+		return current, true
 	})
 	return nil
 }
 
-// ReportedRevision returns the newest revision that a list or watch of a kind was answered with.
+// ReportedRevision returns the newest revision in an answer to a list or watch of a kind.
 func (s *Server) ReportedRevision(kind string) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.reported[kind]
 }
 
-// answerAt answers a list or watch of a kind at a revision.
-func (s *Server) answerAt(w http.ResponseWriter, kind string, at uint64, value any) {
-	answer(w, value)
+// answerAtRevision answers a list or watch of a kind and records the revision as reported.
+func (s *Server) answerAtRevision(w http.ResponseWriter, kind string, revision uint64, value any) {
+	writeJSON(w, value)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.reported[kind] = max(s.reported[kind], at)
+	s.reported[kind] = max(s.reported[kind], revision)
 }
 
-// Remove deletes an object as an operator does, whatever the faults.
+// Remove deletes an object in place of an operator, regardless of the faults.
 func (s *Server) Remove(kind, name string) { s.table.remove(kind, name, 0) }
 
-// KeepCopy returns a copy of what the store holds, for ComeBack.
-func (s *Server) KeepCopy() *Copy { return s.table.copy() }
+// KeepCopy returns a snapshot of the store, which ComeBack restores.
+func (s *Server) KeepCopy() *Copy { return s.table.snapshot() }
 
-// ComeBack replaces what the store holds by a copy of itself, which can be used once: what was written
-// since is gone, revisions go back, and the era rises by one. Watches that wait end without an
-// answer.
-func (s *Server) ComeBack(held *Copy) {
-	s.table.comeBack(held)
+// ComeBack restores the store from a snapshot, which can be used only once. Later writes are lost,
+// revisions go back, and the era increases by one. Waiting watches end without an answer.
+func (s *Server) ComeBack(snapshot *Copy) {
+	s.table.restore(snapshot)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	clear(s.reported)
-	s.cutWatches(Faults{Reset: true})
+	s.endWatches(Faults{Reset: true})
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
@@ -157,40 +157,41 @@
 	if !s.withoutEra {
 		w.Header().Set(platform.HeaderStoreEra, strconv.FormatUint(s.table.currentEra(), 10))
 	}
-	disturbed := s.disturb(localAddress(r))
-	if !s.admit(w, r, disturbed) {
+	injected := s.injectFaults(localAddress(r))
+	if !s.admit(w, r, injected) {
 		return
 	}
 	kind, name, part := splitPath(r.URL.Path)
 	if r.Method == http.MethodGet {
-		s.read(w, r, disturbed, kind, name)
+		s.read(w, r, injected, kind, name)
 		return
 	}
-	s.write(w, r, disturbed, kind, name, part)
+	s.write(w, r, injected, kind, name, part)
 }
 
-// read answers GET: one object, a list, or a watch.
-func (s *Server) read(w http.ResponseWriter, r *http.Request, disturbed disturbance, kind, name string) {
+// read handles GET, which reads one object, a list or a watch.
+func (s *Server) read(w http.ResponseWriter, r *http.Request, injected injectedFaults, kind, name string) {
 	if name != "" {
 		object, ok := s.table.get(kind, name)
 		if !ok {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		answer(w, object)
+		writeJSON(w, object)
 		return
 	}
 	query := r.URL.Query()
 	if watch := query.Get("watch"); watch != "" {
-		s.watch(w, r, disturbed, kind, watch)
+		s.watch(w, r, injected, kind, watch)
 		return
 	}
 	page := s.table.list(kind, query.Get("after"))
-	s.answerAt(w, kind, page.Revision, page)
+	s.answerAtRevision(w, kind, page.Revision, page)
 }
 
-// watch answers with the changes of a kind after a revision, once there are any or the wait is over.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, disturbed disturbance, kind, from string) {
+// watch answers with the changes of a kind after a revision, as soon as there are any or the wait time
+// has passed.
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, injected injectedFaults, kind, from string) {
 	after, err := strconv.ParseUint(from, 10, 64)
 	wait, waitErr := strconv.Atoi(r.URL.Query().Get("wait-ms"))
 	if err != nil || waitErr != nil {
@@ -200,14 +201,14 @@
 	timer := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWait))
 	defer timer.Stop()
 	for {
-		changes, changed, compacted := s.table.since(kind, after)
-		frozen := s.disturb(disturbed.address).faults.FreezeWatches
+		changes, changed, compacted := s.table.changesSince(kind, after)
+		frozen := s.injectFaults(injected.address).faults.FreezeWatches
 		switch {
 		case compacted:
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(changes.Events) > 0 && !frozen:
-			s.answerAt(w, kind, changes.Revision, changes)
+			s.answerAtRevision(w, kind, changes.Revision, changes)
 			return
 		}
 		select {
@@ -216,10 +217,10 @@
 			if frozen {
 				changes = platform.Changes{Events: []platform.Event{}, Revision: after}
 			}
-			s.answerAt(w, kind, changes.Revision, changes)
+			s.answerAtRevision(w, kind, changes.Revision, changes)
 			return
-		case <-disturbed.cut:
-			hangUp(w)
+		case <-injected.watchEnd:
+			closeConnection(w)
 			return
 		case <-r.Context().Done():
 			return
@@ -227,8 +228,8 @@
 	}
 }
 
-// write performs a change, which the faults may delay and leave unanswered.
-func (s *Server) write(w http.ResponseWriter, r *http.Request, disturbed disturbance, kind, name, part string) {
+// write performs a change. The faults may delay it and suppress the answer.
+func (s *Server) write(w http.ResponseWriter, r *http.Request, injected injectedFaults, kind, name, part string) {
 	var object platform.Object
 	if r.Method != http.MethodDelete {
 		body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
@@ -238,15 +239,15 @@
 		}
 	}
 	if kind == platform.KindConfig {
-		// The operator's alone.
+		// Only the operator writes the configuration, through PutSpec.
 		w.WriteHeader(http.StatusForbidden)
 		return
 	}
 	expected, _ := strconv.ParseUint(r.URL.Query().Get("revision"), 10, 64)
 	perform := func() writeResult { return s.perform(r.Method, kind, name, part, object, expected) }
-	if disturbed.lose {
-		if disturbed.late > 0 {
-			time.AfterFunc(disturbed.late, func() { perform() })
+	if injected.dropAnswer {
+		if injected.writeDelay > 0 {
+			time.AfterFunc(injected.writeDelay, func() { perform() })
 		} else {
 			perform()
 		}
@@ -262,7 +263,7 @@
 		w.WriteHeader(http.StatusConflict)
 		_ = json.NewEncoder(w).Encode(outcome.object)
 	default:
-		answer(w, outcome.object)
+		writeJSON(w, outcome.object)
 	}
 }
 
@@ -290,20 +291,20 @@
 	return local.String()
 }
 
-// splitPath splits /objects/KIND/NAME/PART.
+// splitPath splits a path of the form /objects/KIND/NAME/PART.
 func splitPath(path string) (kind, name, part string) {
 	pieces := strings.SplitN(strings.TrimPrefix(path, platform.PathObjects), "/", 3)
 	pieces = append(pieces, "", "")
 	return pieces[0], pieces[1], pieces[2]
 }
 
-func answer(w http.ResponseWriter, value any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(w http.ResponseWriter) {
+// closeConnection closes the connection without an answer.
+func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = conn.Close()
--- a/internal/lab/emulator/objectstore/table.go
+++ b/internal/lab/emulator/objectstore/table.go
@@ -10,11 +10,11 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// pageItems is the largest number of objects in one answer to a list.
-const pageItems = 500
+// maxPageItems is the maximum number of objects in one page of a list.
+const maxPageItems = 500
 
-// entry is one change in the history.
-type entry struct {
+// historyEntry is one change in the history.
+type historyEntry struct {
 	revision uint64
 	kind     string
 	event    platform.Event
@@ -26,11 +26,11 @@
 	mutex    sync.Mutex
 	revision uint64
 	kinds    map[string]map[string]platform.Object
-	history  []entry
-	// compactedAt is the revision up to which the history was dropped.
-	compactedAt uint64
-	changed     chan struct{}
-	// era rises by one with each return from a copy.
+	history  []historyEntry
+	// compactedRevision is the revision up to which the history was dropped.
+	compactedRevision uint64
+	changed           chan struct{}
+	// era increases by one with each restore from a snapshot.
 	era uint64
 }
 
@@ -45,18 +45,19 @@
 	missing  bool
 }
 
-// mutate changes an object; change gets the present one, and returns the next one or false to keep
-// it. The caller's revision, unless 0, must be that of the present object.
+// mutate changes an object. change receives the current object and whether it exists, and returns the
+// new object, or false to leave it unchanged. The write conflicts if expected is neither 0 nor the
+// revision of the current object.
 func (t *table) mutate(kind, name string, expected uint64, change func(platform.Object, bool) (platform.Object, bool)) writeResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	present, exists := t.kinds[kind][name]
-	if expected != 0 && exists && present.Metadata.Revision != expected {
-		return writeResult{object: present, conflict: true}
+	current, exists := t.kinds[kind][name]
+	if expected != 0 && exists && current.Metadata.Revision != expected {
+		return writeResult{object: current, conflict: true}
 	}
-	next, done := change(present, exists)
-	if !done {
-		return writeResult{object: present, conflict: exists, missing: !exists}
+	next, accepted := change(current, exists)
+	if !accepted {
+		return writeResult{object: current, conflict: exists, missing: !exists}
 	}
 	t.revision++
 	next.Metadata.Name = name
@@ -68,8 +69,8 @@
 	return writeResult{object: next}
 }
 
-// put stores an object, or removes one that is deleting and has no finalizers;
-// the caller holds mutex.
+// put stores an object and appends it to the history. An object that is being deleted and has no
+// finalizers is removed instead. The caller holds mutex.
 func (t *table) put(kind string, object platform.Object) {
 	objects, ok := t.kinds[kind]
 	if !ok {
@@ -82,7 +83,7 @@
 	} else {
 		objects[object.Metadata.Name] = object
 	}
-	t.history = append(t.history, entry{revision: t.revision, kind: kind, event: platform.Event{Object: object, Deleted: removed}})
+	t.history = append(t.history, historyEntry{revision: t.revision, kind: kind, event: platform.Event{Object: object, Deleted: removed}})
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -95,24 +96,24 @@
 }
 
 func (t *table) replaceSpec(kind, name string, object platform.Object) writeResult {
-	return t.mutate(kind, name, object.Metadata.Revision, func(present platform.Object, exists bool) (platform.Object, bool) {
-		present.Spec = object.Spec
-		present.Metadata.Finalizers = object.Metadata.Finalizers
-		return present, exists
+	return t.mutate(kind, name, object.Metadata.Revision, func(current platform.Object, exists bool) (platform.Object, bool) {
+		current.Spec = object.Spec
+		current.Metadata.Finalizers = object.Metadata.Finalizers
+		return current, exists
 	})
 }
 
 func (t *table) replaceStatus(kind, name string, object platform.Object) writeResult {
-	return t.mutate(kind, name, object.Metadata.Revision, func(present platform.Object, exists bool) (platform.Object, bool) {
-		present.Status = object.Status
-		return present, exists
+	return t.mutate(kind, name, object.Metadata.Revision, func(current platform.Object, exists bool) (platform.Object, bool) {
+		current.Status = object.Status
+		return current, exists
 	})
 }
 
 func (t *table) remove(kind, name string, expected uint64) writeResult {
-	return t.mutate(kind, name, expected, func(present platform.Object, exists bool) (platform.Object, bool) {
-		present.Metadata.Deleting = true
-		return present, exists
+	return t.mutate(kind, name, expected, func(current platform.Object, exists bool) (platform.Object, bool) {
+		current.Metadata.Deleting = true
+		return current, exists
 	})
 }
 
@@ -123,7 +124,7 @@
 	return object, ok
 }
 
-// list returns a page of the objects whose names come after a name.
+// list returns a page of the objects of a kind whose names sort after the given name.
 func (t *table) list(kind, after string) platform.Page {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -134,20 +135,20 @@
 		}
 	}
 	slices.SortFunc(page.Items, func(a, b platform.Object) int { return strings.Compare(a.Metadata.Name, b.Metadata.Name) })
-	if len(page.Items) > pageItems {
-		page.Items = page.Items[:pageItems]
+	if len(page.Items) > maxPageItems {
+		page.Items = page.Items[:maxPageItems]
 		page.More = true
 	}
 	return page
 }
 
-// since returns the changes of a kind after a revision, and a channel that is closed with the next
-// change; compacted is true when the history does not reach back.
-func (t *table) since(kind string, after uint64) (changes platform.Changes, wait <-chan struct{}, compacted bool) {
+// changesSince returns the changes of a kind after a revision, and a channel that is closed with the
+// next change. compacted is true if the history no longer covers the revision.
+func (t *table) changesSince(kind string, after uint64) (changes platform.Changes, changed <-chan struct{}, compacted bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	changes = platform.Changes{Events: []platform.Event{}, Revision: t.revision}
-	if after < t.compactedAt || after > t.revision {
+	if after < t.compactedRevision || after > t.revision {
 		return changes, nil, true
 	}
 	first := sort.Search(len(t.history), func(index int) bool { return t.history[index].revision > after })
@@ -163,33 +164,33 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.history = nil
-	t.compactedAt = t.revision
+	t.compactedRevision = t.revision
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Copy is what a store held at some time.
+// Copy is a snapshot of a store.
 type Copy struct {
-	revision, compactedAt uint64
-	kinds                 map[string]map[string]platform.Object
-	history               []entry
+	revision, compactedRevision uint64
+	kinds                       map[string]map[string]platform.Object
+	history                     []historyEntry
 }
 
-func (t *table) copy() *Copy {
+func (t *table) snapshot() *Copy {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	kinds := make(map[string]map[string]platform.Object, len(t.kinds))
 	for kind, objects := range t.kinds {
 		kinds[kind] = maps.Clone(objects)
 	}
-	return &Copy{revision: t.revision, compactedAt: t.compactedAt, kinds: kinds, history: slices.Clone(t.history)}
+	return &Copy{revision: t.revision, compactedRevision: t.compactedRevision, kinds: kinds, history: slices.Clone(t.history)}
 }
 
-// comeBack replaces everything by a copy, which is not used any more.
-func (t *table) comeBack(held *Copy) {
+// restore replaces the contents by those of a snapshot, which must not be used again.
+func (t *table) restore(snapshot *Copy) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.revision, t.compactedAt, t.kinds, t.history = held.revision, held.compactedAt, held.kinds, held.history
+	t.revision, t.compactedRevision, t.kinds, t.history = snapshot.revision, snapshot.compactedRevision, snapshot.kinds, snapshot.history
 	t.era++
 	close(t.changed)
 	t.changed = make(chan struct{})
--- a/internal/lab/emulator/objectstore/traffic.go
+++ b/internal/lab/emulator/objectstore/traffic.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Traffic is the number of calls within one second.
+// Traffic is the number of read and write calls within one second.
 type Traffic struct{ Reads, Writes int }
 
-// traffic counts calls by the second. It is safe for concurrent use; the zero value is ready.
+// traffic counts the calls of each second. It is safe for concurrent use; the zero value is ready to
+// use.
 type traffic struct {
-	// mutex protects seconds, by their number since 1970.
+	// mutex protects seconds, the traffic by Unix time in seconds.
 	mutex   sync.Mutex
 	seconds map[int64]Traffic
 }
@@ -31,16 +32,16 @@
 	t.seconds[at.Unix()] = second
 }
 
-// Busiest returns the most reads and the most writes of any second from a time on; the two may be of
-// different seconds. Refused calls count too.
+// Busiest returns the maximum number of reads and of writes in any second since a time. The two maxima
+// may be from different seconds. Refused calls are included.
 func (s *Server) Busiest(from time.Time) Traffic {
 	s.traffic.mutex.Lock()
 	defer s.traffic.mutex.Unlock()
-	most := Traffic{}
+	peak := Traffic{}
 	for number, second := range s.traffic.seconds {
 		if number >= from.Unix() {
-			most.Reads, most.Writes = max(most.Reads, second.Reads), max(most.Writes, second.Writes)
+			peak.Reads, peak.Writes = max(peak.Reads, second.Reads), max(peak.Writes, second.Writes)
 		}
 	}
-	return most
+	return peak
 }
