--- a/internal/lab/emulator/client/burst.go
+++ b/internal/lab/emulator/client/burst.go
@@ -14,159 +14,160 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Burst is a row of requests that a client sends on one connection before the
-// first of them is answered.
+// Burst is a group of pipelined requests: a client sends all of them on one connection before it reads
+// the first answer.
 type Burst struct {
-	// Classes are the kinds of the requests, in their order.
-	Classes   []Class
-	PerSecond float64
+	// Classes are the classes of the requests in the order of sending.
+	Classes         []Class
+	BurstsPerSecond float64
 }
 
-// sender sends the bursts of one kind over connections that it keeps.
-type sender struct {
+// burstSender sends the bursts of one kind over persistent connections.
+type burstSender struct {
 	load      *Load
 	burst     Burst
 	transport *http.Transport
 
-	// mutex protects idle, the kept connections by address.
+	// mutex protects idle, the unused connections by address.
 	mutex sync.Mutex
-	idle  map[string][]*aheadConn
+	idle  map[string][]*pipelinedConn
 }
 
-// aheadConn is a connection on which requests are sent ahead.
-type aheadConn struct {
+// pipelinedConn is a connection for pipelined requests.
+type pipelinedConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// sendBursts sends bursts until ctx ends, and waits for those on their way.
+// sendBursts sends bursts until ctx ends, then waits for the pending ones.
 func (l *Load) sendBursts(ctx context.Context, burst Burst, random *rand.Rand) {
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
-	sending := &sender{load: l, burst: burst, transport: transport, idle: map[string][]*aheadConn{}}
-	defer sending.close()
+	sender := &burstSender{load: l, burst: burst, transport: transport, idle: map[string][]*pipelinedConn{}}
+	defer sender.close()
 	var running sync.WaitGroup
 	defer running.Wait()
-	for sleep.For(ctx, time.Duration(random.ExpFloat64()/burst.PerSecond*float64(time.Second))) {
+	for sleep.For(ctx, time.Duration(random.ExpFloat64()/burst.BurstsPerSecond*float64(time.Second))) {
 		target := l.Targets[random.IntN(len(l.Targets))]
-		running.Go(func() { sending.send(target) })
+		running.Go(func() { sender.send(target) })
 	}
 }
 
-// sent is one request of a burst on its way.
-type sent struct {
+// burstRequest is one request of a burst that is being sent.
+type burstRequest struct {
 	class    Class
 	id       string
 	body     []byte
 	request  *http.Request
 	started  time.Time
 	deadline time.Time
-	// sentAt is when the whole burst was sent.
+	// sentAt is the time at which the whole burst was sent.
 	sentAt time.Time
 }
 
-// send sends one burst and handles its answers.
-func (s *sender) send(target Target) {
+// send sends one burst and processes its answers.
+func (s *burstSender) send(target Target) {
 	address := target.Address()
-	conn, err := s.take(address)
+	conn, err := s.acquire(address)
 	if err != nil {
 		s.retry(target, s.burst.Classes)
 		return
 	}
-	requests := make([]*sent, 0, len(s.burst.Classes))
+	requests := make([]*burstRequest, 0, len(s.burst.Classes))
 	writer := bufio.NewWriter(conn)
 	longest := time.Duration(0)
 	for _, class := range s.burst.Classes {
-		one := s.prepare(class, target, address)
-		requests = append(requests, one)
+		pending := s.prepare(class, target, address)
+		requests = append(requests, pending)
 		longest = max(longest, class.Deadline)
-		// A failed write shows when the answer is read.
-		_ = one.request.Write(writer)
+		// A failed write is detected when the answer is read.
+		_ = pending.request.Write(writer)
 	}
 	_ = conn.SetDeadline(time.Now().Add(longest))
 	_ = writer.Flush()
-	for _, one := range requests {
-		one.sentAt = time.Now()
+	for _, pending := range requests {
+		pending.sentAt = time.Now()
 	}
 	s.receive(target, conn, address, requests)
 }
 
-func (s *sender) prepare(class Class, target Target, address string) *sent {
-	one := &sent{class: class, body: make([]byte, class.BodyBytes), started: time.Now()}
-	one.deadline = one.started.Add(class.Deadline)
-	one.id = s.load.announce(class, target, address, one.body, class.Deadline.Milliseconds())
-	one.request, _ = newRequest(context.Background(), class, "http://"+address, one.id, one.body, class.Deadline.Milliseconds())
-	return one
+func (s *burstSender) prepare(class Class, target Target, address string) *burstRequest {
+	pending := &burstRequest{class: class, body: make([]byte, class.BodyBytes), started: time.Now()}
+	pending.deadline = pending.started.Add(class.Deadline)
+	pending.id = s.load.record(class, target, address, pending.body, class.Deadline.Milliseconds())
+	pending.request, _ = newRequest(context.Background(), class, "http://"+address, pending.id, pending.body, class.Deadline.Milliseconds())
+	return pending
 }
 
-// receive reads the answers in their order. Behind an answer that closes the
-// connection nothing counts as read, and is sent again whatever its kind.
-func (s *sender) receive(target Target, conn *aheadConn, address string, requests []*sent) {
-	for index, one := range requests {
-		response, err := http.ReadResponse(conn.reader, one.request)
+// receive reads the answers in order. Requests after an answer that closes the connection count as not
+// read by the daemon, and are retried even if they are unsafe.
+func (s *burstSender) receive(target Target, conn *pipelinedConn, address string, requests []*burstRequest) {
+	for index, pending := range requests {
+		response, err := http.ReadResponse(conn.reader, pending.request)
 		if err != nil {
 			_ = conn.Close()
 			if !isTimeout(err) {
-				s.noteUnanswered(requests[index:], err.Error())
+				s.recordUnanswered(requests[index:], err.Error())
 			}
 			s.retryBroken(target, requests[index:])
 			return
 		}
-		outcome, _, again := s.load.evaluate(one.class, one.id, response)
+		outcome, _, retry := s.load.evaluate(pending.class, pending.id, response)
 		_ = response.Body.Close()
-		if outcome == Served || !again {
-			s.load.Tally.add(outcome, time.Since(one.started))
+		if outcome == Served || !retry {
+			s.load.Tally.add(outcome, time.Since(pending.started))
 		} else {
-			s.retry(target, []Class{one.class})
+			s.retry(target, []Class{pending.class})
 		}
 		if response.Close {
 			_ = conn.Close()
-			s.noteUnanswered(requests[index+1:], fmt.Sprintf("closed by the answer %d to a %s", response.StatusCode, one.class.Name))
-			s.notRead(target, requests[index+1:])
+			s.recordUnanswered(requests[index+1:], fmt.Sprintf("closed by the answer %d to a %s", response.StatusCode, pending.class.Name))
+			s.retryNotRead(target, requests[index+1:])
 			return
 		}
 	}
-	s.put(address, conn)
+	s.release(address, conn)
 }
 
-// noteUnanswered enters requests without an answer into the ledger.
-func (s *sender) noteUnanswered(requests []*sent, how string) {
-	for _, one := range requests {
-		s.load.Ledger.Unanswered(promise.Unanswered{Request: one.id, SentAt: one.sentAt, EndedAt: time.Now(), Cause: how})
+// recordUnanswered enters requests without an answer into the ledger.
+func (s *burstSender) recordUnanswered(requests []*burstRequest, cause string) {
+	for _, pending := range requests {
+		s.load.Ledger.Unanswered(promise.Unanswered{Request: pending.id, SentAt: pending.sentAt, EndedAt: time.Now(), Cause: cause})
 	}
 }
 
-// retryBroken is for requests whose connection broke: only what may run twice is sent again.
-func (s *sender) retryBroken(target Target, requests []*sent) {
-	for _, one := range requests {
-		if one.class.Safe {
-			s.retry(target, []Class{one.class})
+// retryBroken handles requests whose connection broke. It retries only the safe ones, since the others
+// may have run.
+func (s *burstSender) retryBroken(target Target, requests []*burstRequest) {
+	for _, pending := range requests {
+		if pending.class.Safe {
+			s.retry(target, []Class{pending.class})
 			continue
 		}
-		s.load.Tally.add(Failed, time.Since(one.started))
+		s.load.Tally.add(Failed, time.Since(pending.started))
 	}
 }
 
-// notRead sends again what stood behind a closing answer.
-func (s *sender) notRead(target Target, requests []*sent) {
-	for _, one := range requests {
-		s.load.Ledger.Answered(promise.Answer{Request: one.id, NotRead: true})
-		s.retry(target, []Class{one.class})
+// retryNotRead retries the requests that followed an answer that closed the connection.
+func (s *burstSender) retryNotRead(target Target, requests []*burstRequest) {
+	for _, pending := range requests {
+		s.load.Ledger.Answered(promise.Answer{Request: pending.id, NotRead: true})
+		s.retry(target, []Class{pending.class})
 	}
 }
 
-// retry sends requests on connections of their own.
-func (s *sender) retry(target Target, classes []Class) {
+// retry sends each request on a new connection.
+func (s *burstSender) retry(target Target, classes []Class) {
 	for _, class := range classes {
 		s.load.request(class, target, s.transport, make([]byte, class.BodyBytes))
 	}
 }
 
-func (s *sender) take(address string) (*aheadConn, error) {
+func (s *burstSender) acquire(address string) (*pipelinedConn, error) {
 	s.mutex.Lock()
-	kept := s.idle[address]
-	if len(kept) > 0 {
-		conn := kept[len(kept)-1]
-		s.idle[address] = kept[:len(kept)-1]
+	conns := s.idle[address]
+	if len(conns) > 0 {
+		conn := conns[len(conns)-1]
+		s.idle[address] = conns[:len(conns)-1]
 		s.mutex.Unlock()
 		return conn, nil
 	}
@@ -175,20 +176,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return &aheadConn{Conn: raw, reader: bufio.NewReader(raw)}, nil
+	return &pipelinedConn{Conn: raw, reader: bufio.NewReader(raw)}, nil
 }
 
-func (s *sender) put(address string, conn *aheadConn) {
+func (s *burstSender) release(address string, conn *pipelinedConn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.idle[address] = append(s.idle[address], conn)
 }
 
-func (s *sender) close() {
+func (s *burstSender) close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, kept := range s.idle {
-		for _, conn := range kept {
+	for _, conns := range s.idle {
+		for _, conn := range conns {
 			_ = conn.Close()
 		}
 	}
--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -1,9 +1,8 @@
-// Package client is a stand-in for the clients of the emulated platform: they send requests to
-// the daemon of their machine, try again as they may, and check every answer.
+// Package client emulates clients of the platform. They send requests to the daemon on their machine,
+// retry where that is allowed, and check every answer.
 //
-// It owns its connections and the goroutines of its loads, which end with their context. It
-// relies on the names of package platform and records what it sent and got in the ledger of
-// package promise.
+// The package owns its connections and the goroutines of its loads, which end with their context. It
+// uses the header names of package platform and records requests and answers in a promise.Ledger.
 package client
 
 import (
@@ -26,57 +25,59 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Class is a kind of request.
+// Class describes one kind of request that a load sends.
 type Class struct {
 	Name string
 	Host string
 	Path string
 	Safe bool
-	// Services are those that configurations allow it to run at.
-	Services  []string
-	PerSecond float64
-	Deadline  time.Duration
-	BodyBytes int
-	// AnswerBytes is the size of the answer asked for.
+	// Services are the services that configurations allow the request to run at.
+	Services          []string
+	RequestsPerSecond float64
+	Deadline          time.Duration
+	BodyBytes         int
+	// AnswerBytes is the requested size of the answer's body.
 	AnswerBytes int
-	// CallPath, unless empty, makes the instance call on, at CallService.
+	// CallPath is the path of a call that the instance makes to CallService while it runs the request;
+	// empty for no call.
 	CallPath    string
 	CallService string
-	// Attempts is the most instances that one try may run at.
-	Attempts int
-	// Regions are those in which configurations allow it to run; empty for all.
-	Regions []string
-	// Retries is the number of further tries of a request.
-	Retries int
-	// Key is the API key that it presents, empty for none, and Accounts are those that the
-	// instance may be told; nil where that is not checked.
-	Key      string
-	Accounts []string
+	// MaxAttempts is the maximum number of instances that may run one try.
+	MaxAttempts int
+	// AllowedRegions are the regions in which configurations allow the request to run; empty for all.
+	AllowedRegions []string
+	// MaxRetries is the maximum number of tries after the first.
+	MaxRetries int
+	// APIKey is the key that the request presents, empty for none. AllowedAccounts are the account names
+	// that the instance may receive; nil disables the check.
+	APIKey          string
+	AllowedAccounts []string
 }
 
-// Target is a machine that requests start on.
+// Target is a machine that clients send requests from.
 type Target struct {
-	// Address returns where its daemon takes calls; empty while there is none.
+	// Address returns the address at which the machine's daemon accepts calls; empty while no daemon
+	// runs.
 	Address func() string
 	// Service returns the service of the machine.
 	Service func() string
 }
 
-// Outcome is how a request ended.
+// Outcome is the final result of a request.
 type Outcome int
 
-// Outcomes.
+// The outcomes of a request.
 const (
 	Served Outcome = iota
 	Refused
 	Failed
 )
 
-// Tally counts outcomes. It is safe for concurrent use.
+// Tally counts outcomes and measures latency. It is safe for concurrent use.
 type Tally struct {
 	Served, Refused, Failed atomic.Int64
 
-	// mutex protects latency, in microseconds.
+	// mutex protects latency, which is in microseconds.
 	mutex   sync.Mutex
 	latency *hdrhistogram.Histogram
 }
@@ -100,19 +101,19 @@
 	}
 }
 
-// Latency returns the latency of served requests at a percentile.
+// Latency returns the given percentile, 0 to 100, of the latency of served requests.
 func (t *Tally) Latency(percentile float64) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return time.Duration(t.latency.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// Load sends the requests of some classes.
+// Load generates requests against a set of targets.
 type Load struct {
 	Classes []Class
-	// Bursts are rows of requests sent ahead on one connection.
+	// Bursts are groups of pipelined requests.
 	Bursts []Burst
-	// Kept are callers on connections that they keep.
+	// Kept are callers with persistent connections.
 	Kept    []Kept
 	Targets []Target
 	Ledger  *promise.Ledger
@@ -120,10 +121,10 @@
 	Seed    uint64
 }
 
-// nextRequest makes request ids unique within the process.
-var nextRequest atomic.Uint64
+// lastRequestID is the number in the newest request id. It makes ids unique within the process.
+var lastRequestID atomic.Uint64
 
-// Run sends requests until ctx ends, and waits for those on their way.
+// Run sends requests until ctx ends, then waits for the pending ones.
 func (l *Load) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for index, class := range l.Classes {
@@ -137,7 +138,7 @@
 	for index, kept := range l.Kept {
 		for number := range kept.Connections * len(l.Targets) {
 			random := rand.New(rand.NewPCG(l.Seed, uint64(index+1)<<32|uint64(number)))
-			running.Go(func() { l.keep(ctx, kept, l.Targets[number%len(l.Targets)], random) })
+			running.Go(func() { l.runKept(ctx, kept, l.Targets[number%len(l.Targets)], random) })
 		}
 	}
 	running.Wait()
@@ -148,7 +149,7 @@
 	defer transport.CloseIdleConnections()
 	var running sync.WaitGroup
 	defer running.Wait()
-	for sleep.For(ctx, time.Duration(random.ExpFloat64()/class.PerSecond*float64(time.Second))) {
+	for sleep.For(ctx, time.Duration(random.ExpFloat64()/class.RequestsPerSecond*float64(time.Second))) {
 		target := l.Targets[random.IntN(len(l.Targets))]
 		body := make([]byte, class.BodyBytes)
 		for index := range body {
@@ -158,44 +159,45 @@
 	}
 }
 
-// request sends one request, with its retries.
+// request sends one request and its retries, and counts the outcome.
 func (l *Load) request(class Class, target Target, transport *http.Transport, body []byte) {
 	started := time.Now()
 	deadline := started.Add(class.Deadline)
 	outcome := Failed
-	for try := range class.Retries + 1 {
+	for try := range class.MaxRetries + 1 {
 		var wait time.Duration
-		var again bool
-		outcome, wait, again = l.attempt(class, target, transport, body, deadline, try > 0)
-		left := time.Until(deadline)
-		if outcome == Served || !again || left <= 0 {
+		var retry bool
+		outcome, wait, retry = l.attempt(class, target, transport, body, deadline, try > 0)
+		remaining := time.Until(deadline)
+		if outcome == Served || !retry || remaining <= 0 {
 			break
 		}
-		time.Sleep(min(wait, left/3))
+		time.Sleep(min(wait, remaining/3))
 	}
 	l.Tally.add(outcome, time.Since(started))
 }
 
-// attempt makes one try. It tells how long to wait before another, and whether there may be one.
-func (l *Load) attempt(class Class, target Target, transport *http.Transport, body []byte, deadline time.Time, fresh bool) (Outcome, time.Duration, bool) {
+// attempt makes one try of a request. It returns the outcome, the time to wait before a retry, and
+// whether a retry is allowed.
+func (l *Load) attempt(class Class, target Target, transport *http.Transport, body []byte, deadline time.Time, newConnection bool) (Outcome, time.Duration, bool) {
 	address := target.Address()
 	if address == "" {
 		return Failed, 20 * time.Millisecond, true
 	}
-	wait := max(time.Until(deadline).Milliseconds(), 1)
-	id := l.announce(class, target, address, body, wait)
+	timeoutMillis := max(time.Until(deadline).Milliseconds(), 1)
+	id := l.record(class, target, address, body, timeoutMillis)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	sends := &sendWatch{ledger: l.Ledger, id: id}
-	request, err := newRequest(httptrace.WithClientTrace(ctx, sends.trace()), class, "http://"+address, id, body, wait)
+	tracker := &sendTracker{ledger: l.Ledger, id: id}
+	request, err := newRequest(httptrace.WithClientTrace(ctx, tracker.trace()), class, "http://"+address, id, body, timeoutMillis)
 	if err != nil {
 		return Failed, 0, false
 	}
-	request.Close = fresh
+	request.Close = newConnection
 	response, err := transport.RoundTrip(request)
 	if err != nil {
 		if ctx.Err() == nil {
-			sends.unanswered(err.Error())
+			tracker.recordUnanswered(err.Error())
 		}
 		return Failed, 0, class.Safe
 	}
@@ -203,19 +205,19 @@
 	return l.evaluate(class, id, response)
 }
 
-// announce enters a request to the daemon at an address, which waits for so many milliseconds, into
-// the ledger and returns its id.
-func (l *Load) announce(class Class, target Target, address string, body []byte, wait int64) string {
-	id := "r" + strconv.FormatUint(nextRequest.Add(1), 36)
+// record enters a request into the ledger before it is sent, and returns its id. address is the address
+// of the daemon, timeoutMillis the deadline that the request states.
+func (l *Load) record(class Class, target Target, address string, body []byte, timeoutMillis int64) string {
+	id := "r" + strconv.FormatUint(lastRequestID.Add(1), 36)
 	l.Ledger.Sent(promise.Request{
-		ID: id, Services: set(class.Services), Safe: class.Safe, BodyDigest: promise.DigestOf(body),
-		Caller: target.Service(), SentAt: time.Now(), DaemonAddress: address, Timeout: time.Duration(wait) * time.Millisecond, MaxAttempts: class.Attempts, AllowedRegions: class.Regions,
-		APIKey: class.Key, AllowedAccounts: accountSet(class.Accounts),
+		ID: id, Services: stringSet(class.Services), Safe: class.Safe, BodyDigest: promise.DigestOf(body),
+		Caller: target.Service(), SentAt: time.Now(), DaemonAddress: address, Timeout: time.Duration(timeoutMillis) * time.Millisecond, MaxAttempts: class.MaxAttempts, AllowedRegions: class.AllowedRegions,
+		APIKey: class.APIKey, AllowedAccounts: accountSet(class.AllowedAccounts),
 	})
 	return id
 }
 
-func newRequest(ctx context.Context, class Class, base, id string, body []byte, wait int64) (*http.Request, error) {
+func newRequest(ctx context.Context, class Class, base, id string, body []byte, timeoutMillis int64) (*http.Request, error) {
 	method := http.MethodGet
 	if len(body) > 0 {
 		method = http.MethodPost
@@ -224,14 +226,14 @@
 	if err != nil {
 		return nil, err
 	}
-	// The library must not send a body a second time by itself.
+	// Without GetBody the HTTP library cannot resend a request with a body.
 	request.GetBody = nil
 	request.Host = class.Host
 	request.Header.Set(platform.HeaderRequestID, id)
-	request.Header.Set(platform.HeaderDeadline, strconv.FormatInt(wait, 10))
+	request.Header.Set(platform.HeaderDeadline, strconv.FormatInt(timeoutMillis, 10))
 	request.Header.Set(instance.HeaderAnswerBytes, strconv.Itoa(class.AnswerBytes))
-	if class.Key != "" {
-		request.Header.Set(platform.HeaderKey, class.Key)
+	if class.APIKey != "" {
+		request.Header.Set(platform.HeaderKey, class.APIKey)
 	}
 	if class.CallPath != "" {
 		request.Header.Set(instance.HeaderCall, class.CallPath)
@@ -240,18 +242,17 @@
 	return request, nil
 }
 
-// evaluate records an answer. Like attempt it returns how long to wait before another try, and
-// whether there may be one.
+// evaluate checks an answer and enters it into the ledger. It returns the same values as attempt.
 func (l *Load) evaluate(class Class, id string, response *http.Response) (Outcome, time.Duration, bool) {
 	received, readErr := io.ReadAll(response.Body)
 	stamp := response.Header.Get(platform.HeaderStamp)
 	success := response.StatusCode/100 == 2
 	if success && readErr != nil {
-		// Broken off, and seen to be.
+		// The client detects a truncated answer, so it counts as failed and breaks no promise.
 		return Failed, 0, class.Safe
 	}
-	whole := stamp != "" && string(received) == instance.Body(stamp, class.AnswerBytes)
-	l.Ledger.Answered(promise.Answer{Request: id, Status: response.StatusCode, Stamp: stamp, Complete: whole})
+	complete := stamp != "" && string(received) == instance.Body(stamp, class.AnswerBytes)
+	l.Ledger.Answered(promise.Answer{Request: id, Status: response.StatusCode, Stamp: stamp, Complete: complete})
 	switch {
 	case success:
 		return Served, 0, false
@@ -263,15 +264,15 @@
 	}
 }
 
-// accountSet is set, nil where the account is not checked.
+// accountSet returns the set of the names, nil for nil, which disables the check of the account.
 func accountSet(names []string) map[string]bool {
 	if names == nil {
 		return nil
 	}
-	return set(names)
+	return stringSet(names)
 }
 
-func set(names []string) map[string]bool {
+func stringSet(names []string) map[string]bool {
 	members := make(map[string]bool, len(names))
 	for _, name := range names {
 		members[name] = true
--- a/internal/lab/emulator/client/kept.go
+++ b/internal/lab/emulator/client/kept.go
@@ -19,79 +19,80 @@
 )
 
 const (
-	// redialPause is the time after which a caller without a connection dials again. It is well
-	// below the time that a daemon needs to start.
-	redialPause = 20 * time.Millisecond
-	// answerPatience is how long a caller waits for an answer beyond the request's deadline.
-	answerPatience = time.Second
+	// redialDelay is the time after which a caller without a connection dials again. It is well below
+	// the start time of a daemon.
+	redialDelay = 20 * time.Millisecond
+	// answerTimeoutSlack is the time that a caller waits for an answer beyond the request's deadline.
+	answerTimeoutSlack = time.Second
 )
 
-// Kept are callers that keep their connections until the daemon ends them. They send nothing
-// again, so that a request without an answer shows.
+// Kept describes callers that keep their connections open until the daemon closes them. They do not
+// retry, so that a request without an answer is detected.
 type Kept struct {
-	// Classes are the kinds of the requests; each is drawn with the same chance.
+	// Classes are the classes of the requests, each drawn with the same probability.
 	Classes []Class
-	// Connections is their number for each target.
+	// Connections is the number of connections to each target.
 	Connections int
-	// Ahead is the most requests on a connection that are not answered; 1 sends one after the other.
+	// Ahead is the maximum number of unanswered requests on a connection; 1 disables pipelining.
 	Ahead int
-	// BytesPerSecond bounds how fast answers arrive, as over a narrow link: the caller's system
-	// takes no more than narrowBuffer ahead of it. 0 for no bound.
+	// BytesPerSecond limits the rate at which answers are read, to emulate a slow link. The receive
+	// buffer is then limited to slowLinkBufferBytes. 0 disables the limit.
 	BytesPerSecond float64
-	// Pause is the mean time between two requests of a connection, as far as Ahead allows them.
+	// Pause is the mean time between two requests on a connection. It is longer while Ahead requests
+	// are unanswered.
 	Pause time.Duration
 }
 
-// keep uses one connection after the other until ctx ends.
-func (l *Load) keep(ctx context.Context, kept Kept, target Target, random *rand.Rand) {
+// runKept sends requests on one connection after another until ctx ends.
+func (l *Load) runKept(ctx context.Context, kept Kept, target Target, random *rand.Rand) {
 	for ctx.Err() == nil {
 		conn, err := kept.dial(ctx, target.Address())
 		if err != nil {
-			sleep.For(ctx, redialPause)
+			sleep.For(ctx, redialDelay)
 			continue
 		}
-		using := &keptConn{load: l, kept: kept, target: target, conn: conn, room: make(chan struct{}, kept.Ahead), sent: make(chan *aheadRequest, kept.Ahead)}
-		using.use(ctx, random)
+		persistent := &keptConn{load: l, kept: kept, target: target, conn: conn, inFlight: make(chan struct{}, kept.Ahead), pending: make(chan *pipelinedRequest, kept.Ahead)}
+		persistent.run(ctx, random)
 	}
 }
 
-// narrowBuffer is what a caller's system takes ahead of a caller on a narrow link, in bytes. A few
-// packets; the system doubles it.
-const narrowBuffer = 4 << 10
+// slowLinkBufferBytes is the receive buffer of a caller on a slow link, in bytes. It holds a few
+// packets; the kernel doubles the value.
+const slowLinkBufferBytes = 4 << 10
 
-// dial opens a connection to a daemon.
+// dial opens a connection to a daemon, with a small receive buffer if the link is slow.
 func (k Kept) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: time.Second}
 	if k.BytesPerSecond > 0 {
 		dialer.Control = func(_, _ string, raw syscall.RawConn) error {
-			var failed error
+			var optionErr error
 			err := raw.Control(func(descriptor uintptr) {
-				failed = syscall.SetsockoptInt(int(descriptor), syscall.SOL_SOCKET, syscall.SO_RCVBUF, narrowBuffer)
+				optionErr = syscall.SetsockoptInt(int(descriptor), syscall.SOL_SOCKET, syscall.SO_RCVBUF, slowLinkBufferBytes)
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return optionErr
 		}
 	}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// keptConn is one connection of such a caller.
+// keptConn is one persistent connection of a caller.
 type keptConn struct {
 	load   *Load
 	kept   Kept
 	target Target
 	conn   net.Conn
-	// room holds an entry for each request that is not answered, and sent those requests in
-	// their order.
-	room chan struct{}
-	sent chan *aheadRequest
+	// inFlight holds an entry for each unanswered request and limits their number. pending holds the
+	// requests in the order of sending.
+	inFlight chan struct{}
+	pending  chan *pipelinedRequest
 }
 
-// aheadRequest is a request on its way. sentAt is when its last byte was sent, in nanoseconds
-// since 1970; 0 before.
-type aheadRequest struct {
+// pipelinedRequest is an unanswered request. sentAt is the Unix time in nanoseconds at which its last
+// byte was sent; 0 before that.
+type pipelinedRequest struct {
 	class   Class
 	id      string
 	request *http.Request
@@ -99,8 +100,8 @@
 	sentAt  atomic.Int64
 }
 
-// use sends requests until ctx ends or the daemon ends the connection, and reads their answers.
-func (k *keptConn) use(ctx context.Context, random *rand.Rand) {
+// run sends requests and reads their answers until ctx ends or the daemon closes the connection.
+func (k *keptConn) run(ctx context.Context, random *rand.Rand) {
 	defer func() { _ = k.conn.Close() }()
 	sending, stop := context.WithCancel(ctx)
 	defer stop()
@@ -108,17 +109,17 @@
 	receiving.Go(func() { k.receive(stop) })
 	for k.sendNext(sending, random) {
 	}
-	close(k.sent)
+	close(k.pending)
 	receiving.Wait()
 }
 
-// sendNext sends one request. It reports whether another may follow.
+// sendNext sends one request. It reports false once ctx has ended.
 func (k *keptConn) sendNext(ctx context.Context, random *rand.Rand) bool {
 	if !sleep.For(ctx, time.Duration(random.ExpFloat64()*float64(k.kept.Pause))) {
 		return false
 	}
 	select {
-	case k.room <- struct{}{}:
+	case k.inFlight <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
@@ -126,65 +127,66 @@
 		return false
 	}
 	next := k.prepare(k.kept.Classes[random.IntN(len(k.kept.Classes))])
-	k.sent <- next
-	// A failed write shows when the answer is read.
+	k.pending <- next
+	// A failed write is detected when the answer is read.
 	if next.request.Write(k.conn) == nil {
 		next.sentAt.Store(time.Now().UnixNano())
 	}
 	return true
 }
 
-func (k *keptConn) prepare(class Class) *aheadRequest {
+func (k *keptConn) prepare(class Class) *pipelinedRequest {
 	body := make([]byte, class.BodyBytes)
-	wait := class.Deadline.Milliseconds()
+	timeoutMillis := class.Deadline.Milliseconds()
 	address := k.conn.RemoteAddr().String()
-	next := &aheadRequest{class: class, started: time.Now(), id: k.load.announce(class, k.target, address, body, wait)}
-	// The class names a valid path.
-	next.request, _ = newRequest(context.Background(), class, "http://"+address, next.id, body, wait)
+	next := &pipelinedRequest{class: class, started: time.Now(), id: k.load.record(class, k.target, address, body, timeoutMillis)}
+	// The error is ignored, since the path of a class is valid.
+	next.request, _ = newRequest(context.Background(), class, "http://"+address, next.id, body, timeoutMillis)
 	return next
 }
 
-// receive reads the answers in their order, until one of them or the daemon ends the connection;
-// it then stops the sending. What was sent behind that stays without an answer.
+// receive reads the answers in order until an answer or the daemon closes the connection, then calls
+// stop to end the sending. Requests that were sent after that remain unanswered.
 func (k *keptConn) receive(stop func()) {
-	reader := bufio.NewReader(paced{reader: k.conn, bytesPerSecond: k.kept.BytesPerSecond})
-	ended := ""
-	for next := range k.sent {
-		if ended != "" {
-			k.noteUnanswered(next, ended)
+	reader := bufio.NewReader(throttledReader{reader: k.conn, bytesPerSecond: k.kept.BytesPerSecond})
+	closeReason := ""
+	for next := range k.pending {
+		if closeReason != "" {
+			k.recordUnanswered(next, closeReason)
 			continue
 		}
-		// A connection that takes no deadline is closed, and the read returns by itself.
-		_ = k.conn.SetReadDeadline(next.started.Add(next.class.Deadline + answerPatience))
-		ended = k.receiveOne(reader, next)
-		<-k.room
-		if ended != "" {
+		// Setting the deadline fails only on a closed connection, on which the read returns at once.
+		_ = k.conn.SetReadDeadline(next.started.Add(next.class.Deadline + answerTimeoutSlack))
+		closeReason = k.receiveOne(reader, next)
+		<-k.inFlight
+		if closeReason != "" {
 			stop()
-			k.awaitEnd(reader)
+			k.awaitClose(reader)
 		}
 	}
 }
 
-// awaitEnd waits until the daemon has closed its side, behind its last answer.
-func (k *keptConn) awaitEnd(reader *bufio.Reader) {
-	_ = k.conn.SetReadDeadline(time.Now().Add(answerPatience))
+// awaitClose waits until the daemon has closed its side of the connection after its last answer.
+func (k *keptConn) awaitClose(reader *bufio.Reader) {
+	_ = k.conn.SetReadDeadline(time.Now().Add(answerTimeoutSlack))
 	_, _ = io.Copy(io.Discard, reader)
 	_ = k.conn.Close()
 }
 
-// receiveOne reads one answer. It returns how the connection ended with it, empty where it goes on.
-func (k *keptConn) receiveOne(reader *bufio.Reader, next *aheadRequest) (ended string) {
+// receiveOne reads one answer. It returns the reason why the connection ends with it, empty if the
+// connection stays open.
+func (k *keptConn) receiveOne(reader *bufio.Reader, next *pipelinedRequest) (closeReason string) {
 	response, err := http.ReadResponse(reader, next.request)
 	if err != nil {
 		if isTimeout(err) {
-			// The caller gives up.
+			// The caller gives up the request.
 			k.load.Tally.add(Failed, time.Since(next.started))
 			return "the caller gave up"
 		}
-		k.noteUnanswered(next, err.Error())
+		k.recordUnanswered(next, err.Error())
 		return err.Error()
 	}
-	body := &watchedBody{ReadCloser: response.Body}
+	body := &errorRecorder{ReadCloser: response.Body}
 	response.Body = body
 	outcome, _, _ := k.load.evaluate(next.class, next.id, response)
 	_ = response.Body.Close()
@@ -200,14 +202,14 @@
 	return ""
 }
 
-// watchedBody remembers the error with which an answer ended before its end.
-type watchedBody struct {
+// errorRecorder records the error that truncated an answer's body.
+type errorRecorder struct {
 	io.ReadCloser
 	err error
 }
 
 // Read implements io.Reader.
-func (w *watchedBody) Read(buffer []byte) (int, error) {
+func (w *errorRecorder) Read(buffer []byte) (int, error) {
 	count, err := w.ReadCloser.Read(buffer)
 	if err != nil && err != io.EOF {
 		w.err = err
@@ -215,24 +217,24 @@
 	return count, err
 }
 
-func (k *keptConn) noteUnanswered(request *aheadRequest, how string) {
+func (k *keptConn) recordUnanswered(request *pipelinedRequest, cause string) {
 	k.load.Tally.add(Failed, time.Since(request.started))
 	sentAt := request.sentAt.Load()
 	if sentAt == 0 {
-		// Its last byte was never sent.
+		// The last byte of the request was never sent, so that the daemon cannot have read it.
 		return
 	}
-	k.load.Ledger.Unanswered(promise.Unanswered{Request: request.id, SentAt: time.Unix(0, sentAt), EndedAt: time.Now(), Cause: how})
+	k.load.Ledger.Unanswered(promise.Unanswered{Request: request.id, SentAt: time.Unix(0, sentAt), EndedAt: time.Now(), Cause: cause})
 }
 
-// paced reads no faster than a bound, 0 for none.
-type paced struct {
+// throttledReader limits the rate of a reader; a rate of 0 means no limit.
+type throttledReader struct {
 	reader         io.Reader
 	bytesPerSecond float64
 }
 
 // Read implements io.Reader.
-func (p paced) Read(buffer []byte) (int, error) {
+func (p throttledReader) Read(buffer []byte) (int, error) {
 	count, err := p.reader.Read(buffer)
 	if p.bytesPerSecond > 0 {
 		time.Sleep(time.Duration(float64(count) / p.bytesPerSecond * float64(time.Second)))
--- a/internal/lab/emulator/client/kept_test.go
+++ b/internal/lab/emulator/client/kept_test.go
@@ -13,8 +13,8 @@
 	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
 )
 
-// A caller whose time is over within an answer reads nothing more on the connection: the rest of that
-// answer is not the next one. It was taken for one, so that a request counted as lost that was not.
+// Guards against a caller that goes on reading a connection after its timeout within an answer. It
+// parsed the rest of that answer as the next one, so that a request was wrongly counted as lost.
 func TestCallerGivesUpWithinAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -25,8 +25,8 @@
 			_, _ = io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nthe first part")
 		}()
 		assert.NilError(t, near.SetReadDeadline(time.Now().Add(class.Deadline)))
-		ended := conn.receiveOne(bufio.NewReader(near), conn.prepare(class))
-		assert.Equal(t, ended, "the caller gave up within an answer")
+		closeReason := conn.receiveOne(bufio.NewReader(near), conn.prepare(class))
+		assert.Equal(t, closeReason, "the caller gave up within an answer")
 		assert.NilError(t, far.Close())
 	})
 }
--- a/internal/lab/emulator/client/sendwatch.go
+++ b/internal/lab/emulator/client/sendwatch.go
@@ -8,22 +8,22 @@
 	"github.com/lapisvane/lapisvane/internal/lab/emulator/promise"
 )
 
-// sendWatch notes how often the HTTP library sends a request: by itself it sends one without a body
-// again when a kept connection ends before the first byte of an answer. The first time it went
-// unanswered.
-type sendWatch struct {
+// sendTracker detects that the HTTP library resends a request. The library does so for a request
+// without a body if a reused connection ends before the first byte of the answer. The earlier send then
+// counts as unanswered.
+type sendTracker struct {
 	ledger *promise.Ledger
 	id     string
 
-	// mutex protects sentAt, when the request was last sent whole; zero before.
+	// mutex protects sentAt, the time at which the request was last sent completely; zero before that.
 	mutex  sync.Mutex
 	sentAt time.Time
 }
 
-// trace returns the hooks for the HTTP library.
-func (s *sendWatch) trace() *httptrace.ClientTrace {
+// trace returns the HTTP client hooks that track the request.
+func (s *sendTracker) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{WroteRequest: func(written httptrace.WroteRequestInfo) {
-		s.unanswered("its connection ended, and it was sent again")
+		s.recordUnanswered("the connection ended and the HTTP library resent the request")
 		if written.Err == nil {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
@@ -32,8 +32,8 @@
 	}}
 }
 
-// unanswered records that the last send, if there was one, got no answer.
-func (s *sendWatch) unanswered(how string) {
+// recordUnanswered records that the last complete send, if any, received no answer.
+func (s *sendTracker) recordUnanswered(cause string) {
 	s.mutex.Lock()
 	sentAt := s.sentAt
 	s.sentAt = time.Time{}
@@ -41,5 +41,5 @@
 	if sentAt.IsZero() {
 		return
 	}
-	s.ledger.Unanswered(promise.Unanswered{Request: s.id, SentAt: sentAt, EndedAt: time.Now(), Cause: how})
+	s.ledger.Unanswered(promise.Unanswered{Request: s.id, SentAt: sentAt, EndedAt: time.Now(), Cause: cause})
 }
--- a/internal/lab/emulator/day/accounts.go
+++ b/internal/lab/emulator/day/accounts.go
@@ -70,7 +70,7 @@
 	for _, account := range accounts {
 		for _, class := range StandardClasses(factor)[:2] {
 			class.Name += "-" + account.Name
-			class.Key, class.Accounts = account.Keys[0], []string{account.Name}
+			class.APIKey, class.AllowedAccounts = account.Keys[0], []string{account.Name}
 			classes = append(classes, class)
 		}
 	}
--- a/internal/lab/emulator/day/accounts_test.go
+++ b/internal/lab/emulator/day/accounts_test.go
@@ -61,7 +61,7 @@
 func movingClasses(factor float64) []client.Class {
 	classes := day.StandardClasses(factor)[:2]
 	for index := range classes {
-		classes[index].Key, classes[index].Accounts = movingKey, []string{"alpha", "beta"}
+		classes[index].APIKey, classes[index].AllowedAccounts = movingKey, []string{"alpha", "beta"}
 	}
 	return classes
 }
--- a/internal/lab/emulator/day/standard.go
+++ b/internal/lab/emulator/day/standard.go
@@ -25,16 +25,16 @@
 func StandardClasses(factor float64) []client.Class {
 	return []client.Class{
 		{
-			Name: "look", Host: standardHost, Path: "/look/a", Safe: true, Services: []string{"desk"}, PerSecond: 60 * factor,
-			Deadline: 3 * time.Second, AnswerBytes: 1500, Retries: 2, Attempts: 2, CallPath: "/stock/b", CallService: "yard",
+			Name: "look", Host: standardHost, Path: "/look/a", Safe: true, Services: []string{"desk"}, RequestsPerSecond: 60 * factor,
+			Deadline: 3 * time.Second, AnswerBytes: 1500, MaxRetries: 2, MaxAttempts: 2, CallPath: "/stock/b", CallService: "yard",
 		},
 		{
-			Name: "order", Host: standardHost, Path: "/order/a/b?c=d", Services: []string{"desk"}, PerSecond: 40 * factor,
-			Deadline: 3 * time.Second, BodyBytes: 300, AnswerBytes: 5000, Retries: 2, Attempts: 2,
+			Name: "order", Host: standardHost, Path: "/order/a/b?c=d", Services: []string{"desk"}, RequestsPerSecond: 40 * factor,
+			Deadline: 3 * time.Second, BodyBytes: 300, AnswerBytes: 5000, MaxRetries: 2, MaxAttempts: 2,
 		},
 		{
-			Name: "file", Host: standardHost, Path: "/file/x", Services: []string{"yard"}, PerSecond: 10 * factor,
-			Deadline: 3 * time.Second, BodyBytes: 120_000, AnswerBytes: 70_000, Retries: 2, Attempts: 2,
+			Name: "file", Host: standardHost, Path: "/file/x", Services: []string{"yard"}, RequestsPerSecond: 10 * factor,
+			Deadline: 3 * time.Second, BodyBytes: 120_000, AnswerBytes: 70_000, MaxRetries: 2, MaxAttempts: 2,
 		},
 	}
 }
@@ -44,8 +44,8 @@
 	classes := StandardClasses(1)
 	look, order := classes[0], classes[1]
 	return []client.Burst{
-		{Classes: []client.Class{look, look, look, look}, PerSecond: 10 * factor},
-		{Classes: []client.Class{look, order, look}, PerSecond: 5 * factor},
+		{Classes: []client.Class{look, look, look, look}, BurstsPerSecond: 10 * factor},
+		{Classes: []client.Class{look, order, look}, BurstsPerSecond: 5 * factor},
 	}
 }
 
@@ -75,8 +75,8 @@
 // ZonedClasses are the standard ones, and requests that stay in one region.
 func ZonedClasses(factor float64) []client.Class {
 	return append(StandardClasses(factor), client.Class{
-		Name: "card", Host: standardHost, Path: "/card/a", Safe: true, Services: []string{"desk"}, PerSecond: 20 * factor,
-		Deadline: 3 * time.Second, AnswerBytes: 800, Retries: 2, Attempts: 2, Regions: []string{regionNorth},
+		Name: "card", Host: standardHost, Path: "/card/a", Safe: true, Services: []string{"desk"}, RequestsPerSecond: 20 * factor,
+		Deadline: 3 * time.Second, AnswerBytes: 800, MaxRetries: 2, MaxAttempts: 2, AllowedRegions: []string{regionNorth},
 	})
 }
 
