--- a/internal/lab/emulator/day/accounts.go
+++ b/internal/lab/emulator/day/accounts.go
@@ -5,16 +5,17 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Account is an account as the operator declares it.
+// Account is an account in the operator's configuration.
 type Account struct {
 	Name string
 	Keys []string
-	// Priority is 0 for the most urgent; Rate is in requests a second, 0 for no limit.
+	// Priority is the priority class, 0 is the most urgent. Rate is the rate limit in requests per
+	// second, 0 for no limit.
 	Priority    uint32
 	Rate, Burst float64
 }
 
-// addAccounts adds accounts to a configuration, and which of its routes need no key.
+// addAccounts adds accounts to a configuration, and marks the public routes, which need no API key.
 func addAccounts(config *platform.Config, routes []Route, accounts []Account) {
 	config.Routes.Columns = append(config.Routes.Columns, platform.ColumnPublic)
 	for index, route := range routes {
@@ -28,14 +29,14 @@
 	}
 }
 
-// DeclareAccounts writes a configuration with other accounts, as the operator does, and returns its
-// version. Keys that are in none of them are revoked.
+// DeclareAccounts writes a configuration with other accounts in place of the operator, and returns its
+// version. Keys that belong to none of the accounts are thereby revoked.
 func (s *Site) DeclareAccounts(accounts []Account) (version uint64, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	before := keysOf(s.accounts)
 	s.accounts = accounts
-	version, err = s.declare()
+	version, err = s.declareLocked()
 	after := keysOf(accounts)
 	for key := range before {
 		if err == nil && !after[key] {
@@ -55,7 +56,8 @@
 	return keys
 }
 
-// KeyedRoutes are the standard ones; the one that instances call on needs no key.
+// KeyedRoutes returns the standard routes for a site with API keys. Only the route of calls between
+// instances is public.
 func KeyedRoutes() []Route {
 	routes := StandardRoutes()
 	for index := range routes {
@@ -64,8 +66,8 @@
 	return routes
 }
 
-// KeyedClasses are the standard reads and orders of each account's first key, at factor times their
-// rate.
+// KeyedClasses returns the standard reads and orders with the first key of each account, at factor
+// times the standard rate.
 func KeyedClasses(accounts []Account, factor float64) (classes []client.Class) {
 	for _, account := range accounts {
 		for _, class := range StandardClasses(factor)[:2] {
--- a/internal/lab/emulator/day/accounts_test.go
+++ b/internal/lab/emulator/day/accounts_test.go
@@ -26,19 +26,20 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Keys of the tests' accounts. A second key of alpha is the one that is revoked or moved.
+// API keys of the test accounts. movingKey is the second key of alpha, which the tests revoke or move.
 const (
-	keyOfAlpha  = "alpha0first0key00000"
-	movingKey   = "alpha0second0key0000"
-	keyOfBeta   = "beta00only00key00000"
-	keyOfNobody = "nobodys00key00000000"
+	alphaKey   = "alpha0first0key00000"
+	movingKey  = "alpha0second0key0000"
+	betaKey    = "beta00only00key00000"
+	unknownKey = "nobodys00key00000000"
 )
 
 func alphaAndBeta() []day.Account {
-	return []day.Account{{Name: "alpha", Keys: []string{keyOfAlpha, movingKey}, Priority: 1}, {Name: "beta", Keys: []string{keyOfBeta}, Rate: 1e6}}
+	return []day.Account{{Name: "alpha", Keys: []string{alphaKey, movingKey}, Priority: 1}, {Name: "beta", Keys: []string{betaKey}, Rate: 1e6}}
 }
 
-// withoutMovingKey is alphaAndBeta with the key revoked, and withMovedKey with it at beta.
+// withoutMovingKey returns the accounts after the revocation of movingKey, withMovedKey the accounts
+// after its move to beta.
 func withoutMovingKey() []day.Account {
 	accounts := alphaAndBeta()
 	accounts[0].Keys = accounts[0].Keys[:1]
@@ -57,7 +58,7 @@
 	return options
 }
 
-// movingClasses are requests by the key that is revoked or moved.
+// movingClasses returns request classes that present movingKey.
 func movingClasses(factor float64) []client.Class {
 	classes := day.StandardClasses(factor)[:2]
 	for index := range classes {
@@ -66,20 +67,20 @@
 	return classes
 }
 
-// asked counts the requests of ask.
-var asked struct {
+// lookups counts the requests that look sends.
+var lookups struct {
 	sync.Mutex
 	count int
 }
 
-// ask sends a read to a machine's daemon with the key, empty for none, and returns the status and the
-// whole answer; 0 where there is none.
-func ask(t *testing.T, site *day.Site, machine *day.Machine, key string) (status int, answer string) {
+// look sends a read with an API key, empty for none, to a machine's daemon. It returns the status, 0 for
+// no answer, and the header and body of the answer.
+func look(t *testing.T, site *day.Site, machine *day.Machine, key string) (status int, answer string) {
 	t.Helper()
-	asked.Lock()
-	asked.count++
-	id := fmt.Sprint("asked-", asked.count)
-	asked.Unlock()
+	lookups.Lock()
+	lookups.count++
+	id := fmt.Sprint("asked-", lookups.count)
+	lookups.Unlock()
 	site.Ledger.Sent(promise.Request{
 		ID: id, Safe: true, Caller: machine.Service, SentAt: time.Now(), Services: map[string]bool{"desk": true}, APIKey: key,
 	})
@@ -102,38 +103,38 @@
 	return response.StatusCode, text.String()
 }
 
-// awaitStatus asks until the answer has the status.
+// awaitStatus repeats a read until the answer has the wanted status.
 func awaitStatus(t *testing.T, site *day.Site, machine *day.Machine, key string, wanted int) {
 	t.Helper()
 	await(t, fmt.Sprintf("status %d at %s", wanted, machine.Name), func() bool {
-		status, _ := ask(t, site, machine, key)
+		status, _ := look(t, site, machine, key)
 		return status == wanted
 	})
 }
 
-// awaitUnknownKey asks until the key is refused as unknown. Until a daemon has the configuration in force
-// confirmed it refuses such a key with 503, and it never serves it.
+// awaitUnknownKey repeats a read until the daemon refuses the key as unknown. Before the daemon has the
+// configuration in force confirmed it answers 503, and it must never serve the request.
 func awaitUnknownKey(t *testing.T, site *day.Site, machine *day.Machine, key string) {
 	t.Helper()
 	await(t, "the key is unknown at "+machine.Name, func() bool {
-		status, _ := ask(t, site, machine, key)
+		status, _ := look(t, site, machine, key)
 		assert.Assert(t, status == http.StatusUnauthorized || status == http.StatusServiceUnavailable, "%s answers %d", machine.Name, status)
 		return status == http.StatusUnauthorized
 	})
 }
 
-// declareAccounts declares accounts and waits until they are in force at all daemons that run.
+// declareAccounts declares accounts and waits until they are in force at all running daemons.
 func declareAccounts(t *testing.T, site *day.Site, accounts []day.Account) {
 	t.Helper()
 	version, err := site.DeclareAccounts(accounts)
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, site.AwaitInForce(ctx, version))
 }
 
-// A day with accounts, whose calls on need no key: all that clients send is served for their account,
-// also while daemons and instances end.
+// With accounts, requests are served on behalf of the account of their key, also while a daemon and an
+// instance restart. The calls between instances need no key.
 func TestKeyedDayKeepsPromises(t *testing.T) {
 	site, tally, stop := startOptions(t, keyedOptions(), day.KeyedRoutes(), day.KeyedClasses(alphaAndBeta(), 0.5))
 	awaitServed(t, tally, 100)
@@ -142,11 +143,11 @@
 	assert.NilError(t, site.Machines[1].Restart(0))
 	awaitServed(t, tally, 100)
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
-// A key that is revoked under load serves nobody, and others go on; one that moves to another account
-// makes calls all the while, for the one or the other.
+// A key that is revoked under load is rejected while the other keys are served. A key that moves to
+// another account under load is accepted all the time, on behalf of either account.
 func TestRevocationAndMoveUnderLoad(t *testing.T) {
 	for name, accounts := range map[string]func() []day.Account{"revoked": withoutMovingKey, "moved": withMovedKey} {
 		t.Run(name, func(t *testing.T) {
@@ -159,97 +160,97 @@
 					awaitUnknownKey(t, site, machine, movingKey)
 					continue
 				}
-				status, _ := ask(t, site, machine, movingKey)
+				status, _ := look(t, site, machine, movingKey)
 				assert.Assert(t, status != http.StatusUnauthorized, "%s answers %d", machine.Name, status)
 			}
 			awaitServed(t, tally, 100)
 			stop()
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
 
-// loneSite has one daemon, so that the store is all that tells it of configurations.
-func loneSite(t *testing.T, strict bool) (*day.Site, *day.Machine) {
+// singleDaemonSite starts a site with one daemon, which can receive configurations only from the store.
+func singleDaemonSite(t *testing.T, strict bool) (*day.Site, *day.Machine) {
 	t.Helper()
 	options := keyedOptions()
 	options.Machines = []day.Placement{{Zone: "a", Service: "desk"}}
 	options.Revocation = settings.Accounts{StrictRevocation: strict, RevocationBound: tunables.Duration(2 * time.Second)}
-	lookOnly := day.KeyedRoutes()[:1]
-	site, _, _ := startOptions(t, options, lookOnly, nil)
+	lookRoutes := day.KeyedRoutes()[:1]
+	site, _, _ := startOptions(t, options, lookRoutes, nil)
 	return site, site.Machines[0]
 }
 
-// A daemon that is cut off while a key is revoked goes on with the keys that it knows, says of unknown
-// ones that it cannot decide, and follows once it is back. Where revocations are strict it serves no
-// key meanwhile.
+// A daemon that loses the store during a revocation accepts the keys that it knows and answers 503 for
+// unknown keys, since it cannot decide. With strict revocation it answers 503 for all keys. It follows
+// the revocation once the store is back.
 func TestDaemonCutOffDuringARevocation(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		t.Run(fmt.Sprint("strict ", strict), func(t *testing.T) {
-			site, machine := loneSite(t, strict)
+			site, machine := singleDaemonSite(t, strict)
 			awaitStatus(t, site, machine, movingKey, http.StatusOK)
-			awaitStatus(t, site, machine, keyOfNobody, http.StatusUnauthorized)
+			awaitStatus(t, site, machine, unknownKey, http.StatusUnauthorized)
 			site.Store.SetFaults(objectstore.Faults{Down: true})
 			_, err := site.DeclareAccounts(withoutMovingKey())
 			assert.NilError(t, err)
-			awaitStatus(t, site, machine, keyOfNobody, http.StatusServiceUnavailable)
-			whileCut := http.StatusOK
+			awaitStatus(t, site, machine, unknownKey, http.StatusServiceUnavailable)
+			statusDuringOutage := http.StatusOK
 			if strict {
-				whileCut = http.StatusServiceUnavailable
+				statusDuringOutage = http.StatusServiceUnavailable
 			}
-			awaitStatus(t, site, machine, movingKey, whileCut)
-			awaitStatus(t, site, machine, keyOfAlpha, whileCut)
+			awaitStatus(t, site, machine, movingKey, statusDuringOutage)
+			awaitStatus(t, site, machine, alphaKey, statusDuringOutage)
 			site.Store.SetFaults(objectstore.Faults{})
 			awaitStatus(t, site, machine, movingKey, http.StatusUnauthorized)
-			awaitStatus(t, site, machine, keyOfAlpha, http.StatusOK)
-			awaitStatus(t, site, machine, keyOfNobody, http.StatusUnauthorized)
+			awaitStatus(t, site, machine, alphaKey, http.StatusOK)
+			awaitStatus(t, site, machine, unknownKey, http.StatusUnauthorized)
 		})
 	}
 }
 
-// A daemon that starts anew in the middle of a revocation knows no key until it has a configuration,
-// and then the newest ones.
+// A daemon that restarts during a revocation answers 503 for all keys until it has a configuration, and
+// then uses the newest accounts.
 func TestDaemonRestartedDuringARevocation(t *testing.T) {
-	site, machine := loneSite(t, false)
+	site, machine := singleDaemonSite(t, false)
 	site.Store.SetFaults(objectstore.Faults{Down: true})
 	_, err := site.DeclareAccounts(withoutMovingKey())
 	assert.NilError(t, err)
 	assert.NilError(t, machine.Kill(0))
-	for _, key := range []string{keyOfAlpha, movingKey, keyOfNobody, ""} {
-		status, _ := ask(t, site, machine, key)
+	for _, key := range []string{alphaKey, movingKey, unknownKey, ""} {
+		status, _ := look(t, site, machine, key)
 		assert.Equal(t, status, http.StatusServiceUnavailable, "without a configuration")
 	}
 	site.Store.SetFaults(objectstore.Faults{})
-	awaitStatus(t, site, machine, keyOfAlpha, http.StatusOK)
-	status, _ := ask(t, site, machine, movingKey)
+	awaitStatus(t, site, machine, alphaKey, http.StatusOK)
+	status, _ := look(t, site, machine, movingKey)
 	assert.Equal(t, status, http.StatusUnauthorized)
 }
 
-// A store that comes back from a copy of before a revocation brings no key back, neither at daemons that
-// knew of it nor at one that starts then beside them.
+// A store that is restored from a snapshot taken before a revocation must not make the daemons accept
+// the revoked key again.
 func TestRevokedKeysStayRevokedAcrossTheStoresReturn(t *testing.T) {
 	site, _, stop := startOptions(t, keyedOptions(), day.KeyedRoutes(), nil)
 	defer stop()
-	held := site.Store.KeepCopy()
+	snapshot := site.Store.KeepCopy()
 	declareAccounts(t, site, withoutMovingKey())
-	site.Store.ComeBack(held)
-	refused := func() {
+	site.Store.ComeBack(snapshot)
+	assertRefused := func() {
 		for _, machine := range site.Machines {
-			status, _ := ask(t, site, machine, movingKey)
+			status, _ := look(t, site, machine, movingKey)
 			assert.Assert(t, status == http.StatusUnauthorized || status == http.StatusServiceUnavailable, "%s answers %d", machine.Name, status)
 		}
 	}
 	awaitRead(t, site)
-	refused()
+	assertRefused()
 	version, err := site.Declare(day.KeyedRoutes())
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, site.AwaitInForce(ctx, version))
-	refused()
+	assertRefused()
 }
 
-// lineBuffer keeps what is written. It is safe for concurrent use.
+// lineBuffer is a buffer for log lines. It is safe for concurrent use.
 type lineBuffer struct {
 	mutex sync.Mutex
 	bytes.Buffer
@@ -267,8 +268,8 @@
 	return b.Buffer.String()
 }
 
-// page returns what a page of a daemon says.
-func page(t *testing.T, address string) string {
+// getPage returns the body of an HTTP page of a daemon.
+func getPage(t *testing.T, address string) string {
 	t.Helper()
 	response, err := http.Get("http://" + address)
 	assert.NilError(t, err)
@@ -278,18 +279,18 @@
 	return string(content)
 }
 
-// assertNoSecret checks that a text holds no key and no whole digest of one.
+// assertNoSecret checks that a text contains no API key and no complete digest of one.
 func assertNoSecret(t *testing.T, where, text string) {
 	t.Helper()
-	for _, key := range []string{keyOfAlpha, movingKey, keyOfBeta, keyOfNobody} {
+	for _, key := range []string{alphaKey, movingKey, betaKey, unknownKey} {
 		sum := sha256.Sum256([]byte(key))
 		assert.Assert(t, !strings.Contains(strings.ToLower(text), key), "key %s is in %s", key, where)
 		assert.Assert(t, !strings.Contains(text, hex.EncodeToString(sum[:16])), "the digest of %s is in %s", key, where)
 	}
 }
 
-// On a day with crashes, refusals and a revocation, no key is in a line, on a
-// page, in an answer, at an instance or in what daemons write to the store.
+// With crashes, refusals and a revocation, no API key appears in a log line, on a page, in an answer, at
+// an instance or in an object that daemons write to the store.
 func TestKeysAreInNoOutput(t *testing.T) {
 	var lines lineBuffer
 	options := keyedOptions()
@@ -299,8 +300,8 @@
 	awaitServed(t, tally, 50)
 	var answers strings.Builder
 	for _, machine := range site.Machines {
-		for _, key := range []string{keyOfAlpha, movingKey, keyOfNobody, keyOfAlpha + "," + keyOfBeta} {
-			_, answer := ask(t, site, machine, key)
+		for _, key := range []string{alphaKey, movingKey, unknownKey, alphaKey + "," + betaKey} {
+			_, answer := look(t, site, machine, key)
 			answers.WriteString(answer)
 		}
 	}
@@ -309,20 +310,20 @@
 	site.Ledger.DaemonsDisturbed(time.Now())
 	declareAccounts(t, site, withoutMovingKey())
 	for _, machine := range site.Machines {
-		_, answer := ask(t, site, machine, movingKey)
+		_, answer := look(t, site, machine, movingKey)
 		answers.WriteString(answer)
 	}
 	awaitServed(t, tally, 50)
 	stop()
-	assert.Assert(t, strings.Contains(lines.text(), "event=key.refused"), "nothing was refused")
-	assertNoSecret(t, "a line", lines.text())
+	assert.Assert(t, strings.Contains(lines.text(), "event=key.refused"), "no key was refused")
+	assertNoSecret(t, "a log line", lines.text())
 	assertNoSecret(t, "an answer", answers.String())
 	for _, machine := range site.Machines {
 		addresses := machine.Daemon().Addresses()
-		metrics := page(t, addresses.Metrics+"/metrics")
+		metrics := getPage(t, addresses.Metrics+"/metrics")
 		assert.Assert(t, strings.Contains(metrics, "lapisvane_calls_total"))
 		assertNoSecret(t, "the metrics", metrics)
-		assertNoSecret(t, "the readiness", page(t, addresses.Readiness+platform.PathReadiness))
+		assertNoSecret(t, "the readiness", getPage(t, addresses.Readiness+platform.PathReadiness))
 	}
 	for _, kind := range []string{platform.KindQuarantine, "lapisvane-members"} {
 		content, err := json.Marshal(site.Store.Objects(kind))
--- a/internal/lab/emulator/day/comeback_test.go
+++ b/internal/lab/emulator/day/comeback_test.go
@@ -11,10 +11,10 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// padding is a kind of objects that nobody reads.
+// padding is a kind of objects that no daemon reads.
 const padding = "padding"
 
-// pad makes the store's revision rise by so much.
+// pad increases the store's revision by count.
 func pad(t *testing.T, site *day.Site, count int) {
 	t.Helper()
 	for range count {
@@ -22,8 +22,8 @@
 	}
 }
 
-// startComeback starts a site whose operator evacuates zones.
-func startComeback(t *testing.T) *day.Site {
+// startEvacuable starts a site whose zones can be evacuated.
+func startEvacuable(t *testing.T) *day.Site {
 	t.Helper()
 	options := day.DefaultOptions()
 	options.EvacuationBound = 2 * time.Second
@@ -32,7 +32,7 @@
 	return site
 }
 
-// awaitRead waits until daemons have read the store's history so far.
+// awaitRead waits until a daemon has received the store's current revision.
 func awaitRead(t *testing.T, site *day.Site) {
 	t.Helper()
 	pad(t, site, 1)
@@ -40,10 +40,10 @@
 	await(t, "the newest revision is read", func() bool { return site.Store.ReportedRevision(platform.KindConfig) >= at })
 }
 
-// The failure: a store that was away for a moment comes back from a copy some seconds old. What was
-// written since is gone, revisions go back and are given out again for other content, and daemons
-// that compare revisions take the new for old: a withdrawal was not followed, entries and records
-// were never written again.
+// Guards against stale state after the store is restored from a snapshot that is some seconds old.
+// Later writes are then lost, and their revisions are reused for other content. Daemons that only
+// compare revisions treat the new content as old: they ignored a withdrawal, and never rewrote their
+// entries and records.
 func TestStoresReturn(t *testing.T) {
 	t.Run("a configuration written right after it", testConfigurationWrittenRightAfter)
 	t.Run("an order that was lost and written again", testOrdersAcrossTheReturn)
@@ -52,19 +52,19 @@
 	t.Run("records of quarantined requests", testQuarantineRecords)
 }
 
-// The store comes back from a copy, and its revisions have passed those that daemons know before
-// one of them asks: a watch from a revision of before would miss what was written in between.
+// After the restore the revisions exceed those that daemons know before a daemon reads the store. A
+// watch from the old revision would miss the writes in between.
 func testConfigurationWrittenRightAfter(t *testing.T) {
-	site := startComeback(t)
-	held := site.Store.KeepCopy()
+	site := startEvacuable(t)
+	snapshot := site.Store.KeepCopy()
 	pad(t, site, 50)
 	before, err := site.Declare(routes)
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, site.AwaitInForce(ctx, before))
 	awaitRead(t, site)
-	site.Store.ComeBack(held)
+	site.Store.ComeBack(snapshot)
 	after, err := site.Declare(routes)
 	assert.NilError(t, err)
 	pad(t, site, 100)
@@ -72,14 +72,14 @@
 		assert.Assert(t, machine.Daemon().Revision() >= before, "a configuration went back")
 	}
 	assert.NilError(t, site.AwaitInForce(ctx, after))
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
-// An order that daemons follow stays in force although the store has lost it, until the operator
-// has written it again; its withdrawal is followed although the revisions are lower than before.
+// An order that the store has lost stays in force until the operator has written it again. Daemons
+// follow its withdrawal although the revisions are lower than before.
 func testOrdersAcrossTheReturn(t *testing.T) {
-	site := startComeback(t)
-	held := site.Store.KeepCopy()
+	site := startEvacuable(t)
+	snapshot := site.Store.KeepCopy()
 	pad(t, site, 200)
 	zone := site.Zones()[0]
 	assert.NilError(t, site.Evacuate(zone))
@@ -95,9 +95,9 @@
 	}
 	await(t, "the order is followed", evacuated(true))
 	awaitRead(t, site)
-	site.Store.ComeBack(held)
+	site.Store.ComeBack(snapshot)
 	awaitRead(t, site)
-	// Several reads of the store later the order must still be followed.
+	// The order must still be followed after several reads of the store.
 	for range 50 {
 		assert.Assert(t, evacuated(true)(), "the order is lost")
 		time.Sleep(20 * time.Millisecond)
@@ -106,18 +106,18 @@
 	awaitRead(t, site)
 	site.EndEvacuation(zone)
 	await(t, "the withdrawal is followed", evacuated(false))
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
-// An order that nobody writes again was withdrawn while the store was away; it ends all the same.
+// An order that is not written again was withdrawn during the outage, so daemons must end it.
 func testOrderThatIsNotWrittenAgain(t *testing.T) {
-	site := startComeback(t)
-	held := site.Store.KeepCopy()
+	site := startEvacuable(t)
+	snapshot := site.Store.KeepCopy()
 	zone := site.Zones()[0]
 	assert.NilError(t, site.Evacuate(zone))
 	await(t, "the order is followed", func() bool { return site.Machines[0].Evacuated(zone) })
 	awaitRead(t, site)
-	site.Store.ComeBack(held)
+	site.Store.ComeBack(snapshot)
 	site.EndEvacuation(zone)
 	await(t, "the order ends", func() bool {
 		for _, machine := range site.Machines {
@@ -129,15 +129,15 @@
 	})
 }
 
-// What lapisvane keeps in the store is written again by the daemons that it is about.
+// After a restore that lost the member entries, each daemon writes its own entry again.
 func testEntriesOfDaemons(t *testing.T) {
-	site := startComeback(t)
-	held := site.Store.KeepCopy()
+	site := startEvacuable(t)
+	snapshot := site.Store.KeepCopy()
 	for _, member := range site.Store.Objects("lapisvane-members") {
 		site.Store.Remove("lapisvane-members", member.Metadata.Name)
 	}
 	empty := site.Store.KeepCopy()
-	site.Store.ComeBack(held)
+	site.Store.ComeBack(snapshot)
 	awaitRead(t, site)
 	site.Store.ComeBack(empty)
 	await(t, "each daemon has its entry again", func() bool {
@@ -145,10 +145,10 @@
 	})
 }
 
-// Records of requests under which instances crashed are written again as well.
+// After a restore that lost the records of quarantined requests, daemons write them again.
 func testQuarantineRecords(t *testing.T) {
-	site := startComeback(t)
-	held := site.Store.KeepCopy()
+	site := startEvacuable(t)
+	snapshot := site.Store.KeepCopy()
 	poison := day.PoisonRequests()["read"]
 	records := func() int { return len(site.Store.Objects(platform.KindQuarantine)) }
 	for number := 0; records() == 0; number++ {
@@ -157,6 +157,6 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	awaitRead(t, site)
-	site.Store.ComeBack(held)
+	site.Store.ComeBack(snapshot)
 	await(t, "the record is stored again", func() bool { return records() > 0 })
 }
--- a/internal/lab/emulator/day/day_test.go
+++ b/internal/lab/emulator/day/day_test.go
@@ -15,19 +15,18 @@
 	"github.com/lapisvane/lapisvane/internal/lab/emulator/objectstore"
 )
 
-// patience bounds waits for what must come; no test asserts how long it took.
-const patience = 2 * time.Minute
+// waitTimeout limits the wait for an expected event. No test checks how long the event took.
+const waitTimeout = 2 * time.Minute
 
-// playing bounds the sites that play at once: each has daemons, instances and clients
-// with time-outs of their own, which a full processor makes true. Tests of a site
-// hold a place while it is open.
-var playing = make(chan struct{}, 2)
+// siteSlots limits the number of concurrent sites. The timeouts of daemons, instances and clients would
+// expire on an overloaded processor. A test holds a slot while its site is open.
+var siteSlots = make(chan struct{}, 2)
 
-// place waits for a place to play, which the test gives back at its end.
-func place(t *testing.T) {
+// acquireSite waits for a slot of siteSlots, which is released at the end of the test.
+func acquireSite(t *testing.T) {
 	t.Helper()
-	playing <- struct{}{}
-	t.Cleanup(func() { <-playing })
+	siteSlots <- struct{}{}
+	t.Cleanup(func() { <-siteSlots })
 }
 
 var routes = day.StandardRoutes()
@@ -37,7 +36,7 @@
 	m.Run()
 }
 
-// start starts the default site and its load.
+// start starts a site with the default options and its load.
 func start(t *testing.T) (site *day.Site, tally *client.Tally, stopLoad func()) {
 	t.Helper()
 	return startWith(t, routes, day.StandardClasses(1))
@@ -51,8 +50,8 @@
 func startOptions(t *testing.T, options day.Options, routes []day.Route, classes []client.Class) (site *day.Site, tally *client.Tally, stopLoad func()) {
 	t.Helper()
 	t.Parallel()
-	place(t)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	acquireSite(t)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	site, err := day.Start(ctx, options, routes)
 	assert.NilError(t, err)
@@ -67,67 +66,67 @@
 	return site, tally, stopLoad
 }
 
-func keepsPromises(t *testing.T, site *day.Site) {
+func assertPromisesKept(t *testing.T, site *day.Site) {
 	t.Helper()
 	breaches := site.Ledger.Breaches()
 	assert.Equal(t, len(breaches), 0, "%+v", breaches)
 }
 
-// awaitServed waits until so many more requests were served.
-func awaitServed(t *testing.T, tally *client.Tally, more int64) {
+// awaitServed waits until the given number of further requests were served.
+func awaitServed(t *testing.T, tally *client.Tally, count int64) {
 	t.Helper()
-	goal := tally.Served.Load() + more
-	end := time.Now().Add(patience)
+	goal := tally.Served.Load() + count
+	end := time.Now().Add(waitTimeout)
 	for tally.Served.Load() < goal {
 		assert.Assert(t, time.Now().Before(end), "%d of %d served", tally.Served.Load(), goal)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// awaitEnded waits until so many more requests got some end.
-func awaitEnded(t *testing.T, tally *client.Tally, more int64) {
+// awaitEnded waits until the given number of further requests ended with any outcome.
+func awaitEnded(t *testing.T, tally *client.Tally, count int64) {
 	t.Helper()
 	ended := func() int64 { return tally.Served.Load() + tally.Refused.Load() + tally.Failed.Load() }
-	goal := ended() + more
-	end := time.Now().Add(patience)
+	goal := ended() + count
+	end := time.Now().Add(waitTimeout)
 	for ended() < goal {
 		assert.Assert(t, time.Now().Before(end), "%d of %d ended", ended(), goal)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Clients are patient here, so that a slow machine makes no request fail.
+// Without faults no request fails. The deadlines are long, so that a slow machine causes no failure.
 func TestQuietDayIsServed(t *testing.T) {
-	const patient = time.Minute
+	const longDeadline = time.Minute
 	slowRoutes := day.StandardRoutes()
 	for index := range slowRoutes {
-		slowRoutes[index].TimeoutMillis = uint32(patient.Milliseconds())
-		slowRoutes[index].TargetMillis = uint32(patient.Milliseconds())
+		slowRoutes[index].TimeoutMillis = uint32(longDeadline.Milliseconds())
+		slowRoutes[index].TargetMillis = uint32(longDeadline.Milliseconds())
 	}
 	classes := day.StandardClasses(1)
 	for index := range classes {
-		classes[index].Deadline = patient
+		classes[index].Deadline = longDeadline
 	}
 	site, tally, stop := startWith(t, slowRoutes, classes)
 	awaitServed(t, tally, 300)
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 	assert.Equal(t, tally.Failed.Load(), int64(0))
 }
 
-// Faults of instances never break a promise, and the site serves on.
+// Faults of instances break no promise, and the site continues to serve requests.
 func TestInstancesThatMisbehave(t *testing.T) {
 	for name, behaviour := range map[string]instance.Behaviour{
 		"answers lost":           {LostAnswerShare: 0.3},
-		"answers cut off":        {TruncatedShare: 0.3},
-		"a second answer":        {DuplicateShare: 0.4},
-		"a second answer, late":  {DuplicateShare: 0.4, DuplicateDelay: 15 * time.Millisecond},
+		"truncated answers":      {TruncatedShare: 0.3},
+		"duplicate answers":      {DuplicateShare: 0.4},
+		"late duplicate answers": {DuplicateShare: 0.4, DuplicateDelay: 15 * time.Millisecond},
 		"answers without length": {UnframedShare: 0.4},
-		"no HTTP":                {GarbageShare: 0.3},
+		"answers not in HTTP":    {GarbageShare: 0.3},
 		"refused early":          {EarlyRefusalShare: 0.5},
 		"slow":                   {Slowdown: 8},
 		"failures":               {FailureShare: 0.5},
-		"connections forgotten":  {IdleTimeout: 20 * time.Millisecond},
+		"idle connections lost":  {IdleTimeout: 20 * time.Millisecond},
 		"all at once":            {LostAnswerShare: 0.1, TruncatedShare: 0.1, DuplicateShare: 0.2, UnframedShare: 0.1, GarbageShare: 0.1, EarlyRefusalShare: 0.2, Slowdown: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -139,14 +138,15 @@
 			}
 			awaitServed(t, tally, 200)
 			stop()
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
 
+// Instances that crash, leave or stop responding break no promise, and the site continues to serve.
 func TestInstancesThatComeAndGo(t *testing.T) {
 	for name, disturb := range map[string]func(*testing.T, *day.Machine){
-		"crash and start again at the address": func(t *testing.T, machine *day.Machine) {
+		"crash and restart at the same address": func(t *testing.T, machine *day.Machine) {
 			assert.NilError(t, machine.Restart(100*time.Millisecond))
 		},
 		"drain and be replaced": func(t *testing.T, machine *day.Machine) {
@@ -154,12 +154,12 @@
 			assert.NilError(t, err)
 			assert.Assert(t, acknowledged)
 		},
-		"say farewell first": func(t *testing.T, machine *day.Machine) {
+		"deregister first": func(t *testing.T, machine *day.Machine) {
 			acknowledged, err := machine.Release(context.Background(), 1500*time.Millisecond, true)
 			assert.NilError(t, err)
 			assert.Assert(t, acknowledged)
 		},
-		"fall silent": func(t *testing.T, machine *day.Machine) {
+		"stop responding": func(t *testing.T, machine *day.Machine) {
 			machine.Instance().Set(instance.Behaviour{Silent: true})
 		},
 	} {
@@ -171,13 +171,13 @@
 			}
 			awaitServed(t, tally, 200)
 			stop()
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
 
-// An instance that left, or crashed, and starts again under its id gets calls again, and nothing that
-// its earlier start said late changes that.
+// An instance that left or crashed and restarts with the same id receives requests again. A late
+// heartbeat of the earlier incarnation does not change that.
 func TestInstancesReturnUnderTheirIDs(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *day.Machine){
 		"left": func(t *testing.T, machine *day.Machine) {
@@ -201,18 +201,18 @@
 				assert.Equal(t, machine.Instance().ID(), earlier.ID())
 				earlier.SendLateHeartbeat(context.Background())
 			}
-			await(t, "the later starts get calls", func() bool {
+			await(t, "the restarted instances receive requests", func() bool {
 				return site.Machines[0].Instance().Received() > 0 && site.Machines[1].Instance().Received() > 0
 			})
 			awaitServed(t, tally, 400)
 			stop()
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
 
-// After planned stops of all daemons in turn every instance is used again: what a stopping daemon
-// reports of its instance must not count as the instance's own drain, which is for good.
+// Every instance is used again after planned stops of all daemons in turn. The state that a stopping
+// daemon reports for its instance must not count as a drain of the instance, which is permanent.
 func TestInstancesAreUsedAgainAfterPlannedStops(t *testing.T) {
 	site, tally, stop := start(t)
 	awaitServed(t, tally, 50)
@@ -228,16 +228,16 @@
 		}
 		stops.Wait()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, site.AwaitReady(ctx))
 	awaitServed(t, tally, 100)
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
-// An instance that left stays away although its daemon lost its memory and a
-// late heartbeat says that it is ready.
+// An instance that left receives no more requests, even if its daemon restarts without state and a late
+// heartbeat reports the instance as ready.
 func TestInstanceThatLeftStaysAwayAfterItsDaemonStartsAgain(t *testing.T) {
 	site, tally, stop := start(t)
 	awaitServed(t, tally, 50)
@@ -251,14 +251,14 @@
 	for running := machine.Daemon(); running.ReadyEndpoints("desk") == 3; {
 		time.Sleep(5 * time.Millisecond)
 	}
-	// The others know it before the daemon is killed.
+	// The other daemons must know of the drain before the daemon is killed.
 	for _, other := range site.Machines[1:] {
 		for other.Daemon().ReadyEndpoints("desk") == 3 {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
 	assert.NilError(t, machine.Kill(10*time.Millisecond))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for machine.Daemon().Revision() == 0 {
 		assert.NilError(t, ctx.Err())
@@ -268,17 +268,19 @@
 	awaitServed(t, tally, 200)
 	assert.Assert(t, <-left)
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
+// A new daemon becomes ready during each fault of the store, and a configuration that was declared during
+// the fault is in force afterwards.
 func TestStoreFaults(t *testing.T) {
 	for name, faults := range map[string]objectstore.Faults{
-		"down":           {Down: true},
-		"silent":         {Silent: true},
-		"resets":         {Reset: true},
-		"slow":           {Delay: 300 * time.Millisecond},
-		"loses answers":  {LoseWrites: 0.5},
-		"does them late": {LoseWrites: 0.5, Late: true},
+		"down":          {Down: true},
+		"silent":        {Silent: true},
+		"resets":        {Reset: true},
+		"slow":          {Delay: 300 * time.Millisecond},
+		"drops answers": {LoseWrites: 0.5},
+		"delays writes": {LoseWrites: 0.5, Late: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			site, tally, stop := start(t)
@@ -286,23 +288,23 @@
 			site.Store.SetFaults(faults)
 			version, err := site.Declare(routes)
 			assert.NilError(t, err)
-			// A daemon that starts meanwhile knows nobody; its neighbours bring
-			// it the configuration and the instances.
+			// A daemon that starts during the fault has no state. Its neighbours send it the
+			// configuration and the instances.
 			assert.NilError(t, site.Machines[0].Kill(50*time.Millisecond))
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			assert.NilError(t, site.AwaitReady(ctx))
 			awaitServed(t, tally, 100)
 			site.Store.SetFaults(objectstore.Faults{})
 			assert.NilError(t, site.AwaitInForce(ctx, version))
 			stop()
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
 
-// The store turns some machines away while it serves the others and the operator: a new version
-// comes in force on all of them all the same, and one of those that starts meanwhile serves too.
+// If the store rejects some machines while it serves the others and the operator, a new version still
+// comes into force on all of them, and a rejected machine that restarts serves requests.
 func TestStoreTurnsSomeMachinesAway(t *testing.T) {
 	for name, faults := range map[string]objectstore.Faults{
 		"refused": {Down: true},
@@ -315,20 +317,21 @@
 			site.FailStoreFor(faults, site.Machines[:3]...)
 			version, err := site.Declare(routes)
 			assert.NilError(t, err)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			assert.NilError(t, site.AwaitInForce(ctx, version))
 			assert.NilError(t, site.Machines[0].Kill(50*time.Millisecond))
 			assert.NilError(t, site.AwaitReady(ctx))
 			awaitServed(t, tally, 100)
 			stop()
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
 
-// The store hears nothing of a change and forgets its history.
-func TestForgottenHistory(t *testing.T) {
+// A configuration comes into force although watches did not report it and the store compacted the
+// history.
+func TestConfigurationAcrossCompactedHistory(t *testing.T) {
 	site, tally, stop := start(t)
 	awaitServed(t, tally, 50)
 	site.Store.SetFaults(objectstore.Faults{FreezeWatches: true})
@@ -336,14 +339,14 @@
 	assert.NilError(t, err)
 	site.Store.SetFaults(objectstore.Faults{})
 	site.Store.CompactHistory()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, site.AwaitInForce(ctx, version))
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
-// Everything is killed at once, and comes back to what the store holds.
+// If all daemons are killed at the same time, they restart with the configuration in the store.
 func TestAllDaemonsAreKilledAtOnce(t *testing.T) {
 	site, tally, stop := start(t)
 	awaitServed(t, tally, 50)
@@ -356,15 +359,16 @@
 	for range site.Machines {
 		assert.NilError(t, <-killed)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, site.AwaitReady(ctx))
 	assert.NilError(t, site.AwaitInForce(ctx, version))
 	awaitServed(t, tally, 100)
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
+// The last of 50 configurations written at intervals of 5 ms comes into force on all daemons.
 func TestStormOfConfigurations(t *testing.T) {
 	site, tally, stop := start(t)
 	var version uint64
@@ -374,16 +378,16 @@
 		version = declared
 		time.Sleep(5 * time.Millisecond)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, site.AwaitInForce(ctx, version))
 	awaitServed(t, tally, 50)
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
-// A daemon that stops as planned says at once that it is not ready, and serves
-// on while callers still come.
+// A daemon in a planned stop is not ready from the beginning, and continues to serve callers that still
+// arrive.
 func TestStoppingDaemonIsNotReadyAndServesOn(t *testing.T) {
 	site, tally, stop := start(t)
 	awaitServed(t, tally, 50)
@@ -394,7 +398,7 @@
 		assert.Check(t, err)
 		ended <- cut
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for machine.Ready(ctx) {
 		assert.NilError(t, ctx.Err())
@@ -402,10 +406,10 @@
 	}
 	select {
 	case <-ended:
-		t.Fatal("the daemon ended before it was seen not to be ready")
+		t.Fatal("the daemon ended before its readiness check failed")
 	default:
 	}
 	assert.Equal(t, <-ended, int64(0))
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
--- a/internal/lab/emulator/day/explain_test.go
+++ b/internal/lab/emulator/day/explain_test.go
@@ -15,10 +15,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
-// allLines is more than a daemon writes, so that no request is left out.
+// allLines exceeds the number of lines that a daemon writes, so that every request is logged.
 const allLines = 1_000_000
 
-// lockedBuffer collects the lines of all daemons, of which some come after their site was closed.
+// lockedBuffer collects the log lines of all daemons. It is safe for concurrent use, since some lines
+// are written after the site was closed.
 type lockedBuffer struct {
 	// mutex protects written.
 	mutex   sync.Mutex
@@ -32,7 +33,7 @@
 	return b.written.Write(line)
 }
 
-// lines returns the lines so far.
+// lines returns the lines written so far.
 func (b *lockedBuffer) lines(t *testing.T) []explain.Line {
 	t.Helper()
 	b.mutex.Lock()
@@ -43,8 +44,8 @@
 	return lines
 }
 
-// Whatever went wrong, the lines of the daemons prove the cause of each request
-// that failed or was refused.
+// With any of the faults, the daemons' log lines prove the cause of each request that failed or was
+// refused.
 func TestLinesProveWhyRequestsFail(t *testing.T) {
 	for name, row := range map[string]struct {
 		behaviour instance.Behaviour
@@ -88,7 +89,7 @@
 	}
 }
 
-// A machine that is stopped as planned tells so in the lines of its requests.
+// The log lines of a site with a planned stop contain the lifecycle events of daemons and instances.
 func TestLinesProveThatADaemonWasStopping(t *testing.T) {
 	output := &lockedBuffer{}
 	options := day.DefaultOptions()
@@ -97,7 +98,7 @@
 	awaitServed(t, tally, 50)
 	_, err := site.Machines[0].Roll(0)
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, site.AwaitReady(ctx))
 	stop()
@@ -107,12 +108,12 @@
 		events[line.Event]++
 	}
 	for _, event := range []string{"daemon.started", "daemon.stopping", "daemon.stopped", "instance.registered", "configuration.in_force"} {
-		assert.Check(t, events[event] > 0, "no line %s", event)
+		assert.Check(t, events[event] > 0, "no line with event %s", event)
 	}
 }
 
-// The daemon beside an instance knows its calls by where they come from, and takes those of
-// repeated runs out of the budget of the service that they are for.
+// A daemon recognizes the calls of its machine's instance by their source address, and charges the
+// calls of repeated runs to the retry budget of the called service.
 func TestCallsOfRepeatedRunsAreKnown(t *testing.T) {
 	output := &lockedBuffer{}
 	options := day.DefaultOptions()
@@ -132,5 +133,5 @@
 		}
 	}
 	assert.Assert(t, inherited["stock"] > 0, "%v", inherited)
-	assert.Equal(t, len(inherited), 1, "calls of clients were taken for those of instances: %v", inherited)
+	assert.Equal(t, len(inherited), 1, "calls of clients were attributed to instances: %v", inherited)
 }
--- a/internal/lab/emulator/day/machine.go
+++ b/internal/lab/emulator/day/machine.go
@@ -19,27 +19,27 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Machine is one machine of the emulated platform: a daemon and the instance beside it.
+// Machine is one machine of the emulated platform. It runs a daemon and an instance.
 type Machine struct {
 	Name    string
 	Zone    string
 	Service string
 
 	site *Site
-	// host is the machine's own loopback address, and store where the store serves it.
-	host, store string
-	// daemonLock is held while the daemon is ended and started again, instanceLock while
-	// the instance is.
-	daemonLock, instanceLock sync.Mutex
+	// host is the machine's loopback address, storeAddress the address at which the store serves it.
+	host, storeAddress string
+	// daemonMutex is held during a restart of the daemon, instanceMutex during a restart of the
+	// instance.
+	daemonMutex, instanceMutex sync.Mutex
 	// mutex protects everything below.
-	mutex     sync.Mutex
-	addresses daemon.Addresses
-	running   Process
-	instance  *instance.Instance
-	instances int
+	mutex            sync.Mutex
+	addresses        daemon.Addresses
+	process          Process
+	instance         *instance.Instance
+	instancesStarted int
 }
 
-// start starts the daemon, at its earlier addresses after the first time.
+// start starts the daemon. Its addresses stay the same across restarts.
 func (m *Machine) start() error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -51,7 +51,7 @@
 	config.ReadinessAddress = m.address(portReadiness)
 	config.MetricsAddress = m.address(portMetrics)
 	config.Platform = settings.Platform{
-		Form: platform.Form, Addresses: []string{m.store},
+		Form: platform.Form, Addresses: []string{m.storeAddress},
 		ReadsPerSecond: m.site.options.ReadsPerSecond, WritesPerSecond: m.site.options.WritesPerSecond,
 		Contact: tunables.Duration(m.site.options.Contact), ApplyBound: tunables.Duration(m.site.options.ApplyBound),
 	}
@@ -68,30 +68,30 @@
 	if err != nil {
 		return err
 	}
-	m.running = started
+	m.process = started
 	m.addresses = started.Addresses()
 	return nil
 }
 
-// Ports of a machine. They lie below those that the system gives to outgoing
-// connections, so that a daemon finds its own free when it starts again.
+// Ports of a machine. They are below the range of ephemeral ports, so that no outgoing connection
+// occupies a port of a daemon that restarts.
 const (
 	portPeer = 20001 + iota
 	portCaller
 	portInstances
 	portReadiness
 	portMetrics
-	// portFirstInstance is that of a machine's first instance; each new one gets the next.
+	// portFirstInstance is the port of a machine's first instance; each new instance uses the next port.
 	portFirstInstance = 21000
 )
 
 func (m *Machine) address(port int) string { return fmt.Sprintf("%s:%d", m.host, port) }
 
-// nextHost numbers the machines of a process.
+// nextHost is the number of the newest machine in this process.
 var nextHost atomic.Uint32
 
-// newHost returns a loopback address that no other machine has, of this process
-// or of another that plays days at the same time.
+// newHost returns an unused loopback address. Mixing in the process id keeps the machines of processes
+// that run at the same time apart.
 func newHost() string {
 	const perByte = 250
 	process := os.Getpid()
@@ -99,10 +99,10 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+process/perByte%perByte, 1+(process+number/perByte)%perByte, 1+number%perByte)
 }
 
-// Kill ends the daemon at once and starts it again after down.
+// Kill ends the daemon immediately and restarts it after the downtime.
 func (m *Machine) Kill(down time.Duration) error {
-	m.daemonLock.Lock()
-	defer m.daemonLock.Unlock()
+	m.daemonMutex.Lock()
+	defer m.daemonMutex.Unlock()
 	if process := m.takeProcess(); process != nil {
 		m.site.Ledger.DaemonsKilled(time.Now())
 		process.Kill()
@@ -112,11 +112,11 @@
 	return m.start()
 }
 
-// Roll stops the daemon as planned and starts it again after down. It returns
-// the calls that were cut.
+// Roll stops the daemon gracefully and restarts it after the downtime. It returns the number of calls
+// that the stop cut.
 func (m *Machine) Roll(down time.Duration) (cut int64, err error) {
-	m.daemonLock.Lock()
-	defer m.daemonLock.Unlock()
+	m.daemonMutex.Lock()
+	defer m.daemonMutex.Unlock()
 	address := m.Caller()
 	if process := m.takeProcess(); process != nil {
 		m.site.Ledger.StopBegan(address, time.Now())
@@ -131,42 +131,43 @@
 func (m *Machine) takeProcess() Process {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	process := m.running
-	m.running = nil
+	process := m.process
+	m.process = nil
 	return process
 }
 
-// Daemon returns the running daemon, nil while there is none.
+// Daemon returns the running daemon, nil if none runs.
 func (m *Machine) Daemon() Process {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.running
+	return m.process
 }
 
-// Evacuated reports whether the daemon follows an order to evacuate a zone; false while there is none.
+// Evacuated reports whether the daemon follows an order to evacuate a zone. It reports false while no
+// daemon runs.
 func (m *Machine) Evacuated(zone string) bool {
 	running := m.Daemon()
 	return running != nil && running.Evacuated(zone)
 }
 
-// Instance returns the instance beside the daemon.
+// Instance returns the current instance of the machine.
 func (m *Machine) Instance() *instance.Instance {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.instance
 }
 
-// Caller returns where the daemon takes calls; empty while it does not run.
+// Caller returns the address at which the daemon accepts calls; empty while no daemon runs.
 func (m *Machine) Caller() string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.running == nil {
+	if m.process == nil {
 		return ""
 	}
 	return m.addresses.Caller
 }
 
-// Ready asks the daemon whether callers may come.
+// Ready reports whether the daemon's readiness check succeeds.
 func (m *Machine) Ready(ctx context.Context) bool {
 	m.mutex.Lock()
 	address := m.addresses.Readiness
@@ -183,31 +184,31 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Temperatures of instances at their start.
+// Values of the isCold parameter of startInstance.
 const (
 	cold = true
 	warm = false
 )
 
-// startInstance starts an instance of service beside the daemon, at address or at any, under an id
-// that an instance had or a new one.
+// startInstance starts an instance of a service on the machine. An empty address stands for a new one,
+// an empty id for a new id; an id that is not empty belongs to an earlier instance.
 func (m *Machine) startInstance(service, address, id string, isCold bool) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	options := m.site.options
 	if address == "" {
-		address = m.address(portFirstInstance + m.instances)
-		m.instances++
+		address = m.address(portFirstInstance + m.instancesStarted)
+		m.instancesStarted++
 	}
 	coldFor := time.Duration(0)
 	if isCold {
-		coldFor = options.ColdFor
+		coldFor = options.ColdDuration
 	}
 	started, err := instance.Start(instance.Options{
 		Service: service, Zone: m.Zone, Address: address, ID: id, RegistrationAddress: m.addresses.Instances, OutboundAddress: m.addresses.Caller, Host: m.host,
 		Slots: options.Slots, QueueLength: options.Slots, ServiceTime: options.ServiceTime, HeartbeatInterval: options.HeartbeatInterval,
-		ColdDuration: coldFor, Region: options.region(m.Zone), ColdCrashRate: options.crashesAbove(), OnColdCrash: m.crashedCold,
-		OnPoisonCrash: func(ended *instance.Instance) { m.restart(ended, m.site.open) }, Ledger: m.site.Ledger, Seed: options.Seed,
+		ColdDuration: coldFor, Region: options.region(m.Zone), ColdCrashRate: options.coldCrashRate(), OnColdCrash: m.restartAfterColdCrash,
+		OnPoisonCrash: func(ended *instance.Instance) { m.restart(ended, m.site.isOpen) }, Ledger: m.site.Ledger, Seed: options.Seed,
 	})
 	if err != nil {
 		return fmt.Errorf("instance of %s: %w", service, err)
@@ -216,81 +217,83 @@
 	return nil
 }
 
-// Restart crashes the instance and starts it again, at its address and under its id.
+// Restart crashes the instance and restarts it after the downtime, with the same address and id.
 func (m *Machine) Restart(down time.Duration) error {
-	m.instanceLock.Lock()
-	defer m.instanceLock.Unlock()
+	m.instanceMutex.Lock()
+	defer m.instanceMutex.Unlock()
 	ended := m.Instance()
 	ended.Crash()
 	time.Sleep(down)
 	return m.startInstance(m.Service, ended.Address(), ended.ID(), cold)
 }
 
-// Release shuts the instance down as planned and starts another. It reports whether the drain was
+// Release shuts the instance down gracefully and starts a new one. It reports whether the drain was
 // acknowledged.
 func (m *Machine) Release(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool, err error) {
-	m.instanceLock.Lock()
-	defer m.instanceLock.Unlock()
+	m.instanceMutex.Lock()
+	defer m.instanceMutex.Unlock()
 	leaving := m.Instance()
 	acknowledged = leaving.Shutdown(ctx, keep, abrupt)
 	return acknowledged, m.startInstance(m.Service, "", "", cold)
 }
 
-// Return shuts the instance down as planned and starts it again under its id, at another address. It
+// Return shuts the instance down gracefully and restarts it with the same id at another address. It
 // reports whether the drain was acknowledged.
 func (m *Machine) Return(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool, err error) {
-	m.instanceLock.Lock()
-	defer m.instanceLock.Unlock()
+	m.instanceMutex.Lock()
+	defer m.instanceMutex.Unlock()
 	leaving := m.Instance()
 	acknowledged = leaving.Shutdown(ctx, keep, abrupt)
 	return acknowledged, m.startInstance(m.Service, "", leaving.ID(), cold)
 }
 
 func (m *Machine) endInstance() {
-	m.instanceLock.Lock()
-	defer m.instanceLock.Unlock()
+	m.instanceMutex.Lock()
+	defer m.instanceMutex.Unlock()
 	if running := m.Instance(); running != nil {
 		running.Crash()
 	}
 }
 
-// Options size a Site.
+// Options configure a Site.
 type Options struct {
 	Machines []Placement
 	Slots    int
-	// ServiceTime is the mean time of work on a request.
+	// ServiceTime is the mean time that a request runs at an instance.
 	ServiceTime       time.Duration
 	HeartbeatInterval time.Duration
-	// ColdFor is how long an instance is cold that starts during the day.
-	ColdFor time.Duration
-	// ColdRate is the capacity of a cold instance in requests a second, 0 for that of a warm one.
-	// It may get ColdRate*ColdOvershoot+ColdSlack in any second.
+	// ColdDuration is the time for which an instance that starts during the day is cold.
+	ColdDuration time.Duration
+	// ColdRate is the capacity of a cold instance in requests per second, 0 for the capacity of a warm
+	// one. A cold instance may receive ColdRate*ColdOvershoot+ColdSlack requests in any second.
 	ColdRate, ColdOvershoot, ColdSlack float64
-	// Accounts are those that the operator declares at the start; nil where callers need no key.
-	// Revocation is what daemons are told of how old keys may be.
+	// Accounts are the accounts that the operator declares at the start; nil if callers need no API key.
+	// Revocation is the daemons' setting for the maximum age of their knowledge of keys.
 	Accounts   []Account
 	Revocation settings.Accounts
-	// EvacuationBound is the time after which the instances of an evacuated zone get
-	// nothing; 0 where operators evacuate none.
+	// EvacuationBound is the time after which the instances of an evacuated zone receive no more
+	// requests; 0 if no zone is evacuated.
 	EvacuationBound time.Duration
-	// Regions gives the region of each zone; others lie in one region.
+	// Regions maps zones to regions. All other zones are in one default region.
 	Regions map[string]string
+	// Contact is the time after which all daemons know what one of them knows.
 	Contact time.Duration
-	// ApplyBound is the time in which daemons are told that a configuration must be in force.
+	// ApplyBound is the daemons' setting for the time within which a configuration must be in force.
 	ApplyBound time.Duration
-	Grace      time.Duration
-	// DrainBound is the time after which a draining instance gets nothing.
+	// Grace is the time that a planned stop of a daemon may take.
+	Grace time.Duration
+	// DrainBound is the time after which a draining instance receives no more requests.
 	DrainBound                      time.Duration
 	ReadsPerSecond, WritesPerSecond float64
 	Logger                          logr.Logger
-	// DecisionLines bounds the lines about requests of each daemon a second.
+	// DecisionLines is the maximum number of log lines about requests per daemon and second.
 	DecisionLines int
 	Seed          uint64
-	// Launch starts the daemons; nil for daemons in this process.
+	// Launch starts the daemons; nil runs them in this process.
 	Launch Launch
 }
 
-// launch returns how daemons are started.
+// launch returns the function that starts daemons.
 func (o Options) launch() Launch {
 	if o.Launch == nil {
 		return launchEmbedded
@@ -298,25 +301,26 @@
 	return o.Launch
 }
 
-// lossSlack is how long after its last byte a request may still cross the end of its connection,
-// as the platform's rules state it.
+// lossSlack is the time after its last byte during which a request may cross the close of its
+// connection. The platform's rules state the value.
 const lossSlack = 200 * time.Millisecond
 
-// bounds are those that the ledger checks.
+// bounds returns the bounds that the ledger checks. The cold rate allows for requests that are delayed
+// by up to maxRequestDelay and then arrive together.
 func (o Options) bounds() promise.Bounds {
 	return promise.Bounds{
 		DrainDelay: o.DrainBound, EvacuationDelay: o.EvacuationBound, PropagationDelay: o.Contact, LossSlack: lossSlack, GracePeriod: o.Grace, RevocationDelay: o.ApplyBound,
-		MaxColdPerSecond: o.ColdRate*o.ColdOvershoot*(1+jam.Seconds()) + o.ColdSlack,
+		MaxColdPerSecond: o.ColdRate*o.ColdOvershoot*(1+maxRequestDelay.Seconds()) + o.ColdSlack,
 	}
 }
 
-// crashesAbove is the number of requests in a second above which a cold instance crashes; 0 for
-// never.
-func (o Options) crashesAbove() float64 {
+// coldCrashRate returns the number of requests in a second above which a cold instance crashes; 0
+// disables these crashes.
+func (o Options) coldCrashRate() float64 {
 	if o.ColdRate == 0 {
 		return 0
 	}
-	return crashFactor*o.ColdRate + o.ColdSlack
+	return coldCrashFactor*o.ColdRate + o.ColdSlack
 }
 
 func (o Options) region(zone string) string {
@@ -326,16 +330,17 @@
 	return defaultRegion
 }
 
-// Placement is one machine of a service in a zone.
+// Placement is the zone and the service of one machine.
 type Placement struct{ Zone, Service string }
 
-// DefaultOptions is a small site of two services in three zones, with short times.
+// DefaultOptions returns the options of a small site with two services in three zones and short
+// timeouts.
 func DefaultOptions() Options {
 	return Options{
 		Machines: []Placement{
 			{"a", "desk"}, {"b", "desk"}, {"c", "desk"}, {"a", "yard"}, {"b", "yard"}, {"c", "yard"},
 		},
-		Slots: 6, ServiceTime: 10 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, ColdFor: 300 * time.Millisecond,
+		Slots: 6, ServiceTime: 10 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, ColdDuration: 300 * time.Millisecond,
 		Contact: 1500 * time.Millisecond, ApplyBound: time.Second, Grace: 4 * time.Second, DrainBound: time.Second,
 		ReadsPerSecond: 2000, WritesPerSecond: 400, Logger: logr.Discard(), DecisionLines: 200, Seed: 1,
 	}
--- a/internal/lab/emulator/day/operator.go
+++ b/internal/lab/emulator/day/operator.go
@@ -7,13 +7,13 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Route is a route as the operator declares it.
+// Route is a route in the operator's configuration.
 type Route struct {
 	Name, Host, Prefix, Kind, Service string
 	TimeoutMillis, TargetMillis       uint32
 	Priority, Attempts                uint32
 	Split                             []platform.Backend
-	// Regions are those in which its requests may run; empty for all.
+	// Regions are the regions in which the route's requests may run; empty for all.
 	Regions []string
 	// Public routes need no API key.
 	Public bool
@@ -43,16 +43,16 @@
 	return config
 }
 
-// addColdRates states of all services how instances start cold.
+// addColdRates adds the slow start time and the cold rate to all services of a configuration.
 func addColdRates(config *platform.Config, options Options) {
 	config.Services.Columns = append(config.Services.Columns, platform.ColumnColdStart, platform.ColumnColdRate)
-	cold := row(options.ColdFor.Seconds(), options.ColdRate)
+	cold := row(options.ColdDuration.Seconds(), options.ColdRate)
 	for index, service := range config.Services.Rows {
 		config.Services.Rows[index] = append(service, cold...)
 	}
 }
 
-// row encodes values; what cannot be encoded is left out.
+// row encodes the values of a table row as JSON. A value that cannot be encoded becomes null.
 func row(values ...any) []json.RawMessage {
 	encoded := make([]json.RawMessage, 0, len(values))
 	for _, value := range values {
--- a/internal/lab/emulator/day/pipelining_test.go
+++ b/internal/lab/emulator/day/pipelining_test.go
@@ -11,18 +11,18 @@
 	"github.com/lapisvane/lapisvane/internal/lab/emulator/instance"
 )
 
-// Clients that send ahead, reads with an order between them, get what they asked
-// for, once, whatever happens to instances and daemons meanwhile.
+// Pipelined requests, reads with an order between them, run as promised and receive their own answers
+// during faults of instances and daemons.
 func TestRequestsSentAheadKeepPromises(t *testing.T) {
 	for name, disturb := range map[string]func(t *testing.T, site *day.Site){
 		"undisturbed": func(*testing.T, *day.Site) {},
-		"answers cut off": func(_ *testing.T, site *day.Site) {
+		"truncated answers": func(_ *testing.T, site *day.Site) {
 			site.Machines[0].Instance().Set(instance.Behaviour{TruncatedShare: 0.3})
 		},
-		"answers without length reset on the way": func(_ *testing.T, site *day.Site) {
+		"answers without length and with a reset": func(_ *testing.T, site *day.Site) {
 			site.Machines[0].Instance().Set(instance.Behaviour{UnframedResetShare: 0.3})
 		},
-		"a second answer": func(_ *testing.T, site *day.Site) {
+		"duplicate answers": func(_ *testing.T, site *day.Site) {
 			site.Machines[0].Instance().Set(instance.Behaviour{DuplicateShare: 0.4})
 		},
 		"daemons stopped in turn": func(t *testing.T, site *day.Site) {
@@ -37,8 +37,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			place(t)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			acquireSite(t)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			site, err := day.Start(ctx, day.DefaultOptions(), routes)
 			assert.NilError(t, err)
@@ -57,7 +57,7 @@
 			awaitServed(t, tally, 150)
 			endLoad()
 			<-done
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
--- a/internal/lab/emulator/day/play.go
+++ b/internal/lab/emulator/day/play.go
@@ -16,10 +16,10 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// FaultKind names a disturbance.
+// FaultKind is the name of a kind of fault.
 type FaultKind string
 
-// The disturbances of a day.
+// The kinds of faults that a day can inject.
 const (
 	FaultDaemonKill      FaultKind = "daemon-kill"
 	FaultDaemonStop      FaultKind = "daemon-stop"
@@ -43,12 +43,12 @@
 	FaultZoneEmptiedCold FaultKind = "zone-evacuated-back-cold"
 	FaultZoneCold        FaultKind = "zone-restarted-cold"
 	FaultInstanceHangs   FaultKind = "instance-hangs-when-full"
-	// FaultPoisonRequest is a request under which each instance that runs it crashes, sent again
-	// and again.
+	// FaultPoisonRequest repeatedly sends a poison request, under which each instance that runs it
+	// crashes.
 	FaultPoisonRequest FaultKind = "deadly-request"
 )
 
-// FaultKinds lists all disturbances.
+// FaultKinds lists all kinds of faults.
 var FaultKinds = []FaultKind{
 	FaultDaemonKill, FaultDaemonStop, FaultHerdKill, FaultInstanceCrash, FaultInstanceRelease, FaultInstanceSlow,
 	FaultAnswersLost, FaultAnswersSpoiled, FaultAnswersFail, FaultIdleForgotten, FaultStoreDown, FaultStoreSilent, FaultStoreSlow, FaultStoreForgets, FaultStoreRefuses, FaultStoreIgnores,
@@ -56,34 +56,34 @@
 	FaultPoisonRequest,
 }
 
-// Fault is one disturbance of a day.
+// Fault is one fault of a day.
 type Fault struct {
 	Kind FaultKind
-	// At is the time from the start of the day, For how long it lasts.
+	// At is the time from the start of the day to the fault, For the duration of the fault.
 	At, For time.Duration
 }
 
-// Plan is a day.
+// Plan describes a day: a site, its load and the faults that are injected.
 type Plan struct {
 	Options Options
 	Routes  []Route
 	Classes []client.Class
 	Bursts  []client.Burst
 	Length  time.Duration
-	// ChangeEvery is the time between two configurations; 0 for none.
-	ChangeEvery time.Duration
-	Faults      []Fault
-	// ApplyBound is the time in which a configuration must be in force on every
-	// daemon that runs undisturbed.
+	// ChangeInterval is the time between two configuration changes; 0 disables the changes.
+	ChangeInterval time.Duration
+	Faults         []Fault
+	// ApplyBound is the time within which a configuration must be in force on every daemon that no
+	// fault affects.
 	ApplyBound time.Duration
 }
 
-// Summary is the outcome of a day.
+// Summary is the result of a day.
 type Summary struct {
 	Served, Refused, Failed int64
 	LatencyP50, LatencyP99  time.Duration
-	// Convergence is the longest time until a configuration was in force on
-	// every daemon, over the changes after which that was waited for.
+	// Convergence is the maximum time until a configuration was in force on every daemon, among the
+	// changes that were in force within Plan.ApplyBound.
 	Convergence time.Duration
 	Changes     int
 	Repeats     int
@@ -93,8 +93,9 @@
 	Breaches    []promise.Breach
 }
 
-// Draw returns so many faults at random times, which the seed decides.
-func Draw(seed uint64, kinds []FaultKind, count int, length time.Duration) []Fault {
+// DrawFaults returns count random faults of the given kinds within a day of the given length. The seed
+// determines the result.
+func DrawFaults(seed uint64, kinds []FaultKind, count int, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 7))
 	faults := make([]Fault, 0, count)
 	for range count {
@@ -107,7 +108,7 @@
 	return faults
 }
 
-// Play plays a day.
+// Play runs a day: it starts the site, applies load and faults, and returns the summary.
 func Play(ctx context.Context, plan Plan) (Summary, error) {
 	site, err := Start(ctx, plan.Options, plan.Routes)
 	if site != nil {
@@ -116,16 +117,16 @@
 	if err != nil {
 		return Summary{}, err
 	}
-	play := &play{site: site, plan: plan, tally: client.NewTally(), zoneFaults: map[string]*sync.Mutex{}}
+	play := &play{site: site, plan: plan, tally: client.NewTally(), zoneFaultMutexes: map[string]*sync.Mutex{}}
 	for _, zone := range site.Zones() {
-		play.zoneFaults[zone] = &sync.Mutex{}
+		play.zoneFaultMutexes[zone] = &sync.Mutex{}
 	}
 	dayCtx, end := context.WithTimeout(ctx, plan.Length)
 	defer end()
 	load := &client.Load{Classes: plan.Classes, Bursts: plan.Bursts, Targets: site.Targets(), Ledger: site.Ledger, Tally: play.tally, Seed: plan.Options.Seed}
 	var running sync.WaitGroup
 	running.Go(func() { load.Run(dayCtx) })
-	running.Go(func() { play.change(dayCtx) })
+	running.Go(func() { play.changeConfigurations(dayCtx) })
 	for index, fault := range plan.Faults {
 		random := rand.New(rand.NewPCG(plan.Options.Seed, uint64(index)))
 		running.Go(func() {
@@ -138,31 +139,31 @@
 	return play.finish(ctx)
 }
 
-// play is a day that is being played.
+// play is a running day.
 type play struct {
 	site  *Site
 	plan  Plan
 	tally *client.Tally
 
-	// poisonSent counts the poison requests.
+	// poisonSent is the number of poison requests sent.
 	poisonSent atomic.Int64
-	// storeFault is held by the one fault of the store that is in force.
-	storeFault sync.Mutex
-	// zoneFaults are held by the one fault of a zone that is in force.
-	zoneFaults map[string]*sync.Mutex
+	// storeFaultMutex is held while a fault of the store is active.
+	storeFaultMutex sync.Mutex
+	// zoneFaultMutexes are held while a fault of the zone is active, by zone.
+	zoneFaultMutexes map[string]*sync.Mutex
 	// mutex protects everything below.
 	mutex       sync.Mutex
 	convergence time.Duration
 	changes     int
-	cut         int64
+	cutCalls    int64
 	err         error
 }
 
-func (p *play) change(ctx context.Context) {
-	for p.plan.ChangeEvery > 0 && sleep.For(ctx, p.plan.ChangeEvery) {
+func (p *play) changeConfigurations(ctx context.Context) {
+	for p.plan.ChangeInterval > 0 && sleep.For(ctx, p.plan.ChangeInterval) {
 		started := time.Now()
 		version, err := p.site.Declare(p.plan.Routes)
-		p.note(err)
+		p.recordError(err)
 		waitCtx, cancel := context.WithTimeout(ctx, p.plan.ApplyBound)
 		if p.site.AwaitInForce(waitCtx, version) == nil {
 			p.mutex.Lock()
@@ -176,7 +177,7 @@
 	}
 }
 
-func (p *play) note(err error) {
+func (p *play) recordError(err error) {
 	if err == nil {
 		return
 	}
@@ -191,25 +192,25 @@
 	machine := p.site.Machines[random.IntN(len(p.site.Machines))]
 	switch fault.Kind {
 	case FaultDaemonKill:
-		p.note(machine.Kill(fault.For / 4))
+		p.recordError(machine.Kill(fault.For / 4))
 		p.site.Ledger.DaemonsDisturbed(time.Now())
 	case FaultDaemonStop:
 		cut, err := machine.Roll(fault.For / 4)
 		p.mutex.Lock()
-		p.cut += cut
+		p.cutCalls += cut
 		p.mutex.Unlock()
-		p.note(err)
+		p.recordError(err)
 		p.site.Ledger.DaemonsDisturbed(time.Now())
 	case FaultHerdKill:
 		p.killHalf(fault.For / 4)
 		p.site.Ledger.DaemonsDisturbed(time.Now())
 	case FaultInstanceCrash:
-		p.note(machine.Restart(fault.For / 4))
+		p.recordError(machine.Restart(fault.For / 4))
 	case FaultInstanceRelease:
 		_, err := machine.Release(ctx, p.plan.Options.DrainBound*3/2, random.IntN(3) == 0)
-		p.note(err)
+		p.recordError(err)
 	case FaultConfigStorm:
-		p.storm(ctx, fault.For)
+		p.declareRepeatedly(ctx, fault.For)
 	case FaultPoisonRequest:
 		p.sendPoison(ctx, random)
 	case FaultZoneEvacuated, FaultZoneEmptiedCold, FaultZoneCold:
@@ -223,15 +224,15 @@
 	}
 }
 
-// poisonPause is the time between two sends of a poison request.
-const poisonPause = 200 * time.Millisecond
+// poisonInterval is the time between two sends of a poison request.
+const poisonInterval = 200 * time.Millisecond
 
-// sendPoison sends a poison request to one machine after the other, until the day ends.
+// sendPoison sends one kind of poison request to random machines until the day ends.
 func (p *play) sendPoison(ctx context.Context, random *rand.Rand) {
 	requests := PoisonRequests()
 	names := slices.Sorted(maps.Keys(requests))
 	poison := requests[names[random.IntN(len(names))]]
-	for sleep.For(ctx, poisonPause) {
+	for sleep.For(ctx, poisonInterval) {
 		machine := p.site.Machines[random.IntN(len(p.site.Machines))]
 		if machine.Caller() != "" {
 			poison.Send(ctx, p.site, machine, int(p.poisonSent.Add(1)))
@@ -258,20 +259,20 @@
 	}
 }
 
-// injectStoreFault puts one fault of the store in force for its time; one at a time, since they
-// replace each other.
+// injectStoreFault injects a fault of the store for the fault's duration. Only one is active at a time,
+// since Server.SetFaults replaces the previous faults.
 func (p *play) injectStoreFault(ctx context.Context, fault Fault, random *rand.Rand) {
-	p.storeFault.Lock()
-	defer p.storeFault.Unlock()
-	if hidesOrders(fault.Kind) {
+	p.storeFaultMutex.Lock()
+	defer p.storeFaultMutex.Unlock()
+	if blocksOrders(fault.Kind) {
 		p.site.Ledger.StoreUnavailable()
 		defer func() { p.site.Ledger.StoreAvailable(time.Now().Add(p.plan.Options.Contact)) }()
 	}
 	switch fault.Kind {
 	case FaultStoreRefuses:
-		p.site.FailStoreFor(objectstore.Faults{Down: true}, p.half(random)...)
+		p.site.FailStoreFor(objectstore.Faults{Down: true}, p.randomHalf(random)...)
 	case FaultStoreIgnores:
-		p.site.FailStoreFor(objectstore.Faults{Silent: true}, p.half(random)...)
+		p.site.FailStoreFor(objectstore.Faults{Silent: true}, p.randomHalf(random)...)
 	case FaultStoreForgets:
 		p.site.Store.SetFaults(objectstore.Faults{FreezeWatches: true})
 		sleep.For(ctx, fault.For/4)
@@ -291,35 +292,35 @@
 	p.site.Store.SetFaults(objectstore.Faults{})
 }
 
-// hidesOrders reports whether daemons cannot hear of orders under a fault of the
-// store, not even from each other.
-func hidesOrders(kind FaultKind) bool {
+// blocksOrders reports whether a fault of the store prevents all daemons from receiving orders, so that
+// they cannot pass them on to each other either.
+func blocksOrders(kind FaultKind) bool {
 	return kind == FaultStoreDown || kind == FaultStoreSilent || kind == FaultStoreForgets
 }
 
-// coldAhead is how long before the end of its evacuation a zone turns cold: two heartbeats of the
-// default day.
-const coldAhead = 400 * time.Millisecond
+// coldLeadTime is the time between the moment at which a zone becomes cold and the end of its
+// evacuation. It is two heartbeat intervals of DefaultOptions, in which daemons learn of the slow start.
+const coldLeadTime = 400 * time.Millisecond
 
-// injectZoneFault carries out one fault of a zone; one at a time is in force there. An
-// evacuation lasts for the fault's time beyond its bound, so that it is checked.
+// injectZoneFault injects a fault of a zone, one at a time per zone. An evacuation lasts for its bound
+// plus the fault's duration, so that deliveries after the bound are checked.
 func (p *play) injectZoneFault(ctx context.Context, fault Fault, zone string) {
-	p.zoneFaults[zone].Lock()
-	defer p.zoneFaults[zone].Unlock()
+	p.zoneFaultMutexes[zone].Lock()
+	defer p.zoneFaultMutexes[zone].Unlock()
 	if fault.Kind == FaultZoneCold {
-		p.note(p.site.RestartZone(zone, fault.For/4))
+		p.recordError(p.site.RestartZone(zone, fault.For/4))
 		return
 	}
-	p.note(p.site.Evacuate(zone))
+	p.recordError(p.site.Evacuate(zone))
 	defer p.site.EndEvacuation(zone)
 	sleep.For(ctx, p.plan.Options.EvacuationBound+fault.For)
 	if fault.Kind == FaultZoneEmptiedCold {
 		p.site.MakeCold(zone)
-		sleep.For(ctx, coldAhead)
+		sleep.For(ctx, coldLeadTime)
 	}
 }
 
-func (p *play) half(random *rand.Rand) []*Machine {
+func (p *play) randomHalf(random *rand.Rand) []*Machine {
 	machines := slices.Clone(p.site.Machines)
 	random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 	return machines[:(len(machines)+1)/2]
@@ -329,43 +330,43 @@
 	var kills sync.WaitGroup
 	for index, machine := range p.site.Machines {
 		if index%2 == 0 {
-			kills.Go(func() { p.note(machine.Kill(down)) })
+			kills.Go(func() { p.recordError(machine.Kill(down)) })
 		}
 	}
 	kills.Wait()
 }
 
-func (p *play) storm(ctx context.Context, length time.Duration) {
+func (p *play) declareRepeatedly(ctx context.Context, length time.Duration) {
 	end := time.Now().Add(length)
 	for time.Now().Before(end) && sleep.For(ctx, 20*time.Millisecond) {
 		_, err := p.site.Declare(p.plan.Routes)
-		p.note(err)
+		p.recordError(err)
 	}
 }
 
-// finish waits until the last configuration is in force everywhere, checks what must hold then, and
-// sums up.
+// finish waits until a last configuration is in force on all daemons, checks the promises that concern
+// the whole day, and returns the summary.
 func (p *play) finish(ctx context.Context) (Summary, error) {
 	p.site.Store.SetFaults(objectstore.Faults{})
 	version, err := p.site.Declare(p.plan.Routes)
-	p.note(err)
+	p.recordError(err)
 	restCtx, cancel := context.WithTimeout(ctx, p.plan.ApplyBound+p.plan.Options.Contact)
 	defer cancel()
 	if p.site.AwaitInForce(restCtx, version) != nil {
-		p.site.Ledger.Record(promise.Config, "", "a version is not in force everywhere after the day")
+		p.site.Ledger.Record(promise.Config, "", "the last configuration is not in force on all daemons after the day")
 	}
 	requests, repeats := p.site.Ledger.Repeats()
 	if float64(repeats) > 0.2*float64(requests)+64 {
 		p.site.Ledger.Record(promise.Budget, "", "more repeats than the budget allows")
 	}
 	coldCrashes, err := p.site.ColdCrashes()
-	p.note(err)
+	p.recordError(err)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return Summary{
 		Served: p.tally.Served.Load(), Refused: p.tally.Refused.Load(), Failed: p.tally.Failed.Load(),
 		LatencyP50: p.tally.Latency(50), LatencyP99: p.tally.Latency(99),
-		Convergence: p.convergence, Changes: p.changes, Repeats: repeats, CutAtStops: p.cut, ColdCrashes: coldCrashes,
+		Convergence: p.convergence, Changes: p.changes, Repeats: repeats, CutAtStops: p.cutCalls, ColdCrashes: coldCrashes,
 		Breaches: p.site.Ledger.Breaches(),
 	}, p.err
 }
--- a/internal/lab/emulator/day/poison.go
+++ b/internal/lab/emulator/day/poison.go
@@ -13,8 +13,8 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// poisonWait is how long the client of a poison request waits.
-const poisonWait = 2 * time.Second
+// poisonTimeout is the deadline of a poison request.
+const poisonTimeout = 2 * time.Second
 
 // PoisonRequest is a request under which each instance that runs it crashes.
 type PoisonRequest struct {
@@ -22,12 +22,13 @@
 	service            string
 	safe               bool
 	body               []byte
-	// callPath makes the instance that runs it make a call, which is the poison request then.
+	// callPath is the path of a call that the instance makes while it runs the request. The call is
+	// then the poison request.
 	callPath string
 }
 
-// PoisonRequests returns one of each kind by name: a read, an order, an upload that is forwarded in
-// parts, and a read whose instance makes a call that is poison.
+// PoisonRequests returns one poison request of each kind, by name: a read, an order, an upload that is
+// forwarded in parts, and a read whose instance makes a poison call.
 func PoisonRequests() map[string]PoisonRequest {
 	requests := map[string]PoisonRequest{}
 	for _, request := range []PoisonRequest{
@@ -41,13 +42,13 @@
 	return requests
 }
 
-// Send sends the request to a machine's daemon, under an id of its own, and returns the
-// answer, nil for none.
+// Send sends the request to a machine's daemon and returns the answer, nil for none. number makes the
+// request id unique.
 func (p PoisonRequest) Send(ctx context.Context, site *Site, machine *Machine, number int) *http.Response {
 	id := fmt.Sprintf("deadly-%s-%d", p.Name, number)
 	sent := promise.Request{ID: id, Safe: p.safe, BodyDigest: promise.DigestOf(p.body), Caller: machine.Service, SentAt: time.Now(), Services: map[string]bool{p.service: true}}
 	site.Ledger.Sent(sent)
-	ctx, cancel := context.WithTimeout(ctx, poisonWait)
+	ctx, cancel := context.WithTimeout(ctx, poisonTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, p.method, "http://"+machine.Caller()+p.path, bytes.NewReader(p.body))
 	if err != nil {
@@ -55,7 +56,7 @@
 	}
 	request.Host = standardHost
 	request.Header.Set(platform.HeaderRequestID, id)
-	request.Header.Set(platform.HeaderDeadline, fmt.Sprint(poisonWait.Milliseconds()))
+	request.Header.Set(platform.HeaderDeadline, fmt.Sprint(poisonTimeout.Milliseconds()))
 	if p.callPath == "" {
 		request.Header.Set(instance.HeaderCrash, p.Name)
 	} else {
--- a/internal/lab/emulator/day/poison_test.go
+++ b/internal/lab/emulator/day/poison_test.go
@@ -18,8 +18,8 @@
 
 var poisonRequests = day.PoisonRequests()
 
-// sendAll sends the request so often, to one daemon after the other, with a pause after
-// each in which instances come back.
+// sendAll sends the request count times, to the daemons in turn, and returns the last answer. Between
+// two sends it waits for instances to restart.
 func sendAll(t *testing.T, site *day.Site, poison day.PoisonRequest, first, count int) (last *http.Response) {
 	t.Helper()
 	for number := range count {
@@ -29,8 +29,8 @@
 	return last
 }
 
-// A request that ends each instance which runs it comes again and again, at any daemon.
-// Once three instances have ended it reaches hardly any more.
+// A poison request that is sent repeatedly to all daemons is held back. After three instances have
+// crashed, the ledger tolerates only few further deliveries.
 func TestRequestThatEndsInstancesIsStopped(t *testing.T) {
 	for name, poison := range poisonRequests {
 		t.Run(name, func(t *testing.T) {
@@ -39,36 +39,37 @@
 			sendAll(t, site, poison, 0, 24)
 			stop()
 			assert.Assert(t, site.Ledger.CrashesUnder(name) >= 1)
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
 
-// Once it is known, it stays so past the end of all daemons at once, and is refused at
-// once with the time after which it may come back.
+// A quarantine outlasts the simultaneous end of all daemons. The poison request is then refused
+// immediately, with a Retry-After header.
 func TestWhatEndsInstancesIsRememberedPastAllDaemons(t *testing.T) {
 	site, tally, stop := start(t)
 	poison := poisonRequests["read"]
 	awaitServed(t, tally, 50)
 	sent := sendUntilStored(t, site, poison)
 	killAll(t, site)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	assert.NilError(t, site.AwaitReady(ctx))
 	awaitServed(t, tally, 50)
 	awaitQuarantined(t, site)
-	ended := site.Ledger.CrashesUnder("read")
+	crashes := site.Ledger.CrashesUnder("read")
 	last := sendAll(t, site, poison, sent, 12)
 	stop()
-	assert.Equal(t, site.Ledger.CrashesUnder("read"), ended)
+	assert.Equal(t, site.Ledger.CrashesUnder("read"), crashes)
 	assert.Equal(t, last.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, last.Header.Get("Retry-After") != "")
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
-// sendUntilStored sends the request to one daemon after the other until the store has what ended three
-// instances, with a request of each calling service among them: it is quarantined for those alone, and
-// an overloaded daemon refuses it before any instance gets it. It returns how often it was sent.
+// sendUntilStored sends the request to the daemons in turn until the store has a record of three
+// crashes that includes each calling service, and returns the number of sends. A request is quarantined
+// only for the services in the record. Repeated rounds are needed, since an overloaded daemon refuses
+// the request before any instance receives it.
 func sendUntilStored(t *testing.T, site *day.Site, poison day.PoisonRequest) (sent int) {
 	t.Helper()
 	adapter := platform.New(site.Store.Address(), logr.Discard())
@@ -77,7 +78,7 @@
 	for _, machine := range site.Machines {
 		services[machine.Service] = true
 	}
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
 		sendAll(t, site, poison, sent, len(site.Machines))
 		sent += len(site.Machines)
 		records, err := adapter.Quarantine().Load(t.Context())
@@ -88,11 +89,11 @@
 			return sent
 		}
 	}
-	t.Fatal("three ends with each calling service among them are not stored")
+	t.Fatal("no stored record has three crashes and each calling service")
 	return sent
 }
 
-// callersOf returns the services that had a request in flight when an instance ended.
+// callersOf returns the services that had a request in flight when an instance crashed.
 func callersOf(record quarantine.Record) map[string]bool {
 	callers := map[string]bool{}
 	for _, crash := range record.Crashes {
@@ -101,15 +102,15 @@
 	return callers
 }
 
-// awaitQuarantined waits until all daemons hold it back.
+// awaitQuarantined waits until all daemons quarantine a request.
 func awaitQuarantined(t *testing.T, site *day.Site) {
 	t.Helper()
-	await(t, "all daemons hold it back", func() bool {
+	await(t, "all daemons quarantine the request", func() bool {
 		return !slices.ContainsFunc(site.Machines, func(machine *day.Machine) bool { return machine.Daemon().Quarantined() == 0 })
 	})
 }
 
-// killAll ends all daemons at the same moment and starts them again.
+// killAll kills all daemons at the same time and restarts them.
 func killAll(t *testing.T, site *day.Site) {
 	t.Helper()
 	var killing sync.WaitGroup
@@ -120,8 +121,8 @@
 	site.Ledger.DaemonsDisturbed(time.Now())
 }
 
-// All requests of a class ask for the same, and some are in flight whenever an instance
-// ends; they are answered elsewhere, and go on being served.
+// Other requests are served despite a poison request. The requests of a class are identical, and some
+// are in flight whenever an instance crashes; they must not be quarantined for that.
 func TestOthersAreServedBesideWhatEndsInstances(t *testing.T) {
 	site, tally, stop := start(t)
 	poison := poisonRequests["read"]
@@ -132,9 +133,9 @@
 	}
 	awaitServed(t, tally, 300)
 	for _, machine := range site.Machines {
-		beside := machine.Daemon().Quarantined()
-		assert.Assert(t, beside <= 1, "%s holds %d back", machine.Name, beside)
+		quarantined := machine.Daemon().Quarantined()
+		assert.Assert(t, quarantined <= 1, "%s quarantines %d requests", machine.Name, quarantined)
 	}
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
--- a/internal/lab/emulator/day/process.go
+++ b/internal/lab/emulator/day/process.go
@@ -8,59 +8,60 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// Process is one running daemon of a machine. Its methods are safe for concurrent use.
+// Process is a running daemon of a machine. Its methods are safe for concurrent use.
 type Process interface {
-	// Addresses are where the daemon listens.
+	// Addresses returns the listen addresses of the daemon.
 	Addresses() daemon.Addresses
-	// Revision is the configuration revision in force, 0 before the first.
+	// Revision returns the configuration revision in force, 0 before the first.
 	Revision() uint64
-	// ReadyEndpoints is the number of ready instances of a service that the daemon knows.
+	// ReadyEndpoints returns the number of ready instances of a service that the daemon knows.
 	ReadyEndpoints(service string) int
-	// Quarantined is the number of requests that are quarantined, by fingerprint.
+	// Quarantined returns the number of request fingerprints that the daemon quarantines.
 	Quarantined() int
 	// Evacuated reports whether the daemon follows an order to evacuate a zone.
 	Evacuated(zone string) bool
-	// Stop asks for a planned stop and Kill ends the daemon at once; neither waits for the end.
+	// Stop begins a planned stop, and Kill ends the daemon immediately. Neither waits for the end.
 	Stop()
 	Kill()
-	// Ended is closed once the daemon has ended; Cut is then the number of calls that it cut.
+	// Ended returns a channel that is closed once the daemon has ended. After that, Cut returns the
+	// number of calls that the daemon cut at its end.
 	Ended() <-chan struct{}
 	Cut() int64
 }
 
-// Launch starts a daemon with checked settings.
+// Launch starts a daemon with validated settings.
 type Launch func(config *settings.Daemon, logger logr.Logger) (Process, error)
 
-// embedded is a daemon in the process that plays the day.
-type embedded struct {
+// embeddedProcess is a daemon that runs in the current process.
+type embeddedProcess struct {
 	*daemon.Daemon
 	stop, force, ended chan struct{}
-	cut                int64
+	cutCalls           int64
 }
 
-// launchEmbedded is the Launch of a site that names none.
+// launchEmbedded is the default Launch. It runs the daemon in the current process.
 func launchEmbedded(config *settings.Daemon, logger logr.Logger) (Process, error) {
 	adapter := platform.New(config.Platform.Addresses[0], logger)
 	started, err := daemon.New(config, daemon.Options{Logger: logger, Platform: adapter, KilledByForce: true})
 	if err != nil {
 		return nil, err
 	}
-	process := &embedded{Daemon: started, stop: make(chan struct{}), force: make(chan struct{}), ended: make(chan struct{})}
+	process := &embeddedProcess{Daemon: started, stop: make(chan struct{}), force: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
 		defer close(process.ended)
-		process.cut = started.Run(process.stop, process.force)
+		process.cutCalls = started.Run(process.stop, process.force)
 	}()
 	return process, nil
 }
 
 // Stop implements Process.
-func (e *embedded) Stop() { close(e.stop) }
+func (e *embeddedProcess) Stop() { close(e.stop) }
 
 // Kill implements Process.
-func (e *embedded) Kill() { close(e.force) }
+func (e *embeddedProcess) Kill() { close(e.force) }
 
 // Ended implements Process.
-func (e *embedded) Ended() <-chan struct{} { return e.ended }
+func (e *embeddedProcess) Ended() <-chan struct{} { return e.ended }
 
 // Cut implements Process.
-func (e *embedded) Cut() int64 { return e.cut }
+func (e *embeddedProcess) Cut() int64 { return e.cutCalls }
--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -1,11 +1,11 @@
-// Package day plays days on an emulated platform: machines with daemons and instances, a
-// store, an operator and clients, disturbed at set times. Daemons run in the process that
-// plays the day; all connections are on loopback.
+// Package day runs simulated days on an emulated platform: machines with daemons and instances, a
+// metadata store, an operator and clients, with faults that are injected at planned times. By default
+// the daemons run in the current process. All connections use loopback addresses.
 //
-// It owns everything that a Site starts and ends it with Close. A day follows from its seed: load,
-// faults and their times are drawn from it, so that a seed that once failed is played again; what
-// the processors do meanwhile is not. It relies on packages client, instance, objectstore and
-// promise, and runs the product's daemon with its adapter unchanged.
+// A Site owns everything that it starts, until Close. The load, the faults and their times are derived
+// from the day's seed, so that a failed seed can be repeated; the scheduling of goroutines is not
+// reproducible. The package uses packages client, instance, objectstore and promise, and runs the
+// unmodified daemon with its platform adapter.
 package day
 
 import (
@@ -30,22 +30,22 @@
 	Ledger   *promise.Ledger
 
 	options Options
-	// mutex protects everything below; version is the newest configuration's.
+	// mutex protects everything below. version is the version of the newest configuration.
 	mutex   sync.Mutex
 	version uint64
-	// declared is the newest configuration, of the routes and the accounts declared last.
-	declared platform.Config
-	routes   []Route
-	accounts []Account
-	// coldCrashes counts the instances that crashed in slow start; restartFailure holds the errors
-	// of restarts after a crash.
-	coldCrashes    int
-	restartFailure error
-	closed         bool
+	// declaredConfig is the newest configuration. routes and accounts are those that it contains.
+	declaredConfig platform.Config
+	routes         []Route
+	accounts       []Account
+	// coldCrashes counts the instances that crashed in slow start. restartErrors joins the errors of
+	// restarts after a crash.
+	coldCrashes   int
+	restartErrors error
+	closed        bool
 }
 
-// Start starts a site whose operator has declared the given routes, and waits
-// until all daemons are ready.
+// Start starts a site with a configuration of the given routes and waits until all daemons are ready.
+// After an error the returned site may be partially started and must be closed unless it is nil.
 func Start(ctx context.Context, options Options, routes []Route) (*Site, error) {
 	store, err := objectstore.Start(objectstore.Options{
 		Address: "127.0.0.1:0", ReadsPerSecond: options.ReadsPerSecond, WritesPerSecond: options.WritesPerSecond, Seed: options.Seed,
@@ -62,7 +62,7 @@
 			Name: fmt.Sprintf("machine-%s-%d", placement.Zone, index+1), Zone: placement.Zone, Service: placement.Service, site: site, host: newHost(),
 		}
 		site.Machines = append(site.Machines, machine)
-		if machine.store, err = store.ListenAlso("127.0.0.1:0"); err != nil {
+		if machine.storeAddress, err = store.ListenAlso("127.0.0.1:0"); err != nil {
 			return site, err
 		}
 		if err := machine.start(); err != nil {
@@ -75,7 +75,7 @@
 	return site, site.AwaitReady(ctx)
 }
 
-// Close ends everything at once.
+// Close ends all daemons and instances and the store immediately.
 func (s *Site) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -90,15 +90,15 @@
 	s.Store.Close()
 }
 
-// Contact returns the time in which all daemons know what one of them does.
+// Contact returns the time after which all daemons know what one of them knows.
 func (s *Site) Contact() time.Duration { return s.options.Contact }
 
-// FailStoreFor puts faults of the store in force for some machines, while it
-// serves the others and the operator.
+// FailStoreFor injects faults of the store for some machines, while the store serves the other machines
+// and the operator.
 func (s *Site) FailStoreFor(faults objectstore.Faults, machines ...*Machine) {
 	faults.Addresses = map[string]bool{}
 	for _, machine := range machines {
-		faults.Addresses[machine.store] = true
+		faults.Addresses[machine.storeAddress] = true
 	}
 	s.Store.SetFaults(faults)
 }
@@ -115,17 +115,17 @@
 	return services
 }
 
-// Declare writes a configuration as the operator does and returns its version.
-// Versions climb in uneven steps.
+// Declare writes a configuration with the given routes in place of the operator, and returns its
+// version. Versions increase in uneven steps.
 func (s *Site) Declare(routes []Route) (version uint64, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.routes = routes
-	return s.declare()
+	return s.declareLocked()
 }
 
-// declare writes the newest configuration; the caller holds mutex.
-func (s *Site) declare() (version uint64, err error) {
+// declareLocked writes the next version of the configuration. The caller holds mutex.
+func (s *Site) declareLocked() (version uint64, err error) {
 	s.version += 1 + s.version%3
 	config := Config(s.version, s.services(), s.routes)
 	if s.options.ColdRate > 0 {
@@ -134,25 +134,25 @@
 	if s.accounts != nil {
 		addAccounts(&config, s.routes, s.accounts)
 	}
-	s.declared = config
+	s.declaredConfig = config
 	return s.version, s.Store.PutSpec(platform.KindConfig, platform.NameConfig, config)
 }
 
-// knownToEach is the number of instances of a service that each daemon of a large site knows at
-// least: it links to so many daemons in its zone.
-const knownToEach = 6
+// minKnownInstances is the minimum number of instances of a service that each daemon of a large site
+// knows. It is the number of daemons that a daemon links to in its zone.
+const minKnownInstances = 6
 
-// ReturnStore makes the store come back from a copy, and writes again what the operator had written:
-// the newest configuration, under the version that it had.
-func (s *Site) ReturnStore(held *objectstore.Copy) error {
+// ReturnStore restores the store from a snapshot, and writes the newest configuration again with its
+// version, in place of the operator.
+func (s *Site) ReturnStore(snapshot *objectstore.Copy) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.Store.ComeBack(held)
-	return s.Store.PutSpec(platform.KindConfig, platform.NameConfig, s.declared)
+	s.Store.ComeBack(snapshot)
+	return s.Store.PutSpec(platform.KindConfig, platform.NameConfig, s.declaredConfig)
 }
 
-// AwaitReady waits until every daemon is ready and knows every instance; where there are more than
-// knownToEach of a service, so many of them.
+// AwaitReady waits until every daemon is ready and knows every instance. For a service with more than
+// minKnownInstances instances, knowing that many is enough.
 func (s *Site) AwaitReady(ctx context.Context) error {
 	return s.await(ctx, "ready", func() bool {
 		for _, machine := range s.Machines {
@@ -171,11 +171,11 @@
 }
 
 func (s *Site) knowsEnough(running Process, service string) bool {
-	known, all := running.ReadyEndpoints(service), s.count(service)
-	return known == all || all > knownToEach && known >= knownToEach
+	known, all := running.ReadyEndpoints(service), s.instanceCount(service)
+	return known == all || all > minKnownInstances && known >= minKnownInstances
 }
 
-func (s *Site) count(service string) int {
+func (s *Site) instanceCount(service string) int {
 	count := 0
 	for _, machine := range s.Machines {
 		if machine.Service == service {
@@ -185,7 +185,7 @@
 	return count
 }
 
-// AwaitInForce waits until every running daemon has a version in force.
+// AwaitInForce waits until every running daemon has a configuration version in force, or a newer one.
 func (s *Site) AwaitInForce(ctx context.Context, version uint64) error {
 	return s.await(ctx, fmt.Sprintf("version %d in force", version), func() bool {
 		for _, machine := range s.Machines {
@@ -197,16 +197,16 @@
 	})
 }
 
-func (s *Site) await(ctx context.Context, what string, reached func() bool) error {
+func (s *Site) await(ctx context.Context, condition string, reached func() bool) error {
 	for !reached() {
 		if !sleep.For(ctx, pollInterval) {
-			return fmt.Errorf("not reached in time: %s", what)
+			return fmt.Errorf("timed out waiting for condition: %s", condition)
 		}
 	}
 	return nil
 }
 
-// Targets returns the machines that clients' requests start on.
+// Targets returns the machines that clients send requests from.
 func (s *Site) Targets() []client.Target {
 	targets := make([]client.Target, 0, len(s.Machines))
 	for _, machine := range s.Machines {
--- a/internal/lab/emulator/day/sourceleader_test.go
+++ b/internal/lab/emulator/day/sourceleader_test.go
@@ -12,8 +12,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
-// leader returns the machine whose daemon asks the store for all, by the lines: the
-// last that took the lead and did not leave it. nil while there is none.
+// leader returns the machine whose daemon reads the store on behalf of all daemons, nil if there is
+// none. By the log lines it is the last one that took the lead and has not lost it.
 func leader(t *testing.T, site *day.Site, output *lockedBuffer) *day.Machine {
 	t.Helper()
 	var leading []string
@@ -43,7 +43,7 @@
 	return kept
 }
 
-// awaitLeader waits until a machine other than before asks for all.
+// awaitLeader waits until a machine other than before is the leader.
 func awaitLeader(ctx context.Context, t *testing.T, site *day.Site, output *lockedBuffer, before *day.Machine) *day.Machine {
 	t.Helper()
 	for {
@@ -55,15 +55,15 @@
 	}
 }
 
-// Whatever strikes the daemon that asks the store for all, again and again, another
-// one takes over, and each version comes in force everywhere.
+// After each failure of the daemon that reads the store on behalf of all, another daemon takes over, and
+// each version comes into force on all daemons.
 func TestVersionsComeInForceWithoutTheDaemonThatAsks(t *testing.T) {
-	turnedAway := func(faults objectstore.Faults) func(*testing.T, *day.Site, *day.Machine) {
+	rejectedWith := func(faults objectstore.Faults) func(*testing.T, *day.Site, *day.Machine) {
 		return func(_ *testing.T, site *day.Site, machine *day.Machine) { site.FailStoreFor(faults, machine) }
 	}
-	for name, strike := range map[string]func(*testing.T, *day.Site, *day.Machine){
-		"refused": turnedAway(objectstore.Faults{Down: true}),
-		"ignored": turnedAway(objectstore.Faults{Silent: true}),
+	for name, disturb := range map[string]func(*testing.T, *day.Site, *day.Machine){
+		"refused": rejectedWith(objectstore.Faults{Down: true}),
+		"ignored": rejectedWith(objectstore.Faults{Silent: true}),
 		"killed": func(t *testing.T, _ *day.Site, machine *day.Machine) {
 			assert.NilError(t, machine.Kill(50*time.Millisecond))
 		},
@@ -78,19 +78,19 @@
 			options.Logger = logging.New(output, 0)
 			site, tally, stop := startOptions(t, options, routes, day.StandardClasses(1))
 			awaitServed(t, tally, 50)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			var before *day.Machine
 			for range 3 {
 				before = awaitLeader(ctx, t, site, output, before)
-				strike(t, site, before)
+				disturb(t, site, before)
 				version, err := site.Declare(routes)
 				assert.NilError(t, err)
 				assert.NilError(t, site.AwaitInForce(ctx, version))
 			}
 			awaitServed(t, tally, 50)
 			stop()
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
--- a/internal/lab/emulator/day/standard.go
+++ b/internal/lab/emulator/day/standard.go
@@ -7,11 +7,11 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// standardHost is the host of the standard day's requests.
+// standardHost is the host name in the requests of the standard day.
 const standardHost = "shop.example"
 
-// StandardRoutes are those of the standard day: reads that may be repeated and
-// call on, orders that may not, uploads, and the calls of instances.
+// StandardRoutes returns the routes of the standard day: safe reads whose instances make further calls,
+// unsafe orders, uploads, and the calls between instances.
 func StandardRoutes() []Route {
 	return []Route{
 		{Name: "look", Host: standardHost, Prefix: "/look/", Kind: platform.RouteSafe, Service: "desk", TimeoutMillis: 3000, TargetMillis: 300, Priority: 2, Attempts: 2},
@@ -21,7 +21,7 @@
 	}
 }
 
-// StandardClasses are the requests of the standard day at factor times its rate.
+// StandardClasses returns the request classes of the standard day, at factor times the standard rate.
 func StandardClasses(factor float64) []client.Class {
 	return []client.Class{
 		{
@@ -39,7 +39,8 @@
 	}
 }
 
-// StandardBursts are clients that send ahead: reads, and an order between them.
+// StandardBursts returns the pipelined requests of the standard day: bursts of reads, and bursts of
+// reads with an order between them.
 func StandardBursts(factor float64) []client.Burst {
 	classes := StandardClasses(1)
 	look, order := classes[0], classes[1]
@@ -52,19 +53,19 @@
 // regionNorth is the region of two of the three zones of the standard day.
 const regionNorth = "north"
 
-// ZonedOptions is the default site in two regions, whose zones are evacuated and whose
-// instances bear less while they are cold.
+// ZonedOptions returns the default options for a site in two regions, whose zones can be evacuated and
+// whose instances have less capacity while they are cold.
 func ZonedOptions() Options {
 	options := DefaultOptions()
 	options.Regions = map[string]string{"a": regionNorth, "b": regionNorth, "c": "south"}
 	options.EvacuationBound = 2 * time.Second
-	// A third of what an instance gets on the standard day.
+	// A third of the rate at which an instance receives requests on the standard day.
 	options.ColdRate, options.ColdOvershoot, options.ColdSlack = 15, 1.5, 8
-	options.ColdFor = 2 * time.Second
+	options.ColdDuration = 2 * time.Second
 	return options
 }
 
-// ZonedRoutes are the standard ones, and one whose requests stay in one region.
+// ZonedRoutes returns the standard routes and a route that is restricted to one region.
 func ZonedRoutes() []Route {
 	return append(StandardRoutes(), Route{
 		Name: "card", Host: standardHost, Prefix: "/card/", Kind: platform.RouteSafe, Service: "desk",
@@ -72,7 +73,7 @@
 	})
 }
 
-// ZonedClasses are the standard ones, and requests that stay in one region.
+// ZonedClasses returns the standard classes and a class that is restricted to one region.
 func ZonedClasses(factor float64) []client.Class {
 	return append(StandardClasses(factor), client.Class{
 		Name: "card", Host: standardHost, Path: "/card/a", Safe: true, Services: []string{"desk"}, RequestsPerSecond: 20 * factor,
@@ -80,12 +81,13 @@
 	})
 }
 
-// StandardPlan is a day of the given length with faults that the seed draws.
+// StandardPlan returns a day of the given length on a zoned site, with random faults that the seed
+// determines.
 func StandardPlan(seed uint64, length time.Duration, faults int, kinds []FaultKind) Plan {
 	options := ZonedOptions()
 	options.Seed = seed
 	return Plan{
 		Options: options, Routes: ZonedRoutes(), Classes: ZonedClasses(1), Bursts: StandardBursts(1), Length: length,
-		ChangeEvery: 500 * time.Millisecond, Faults: Draw(seed, kinds, faults, length), ApplyBound: 2 * time.Second,
+		ChangeInterval: 500 * time.Millisecond, Faults: DrawFaults(seed, kinds, faults, length), ApplyBound: 2 * time.Second,
 	}
 }
--- a/internal/lab/emulator/day/zone.go
+++ b/internal/lab/emulator/day/zone.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// defaultRegion is that of zones to which the options give none.
+	// defaultRegion is the region of zones that Options.Regions does not contain.
 	defaultRegion = "region"
-	// jam is the time by which requests may be held up on their way, on a busy
-	// machine, and then arrive together with later ones.
-	jam = 250 * time.Millisecond
-	// crashFactor is at how many times its rate, and the slack, a cold instance crashes.
-	crashFactor = 2
-	// restartPause is the time from an instance's crash to its restart.
-	restartPause = 100 * time.Millisecond
+	// maxRequestDelay is the maximum time by which a busy machine delays requests. Delayed requests
+	// arrive together with later ones and so raise the rate at an instance.
+	maxRequestDelay = 250 * time.Millisecond
+	// coldCrashFactor is the multiple of the cold rate, plus the slack, above which a cold instance
+	// crashes.
+	coldCrashFactor = 2
+	// restartDelay is the time between the crash of an instance and its restart.
+	restartDelay = 100 * time.Millisecond
 )
 
-// Evacuate orders that the instances of a zone get no requests. The store has
-// acknowledged the order when it returns.
+// Evacuate writes the order to evacuate a zone, whose instances then receive no more requests. The store
+// has acknowledged the order when Evacuate returns.
 func (s *Site) Evacuate(zone string) error {
 	if err := s.Store.PutSpec(platform.KindEvacuations, zone, struct{}{}); err != nil {
 		return err
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// EndEvacuation withdraws the order of Evacuate.
+// EndEvacuation withdraws the order to evacuate a zone.
 func (s *Site) EndEvacuation(zone string) {
 	s.Ledger.EvacuationEnded(zone)
 	s.Store.Remove(platform.KindEvacuations, zone)
@@ -60,14 +61,15 @@
 	return machines
 }
 
-// MakeCold makes the instances of a zone cold.
+// MakeCold puts the instances of a zone into slow start.
 func (s *Site) MakeCold(zone string) {
 	for _, machine := range s.InZone(zone) {
-		machine.Instance().MakeCold(s.options.ColdFor)
+		machine.Instance().MakeCold(s.options.ColdDuration)
 	}
 }
 
-// RestartZone crashes all instances of a zone at once; others start cold at their addresses.
+// RestartZone crashes all instances of a zone at the same time and restarts them cold after the
+// downtime, at the same addresses.
 func (s *Site) RestartZone(zone string, down time.Duration) error {
 	machines := s.InZone(zone)
 	failures := make([]error, len(machines))
@@ -79,17 +81,17 @@
 	return errors.Join(failures...)
 }
 
-// ColdCrashes returns the number of instances that crashed in slow start, and the errors of all
+// ColdCrashes returns the number of instances that crashed in slow start, and the joined errors of all
 // restarts after a crash.
 func (s *Site) ColdCrashes() (count int, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.coldCrashes, s.restartFailure
+	return s.coldCrashes, s.restartErrors
 }
 
-// noteColdCrash counts an instance that crashes in slow start; it reports false once the site is
+// recordColdCrash counts an instance that crashes in slow start. It reports false once the site is
 // closed.
-func (s *Site) noteColdCrash() bool {
+func (s *Site) recordColdCrash() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.closed {
@@ -98,32 +100,32 @@
 	return !s.closed
 }
 
-func (s *Site) open() bool {
+func (s *Site) isOpen() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return !s.closed
 }
 
-func (s *Site) noteRestart(err error) {
+func (s *Site) recordRestart(err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.restartFailure = errors.Join(s.restartFailure, err)
+	s.restartErrors = errors.Join(s.restartErrors, err)
 }
 
-// crashedCold replaces an instance that crashes in slow start.
-func (m *Machine) crashedCold(crashed *instance.Instance) {
-	m.restart(crashed, m.site.noteColdCrash)
+// restartAfterColdCrash restarts an instance that crashed in slow start.
+func (m *Machine) restartAfterColdCrash(crashed *instance.Instance) {
+	m.restart(crashed, m.site.recordColdCrash)
 }
 
-// restart ends an instance and starts another at its address, unless it has ended already or may
-// reports false.
-func (m *Machine) restart(ended *instance.Instance, may func() bool) {
-	m.instanceLock.Lock()
-	defer m.instanceLock.Unlock()
-	if m.Instance() != ended || !may() {
+// restart ends an instance and starts it again with the same address and id, unless it has already been
+// replaced or allowed reports false.
+func (m *Machine) restart(ended *instance.Instance, allowed func() bool) {
+	m.instanceMutex.Lock()
+	defer m.instanceMutex.Unlock()
+	if m.Instance() != ended || !allowed() {
 		return
 	}
 	ended.Crash()
-	time.Sleep(restartPause)
-	m.site.noteRestart(m.startInstance(m.Service, ended.Address(), ended.ID(), cold))
+	time.Sleep(restartDelay)
+	m.site.recordRestart(m.startInstance(m.Service, ended.Address(), ended.ID(), cold))
 }
--- a/internal/lab/emulator/day/zones_test.go
+++ b/internal/lab/emulator/day/zones_test.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// zone is the one that is disturbed below.
+	// zone is the zone that the tests evacuate or restart.
 	zone = "a"
-	// busy is the load, in standard ones, that is too much for cold instances.
-	busy = 2
+	// overload is the load that exceeds the capacity of cold instances, as a multiple of the standard
+	// load.
+	overload = 2
 )
 
-// startZoned starts the site with zones, regions and cold rates, and its load.
+// startZoned starts a zoned site and its load, at factor times the standard rate.
 func startZoned(t *testing.T, factor float64) (site *day.Site, tally *client.Tally, stopLoad func()) {
 	t.Helper()
 	return startOptions(t, day.ZonedOptions(), day.ZonedRoutes(), day.ZonedClasses(factor))
 }
 
-// await waits until something has come.
-func await(t *testing.T, what string, reached func() bool) {
+// await waits until a condition is reached.
+func await(t *testing.T, condition string, reached func() bool) {
 	t.Helper()
-	end := time.Now().Add(patience / 4)
+	end := time.Now().Add(waitTimeout / 4)
 	for !reached() {
-		assert.Assert(t, time.Now().Before(end), "not reached: %s", what)
+		assert.Assert(t, time.Now().Before(end), "not reached: %s", condition)
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// evacuate gives the order and waits until the store reported it to a daemon.
+// evacuate orders the evacuation of the zone and waits until a daemon has received the order.
 func evacuate(t *testing.T, site *day.Site) {
 	t.Helper()
 	assert.NilError(t, site.Evacuate(zone))
 	ordered := site.Store.Objects(platform.KindEvacuations)[0].Metadata.Revision
-	await(t, "a daemon hears of the order", func() bool { return site.Store.ReportedRevision(platform.KindEvacuations) >= ordered })
+	await(t, "a daemon receives the order", func() bool { return site.Store.ReportedRevision(platform.KindEvacuations) >= ordered })
 }
 
-// passBound waits until the order must be followed.
-func passBound() { time.Sleep(day.ZonedOptions().EvacuationBound) }
+// waitEvacuationBound waits until daemons must follow the order.
+func waitEvacuationBound() { time.Sleep(day.ZonedOptions().EvacuationBound) }
 
-// awaitUsed waits until each instance of the zone gets requests again.
+// awaitUsed waits until each instance of the zone receives requests again.
 func awaitUsed(t *testing.T, site *day.Site) {
 	t.Helper()
 	for _, machine := range site.InZone(zone) {
@@ -57,32 +58,32 @@
 	}
 }
 
-// stayUp checks that no instance crashed in slow start.
-func stayUp(t *testing.T, site *day.Site) {
+// assertNoColdCrash checks that no instance crashed in slow start.
+func assertNoColdCrash(t *testing.T, site *day.Site) {
 	t.Helper()
 	coldCrashes, err := site.ColdCrashes()
 	assert.NilError(t, err)
 	assert.Equal(t, coldCrashes, 0)
 }
 
-// One daemon hears of the order, and then the store says nothing more: all the others
-// follow it, and the zone is used again once the store is back and it is taken back.
+// If the store stops answering after one daemon has received the order, all other daemons follow it too.
+// The zone is used again after the store is back and the order is withdrawn.
 func TestEvacuationWhileTheStoreIsSilent(t *testing.T) {
 	site, tally, stop := startZoned(t, 1)
 	awaitServed(t, tally, 50)
 	evacuate(t, site)
 	site.Store.SetFaults(objectstore.Faults{Silent: true})
-	passBound()
+	waitEvacuationBound()
 	awaitServed(t, tally, 200)
 	site.Store.SetFaults(objectstore.Faults{})
 	site.EndEvacuation(zone)
 	awaitUsed(t, site)
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
-// A daemon of the evacuated zone that starts again does not use the zone's instances,
-// nor does it make others use its own.
+// A daemon in the evacuated zone that restarts neither uses the zone's instances nor makes other daemons
+// use its own.
 func TestEvacuationWhileADaemonOfTheZoneStartsAgain(t *testing.T) {
 	const down = 50 * time.Millisecond
 	for name, end := range map[string]func(*day.Machine) error{
@@ -96,7 +97,7 @@
 			site, tally, stop := startZoned(t, 1)
 			awaitServed(t, tally, 50)
 			evacuate(t, site)
-			passBound()
+			waitEvacuationBound()
 			machine := site.InZone(zone)[0]
 			assert.NilError(t, end(machine))
 			await(t, "the daemon is ready again", func() bool { return machine.Ready(context.Background()) })
@@ -104,13 +105,13 @@
 			site.EndEvacuation(zone)
 			awaitUsed(t, site)
 			stop()
-			keepsPromises(t, site)
+			assertPromisesKept(t, site)
 		})
 	}
 }
 
-// All instances of a zone come back cold amid traffic: none gets more than its limit, and each is
-// used.
+// If all instances of a zone return cold under load, each receives requests, but none more than its
+// limit.
 func TestZoneComesBackCold(t *testing.T) {
 	for name, comeBack := range map[string]func(*testing.T, *day.Site){
 		"after a crash": func(t *testing.T, site *day.Site) {
@@ -118,31 +119,31 @@
 		},
 		"after an evacuation": func(t *testing.T, site *day.Site) {
 			evacuate(t, site)
-			passBound()
+			waitEvacuationBound()
 			site.MakeCold(zone)
-			// Heartbeats tell all daemons.
+			// All daemons learn of the slow start through heartbeats.
 			time.Sleep(2 * day.ZonedOptions().HeartbeatInterval)
 			site.EndEvacuation(zone)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			site, tally, stop := startZoned(t, busy)
+			site, tally, stop := startZoned(t, overload)
 			awaitServed(t, tally, 100)
 			comeBack(t, site)
 			awaitUsed(t, site)
-			time.Sleep(day.ZonedOptions().ColdFor)
+			time.Sleep(day.ZonedOptions().ColdDuration)
 			awaitServed(t, tally, 100)
 			stop()
-			keepsPromises(t, site)
-			stayUp(t, site)
+			assertPromisesKept(t, site)
+			assertNoColdCrash(t, site)
 		})
 	}
 }
 
-// Half of the instances take one request at a time and never answer another one, nor
-// anything further on its connection: the site serves on.
-func TestInstancesThatHangWhenFull(t *testing.T) {
-	site, tally, stop := startOptions(t, day.ZonedOptions(), day.StandardRoutes(), day.StandardClasses(busy))
+// The site continues to serve requests if half of the instances accept one request at a time, and hang
+// the connection of any further one.
+func TestInstancesThatHangAtCapacity(t *testing.T) {
+	site, tally, stop := startOptions(t, day.ZonedOptions(), day.StandardRoutes(), day.StandardClasses(overload))
 	for index, machine := range site.Machines {
 		if index%2 == 0 {
 			machine.Instance().Set(instance.Behaviour{Capacity: 1, OnFull: instance.OnFullHang})
@@ -150,16 +151,17 @@
 	}
 	awaitServed(t, tally, 400)
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
 
-// Requests whose route names a region run in it alone, also while one of its zones is evacuated.
+// Requests of a route that is restricted to a region run only there, also while one of the region's
+// zones is evacuated.
 func TestRequestsStayInTheirRegion(t *testing.T) {
 	site, tally, stop := startZoned(t, 1)
 	awaitServed(t, tally, 200)
 	evacuate(t, site)
-	passBound()
+	waitEvacuationBound()
 	awaitServed(t, tally, 200)
 	stop()
-	keepsPromises(t, site)
+	assertPromisesKept(t, site)
 }
