--- a/internal/lab/emulator/instance/cold.go
+++ b/internal/lab/emulator/instance/cold.go
@@ -27,34 +27,34 @@
 }
 
 // remaining returns the time for which the instance stays cold, 0 for a warm instance.
-func (c *slowStart) remaining(now time.Time) time.Duration {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return max(c.endsAt.Sub(now), 0)
+func (s *slowStart) remaining(now time.Time) time.Duration {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return max(s.endsAt.Sub(now), 0)
 }
 
 // start makes the instance cold. If the instance received requests in the last second, its rate is
 // limited only after coldPropagationDelay, since daemons have to learn of the slow start first.
-func (c *slowStart) start(now time.Time, duration time.Duration) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.endsAt = now.Add(duration)
-	c.limitedFrom = now
-	if c.recentRequests.Count(now) > 0 {
-		c.limitedFrom = now.Add(coldPropagationDelay)
+func (s *slowStart) start(now time.Time, duration time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.endsAt = now.Add(duration)
+	s.limitedFrom = now
+	if s.recentRequests.Count(now) > 0 {
+		s.limitedFrom = now.Add(coldPropagationDelay)
 	}
 }
 
 // recordRequest counts a request. limited reports whether the rate of a cold instance applies; count is
 // then the number of requests in the last second, without those before limitedFrom.
-func (c *slowStart) recordRequest(now time.Time) (limited bool, count int) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	limited = now.Before(c.endsAt) && !now.Before(c.limitedFrom)
-	if limited && c.recentRequests.Count(now) > 0 && c.recentRequests.Oldest().Before(c.limitedFrom) {
-		c.recentRequests.Reset()
+func (s *slowStart) recordRequest(now time.Time) (limited bool, count int) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	limited = now.Before(s.endsAt) && !now.Before(s.limitedFrom)
+	if limited && s.recentRequests.Count(now) > 0 && s.recentRequests.Oldest().Before(s.limitedFrom) {
+		s.recentRequests.Reset()
 	}
-	return limited, c.recentRequests.Add(now)
+	return limited, s.recentRequests.Add(now)
 }
 
 // MakeCold puts the instance into slow start for the given time, as after a restart.
