--- a/internal/lab/emulator/client/kept.go
+++ b/internal/lab/emulator/client/kept.go
@@ -209,10 +209,10 @@
 }
 
 // Read implements io.Reader.
-func (w *errorRecorder) Read(buffer []byte) (int, error) {
-	count, err := w.ReadCloser.Read(buffer)
+func (e *errorRecorder) Read(buffer []byte) (int, error) {
+	count, err := e.ReadCloser.Read(buffer)
 	if err != nil && err != io.EOF {
-		w.err = err
+		e.err = err
 	}
 	return count, err
 }
@@ -234,10 +234,10 @@
 }
 
 // Read implements io.Reader.
-func (p throttledReader) Read(buffer []byte) (int, error) {
-	count, err := p.reader.Read(buffer)
-	if p.bytesPerSecond > 0 {
-		time.Sleep(time.Duration(float64(count) / p.bytesPerSecond * float64(time.Second)))
+func (t throttledReader) Read(buffer []byte) (int, error) {
+	count, err := t.reader.Read(buffer)
+	if t.bytesPerSecond > 0 {
+		time.Sleep(time.Duration(float64(count) / t.bytesPerSecond * float64(time.Second)))
 	}
 	return count, err
 }
