--- a/internal/lab/explain.go
+++ b/internal/lab/explain.go
@@ -62,12 +62,12 @@
 
 // printStory prints one request's lines in order and its cause.
 func printStory(journal *explain.Journal, request string) error {
-	story := journal.Story(request)
+	story := journal.Lines(request)
 	if len(story) == 0 {
 		return fmt.Errorf("no line is about request %q; successes are sampled, failures too under load", request)
 	}
 	for _, line := range story {
-		pairs := []any{"at", line.At.Format("15:04:05.000"), "node", line.Node}
+		pairs := []any{"at", line.Time.Format("15:04:05.000"), "node", line.Node}
 		for _, field := range line.Fields {
 			if !slices.Contains([]string{"time", "level", "node", "event", "request"}, field.Key) {
 				pairs = append(pairs, field.Key, field.Value)
--- a/internal/lab/explain/cause.go
+++ b/internal/lab/explain/cause.go
@@ -1,9 +1,9 @@
-// Package explain reads the log lines of several daemons and finds out what happened to a
-// request and why: its lines in order, and the cause that they prove.
+// Package explain reads the log lines of several daemons and finds out why a request failed: it
+// returns the request's lines in order and the cause that they prove.
 //
-// It owns no state; a Journal holds the lines that were read. It relies on the names of events
-// and keys, which docs/OPERATIONS.md lists. What must hold: a cause is named only where lines
-// prove it, else the request counts as unexplained.
+// The package has no state of its own; a Journal holds the lines that were read. It depends on the
+// names of log events and keys, which docs/OPERATIONS.md lists. It names a cause only if lines
+// prove it; otherwise the request counts as unexplained.
 package explain
 
 import (
@@ -15,53 +15,55 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Cause is what a request's lines prove.
+// Cause is the reason for a request's failure, as its log lines prove it.
 type Cause string
 
-// The causes that lines prove.
+// The causes of failed requests.
 const (
-	// CauseUnexplained: the lines prove nothing.
+	// CauseUnexplained: the lines prove no cause.
 	CauseUnexplained Cause = "unexplained"
-	// CauseSampled: a daemon did not write its lines of the request, because it
-	// had too many.
+	// CauseSampled: a daemon left out the request's lines because its log was
+	// sampled under load.
 	CauseSampled Cause = "sampled"
-	// CauseOverload: all instances that were tried were full.
+	// CauseOverload: all instances that were tried were at their concurrency limit.
 	CauseOverload Cause = "overload"
-	// CauseNoInstance: no instance of the service could take work.
+	// CauseNoInstance: no instance of the service was available.
 	CauseNoInstance Cause = "no-instance"
-	// CauseQuarantined: instances crashed under the request's keys.
+	// CauseQuarantined: the request is quarantined because instances crashed on
+	// requests with the same keys.
 	CauseQuarantined Cause = "quarantined"
-	// CauseInstanceBroke: the instance took the request and broke off.
+	// CauseInstanceBroke: the connection to the instance broke after the instance
+	// had received the request.
 	CauseInstanceBroke Cause = "instance-broke"
-	// CauseInstanceSlow: the instance had the request until the time was over.
+	// CauseInstanceSlow: the instance did not answer within the deadline.
 	CauseInstanceSlow Cause = "instance-slow"
-	// CauseInstanceFailed: the instance answered with a failure of its own.
+	// CauseInstanceFailed: the instance answered with a server error.
 	CauseInstanceFailed Cause = "instance-failed"
-	// CauseInstanceRefused: the instance said that it did not run the request.
+	// CauseInstanceRefused: the instance refused the request without running it.
 	CauseInstanceRefused Cause = "instance-refused"
-	// CauseDaemonLost: the daemon beside the instance was lost.
+	// CauseDaemonLost: the daemon next to the instance was lost or restarted.
 	CauseDaemonLost Cause = "daemon-lost"
 	// CauseUnreachable: no connection to the instance could be opened.
 	CauseUnreachable Cause = "unreachable"
-	// CauseCallerLeft: the caller disconnected first.
+	// CauseCallerLeft: the caller disconnected before the answer.
 	CauseCallerLeft Cause = "caller-left"
 	// CauseLeaving: the instance or the daemon was draining.
 	CauseLeaving Cause = "leaving"
 	// CauseNoConfiguration: the daemon had no configuration yet.
 	CauseNoConfiguration Cause = "no-configuration"
-	// CauseOldConfiguration: others had a newer configuration in force.
+	// CauseOldConfiguration: another daemon had a newer configuration in force.
 	CauseOldConfiguration Cause = "old-configuration"
-	// CauseNoRoute: no configuration in force anywhere had a route.
+	// CauseNoRoute: no route matched, and no daemon had a newer configuration.
 	CauseNoRoute Cause = "no-route"
-	// CauseUnknownKey: no configuration in force anywhere had its API key.
+	// CauseUnknownKey: the API key is unknown, and no daemon had a newer configuration.
 	CauseUnknownKey Cause = "unknown-key"
-	// CauseKeysUnconfirmed: the daemon could not tell whether its API key is in force.
+	// CauseKeysUnconfirmed: the daemon could not confirm that the API key is in force.
 	CauseKeysUnconfirmed Cause = "keys-unconfirmed"
-	// CauseBadRequest: the request is not acceptable HTTP.
+	// CauseBadRequest: the request is not valid HTTP.
 	CauseBadRequest Cause = "bad-request"
 )
 
-// Events that are read here.
+// Log events that the analysis reads.
 const (
 	eventCallFailed    = "call.failed"
 	eventCallAnswered  = "call.answered"
@@ -76,28 +78,28 @@
 	eventSampled       = "decisions.sampled"
 )
 
-// nearby is how far apart the lines about the loss of a daemon and about a call to it may be. It is
-// above the 2.5 s of silence after which a daemon counts as lost.
-const nearby = 3 * time.Second
+// correlationWindow is the maximum time between a line about the loss of a daemon and the failure of a
+// call to it. It must exceed the 2.5 s of silence after which a daemon counts as lost.
+const correlationWindow = 3 * time.Second
 
-// Verdict is the cause of a request's end, with the line that proves it.
+// Verdict is the cause of a request's failure, with the line that proves it.
 type Verdict struct {
 	Cause Cause
-	// Proof describes the cause.
+	// Proof describes the cause in one phrase.
 	Proof string
-	// Line is the line that the proof rests on.
+	// Line is the line that proves the cause.
 	Line *Line
 }
 
-// Journal holds the lines of several daemons.
+// Journal holds the log lines of several daemons.
 type Journal struct {
 	lines     []Line
 	byRequest map[string][]*Line
-	// daemonLines are the lines about daemons and not about one request, in order.
+	// daemonLines are the lines without a request ID, in order.
 	daemonLines []*Line
 }
 
-// NewJournal returns a journal of lines, which it sorts.
+// NewJournal returns a journal of lines. It sorts lines in place.
 func NewJournal(lines []Line) *Journal {
 	Sort(lines)
 	journal := &Journal{lines: lines, byRequest: map[string][]*Line{}}
@@ -112,120 +114,119 @@
 	return journal
 }
 
-// Story returns the lines of a request in order.
-func (j *Journal) Story(request string) []*Line { return j.byRequest[request] }
+// Lines returns the lines of a request in order.
+func (j *Journal) Lines(request string) []*Line { return j.byRequest[request] }
 
-// Failed returns the requests that ended without a success of an instance, in
-// order of their end.
+// Failed returns the IDs of the failed requests in order of failure.
 func (j *Journal) Failed() []string {
 	var requests []string
 	for index := range j.lines {
-		if line := &j.lines[index]; isEnd(line) && line.Request != "" {
+		if line := &j.lines[index]; isFailure(line) && line.Request != "" {
 			requests = append(requests, line.Request)
 		}
 	}
 	return requests
 }
 
-// isEnd reports whether a line is about a request's end without success.
-func isEnd(line *Line) bool {
+// isFailure reports whether a line records the failure of a request.
+func isFailure(line *Line) bool {
 	return line.Event == eventCallFailed || (line.Event == eventCallAnswered && line.Number("status") >= callapi.FirstServerError)
 }
 
-// Explain finds the cause of a request's end.
+// Explain finds the cause of a request's failure.
 func (j *Journal) Explain(request string) Verdict {
-	story := j.byRequest[request]
-	for index := len(story) - 1; index >= 0; index-- {
-		if !isEnd(story[index]) {
+	lines := j.byRequest[request]
+	for index := len(lines) - 1; index >= 0; index-- {
+		if !isFailure(lines[index]) {
 			continue
 		}
-		verdict := j.explainEnd(story, story[index])
+		verdict := j.explainFailure(lines, lines[index])
 		if verdict.Cause == CauseUnexplained {
-			return j.orSampled(request, verdict)
+			return j.checkSampling(request, verdict)
 		}
 		return verdict
 	}
-	return Verdict{Cause: CauseUnexplained, Proof: "no line tells of its end"}
+	return Verdict{Cause: CauseUnexplained, Proof: "no line records the failure of the request"}
 }
 
-// orSampled returns verdict, or CauseSampled where the daemon whose lines are missing was sampling
-// at that time and left the request out.
-func (j *Journal) orSampled(request string, verdict Verdict) Verdict {
+// checkSampling returns CauseSampled if the daemon whose lines are missing was sampling its log at that
+// time and left the request out, and verdict otherwise.
+func (j *Journal) checkSampling(request string, verdict Verdict) Verdict {
 	for _, line := range j.daemonLines {
-		distance := line.At.Sub(verdict.Line.At)
-		// The line comes after the time that it is about.
-		if line.Event != eventSampled || distance < 0 || distance > nearby || line.Node != verdict.Line.Get("member") {
+		delta := line.Time.Sub(verdict.Line.Time)
+		// A daemon logs this line at the end of the period that it covers.
+		if line.Event != eventSampled || delta < 0 || delta > correlationWindow || line.Node != verdict.Line.Get("member") {
 			continue
 		}
 		if 1<<decision.Rank(request) < line.Number("one_of") {
-			return Verdict{CauseSampled, line.Node + " wrote the lines of one request of " + line.Get("one_of"), line}
+			return Verdict{CauseSampled, line.Node + " logged only one request in " + line.Get("one_of"), line}
 		}
 	}
 	return verdict
 }
 
-func (j *Journal) explainEnd(story []*Line, end *Line) Verdict {
-	if end.Event == eventCallAnswered {
-		return Verdict{CauseInstanceFailed, fmt.Sprintf("instance %s answered %s after %s ms", end.Get("instance"), end.Get("status"), end.Get("service_ms")), end}
+func (j *Journal) explainFailure(lines []*Line, failure *Line) Verdict {
+	if failure.Event == eventCallAnswered {
+		return Verdict{CauseInstanceFailed, fmt.Sprintf("instance %s answered %s after %s ms", failure.Get("instance"), failure.Get("status"), failure.Get("service_ms")), failure}
 	}
-	switch result.Code(end.Number("code")) {
+	switch result.Code(failure.Number("code")) {
 	case result.CallBadRequest:
-		return Verdict{CauseBadRequest, end.Get("detail"), end}
+		return Verdict{CauseBadRequest, failure.Get("detail"), failure}
 	case result.CallCancelled:
-		return Verdict{CauseCallerLeft, "the caller went away after " + end.Get("took_ms") + " ms", end}
+		return Verdict{CauseCallerLeft, "the caller disconnected after " + failure.Get("took_ms") + " ms", failure}
 	case result.CallNotReady:
-		return Verdict{CauseNoConfiguration, fmt.Sprintf("%s had no configuration in force%s", end.Node, j.sinceStart(end)), end}
+		return Verdict{CauseNoConfiguration, fmt.Sprintf("%s had no configuration in force%s", failure.Node, j.startDetail(failure)), failure}
 	case result.CallNoRoute:
-		return j.explainLacking(end, CauseNoRoute, "no route")
+		return j.explainMissing(failure, CauseNoRoute, "no route")
 	case result.CallUnknownKey:
-		return j.explainLacking(end, CauseUnknownKey, "no such key")
+		return j.explainMissing(failure, CauseUnknownKey, "no such key")
 	case result.CallKeysUnconfirmed:
-		return Verdict{CauseKeysUnconfirmed, fmt.Sprintf("%s could not confirm revision %s", end.Node, end.Get("revision")), end}
+		return Verdict{CauseKeysUnconfirmed, fmt.Sprintf("%s could not confirm revision %s", failure.Node, failure.Get("revision")), failure}
 	case result.CallNotRunStopping, result.CallNotRunDraining, result.CallNotRunUnknownHere:
-		return Verdict{CauseLeaving, j.leaving(end), end}
+		return Verdict{CauseLeaving, j.stopDetail(failure), failure}
 	case result.CallNotRunQuarantined:
-		return Verdict{CauseQuarantined, end.Get("detail"), end}
+		return Verdict{CauseQuarantined, failure.Get("detail"), failure}
 	case result.CallInstanceCrashed:
-		return Verdict{CauseInstanceBroke, end.Get("detail"), end}
+		return Verdict{CauseInstanceBroke, failure.Get("detail"), failure}
 	case result.CallNoEndpoint, result.CallNotRunEvacuated, result.CallNotRunRegion:
-		return Verdict{CauseNoInstance, end.Get("detail"), end}
+		return Verdict{CauseNoInstance, failure.Get("detail"), failure}
 	default:
-		return explainAttempt(j, story, end)
+		return explainAttempt(j, lines, failure)
 	}
 }
 
-// explainAttempt finds the cause in the last attempt and in what the daemon
-// beside the instance wrote about it.
-func explainAttempt(j *Journal, story []*Line, end *Line) Verdict {
-	attempt := last(story, eventAttemptFailed, "")
+// explainAttempt finds the cause in the last attempt and in the lines about it
+// from the daemon next to the instance.
+func explainAttempt(j *Journal, lines []*Line, failure *Line) Verdict {
+	attempt := lastLine(lines, eventAttemptFailed, "")
 	if attempt == nil {
-		attempt = end
+		attempt = failure
 	}
-	origin := last(story, eventOriginBroke, attempt.Get("attempt"))
+	origin := lastLine(lines, eventOriginBroke, attempt.Get("attempt"))
 	if origin == nil {
-		origin = last(story, eventOriginRefused, attempt.Get("attempt"))
+		origin = lastLine(lines, eventOriginRefused, attempt.Get("attempt"))
 	}
-	switch result.Code(end.Number("code")) {
+	switch result.Code(failure.Number("code")) {
 	case result.CallNotRunOverloaded, result.CallNotRunExpired:
 		if origin == nil {
-			return Verdict{CauseOverload, "every instance that was asked was full; last " + attempt.Get("detail"), attempt}
+			return Verdict{CauseOverload, "every instance that was tried was full; last attempt: " + attempt.Get("detail"), attempt}
 		}
-		return Verdict{CauseOverload, fmt.Sprintf("instance %s had %s running and %s waiting of %s slots, a call takes %s ms",
+		return Verdict{CauseOverload, fmt.Sprintf("instance %s had %s calls running and %s waiting, limit %s, service time %s ms",
 			origin.Get("instance"), origin.Get("running"), origin.Get("waiting"), origin.Get("limit"), origin.Get("service_ms")), origin}
 	case result.CallNotRunCold:
 		if origin == nil {
-			return Verdict{CauseOverload, "every instance that was asked was cold; last " + attempt.Get("detail"), attempt}
+			return Verdict{CauseOverload, "every instance that was tried was cold; last attempt: " + attempt.Get("detail"), attempt}
 		}
-		return Verdict{CauseOverload, fmt.Sprintf("instance %s is cold and takes %s calls a second, %s were waiting",
+		return Verdict{CauseOverload, fmt.Sprintf("instance %s is cold and accepts %s calls per second, %s were waiting",
 			origin.Get("instance"), origin.Get("cold_rate"), origin.Get("waiting")), origin}
 	case result.CallNotRunShed:
 		return Verdict{CauseInstanceRefused, "instance " + attempt.Get("instance") + " refused it: " + attempt.Get("detail"), attempt}
 	case result.CallDeadline:
-		return Verdict{CauseInstanceSlow, fmt.Sprintf("instance %s had it when %s ms were over", attempt.Get("instance"), end.Get("took_ms")), attempt}
+		return Verdict{CauseInstanceSlow, fmt.Sprintf("instance %s had not answered after %s ms", attempt.Get("instance"), failure.Get("took_ms")), attempt}
 	case result.CallNotRunUnreachable, result.CallUnknownOutcome, result.CallTruncated:
 		return j.explainLoss(attempt, origin)
 	default:
-		return Verdict{Cause: CauseUnexplained, Proof: "code " + end.Get("code"), Line: end}
+		return Verdict{Cause: CauseUnexplained, Proof: "code " + failure.Get("code"), Line: failure}
 	}
 }
 
@@ -236,69 +237,70 @@
 		if origin.Event == eventOriginRefused {
 			cause = CauseUnreachable
 		}
-		return Verdict{cause, fmt.Sprintf("instance %s, %s ms after it came there: %s", origin.Get("instance"), origin.Get("took_ms"), origin.Get("detail")), origin}
+		return Verdict{cause, fmt.Sprintf("instance %s, %s ms after the request arrived: %s", origin.Get("instance"), origin.Get("took_ms"), origin.Get("detail")), origin}
 	}
 	member := attempt.Get("member")
 	for _, line := range j.daemonLines {
-		if distance := line.At.Sub(attempt.At); distance < -nearby || distance > nearby {
+		if delta := line.Time.Sub(attempt.Time); delta < -correlationWindow || delta > correlationWindow {
 			continue
 		}
 		lost := line.Event == eventFleetLost || line.Event == eventFleetStalled
 		if lost && line.Get("member") == member {
-			return Verdict{CauseDaemonLost, fmt.Sprintf("%s lost %s (%s)", line.Node, member, line.Event), line}
+			return Verdict{CauseDaemonLost, fmt.Sprintf("%s lost contact with %s (%s)", line.Node, member, line.Event), line}
 		}
 		if line.Event == eventStarted && line.Node == member {
-			return Verdict{CauseDaemonLost, member + " started anew", line}
+			return Verdict{CauseDaemonLost, member + " restarted", line}
 		}
 	}
 	if attempt.Get("member") == attempt.Node {
-		return Verdict{CauseInstanceBroke, "instance " + attempt.Get("instance") + " beside it: " + attempt.Get("detail"), attempt}
+		return Verdict{CauseInstanceBroke, "local instance " + attempt.Get("instance") + ": " + attempt.Get("detail"), attempt}
 	}
-	return Verdict{Cause: CauseUnexplained, Proof: "neither " + member + " nor a lost connection to it tells of the attempt", Line: attempt}
+	return Verdict{Cause: CauseUnexplained, Proof: "no line of " + member + " and no loss of it explains the failed attempt", Line: attempt}
 }
 
-// explainLacking distinguishes a daemon with an old configuration from what no daemon had, which is
-// the cause then.
-func (j *Journal) explainLacking(end *Line, cause Cause, lacking string) Verdict {
-	own := end.Number("revision")
+// explainMissing returns CauseOldConfiguration if another daemon had a newer revision in force when
+// the request failed, and cause otherwise. missing names the route or key that was not found.
+func (j *Journal) explainMissing(failure *Line, cause Cause, missing string) Verdict {
+	revision := failure.Number("revision")
 	for _, line := range j.daemonLines {
-		if line.At.After(end.At) {
+		if line.Time.After(failure.Time) {
 			break
 		}
-		if line.Event == eventInForce && line.Number("revision") > own {
-			return Verdict{CauseOldConfiguration, fmt.Sprintf("%s had revision %d in force, %s already had %s %s before",
-				end.Node, own, line.Node, line.Get("revision"), end.At.Sub(line.At)), line}
+		if line.Event == eventInForce && line.Number("revision") > revision {
+			return Verdict{CauseOldConfiguration, fmt.Sprintf("%s had revision %d in force, %s had put %s in force %s earlier",
+				failure.Node, revision, line.Node, line.Get("revision"), failure.Time.Sub(line.Time)), line}
 		}
 	}
-	return Verdict{cause, fmt.Sprintf("%s in revision %d: %s", lacking, own, end.Get("detail")), end}
+	return Verdict{cause, fmt.Sprintf("%s in revision %d: %s", missing, revision, failure.Get("detail")), failure}
 }
 
-// leaving describes since when a daemon was stopping.
-func (j *Journal) leaving(end *Line) string {
+// stopDetail describes how long the daemon that refused the request had been stopping.
+func (j *Journal) stopDetail(failure *Line) string {
 	for index := len(j.daemonLines) - 1; index >= 0; index-- {
 		line := j.daemonLines[index]
-		if line.Event == eventStopping && line.Node == end.Node && line.At.Before(end.At) {
-			return fmt.Sprintf("%s was stopping for %s", end.Node, end.At.Sub(line.At))
+		if line.Event == eventStopping && line.Node == failure.Node && line.Time.Before(failure.Time) {
+			return fmt.Sprintf("%s had been stopping for %s", failure.Node, failure.Time.Sub(line.Time))
 		}
 	}
-	return end.Get("detail")
+	return failure.Get("detail")
 }
 
-func (j *Journal) sinceStart(end *Line) string {
+// startDetail describes how long before the failure the daemon started, empty if no line records it.
+func (j *Journal) startDetail(failure *Line) string {
 	for index := len(j.daemonLines) - 1; index >= 0; index-- {
 		line := j.daemonLines[index]
-		if line.Event == eventStarted && line.Node == end.Node && line.At.Before(end.At) {
-			return fmt.Sprintf(", it had started %s before", end.At.Sub(line.At))
+		if line.Event == eventStarted && line.Node == failure.Node && line.Time.Before(failure.Time) {
+			return fmt.Sprintf(", it had started %s earlier", failure.Time.Sub(line.Time))
 		}
 	}
 	return ""
 }
 
-// last returns the last line of an event in a story, of one attempt if that is
-// given.
-func last(story []*Line, event, attempt string) *Line {
-	for index := len(story) - 1; index >= 0; index-- {
-		line := story[index]
+// lastLine returns the last of lines with the given event, and with the given
+// attempt unless that is empty.
+func lastLine(lines []*Line, event, attempt string) *Line {
+	for index := len(lines) - 1; index >= 0; index-- {
+		line := lines[index]
 		if line.Event == event && (attempt == "" || line.Get("attempt") == attempt) {
 			return line
 		}
--- a/internal/lab/explain/line.go
+++ b/internal/lab/explain/line.go
@@ -12,7 +12,7 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Keys of lines that are read here.
+// Keys of every log line that Read decodes.
 const (
 	keyTime    = "time"
 	keyNode    = "node"
@@ -28,15 +28,15 @@
 
 // Line is one line of a daemon's log.
 type Line struct {
-	At      time.Time
+	Time    time.Time
 	Node    string
 	Event   string
 	Request string
-	// Fields are all pairs in the order written, those above included.
+	// Fields are all pairs in the order written, including those decoded above.
 	Fields []Field
 }
 
-// Get returns the value of a key, empty when there is none.
+// Get returns the value of a key, or "" if the line does not have it.
 func (l *Line) Get(key string) string {
 	for _, field := range l.Fields {
 		if field.Key == key {
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// Number returns the value of a key as a whole number, 0 when it is none.
+// Number returns the value of a key as an integer, or 0 if it is missing or not an integer.
 func (l *Line) Number(key string) int64 {
 	number, err := strconv.ParseInt(l.Get(key), 10, 64)
 	if err != nil {
@@ -55,8 +55,9 @@
 	return number
 }
 
-// Read reads the lines of a log, from their time on. skipped counts lines without time or event. An
-// error names the line that begins as a key=value line and is none.
+// Read decodes the lines of a log and ignores text before the time key, such as a prefix added by a
+// log collector. skipped counts the lines without a time or event key. The error for a malformed line
+// names its number.
 func Read(reader io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLineBytes)
@@ -91,14 +92,14 @@
 	if err != nil {
 		return Line{}, err
 	}
-	line.At = at
+	line.Time = at
 	line.Node = line.Get(keyNode)
 	line.Event = line.Get(keyEvent)
 	line.Request = line.Get(keyRequest)
 	return line, nil
 }
 
-// Sort orders lines by time.
+// Sort sorts lines by time and keeps the order of lines with equal times.
 func Sort(lines []Line) {
-	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
