--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -10,17 +10,18 @@
 	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
 )
 
-// emulateCommand plays days on the emulated platform.
+// emulateCommand plays days on the emulated platform: runs with random load and faults that check the
+// promises to callers.
 type emulateCommand struct {
-	Seed   uint64        `long:"seed" description:"decides load and faults; 0 for a fresh one"`
-	Days   int           `long:"days" description:"days to play, each with the next seed" default:"1"`
-	Length time.Duration `long:"length" description:"length of a day" default:"10s"`
-	Faults int           `long:"faults" description:"disturbances of a day" default:"5"`
-	For    time.Duration `long:"for" description:"play days with fresh seeds for so long, instead of --days"`
-	Kinds  []string      `long:"kind" description:"kind of disturbance to draw; may be given several times, all by default"`
+	Seed      uint64        `long:"seed" description:"seed of load and faults; 0 for a new one"`
+	Days      int           `long:"days" description:"number of days, each with the next seed" default:"1"`
+	Length    time.Duration `long:"length" description:"length of a day" default:"10s"`
+	Faults    int           `long:"faults" description:"faults per day" default:"5"`
+	TotalTime time.Duration `long:"for" description:"start further days until this time has passed; --days is ignored"`
+	Kinds     []string      `long:"kind" description:"kind of fault to inject; may be given several times, all by default"`
 }
 
-// Execute implements flags.Commander. It fails when a promise was broken.
+// Execute implements flags.Commander. It returns an error if a promise was broken.
 func (c *emulateCommand) Execute([]string) error {
 	daemon.QuietHTTPLibrary()
 	kinds, err := c.kinds()
@@ -31,9 +32,9 @@
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
-	broken := 0
+	breaches := 0
 	started := time.Now()
-	for index := 0; c.playsAnother(index, time.Since(started)); index++ {
+	for index := 0; c.hasNextDay(index, time.Since(started)); index++ {
 		count, err := playDay(day.StandardPlan(seed+uint64(index), c.Length, c.Faults, kinds))
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed+uint64(index), err)
@@ -41,18 +42,18 @@
 		if count > 0 {
 			results.Info("emulate.again", "seed", seed+uint64(index), "length", c.Length, "faults", c.Faults)
 		}
-		broken += count
+		breaches += count
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d promises were broken", broken)
+	if breaches > 0 {
+		return fmt.Errorf("%d promises were broken", breaches)
 	}
 	return nil
 }
 
-// playsAnother reports whether one more day is played after the days played so far.
-func (c *emulateCommand) playsAnother(played int, took time.Duration) bool {
-	if c.For > 0 {
-		return took < c.For
+// hasNextDay reports whether another day follows after played days and the elapsed time.
+func (c *emulateCommand) hasNextDay(played int, elapsed time.Duration) bool {
+	if c.TotalTime > 0 {
+		return elapsed < c.TotalTime
 	}
 	return played < max(c.Days, 1)
 }
@@ -64,18 +65,18 @@
 	kinds := make([]day.FaultKind, 0, len(c.Kinds))
 	for _, name := range c.Kinds {
 		if !slices.Contains(day.FaultKinds, day.FaultKind(name)) {
-			return nil, fmt.Errorf("kind %q is not known; there are %v", name, day.FaultKinds)
+			return nil, fmt.Errorf("unknown kind of fault %q; valid kinds are %v", name, day.FaultKinds)
 		}
 		kinds = append(kinds, day.FaultKind(name))
 	}
 	return kinds, nil
 }
 
-// playDay plays one day and prints its outcome in one line. It returns the
-// number of broken promises.
-func playDay(plan day.Plan) (broken int, err error) {
-	const patience = time.Minute
-	ctx, cancel := context.WithTimeout(context.Background(), plan.Length+patience)
+// playDay plays one day and prints its faults, broken promises and totals. It
+// returns the number of broken promises.
+func playDay(plan day.Plan) (breaches int, err error) {
+	const timeoutMargin = time.Minute
+	ctx, cancel := context.WithTimeout(context.Background(), plan.Length+timeoutMargin)
 	defer cancel()
 	summary, err := day.Play(ctx, plan)
 	if err != nil {
--- a/internal/lab/errortable.go
+++ b/internal/lab/errortable.go
@@ -14,7 +14,7 @@
 // Execute implements flags.Commander.
 func (errorTableCommand) Execute([]string) error { return WriteErrorTable(os.Stdout) }
 
-// WriteErrorTable writes the table of result codes as a page.
+// WriteErrorTable writes the table of result codes as a Markdown page.
 func WriteErrorTable(writer io.Writer) error {
 	if _, err := fmt.Fprint(writer, errorTableHead); err != nil {
 		return err
--- a/internal/lab/explain.go
+++ b/internal/lab/explain.go
@@ -8,19 +8,19 @@
 	"github.com/lapisvane/lapisvane/internal/lab/explain"
 )
 
-// explainCommand finds from the log lines of several daemons what happened to requests.
+// explainCommand finds the causes of failed requests in the log lines of several daemons.
 type explainCommand struct {
-	Request string `long:"request" description:"id of one request; without it all that failed are summed up by cause"`
+	Request string `long:"request" description:"ID of one request; without it, the failed requests are counted by cause"`
 	Files   struct {
-		Paths []string `positional-arg-name:"LOG" description:"files of log lines; '-' for standard input"`
+		Paths []string `positional-arg-name:"LOG" description:"log files; '-' for standard input"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute implements flags.Commander. It fails when the request is not in the
-// logs.
+// Execute implements flags.Commander. It returns an error if the logs do not
+// contain the request.
 func (c *explainCommand) Execute([]string) error {
 	if len(c.Files.Paths) == 0 {
-		return fmt.Errorf("name at least one file of log lines")
+		return fmt.Errorf("at least one log file is required")
 	}
 	lines, skipped, err := readLogs(c.Files.Paths)
 	if err != nil {
@@ -28,13 +28,13 @@
 	}
 	journal := explain.NewJournal(lines)
 	if c.Request != "" {
-		return printStory(journal, c.Request)
+		return printRequest(journal, c.Request)
 	}
 	printSummary(journal, len(lines), skipped)
 	return nil
 }
 
-// readLogs reads the lines of several files; skipped counts other lines than a daemon's. An error
+// readLogs reads the lines of several files; skipped counts the lines that no daemon wrote. An error
 // names the file.
 func readLogs(paths []string) (lines []explain.Line, skipped int, err error) {
 	for _, path := range paths {
@@ -60,13 +60,13 @@
 	return explain.Read(file)
 }
 
-// printStory prints one request's lines in order and its cause.
-func printStory(journal *explain.Journal, request string) error {
-	story := journal.Lines(request)
-	if len(story) == 0 {
-		return fmt.Errorf("no line is about request %q; successes are sampled, failures too under load", request)
+// printRequest prints one request's lines in order and the cause of its failure.
+func printRequest(journal *explain.Journal, request string) error {
+	requestLines := journal.Lines(request)
+	if len(requestLines) == 0 {
+		return fmt.Errorf("no log line for request %q; successes are sampled, and failures too under load", request)
 	}
-	for _, line := range story {
+	for _, line := range requestLines {
 		pairs := []any{"at", line.Time.Format("15:04:05.000"), "node", line.Node}
 		for _, field := range line.Fields {
 			if !slices.Contains([]string{"time", "level", "node", "event", "request"}, field.Key) {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// printSummary prints the failed requests by cause.
+// printSummary prints the number of failed requests by cause, with an example of each.
 func printSummary(journal *explain.Journal, lines, skipped int) {
 	failed := journal.Failed()
 	counts := map[explain.Cause]int{}
--- a/internal/lab/main.go
+++ b/internal/lab/main.go
@@ -1,9 +1,9 @@
 // Package lab is the command line of lapislab: stand-ins for the platform, back ends and
 // callers, days on the emulated platform, and tools that read the logs of daemons.
 //
-// It owns no state but the processes' listeners while a command runs; each stand-in has a
-// package of its own. It relies on all planes, and nothing but cmd/lapislab relies on it. All
-// load goes to the addresses that the command line names, loopback by default.
+// Each stand-in has its own package; a command holds listeners only while it runs. Only
+// cmd/lapislab imports this package. All load goes to the addresses given on the command line,
+// loopback by default.
 package lab
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/cli"
 )
 
-// Main runs the program and returns its exit code: 0 when all that was checked
-// held, 1 when a check failed, 2 for a wrong command line.
+// Main runs the program and returns its exit code: 0 if all checks passed, 1 if
+// a check failed, 2 for an invalid command line.
 func Main(arguments []string) int {
 	parser := flags.NewNamedParser("lapislab", flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "Stand-ins for the platform, back ends and callers, an emulated platform, and tools that read the logs of daemons. All load goes to loopback addresses."
@@ -26,21 +26,21 @@
 	}{
 		{"platform", "run the platform stand-in", &platformCommand{}},
 		{"backend", "run a back-end stand-in", &backendCommand{}},
-		{"calls", "make calls and check their answers", &callsCommand{}},
+		{"calls", "send calls to a daemon and check the answers", &callsCommand{}},
 		{"token", "print the stored form of an operator's token", &tokenCommand{}},
-		{"peer-keys", "write keys for mutual TLS between daemons, for trials", &testsite.PeerKeysCommand{}},
+		{"peer-keys", "write keys for mutual TLS between daemons, for tests", &testsite.PeerKeysCommand{}},
 		{"emulate", "play days on the emulated platform", &emulateCommand{}},
-		{"explain", "tell from log lines what happened to requests", &explainCommand{}},
-		{"report", "write a page of what failed, by second and cause, from log lines", &reportCommand{}},
-		{"error-table", "print the page of result codes", &errorTableCommand{}},
-		{"fault", "switch faults of a running platform stand-in", &faultCommand{}},
+		{"explain", "find the causes of failed requests in log lines", &explainCommand{}},
+		{"report", "write an HTML page of failed requests by second and cause, from log lines", &reportCommand{}},
+		{"error-table", "print the table of result codes in Markdown", &errorTableCommand{}},
+		{"fault", "set the faults of a running platform stand-in", &faultCommand{}},
 	}
 	for _, entry := range commands {
 		if _, err := parser.AddCommand(entry.name, entry.short, entry.short, entry.command); err != nil {
 			return cli.Fail(os.Stderr, err, cli.ExitUsage)
 		}
 	}
-	// failure keeps a command's own failure apart from a wrong command line.
+	// failure is the error of a command, which has another exit code than an invalid command line.
 	var failure error
 	parser.CommandHandler = func(command flags.Commander, rest []string) error {
 		if command == nil {
--- a/internal/lab/output.go
+++ b/internal/lab/output.go
@@ -11,16 +11,16 @@
 	"github.com/lapisvane/lapisvane/internal/shared/logging"
 )
 
-// results prints the outcome of a command, one event a line on standard output.
+// results prints the outcome of a command to standard output, one event per line.
 var results = logging.NewPlain(os.Stdout)
 
-// maxRunTime bounds how long calls are made.
+// maxRunTime is the maximum duration of the calls command.
 const maxRunTime = 30 * time.Minute
 
 // millis converts microseconds to milliseconds.
 func millis(micros int64) float64 { return float64(micros) / 1000 }
 
-// putJSON sends a value to a control path of a stand-in.
+// putJSON sends a JSON value to a control path of a stand-in.
 func putJSON(address, path string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -19,30 +19,30 @@
 	"github.com/lapisvane/lapisvane/internal/lab/explain"
 )
 
-// Size of a report's picture.
+// Size of the chart of a report.
 const (
 	pictureWidth  = 9 * vg.Inch
 	pictureHeight = 4 * vg.Inch
 )
 
-// lineColors tell causes apart; they repeat when there are more.
+// lineColors are the colors of the causes in the chart; they repeat if there are more causes.
 var lineColors = []color.Color{
 	color.RGBA{R: 200, A: 255}, color.RGBA{B: 200, A: 255}, color.RGBA{G: 140, A: 255},
 	color.RGBA{R: 200, G: 120, A: 255}, color.RGBA{R: 120, B: 160, A: 255}, color.RGBA{R: 90, G: 90, B: 90, A: 255},
 }
 
-// reportCommand writes a page of what failed, by second and cause.
+// reportCommand writes an HTML page of failed requests by second and cause.
 type reportCommand struct {
-	Output string `long:"output" description:"page to write (HTML)" default:"out/report.html"`
+	Output string `long:"output" description:"HTML file to write" default:"out/report.html"`
 	Files  struct {
-		Paths []string `positional-arg-name:"LOG" description:"files of log lines; '-' for standard input"`
+		Paths []string `positional-arg-name:"LOG" description:"log files; '-' for standard input"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 // Execute implements flags.Commander.
 func (c *reportCommand) Execute([]string) error {
 	if len(c.Files.Paths) == 0 {
-		return fmt.Errorf("name at least one file of log lines")
+		return fmt.Errorf("at least one log file is required")
 	}
 	lines, _, err := readLogs(c.Files.Paths)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// causesOf returns the causes that occur, the most frequent first.
+// causesOf returns the causes that occur, most frequent first.
 func causesOf(seconds []explain.Second) []explain.Cause {
 	totals := map[explain.Cause]int{}
 	for _, second := range seconds {
@@ -91,7 +91,7 @@
 	return causes
 }
 
-// drawTimeline draws a line for each cause.
+// drawTimeline draws a chart as SVG, with a line for each cause.
 func drawTimeline(seconds []explain.Second, causes []explain.Cause) (template.HTML, error) {
 	figure := plot.New()
 	figure.Title.Text = "Requests that failed, by second and cause"
@@ -102,8 +102,8 @@
 	figure.Add(plotter.NewGrid())
 	for index, cause := range causes {
 		points := make(plotter.XYs, len(seconds))
-		for at, second := range seconds {
-			points[at] = plotter.XY{X: second.From.Seconds(), Y: float64(second.Failed[cause])}
+		for position, second := range seconds {
+			points[position] = plotter.XY{X: second.From.Seconds(), Y: float64(second.Failed[cause])}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
@@ -119,12 +119,12 @@
 	if _, err := canvas.WriteTo(&image); err != nil {
 		return "", err
 	}
-	// The picture is made here from numbers and the names of causes, so it needs
-	// no escaping.
+	// The SVG contains only numbers and the names of causes, so it needs no
+	// escaping.
 	return template.HTML(image.String()), nil
 }
 
-// reportPage is what the page shows.
+// reportPage is the data of reportTemplate.
 type reportPage struct {
 	Picture template.HTML
 	Causes  []explain.Cause
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -14,20 +14,20 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// platformCommand runs the platform stand-in until a signal.
+// platformCommand runs the platform stand-in until it receives a signal.
 type platformCommand struct {
-	Address   string        `long:"address" description:"IP:port to listen on" default:"127.0.0.1:7000"`
-	Token     string        `long:"token" description:"token required from clients"`
-	WatchCap  int           `long:"watch-cap" description:"concurrent watches allowed" default:"40"`
-	Lag       time.Duration `long:"machine-lag" description:"lag of the machine list" default:"2s"`
-	Operators string        `long:"operators" description:"JSON file with the operators to load"`
-	Machines  string        `long:"machines" description:"JSON file with the machine list to load"`
+	Address    string        `long:"address" description:"IP:port to listen on" default:"127.0.0.1:7000"`
+	Token      string        `long:"token" description:"token required from clients"`
+	WatchCap   int           `long:"watch-cap" description:"maximum number of concurrent watches" default:"40"`
+	MachineLag time.Duration `long:"machine-lag" description:"delay until the machine list shows a change" default:"2s"`
+	Operators  string        `long:"operators" description:"JSON file with the operators to load"`
+	Machines   string        `long:"machines" description:"JSON file with the machine list to load"`
 }
 
 // Execute implements flags.Commander.
 func (c *platformCommand) Execute([]string) error {
 	stub, err := objectapistub.Start(objectapistub.Options{
-		Address: c.Address, Token: c.Token, WatchCap: c.WatchCap, MachineLag: c.Lag, Seed: uint64(time.Now().UnixNano()),
+		Address: c.Address, Token: c.Token, WatchCap: c.WatchCap, MachineLag: c.MachineLag, Seed: uint64(time.Now().UnixNano()),
 	})
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 	if c.Operators != "" {
 		content, err := os.ReadFile(c.Operators)
 		if err != nil {
-			return result.Wrap(result.SettingsUnreadable, err, "reading the operators")
+			return result.Wrap(result.SettingsUnreadable, err, "reading the operators file")
 		}
 		client := objectapi.NewClient([]string{stub.Address()}, c.Token, nil)
 		if _, err := client.Put(context.Background(), operator.TokensKey, content, objectapi.VersionAny); err != nil {
@@ -60,11 +60,11 @@
 	}
 	content, err := os.ReadFile(c.Machines)
 	if err != nil {
-		return result.Wrap(result.SettingsUnreadable, err, "reading the machines")
+		return result.Wrap(result.SettingsUnreadable, err, "reading the machines file")
 	}
 	var machines []objectapi.Machine
 	if err := json.Unmarshal(content, &machines); err != nil {
-		return result.Wrap(result.SettingsUnreadable, err, "decoding the machines")
+		return result.Wrap(result.SettingsUnreadable, err, "decoding the machines file")
 	}
 	for _, machine := range machines {
 		stub.SetMachine(machine)
@@ -72,17 +72,17 @@
 	return nil
 }
 
-// backendCommand runs a back-end stand-in until a signal.
+// backendCommand runs a back-end stand-in until it receives a signal.
 type backendCommand struct {
 	Address        string        `long:"address" description:"IP:port to listen on" required:"true"`
 	Instance       string        `long:"instance" description:"name of the instance" required:"true"`
-	Slots          int           `long:"slots" description:"calls at once" default:"6"`
-	Connections    int           `long:"connections" description:"connections at once" default:"130"`
+	Slots          int           `long:"slots" description:"maximum number of concurrent calls" default:"6"`
+	Connections    int           `long:"connections" description:"maximum number of open connections" default:"130"`
 	ConnectionCost time.Duration `long:"connection-cost" description:"time to accept a connection" default:"1ms"`
 	ServiceTime    time.Duration `long:"service-time" description:"time a call takes" default:"5ms"`
-	ColdStart      time.Duration `long:"cold-start" description:"time in which calls take ten times as long"`
-	ShedAbove      int           `long:"shed-above" description:"refuse calls while more than so many run"`
-	Draining       bool          `long:"draining" description:"refuse new calls as not run"`
+	ColdStart      time.Duration `long:"cold-start" description:"time after the start during which calls take ten times as long"`
+	ShedAbove      int           `long:"shed-above" description:"refuse calls while more than this number run; 0 for never"`
+	Draining       bool          `long:"draining" description:"refuse new calls and report them as not run"`
 }
 
 // Execute implements flags.Commander.
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// tokenCommand prints what the platform stores of an operator's token.
+// tokenCommand prints the form in which the platform stores an operator's token.
 type tokenCommand struct {
 	Name  string `long:"name" description:"the operator's name" required:"true"`
 	Group string `long:"group" description:"the operator's group, '*' for all" required:"true"`
@@ -116,21 +116,21 @@
 	return encoder.Encode([]operator.Operator{{Name: c.Name, Group: c.Group, TokenSHA256: operator.HashToken(c.Token)}})
 }
 
-// faultCommand switches faults of a running platform stand-in.
+// faultCommand sets the faults of a running platform stand-in.
 type faultCommand struct {
-	Platform     string `long:"platform" description:"IP:port of the platform stand-in" default:"127.0.0.1:7000"`
-	Down         bool   `long:"down" description:"answer every request with a failure"`
-	Delay        int    `long:"delay-millis" description:"delay every answer"`
-	LoseAnswers  int    `long:"lose-answer-percent" description:"lose answers to writes that took effect"`
-	EventDelay   int    `long:"event-delay-millis" description:"hold watch events back"`
-	CrossEvents  bool   `long:"cross-events" description:"send events of a burst in reverse order"`
-	FreezeListed bool   `long:"freeze-machines" description:"stop the machine list from following reality"`
+	Platform          string `long:"platform" description:"IP:port of the platform stand-in" default:"127.0.0.1:7000"`
+	Down              bool   `long:"down" description:"answer every request with 503"`
+	DelayMillis       int    `long:"delay-millis" description:"delay of every answer, in milliseconds"`
+	LoseAnswerPercent int    `long:"lose-answer-percent" description:"percentage of writes that take effect without an answer"`
+	EventDelayMillis  int    `long:"event-delay-millis" description:"delay of watch events, in milliseconds"`
+	CrossEvents       bool   `long:"cross-events" description:"send the events of a burst in reverse order"`
+	FreezeMachines    bool   `long:"freeze-machines" description:"stop updates of the machine list"`
 }
 
 // Execute implements flags.Commander.
 func (c *faultCommand) Execute([]string) error {
 	return putJSON(c.Platform, "/lab/faults", objectapistub.Faults{
-		Down: c.Down, DelayMillis: c.Delay, LoseAnswerPercent: c.LoseAnswers,
-		EventDelayMillis: c.EventDelay, CrossEvents: c.CrossEvents, FreezeMachines: c.FreezeListed,
+		Down: c.Down, DelayMillis: c.DelayMillis, LoseAnswerPercent: c.LoseAnswerPercent,
+		EventDelayMillis: c.EventDelayMillis, CrossEvents: c.CrossEvents, FreezeMachines: c.FreezeMachines,
 	})
 }
