--- a/internal/lab/backendstub/ledger.go
+++ b/internal/lab/backendstub/ledger.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// Execution is one run of a call at a back end.
+// Execution is one run of a call at a back-end instance.
 type Execution struct{ Instance string }
 
-// Ledger records every execution. It is safe for concurrent use; the zero value
-// is ready.
+// Ledger records every execution of every call. It is safe for concurrent use;
+// the zero value is ready to use.
 type Ledger struct {
 	mutex      sync.Mutex
 	executions map[string][]Execution
 	cancelled  int
 }
 
-// run records that call began to run at instance.
-func (l *Ledger) run(call, instance string) {
+// recordRun records that call began to recordRun at instance.
+func (l *Ledger) recordRun(call, instance string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.executions == nil {
@@ -23,7 +23,7 @@
 	l.executions[call] = append(l.executions[call], Execution{Instance: instance})
 }
 
-func (l *Ledger) cancel() {
+func (l *Ledger) recordCancel() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.cancelled++
@@ -36,7 +36,8 @@
 	return append([]Execution(nil), l.executions[call]...)
 }
 
-// Cancelled returns the number of executions whose caller disconnected or ran out of time.
+// Cancelled returns the number of executions that ended early because the caller disconnected or
+// its deadline passed.
 func (l *Ledger) Cancelled() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/lab/backendstub/server.go
+++ b/internal/lab/backendstub/server.go
@@ -1,7 +1,7 @@
 // Package backendstub is a stand-in for a back end: a server with slots, a connection limit, a cost
-// for each new connection, a cold start, shedding, cancellation, and faults that can be switched on
+// for each new connection, a cold start, shedding, cancellation, and faults that can be changed
 // while it runs. A ledger shared by all stand-ins records every execution of every call, so that
-// tests find a call that ran twice.
+// tests detect a call that ran twice.
 package backendstub
 
 import (
@@ -29,7 +29,7 @@
 	HeaderCall = "Lab-Call"
 	// HeaderWork overrides the service time, in microseconds.
 	HeaderWork = "Lab-Work-Us"
-	// HeaderAnswerBytes asks for an answer of that size.
+	// HeaderAnswerBytes is the requested size of the answer in bytes.
 	HeaderAnswerBytes = "Lab-Answer-Bytes"
 	// HeaderInstance names the answering instance.
 	HeaderInstance = "Lab-Instance"
@@ -37,18 +37,18 @@
 	HeaderBodyDigest = "Lab-Body-Sha256"
 )
 
-// Behaviour is what can be changed while the stand-in runs.
+// Behaviour holds the settings that can be changed while the stand-in runs.
 type Behaviour struct {
-	// ServiceTime is how long a call takes while it holds a slot.
+	// ServiceTime is how long a call holds its slot.
 	ServiceTime time.Duration
-	// ResetBeforePercent of the calls lose their connection before they run,
-	// ResetAfterPercent after they ran, TruncatePercent within the answer.
+	// ResetBeforePercent is the percentage of calls whose connection is closed
+	// before they run, ResetAfterPercent after they ran, and TruncatePercent in
+	// the middle of the answer.
 	ResetBeforePercent, ResetAfterPercent, TruncatePercent int
-	// ShedAbove refuses calls while more than so many run; 0 for never. A
-	// refusal states that the call did not run.
+	// ShedAbove is the number of calls above which further calls are refused as
+	// not run; 0 for no limit.
 	ShedAbove int
-	// Draining refuses new calls, stating that they did not run; those that run
-	// go on.
+	// Draining refuses new calls as not run; running calls continue.
 	Draining bool
 }
 
@@ -57,11 +57,11 @@
 	Address  string
 	Instance string
 	Slots    int
-	// ConnectionLimit refuses further connections; 0 for none.
+	// ConnectionLimit is the maximum number of open connections; 0 for no limit.
 	ConnectionLimit int
 	// ConnectionCost is the time that accepting a connection takes.
 	ConnectionCost time.Duration
-	// ColdStart is the time after the start in which calls take ColdFactor
+	// ColdStart is the time after the start during which calls take ColdFactor
 	// times as long.
 	ColdStart  time.Duration
 	ColdFactor int
@@ -70,7 +70,7 @@
 	Seed       uint64
 }
 
-// Server is the stand-in.
+// Server is the stand-in for a back end. Create it with Start and end it with Close.
 type Server struct {
 	options  Options
 	listener net.Listener
@@ -78,17 +78,17 @@
 	slots    chan struct{}
 	started  time.Time
 	// Connections counts accepted connections.
-	Connections atomic.Int64
-	open        atomic.Int64
-	running     atomic.Int64
-	peakRunning atomic.Int64
+	Connections     atomic.Int64
+	openConnections atomic.Int64
+	running         atomic.Int64
+	peakRunning     atomic.Int64
 
 	mutex     sync.Mutex
 	behaviour Behaviour
 	random    *rand.Rand
 }
 
-// Start opens the listener and serves in the background.
+// Start opens the listener and serves calls in the background.
 func Start(options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", options.Address)
 	if err != nil {
@@ -107,10 +107,10 @@
 	return server, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the server and cuts its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
 // SetBehaviour replaces the behaviour.
@@ -120,29 +120,29 @@
 	s.behaviour = behaviour
 }
 
-// PeakRunning returns the most calls that ran at once.
+// PeakRunning returns the maximum number of calls that ran at once.
 func (s *Server) PeakRunning() int64 { return s.peakRunning.Load() }
 
-// plan is the faults of one call, drawn once.
-type plan struct {
+// faultPlan holds the behaviour and the faults of one call, drawn before it runs.
+type faultPlan struct {
 	behaviour                         Behaviour
 	resetBefore, resetAfter, truncate bool
 }
 
-func (s *Server) draw() plan {
+func (s *Server) planFaults() faultPlan {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	percent := func(bound int) bool { return s.random.IntN(100) < bound }
-	return plan{
+	return faultPlan{
 		behaviour: s.behaviour, resetBefore: percent(s.behaviour.ResetBeforePercent),
 		resetAfter: percent(s.behaviour.ResetAfterPercent), truncate: percent(s.behaviour.TruncatePercent),
 	}
 }
 
-// serveCall runs one call: it waits for a slot, works, and answers with the
-// call's name, its own name and the digest of what it received.
+// serveCall runs one call: it waits for a slot, takes the service time, and
+// answers with the call's name, the instance's name and the digest of the body.
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
-	planned := s.draw()
+	planned := s.planFaults()
 	if planned.resetBefore {
 		panic(http.ErrAbortHandler)
 	}
@@ -151,8 +151,8 @@
 	for peak := s.peakRunning.Load(); running > peak && !s.peakRunning.CompareAndSwap(peak, running); {
 		peak = s.peakRunning.Load()
 	}
-	above := planned.behaviour.ShedAbove
-	if planned.behaviour.Draining || (above > 0 && running > int64(above)) {
+	shedAbove := planned.behaviour.ShedAbove
+	if planned.behaviour.Draining || (shedAbove > 0 && running > int64(shedAbove)) {
 		w.Header().Set(callapi.HeaderNotRun, "1")
 		http.Error(w, "shed", http.StatusServiceUnavailable)
 		return
@@ -165,11 +165,11 @@
 	case <-r.Context().Done():
 		return
 	}
-	s.options.Ledger.run(r.Header.Get(HeaderCall), s.options.Instance)
+	s.options.Ledger.recordRun(r.Header.Get(HeaderCall), s.options.Instance)
 	digest, err := s.work(r, planned)
 	if err != nil {
-		s.options.Ledger.cancel()
-		http.Error(w, "the caller's time is over", http.StatusGatewayTimeout)
+		s.options.Ledger.recordCancel()
+		http.Error(w, "the caller's deadline passed", http.StatusGatewayTimeout)
 		return
 	}
 	if planned.resetAfter {
@@ -178,7 +178,7 @@
 	s.answer(w, r, planned, digest)
 }
 
-// withDeadline bounds a call by the time that its caller has left.
+// withDeadline bounds a call by the remaining time in its deadline header.
 func withDeadline(r *http.Request) (bounded *http.Request, stop context.CancelFunc) {
 	remaining, err := strconv.ParseInt(r.Header.Get(callapi.HeaderDeadline), 10, 64)
 	if err != nil {
@@ -188,8 +188,8 @@
 	return r.WithContext(ctx), cancel
 }
 
-// work reads the body and takes the service time.
-func (s *Server) work(r *http.Request, planned plan) (digest string, err error) {
+// work reads the body, sleeps for the service time and returns the digest of the body.
+func (s *Server) work(r *http.Request, planned faultPlan) (digest string, err error) {
 	hasher := sha256.New()
 	if _, err := io.Copy(hasher, r.Body); err != nil {
 		return "", err
@@ -207,8 +207,8 @@
 	return hex.EncodeToString(hasher.Sum(nil)), nil
 }
 
-// answer writes a first line that names the call, padded to the size that the call asks for.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, planned plan, digest string) {
+// answer writes a line that names the call, padded with zero bytes to the requested size.
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, planned faultPlan, digest string) {
 	line := fmt.Sprintf("call=%s instance=%s body=%s\n", r.Header.Get(HeaderCall), s.options.Instance, digest)
 	w.Header().Set(HeaderInstance, s.options.Instance)
 	w.Header().Set(HeaderBodyDigest, digest)
@@ -245,18 +245,18 @@
 			return nil, err
 		}
 		limit := int64(l.server.options.ConnectionLimit)
-		if limit > 0 && l.server.open.Load() >= limit {
+		if limit > 0 && l.server.openConnections.Load() >= limit {
 			_ = conn.Close()
 			continue
 		}
-		l.server.open.Add(1)
+		l.server.openConnections.Add(1)
 		l.server.Connections.Add(1)
 		time.Sleep(l.server.options.ConnectionCost)
-		return &countedConn{Conn: conn, open: &l.server.open}, nil
+		return &countedConn{Conn: conn, open: &l.server.openConnections}, nil
 	}
 }
 
-// countedConn counts itself out when it is closed.
+// countedConn decrements the number of open connections when it is closed.
 type countedConn struct {
 	net.Conn
 	open *atomic.Int64
