--- a/internal/lab/callload/caller.go
+++ b/internal/lab/callload/caller.go
@@ -1,9 +1,8 @@
-// Package callload is a stand-in for callers: it makes calls at a rate, checks every answer
-// against what was asked for, and tallies the outcomes.
+// Package callload is a stand-in for callers: it makes calls at a given rate, checks that every
+// answer belongs to its call, and counts the outcomes.
 //
-// It owns its HTTP connections and the goroutines of one Run, which ends them. It relies on
-// answers in the form of package backendstub. What must hold: each call is counted once, as
-// done, not run, unknown or wrong.
+// Run starts goroutines and waits for their end. Answers must have the form of package
+// backendstub. Each call is counted exactly once, as done, not run, unknown or wrong.
 package callload
 
 import (
@@ -25,20 +24,22 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Outcome is what a caller learned of one call.
+// Outcome is the result of one call from the caller's point of view.
 type Outcome string
 
 const (
-	// OutcomeDone is a whole answer with the right content.
+	// OutcomeDone is a complete answer with the expected content.
 	OutcomeDone Outcome = "done"
-	// OutcomeWrong is an answer that belongs to another call or is damaged
-	// although it looked whole.
-	OutcomeWrong   Outcome = "wrong"
-	OutcomeNotRun  Outcome = "not-run"
+	// OutcomeWrong is a complete answer that belongs to another call or is
+	// corrupt.
+	OutcomeWrong Outcome = "wrong"
+	// OutcomeNotRun means that the call was certainly not executed.
+	OutcomeNotRun Outcome = "not-run"
+	// OutcomeUnknown means that the call may or may not have been executed.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// CallResult is one finished call.
+// CallResult is the result of one finished call.
 type CallResult struct {
 	Call     string
 	Outcome  Outcome
@@ -50,26 +51,27 @@
 
 // Caller makes calls and checks their answers.
 type Caller struct {
-	// Target is the caller address of a daemon, or a back end for a direct
-	// comparison.
+	// Target is the address on which a daemon accepts callers, or that of a back
+	// end for a comparison without a daemon.
 	Target string
 	Host   string
 	Path   string
 	Method string
 	Header http.Header
-	// Body makes a fresh request body for each call; nil for none.
+	// Body returns a new request body for each call; nil for an empty body.
 	Body   func() io.Reader
 	Client *http.Client
 }
 
-// NewHTTPClient returns a client that never repeats a request by itself.
+// NewHTTPClient returns a client that keeps up to the given number of idle connections per host. With
+// the bodies that Caller sends it never retries a request.
 func NewHTTPClient(connections int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: connections, DisableCompression: true, IdleConnTimeout: 20 * time.Second,
 	}}
 }
 
-// Do makes one call with the given name.
+// Do makes one call under the given name.
 func (c *Caller) Do(ctx context.Context, call string) CallResult {
 	started := time.Now()
 	finished := c.exchange(ctx, call)
@@ -78,18 +80,18 @@
 	return finished
 }
 
-// oneShot hides the body's type from the HTTP client, so that it cannot send it twice.
-type oneShot struct{ io.Reader }
+// unrepeatableBody hides the type of a body from the HTTP client, which can then not send it again.
+type unrepeatableBody struct{ io.Reader }
 
-// body returns the request body. The HTTP client repeats a GET on its own when
-// a kept connection breaks, unless its body cannot be sent twice; it never
-// repeats a POST.
+// body returns the request body. The HTTP client retries a GET when a kept-alive
+// connection breaks, unless the body cannot be sent again; it never retries a
+// POST. A retry would run a call twice.
 func (c *Caller) body() io.Reader {
 	switch {
 	case c.Body != nil:
-		return oneShot{c.Body()}
+		return unrepeatableBody{c.Body()}
 	case c.Method == http.MethodGet:
-		return oneShot{http.NoBody}
+		return unrepeatableBody{http.NoBody}
 	default:
 		return http.NoBody
 	}
@@ -120,8 +122,8 @@
 	return finished
 }
 
-// failureOutcome returns the outcome of a call without an answer: only a refused connection proves
-// that it did not run.
+// failureOutcome returns the outcome of a call without an answer. Only a failed dial proves that the
+// call did not run.
 func failureOutcome(err error) Outcome {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -150,34 +152,33 @@
 	return OutcomeDone
 }
 
-// Load makes calls at a steady rate, or as fast as its workers can.
+// Load makes calls at a fixed rate, or as fast as its workers can.
 type Load struct {
 	Caller  *Caller
 	Workers int
-	// Rate is the number of calls per second in all; 0 for as fast as the
-	// workers can.
+	// Rate is the total number of calls per second; 0 for no limit.
 	Rate     float64
 	Duration time.Duration
 	// Name is the prefix of the calls' names.
 	Name string
 }
 
-// Tally is the sum of a load's calls.
+// Tally counts the calls of a load by outcome, result and instance.
 type Tally struct {
 	Done, Wrong, NotRun, Unknown int64
-	// Latency holds the latencies of calls done, in microseconds.
+	// Latency holds the latencies of the calls done, in microseconds.
 	Latency *hdrhistogram.Histogram
 	Results map[string]int64
 	// ByInstance counts the calls done by instance.
 	ByInstance map[string]int64
-	// Calls are all calls in the order of their ends.
+	// Calls are all calls in the order in which they finished.
 	Calls []CallResult
 }
 
 // Total returns the number of calls.
 func (t *Tally) Total() int64 { return t.Done + t.Wrong + t.NotRun + t.Unknown }
 
-// maxLatencyMicros bounds the latency histogram.
+// maxLatencyMicros is the highest latency that the histogram records, 120 s.
 const maxLatencyMicros = 120 * 1000 * 1000
 
 func newTally() *Tally {
@@ -204,7 +205,7 @@
 	t.Calls = append(t.Calls, finished)
 }
 
-// Run makes the calls until the duration is over or ctx ends.
+// Run makes calls until the duration has passed or ctx ends, and waits for those that have begun.
 func (l *Load) Run(ctx context.Context) *Tally {
 	ctx, cancel := context.WithTimeout(ctx, l.Duration)
 	defer cancel()
@@ -220,8 +221,8 @@
 		close(finished)
 	}()
 	tally := newTally()
-	for one := range finished {
-		tally.add(one)
+	for call := range finished {
+		tally.add(call)
 	}
 	return tally
 }
@@ -235,7 +236,7 @@
 				return
 			}
 		}
-		// A call that has begun is finished even if the load ends.
+		// A call that has begun finishes even if the load ends.
 		finished <- l.Caller.Do(context.WithoutCancel(ctx), fmt.Sprintf("%s-%d", l.Name, number))
 	}
 }
