--- a/internal/lab/objectapistub/machines.go
+++ b/internal/lab/objectapistub/machines.go
@@ -8,14 +8,14 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/objectapi"
 )
 
-// machineChange is a change that the list shows from visibleAt on.
+// machineChange is a change of the machine list that becomes visible at visibleAt.
 type machineChange struct {
 	visibleAt time.Time
 	machine   objectapi.Machine
 	removed   bool
 }
 
-// machineList shows changes only after a lag.
+// machineList is the list of machines, which shows each change after a delay of lag.
 type machineList struct {
 	mutex   sync.Mutex
 	lag     time.Duration
@@ -52,7 +52,7 @@
 func (l *machineList) list(zone string) []objectapi.Machine {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.revealPending(time.Now())
+	l.applyDue(time.Now())
 	machines := []objectapi.Machine{}
 	for _, machine := range l.visible {
 		if zone == "" || machine.Zone == zone {
@@ -63,8 +63,8 @@
 	return machines
 }
 
-// revealPending makes due changes visible; the caller holds mutex.
-func (l *machineList) revealPending(now time.Time) {
+// applyDue makes the due changes visible unless the list is frozen; the caller holds mutex.
+func (l *machineList) applyDue(now time.Time) {
 	if l.frozen {
 		return
 	}
--- a/internal/lab/objectapistub/server.go
+++ b/internal/lab/objectapistub/server.go
@@ -1,7 +1,7 @@
 // Package objectapistub is a stand-in for the platform: an object API with
-// versions, compare-and-swap, watches and compaction, and a lagging machine
-// list, served over HTTP/JSON. Faults can be switched on while it runs. It
-// deliberately shares no HTTP code with the product's servers.
+// versions, compare-and-swap, watches and compaction, and a machine list that
+// shows changes after a delay, served over HTTP/JSON. Faults can be set while it
+// runs. It deliberately shares no HTTP code with the daemon's servers.
 package objectapistub
 
 import (
@@ -24,24 +24,25 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// Bounds of the stand-in.
+// Limits of the stand-in.
 const (
-	// defaultWatchCap is the number of concurrent watches where Options name none.
+	// defaultWatchCap is the maximum number of concurrent watches if Options.WatchCap is 0.
 	defaultWatchCap  = 40
 	bookmarkInterval = time.Second
 	maxBodyBytes     = 32 << 20
 )
 
-// Faults are the disturbances that can be switched on at run time. The zero
-// value is a healthy platform.
+// Faults are the faults that can be set at run time. The zero value is a healthy
+// platform.
 type Faults struct {
-	// Down answers every request with 503 and breaks watches.
+	// Down answers every request with 503 and ends running watches.
 	Down bool `json:"down"`
-	// DelayMillis slows every answer.
+	// DelayMillis delays every answer.
 	DelayMillis int `json:"delay_millis"`
-	// LoseAnswerPercent of the writes take effect and then lose the answer.
+	// LoseAnswerPercent is the percentage of writes that take effect but are not
+	// answered.
 	LoseAnswerPercent int `json:"lose_answer_percent"`
-	// EventDelayMillis holds watch events back.
+	// EventDelayMillis delays watch events.
 	EventDelayMillis int `json:"event_delay_millis"`
 	// CrossEvents sends the events of one burst in reverse order.
 	CrossEvents bool `json:"cross_events"`
@@ -49,7 +50,8 @@
 	FreezeMachines bool `json:"freeze_machines"`
 }
 
-// Server is the stand-in. Create it with Start and end it with Close.
+// Server is the stand-in for the platform. Create it with Start and end it with
+// Close.
 type Server struct {
 	store    *store
 	machines *machineList
@@ -61,43 +63,43 @@
 	mutex  sync.Mutex
 	faults Faults
 	random *rand.Rand
-	// broken is closed when running watches must end.
-	broken chan struct{}
+	// watchesBroken is closed when running watches must end.
+	watchesBroken chan struct{}
 
-	watchers     atomic.Int64
-	peakWatchers atomic.Int64
-	requests     atomic.Int64
-	refused      atomic.Int64
+	watchers       atomic.Int64
+	peakWatchers   atomic.Int64
+	requests       atomic.Int64
+	refusedWatches atomic.Int64
 }
 
 // Options configure a Server.
 type Options struct {
-	// Address is where to listen; "127.0.0.1:0" picks a port.
+	// Address is the listen address; with "127.0.0.1:0" the system chooses a port.
 	Address string
-	// Token is required from clients when not empty.
+	// Token is the bearer token that clients must send; "" for none.
 	Token string
-	// WatchCap bounds concurrent watches; 0 means the default.
+	// WatchCap is the maximum number of concurrent watches; 0 for the default.
 	WatchCap int
-	// MachineLag is how far the machine list lags behind reality.
+	// MachineLag is the delay until the machine list shows a change.
 	MachineLag time.Duration
-	// Seed seeds the faults' randomness.
+	// Seed is the seed for the random choice of lost answers.
 	Seed uint64
 }
 
-// Start opens the listener and serves in the background.
+// Start opens the listener and serves requests in the background.
 func Start(options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", options.Address)
 	if err != nil {
 		return nil, result.Wrap(result.SettingsBadAddress, err, "listening on %s", options.Address)
 	}
 	server := &Server{
-		store:    newStore(),
-		machines: newMachineList(options.MachineLag),
-		listener: listener,
-		token:    options.Token,
-		watchCap: options.WatchCap,
-		random:   rand.New(rand.NewPCG(options.Seed, 1)),
-		broken:   make(chan struct{}),
+		store:         newStore(),
+		machines:      newMachineList(options.MachineLag),
+		listener:      listener,
+		token:         options.Token,
+		watchCap:      options.WatchCap,
+		random:        rand.New(rand.NewPCG(options.Seed, 1)),
+		watchesBroken: make(chan struct{}),
 	}
 	if server.watchCap == 0 {
 		server.watchCap = defaultWatchCap
@@ -107,25 +109,25 @@
 	return server, nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the server and all watches.
+// Close stops the server and ends all watches.
 func (s *Server) Close() { _ = s.http.Close() }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if faults.Down && !s.faults.Down {
-		close(s.broken)
-		s.broken = make(chan struct{})
+		close(s.watchesBroken)
+		s.watchesBroken = make(chan struct{})
 	}
 	s.faults = faults
 	s.machines.setFrozen(faults.FreezeMachines)
 }
 
-// Compact drops the kept events, so that watches must list again.
+// Compact drops all stored events, so that clients of older watches must list again.
 func (s *Server) Compact() { s.store.compact() }
 
 // SetMachine adds or changes a machine; the list shows it after its lag.
@@ -134,7 +136,7 @@
 // RemoveMachine removes a machine; the list shows it after its lag.
 func (s *Server) RemoveMachine(node string) { s.machines.remove(node) }
 
-// Load counts what the stand-in served.
+// Load counts the requests and watches that the stand-in served.
 type Load struct {
 	Requests, RefusedWatches, PeakWatchers int64
 }
@@ -143,7 +145,7 @@
 func (s *Server) Load() Load {
 	return Load{
 		Requests:       s.requests.Load(),
-		RefusedWatches: s.refused.Load(),
+		RefusedWatches: s.refusedWatches.Load(),
 		PeakWatchers:   s.peakWatchers.Load(),
 	}
 }
@@ -161,8 +163,8 @@
 	return mux
 }
 
-// admit counts a request, checks the token and applies the faults down and
-// slow.
+// admit counts a request, checks the token and applies the faults Down and
+// DelayMillis.
 func (s *Server) admit(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.requests.Add(1)
@@ -188,8 +190,8 @@
 	return s.faults
 }
 
-// dropsAnswer decides whether the answer to a write is lost.
-func (s *Server) dropsAnswer() bool {
+// losesAnswer reports whether the answer to a write is lost, which it draws at random.
+func (s *Server) losesAnswer() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.random.IntN(100) < s.faults.LoseAnswerPercent
@@ -197,13 +199,13 @@
 
 func (s *Server) serveGet(w http.ResponseWriter, r *http.Request) {
 	object, err := s.store.get(r.URL.Query().Get("key"))
-	answer(w, object, err)
+	writeAnswer(w, object, err)
 }
 
 func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("limit"))
-	answer(w, s.store.list(query.Get("prefix"), query.Get("start"), limit), nil)
+	writeAnswer(w, s.store.list(query.Get("prefix"), query.Get("start"), limit), nil)
 }
 
 func (s *Server) serveMachines(w http.ResponseWriter, r *http.Request) {
@@ -215,10 +217,11 @@
 		return
 	}
 	w.Header().Set("ETag", tag)
-	answer(w, machines, err)
+	writeAnswer(w, machines, err)
 }
 
-// write reads the common parts of a write, applies it and may lose the answer.
+// write reads the parameters that all writes share, applies the write and answers it unless the
+// fault LoseAnswerPercent drops the answer.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, apply func(key string, body []byte, expected int64) (int64, error)) {
 	expected, err := strconv.ParseInt(r.URL.Query().Get("version"), 10, 64)
 	if err != nil {
@@ -231,10 +234,10 @@
 		return
 	}
 	version, err := apply(r.URL.Query().Get("key"), body, expected)
-	if err == nil && s.dropsAnswer() {
+	if err == nil && s.losesAnswer() {
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, map[string]int64{"version": version}, err)
+	writeAnswer(w, map[string]int64{"version": version}, err)
 }
 
 func (s *Server) servePut(w http.ResponseWriter, r *http.Request) { s.write(w, r, s.store.put) }
@@ -252,14 +255,14 @@
 }
 
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
-	running := s.watchers.Add(1)
+	watchers := s.watchers.Add(1)
 	defer s.watchers.Add(-1)
-	if running > int64(s.watchCap) {
-		s.refused.Add(1)
+	if watchers > int64(s.watchCap) {
+		s.refusedWatches.Add(1)
 		http.Error(w, "too many watches", http.StatusTooManyRequests)
 		return
 	}
-	for peak := s.peakWatchers.Load(); running > peak && !s.peakWatchers.CompareAndSwap(peak, running); {
+	for peak := s.peakWatchers.Load(); watchers > peak && !s.peakWatchers.CompareAndSwap(peak, watchers); {
 		peak = s.peakWatchers.Load()
 	}
 	version, err := strconv.ParseInt(r.URL.Query().Get("version"), 10, 64)
@@ -270,12 +273,12 @@
 	s.stream(w, r, version)
 }
 
-// stream sends events until the client disconnects, the store compacts past the watch, or the fault
-// down is switched on.
+// stream sends events until the client disconnects, the store compacts past the version of the
+// watch, or the fault Down is set.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, version int64) {
 	prefixes := r.URL.Query()["prefix"]
 	s.mutex.Lock()
-	broken := s.broken
+	broken := s.watchesBroken
 	s.mutex.Unlock()
 	encoder := json.NewEncoder(w)
 	bookmark := time.NewTicker(bookmarkInterval)
@@ -285,7 +288,7 @@
 		events, reached, changed, err := s.store.eventsAfter(version, prefixes)
 		if err != nil {
 			if !started {
-				answer(w, nil, err)
+				writeAnswer(w, nil, err)
 			}
 			return
 		}
@@ -336,7 +339,7 @@
 	s.SetFaults(faults)
 }
 
-func answer(w http.ResponseWriter, value any, err error) {
+func writeAnswer(w http.ResponseWriter, value any, err error) {
 	if err == nil {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(value)
--- a/internal/lab/objectapistub/store.go
+++ b/internal/lab/objectapistub/store.go
@@ -9,10 +9,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// keptEvents is the number of events kept for watches that start late.
-const keptEvents = 20000
+// maxStoredEvents is the maximum number of events stored for watches of earlier versions. When
+// it is exceeded, the older half is compacted.
+const maxStoredEvents = 20000
 
-// store is the object store in memory.
+// store is an in-memory object store.
 type store struct {
 	mutex   sync.Mutex
 	version int64
@@ -21,7 +22,7 @@
 	// to which events were dropped.
 	events    []objectapi.Event
 	compacted int64
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced on each change.
 	changed chan struct{}
 }
 
@@ -55,7 +56,8 @@
 	return s.version, nil
 }
 
-// existing returns an object that must be there with the expected version; the caller holds mutex.
+// existing returns an object, or an error if it does not exist or does not have the expected version.
+// The caller holds mutex.
 func (s *store) existing(key string, expected int64) (objectapi.Object, error) {
 	object, ok := s.objects[key]
 	if !ok {
@@ -95,8 +97,8 @@
 func (s *store) record(eventType objectapi.EventType, object objectapi.Object) {
 	object.Status = nil
 	s.events = append(s.events, objectapi.Event{Type: eventType, Object: object, Version: s.version})
-	if len(s.events) > keptEvents {
-		dropped := len(s.events) - keptEvents/2
+	if len(s.events) > maxStoredEvents {
+		dropped := len(s.events) - maxStoredEvents/2
 		s.compacted = s.events[dropped-1].Version
 		s.events = append([]objectapi.Event(nil), s.events[dropped:]...)
 	}
@@ -104,7 +106,7 @@
 	s.changed = make(chan struct{})
 }
 
-// compact drops all kept events, so that older watches fail.
+// compact drops all stored events, so that watches of earlier versions fail.
 func (s *store) compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -129,13 +131,13 @@
 	return list
 }
 
-// eventsAfter returns the events after version for the prefixes, the version
-// reached, and a channel that is closed at the next change.
+// eventsAfter returns the events after version for the prefixes, the current
+// version, and a channel that is closed on the next change.
 func (s *store) eventsAfter(version int64, prefixes []string) (events []objectapi.Event, reached int64, changed <-chan struct{}, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if version < s.compacted {
-		return nil, 0, nil, result.Errorf(result.PlatformCompacted, "events up to %d are gone", s.compacted)
+		return nil, 0, nil, result.Errorf(result.PlatformCompacted, "events up to version %d are compacted", s.compacted)
 	}
 	first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Version > version })
 	for _, event := range s.events[first:] {
