--- a/internal/lab/testsite/accounts_test.go
+++ b/internal/lab/testsite/accounts_test.go
@@ -12,8 +12,8 @@
 	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
 )
 
-// askWith sends a request to a daemon with a key, empty for none, and returns the status.
-func askWith(t *testing.T, member *testsite.Member, path, key string) int {
+// requestStatus sends a request with an API key, "" for none, to a daemon and returns the HTTP status.
+func requestStatus(t *testing.T, member *testsite.Member, path, key string) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+member.Daemon.Addresses().Caller+path, nil)
 	assert.NilError(t, err)
@@ -28,13 +28,13 @@
 	return response.StatusCode
 }
 
-// Accounts that operators propose are in force at every daemon, also at one that holds a part of the
-// services; a change of a key follows, and without accounts all callers are served again.
+// Accounts that an operator adds apply at every daemon, including one that holds only some of the
+// services. A changed API key replaces the old one, and without accounts no key is required.
 func TestAccountsOfTheObjectAPI(t *testing.T) {
 	site := startSite(t, 1, nil)
 	part, err := site.StartDaemon("part", site.Daemons["edge"].Settings.Zone, []string{"desk"})
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), convergenceTimeout)
 	defer cancel()
 	assert.NilError(t, site.WaitEndpoints(ctx, "desk", 1))
 	accept := func(operation string, file meshconfig.File) {
@@ -46,9 +46,9 @@
 		t.Helper()
 		for _, member := range []*testsite.Member{site.Daemons["edge"], part} {
 			for key, status := range statuses {
-				assert.Equal(t, askWith(t, member, "/lookup", key), status, "%q at %s", key, member.Settings.Node)
+				assert.Equal(t, requestStatus(t, member, "/lookup", key), status, "%q at %s", key, member.Settings.Node)
 			}
-			assert.Equal(t, askWith(t, member, "/open", ""), http.StatusOK)
+			assert.Equal(t, requestStatus(t, member, "/open", ""), http.StatusOK)
 		}
 	}
 	accept("public", meshconfig.File{Routes: []meshconfig.RouteFile{{Name: "open", Group: "riders", Pool: "desk", PathPrefix: "/open", Public: true}}})
--- a/internal/lab/testsite/calls_test.go
+++ b/internal/lab/testsite/calls_test.go
@@ -29,10 +29,10 @@
 	"github.com/lapisvane/lapisvane/internal/model/meshconfig"
 )
 
-const settleTime = 30 * time.Second
+const convergenceTimeout = 30 * time.Second
 
-// startSite runs a site with one daemon beside each of count back ends and a
-// daemon "edge" without any.
+// startSite runs a site with count back ends, one daemon beside each of them and
+// a daemon "edge" without a back end.
 func startSite(t *testing.T, count int, change func(*testsite.Profile)) *testsite.Site {
 	t.Helper()
 	profile := testsite.Swancycle()
@@ -53,7 +53,7 @@
 	}
 	_, err = site.StartDaemon("edge", profile.Zones[0], []string{"*"})
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), convergenceTimeout)
 	defer cancel()
 	revision, err := site.Accept(ctx, "routes", meshconfig.File{
 		Pools: []meshconfig.PoolFile{{Name: "desk", Group: "riders", Slots: uint32(profile.Slots), ConnectionLimit: 130}},
@@ -70,6 +70,7 @@
 	return site
 }
 
+// edgeCaller returns a caller that sends POST requests to the daemon "edge".
 func edgeCaller(site *testsite.Site, path string, header http.Header) *callload.Caller {
 	return &callload.Caller{
 		Target: site.Daemons["edge"].Daemon.Addresses().Caller, Host: "desk.example", Path: path,
@@ -77,16 +78,16 @@
 	}
 }
 
-// TestOutcomesUnderBackendFaults drives each class of call against each fault
-// of a back end and checks that what the caller learned is what happened.
+// TestOutcomesUnderBackendFaults makes calls of each kind under each fault of a
+// back end and checks the outcome at the caller and the number of executions.
 func TestOutcomesUnderBackendFaults(t *testing.T) {
 	cases := []struct {
 		name      string
 		behaviour backendstub.Behaviour
 		path      string
-		// expect is the outcome of every call, "" where it may vary.
+		// expect is the outcome of every call.
 		expect callload.Outcome
-		// runs is the number of executions of each call, -1 where it may vary.
+		// runs is the number of executions of each call, -1 if it may vary.
 		runs int
 	}{
 		{"healthy order", backendstub.Behaviour{}, "/order", callload.OutcomeDone, 1},
@@ -106,8 +107,8 @@
 			}
 			for number := range 10 {
 				call := fmt.Sprintf("%s-%d", strings.ReplaceAll(test.name, " ", "-"), number)
-				one := edgeCaller(site, test.path, nil).Do(context.Background(), call)
-				assert.Check(t, one.Outcome == test.expect, "%+v", one)
+				callResult := edgeCaller(site, test.path, nil).Do(context.Background(), call)
+				assert.Check(t, callResult.Outcome == test.expect, "%+v", callResult)
 				if test.runs >= 0 {
 					assert.Check(t, len(site.Ledger.Runs(call)) == test.runs, "%s ran %d times", call, len(site.Ledger.Runs(call)))
 				}
@@ -117,7 +118,7 @@
 }
 
 // TestOutcomesAgreeWithTheLedger makes many concurrent calls under mixed faults,
-// with a daemon killed in the middle, and compares every outcome with what ran.
+// kills a daemon meanwhile, and compares every outcome with the executions.
 func TestOutcomesAgreeWithTheLedger(t *testing.T) {
 	site := startSite(t, 3, nil)
 	for _, backend := range site.Backends {
@@ -134,37 +135,38 @@
 	running.Wait()
 	assert.Assert(t, tally.Done > 100, "%v", tally.Results)
 	assert.Assert(t, tally.Unknown > 0, "the faults had no effect")
-	assert.DeepEqual(t, disagreements(site, tally), []string(nil))
+	assert.DeepEqual(t, ledgerMismatches(site, tally), []string(nil))
 }
 
-// disagreements lists the calls whose outcome does not fit the ledger.
-func disagreements(site *testsite.Site, tally *callload.Tally) []string {
+// ledgerMismatches describes the calls whose outcome contradicts the ledger.
+func ledgerMismatches(site *testsite.Site, tally *callload.Tally) []string {
 	var list []string
-	for _, one := range tally.Calls {
-		runs := len(site.Ledger.Runs(one.Call))
+	for _, callResult := range tally.Calls {
+		runs := len(site.Ledger.Runs(callResult.Call))
 		switch {
 		case runs > 1:
-			list = append(list, fmt.Sprintf("%s ran %d times", one.Call, runs))
-		case one.Outcome == callload.OutcomeNotRun && runs > 0:
-			list = append(list, one.Call+" ran although it was said not to")
-		case one.Outcome == callload.OutcomeDone && runs == 0:
-			list = append(list, one.Call+" was answered and never ran")
-		case one.Outcome == callload.OutcomeWrong:
-			list = append(list, one.Call+" got another answer")
+			list = append(list, fmt.Sprintf("%s ran %d times", callResult.Call, runs))
+		case callResult.Outcome == callload.OutcomeNotRun && runs > 0:
+			list = append(list, callResult.Call+" ran although its outcome is not-run")
+		case callResult.Outcome == callload.OutcomeDone && runs == 0:
+			list = append(list, callResult.Call+" was answered although it did not run")
+		case callResult.Outcome == callload.OutcomeWrong:
+			list = append(list, callResult.Call+" got the answer of another call")
 		}
 	}
 	return list
 }
 
-// TestLedgerCheckCatchesRetriesOfOrders declares orders repeatable, which lets
-// them be retried after an unknown outcome, and expects the check to see it.
+// TestLedgerCheckCatchesRetriesOfOrders sends calls over a repeatable route, on
+// which daemons retry after an unknown outcome, and expects ledgerMismatches to
+// report the calls that ran twice.
 func TestLedgerCheckCatchesRetriesOfOrders(t *testing.T) {
 	site := startSite(t, 2, nil)
 	for _, backend := range site.Backends {
 		backend.SetBehaviour(backendstub.Behaviour{ResetAfterPercent: 20})
 	}
 	load := callload.Load{Caller: edgeCaller(site, "/lookup", nil), Workers: 8, Duration: time.Second, Name: "retried"}
-	assert.Assert(t, len(disagreements(site, load.Run(context.Background()))) > 0)
+	assert.Assert(t, len(ledgerMismatches(site, load.Run(context.Background()))) > 0)
 }
 
 func TestAnswersAndBodiesAreWhole(t *testing.T) {
@@ -197,7 +199,7 @@
 	}
 }
 
-// exchangeRaw sends bytes to the edge daemon and returns what comes back.
+// exchangeRaw sends bytes to the daemon "edge" and returns its whole answer.
 func exchangeRaw(t *testing.T, site *testsite.Site, raw string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", site.Daemons["edge"].Daemon.Addresses().Caller)
@@ -216,7 +218,7 @@
 		"length and chunked":     "POST /order HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"two lengths":            "POST /order HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
 		"signed length":          "POST /order HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\nhello",
-		"odd transfer encoding":  "POST /order HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
+		"bad transfer encoding":  "POST /order HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
 		"folded line":            "POST /order HTTP/1.1\r\nHost: a\r\nX: 1\r\n Content-Length: 5\r\nContent-Length: 0\r\n\r\n",
 		"space before the colon": "POST /order HTTP/1.1\r\nHost: a\r\nContent-Length : 0\r\n\r\n",
 		"bare line feed":         "POST /order HTTP/1.1\nHost: a\nContent-Length: 0\n\n",
@@ -243,7 +245,7 @@
 	assert.Equal(t, len(site.Ledger.Runs("d")), 1)
 }
 
-func TestHangUpCancelsTheCallAtTheBackend(t *testing.T) {
+func TestDisconnectCancelsTheCallAtTheBackend(t *testing.T) {
 	site := startSite(t, 1, func(p *testsite.Profile) { p.ServiceTime = 5 * time.Second })
 	ctx, cancel := context.WithCancel(context.Background())
 	finished := make(chan struct{})
@@ -256,15 +258,15 @@
 			return poll.Success()
 		}
 		return poll.Continue("the call has not begun")
-	}, poll.WithTimeout(settleTime), poll.WithDelay(5*time.Millisecond))
+	}, poll.WithTimeout(convergenceTimeout), poll.WithDelay(5*time.Millisecond))
 	cancel()
 	<-finished
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if site.Ledger.Cancelled() == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("the back end has not seen it")
-	}, poll.WithTimeout(settleTime), poll.WithDelay(5*time.Millisecond))
+		return poll.Continue("the back end has not cancelled the call")
+	}, poll.WithTimeout(convergenceTimeout), poll.WithDelay(5*time.Millisecond))
 }
 
 func TestIdempotencyKeyRunsOnce(t *testing.T) {
@@ -273,11 +275,11 @@
 	header.Set(callapi.HeaderIdempotencyKey, "unlock-77")
 	var done, duplicates int
 	for number := range 6 {
-		one := edgeCaller(site, "/order", header).Do(context.Background(), fmt.Sprintf("keyed-%d", number))
+		callResult := edgeCaller(site, "/order", header).Do(context.Background(), fmt.Sprintf("keyed-%d", number))
 		switch {
-		case one.Outcome == callload.OutcomeDone:
+		case callResult.Outcome == callload.OutcomeDone:
 			done++
-		case one.Result == "5012":
+		case callResult.Result == "5012":
 			duplicates++
 		}
 	}
@@ -286,23 +288,23 @@
 	assert.Equal(t, site.Ledger.Total(), 1)
 }
 
-// trickle is a request body that is sent in pieces until its channel is closed.
-type trickle struct {
+// streamedBody is a request body that is sent in pieces and ends when its channel is closed.
+type streamedBody struct {
 	pieces chan []byte
 	sent   int
 }
 
-func (s *trickle) Read(buffer []byte) (int, error) {
-	piece, open := <-s.pieces
+func (b *streamedBody) Read(buffer []byte) (int, error) {
+	piece, open := <-b.pieces
 	if !open {
 		return 0, io.EOF
 	}
-	s.sent += len(piece)
+	b.sent += len(piece)
 	return copy(buffer, piece), nil
 }
 
 // TestPlannedStopsCutNothing drains back ends and stops daemons on either side
-// while an upload is under way, and lets the upload end afterwards.
+// during an upload, and checks that the upload is still answered.
 func TestPlannedStopsCutNothing(t *testing.T) {
 	cases := []struct {
 		name string
@@ -311,12 +313,12 @@
 		{"back end drained by an operator", func(t *testing.T, site *testsite.Site, instance string) <-chan struct{} {
 			_, err := site.Command(context.Background(), "edge", "drain desk/"+instance)
 			assert.NilError(t, err)
-			return closed()
+			return closedChannel()
 		}},
 		{"back end retired by an operator", func(t *testing.T, site *testsite.Site, instance string) <-chan struct{} {
 			_, err := site.Command(context.Background(), "edge", "retire desk/"+instance)
 			assert.NilError(t, err)
-			return closed()
+			return closedChannel()
 		}},
 		{"daemon beside the back end stopped", func(_ *testing.T, site *testsite.Site, instance string) <-chan struct{} {
 			return stopInBackground(site.Daemons["beside-"+instance])
@@ -328,7 +330,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			site := startSite(t, 2, nil)
-			body := &trickle{pieces: make(chan []byte)}
+			body := &streamedBody{pieces: make(chan []byte)}
 			caller := edgeCaller(site, "/upload", nil)
 			caller.Body = func() io.Reader { return body }
 			result := make(chan callload.CallResult, 1)
@@ -341,7 +343,7 @@
 					return poll.Success()
 				}
 				return poll.Continue("the upload has not begun")
-			}, poll.WithTimeout(settleTime), poll.WithDelay(5*time.Millisecond))
+			}, poll.WithTimeout(convergenceTimeout), poll.WithDelay(5*time.Millisecond))
 			instance := site.Ledger.Runs("slow-upload")[0].Instance
 			finished := test.stop(t, site, instance)
 			time.Sleep(time.Second)
@@ -349,19 +351,19 @@
 				body.pieces <- bytes.Repeat([]byte("u"), 1000)
 			}
 			close(body.pieces)
-			one := <-result
-			assert.Equal(t, one.Outcome, callload.OutcomeDone, "%+v", one)
+			callResult := <-result
+			assert.Equal(t, callResult.Outcome, callload.OutcomeDone, "%+v", callResult)
 			<-finished
 			for _, member := range site.Daemons {
-				assert.Equal(t, member.Cut, int64(0))
+				assert.Equal(t, member.CutCalls, int64(0))
 			}
 		})
 	}
 }
 
-// TestCallsThatOutlastAStopAreAnswered stops the caller's daemon while its call
-// is at a back end for longer than the daemon has: the caller gets a whole
-// answer, which says that the outcome is unknown.
+// TestCallsThatOutlastAStopAreAnswered stops the caller's daemon during a call
+// that takes longer than the daemon's stop limit. The caller must get a complete
+// answer that reports the outcome as unknown.
 func TestCallsThatOutlastAStopAreAnswered(t *testing.T) {
 	site := startSite(t, 1, func(profile *testsite.Profile) {
 		profile.StopLimit = tunables.Duration(500 * time.Millisecond)
@@ -375,17 +377,18 @@
 			return poll.Success()
 		}
 		return poll.Continue("the call has not begun")
-	}, poll.WithTimeout(settleTime), poll.WithDelay(5*time.Millisecond))
+	}, poll.WithTimeout(convergenceTimeout), poll.WithDelay(5*time.Millisecond))
 	site.Daemons["edge"].Stop()
-	// The process may end now: nothing may be left to be written.
+	// The process may end after Stop, so the answer must have been written.
 	assert.Equal(t, site.Daemons["edge"].Daemon.InFlight(), int64(0))
-	one := <-result
-	assert.Equal(t, one.Status, http.StatusBadGateway, "%+v", one)
-	assert.Equal(t, one.Outcome, callload.OutcomeUnknown)
-	assert.Equal(t, site.Daemons["edge"].Cut, int64(1))
+	callResult := <-result
+	assert.Equal(t, callResult.Status, http.StatusBadGateway, "%+v", callResult)
+	assert.Equal(t, callResult.Outcome, callload.OutcomeUnknown)
+	assert.Equal(t, site.Daemons["edge"].CutCalls, int64(1))
 }
 
-func closed() <-chan struct{} {
+// closedChannel is the result of a stop that has already finished.
+func closedChannel() <-chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
@@ -404,14 +407,14 @@
 	site := startSite(t, 2, nil)
 	table, err := site.Command(context.Background(), "edge", "drain desk/desk-1")
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), convergenceTimeout)
 	defer cancel()
 	assert.Equal(t, table.Rows[0][0], "2")
 	assert.NilError(t, site.WaitInForce(ctx, 2))
 	for number := range 40 {
-		one := edgeCaller(site, "/order", nil).Do(ctx, fmt.Sprintf("after-drain-%d", number))
-		assert.Equal(t, one.Outcome, callload.OutcomeDone)
-		assert.Equal(t, one.Instance, "desk-2")
+		callResult := edgeCaller(site, "/order", nil).Do(ctx, fmt.Sprintf("after-drain-%d", number))
+		assert.Equal(t, callResult.Outcome, callload.OutcomeDone)
+		assert.Equal(t, callResult.Instance, "desk-2")
 	}
 	_, err = site.Command(ctx, "edge", "undrain desk/desk-1")
 	assert.NilError(t, err)
@@ -422,7 +425,7 @@
 	site := startSite(t, 1, nil)
 	authority, err := testsite.NewAuthority("test")
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), convergenceTimeout)
 	defer cancel()
 	install := func(operation string) []byte {
 		pair, err := authority.Issue("rides.example")
@@ -443,7 +446,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("not ready")
-	}, poll.WithTimeout(settleTime))
+	}, poll.WithTimeout(convergenceTimeout))
 	roots := x509.NewCertPool()
 	assert.Assert(t, roots.AppendCertsFromPEM(authority.PEM))
 	dial := func() *tls.Conn {
--- a/internal/lab/testsite/daemon_test.go
+++ b/internal/lab/testsite/daemon_test.go
@@ -56,13 +56,13 @@
 			assert.Check(t, !strings.HasPrefix(string(answer), "HTTP/1.1 2"), "payload %d at %s: %q", index, address, answer)
 		}
 	}
-	one := edgeCaller(site, "/order", nil).Do(context.Background(), "after-noise")
-	assert.Equal(t, one.Outcome, callload.OutcomeDone)
+	callResult := edgeCaller(site, "/order", nil).Do(context.Background(), "after-noise")
+	assert.Equal(t, callResult.Outcome, callload.OutcomeDone)
 	_, err := site.Command(context.Background(), "edge", "show versions")
 	assert.NilError(t, err)
 }
 
-// writeKeys stores a key pair of the authority in files.
+// writeKeys issues a key pair for name and writes it to files.
 func writeKeys(t *testing.T, authority *testsite.Authority, name string) settings.PeerTLS {
 	t.Helper()
 	pair, err := authority.Issue(name)
@@ -86,11 +86,11 @@
 	assert.NilError(t, err)
 	_, err = site.AddBackend("desk", "desk-1")
 	assert.NilError(t, err)
-	beside, err := site.StartSecureDaemon("beside", profile.Zones[0], writeKeys(t, authority, tlssetup.PeerName), "desk/desk-1")
+	besideDaemon, err := site.StartMTLSDaemon("beside", profile.Zones[0], writeKeys(t, authority, tlssetup.PeerName), "desk/desk-1")
 	assert.NilError(t, err)
-	_, err = site.StartSecureDaemon("edge", profile.Zones[0], writeKeys(t, authority, tlssetup.PeerName))
+	_, err = site.StartMTLSDaemon("edge", profile.Zones[0], writeKeys(t, authority, tlssetup.PeerName))
 	assert.NilError(t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), convergenceTimeout)
 	defer cancel()
 	revision, err := site.Accept(ctx, "routes", meshconfig.File{
 		Pools:  []meshconfig.PoolFile{{Name: "desk", Group: "riders", Slots: 6, ConnectionLimit: 130}},
@@ -100,27 +100,27 @@
 	assert.NilError(t, site.WaitInForce(ctx, revision))
 	assert.NilError(t, site.WaitEndpoints(ctx, "desk", 1))
 	for number := range 20 {
-		one := edgeCaller(site, "/order", nil).Do(ctx, fmt.Sprintf("secure-%d", number))
-		assert.Equal(t, one.Outcome, callload.OutcomeDone, "%+v", one)
+		callResult := edgeCaller(site, "/order", nil).Do(ctx, fmt.Sprintf("secure-%d", number))
+		assert.Equal(t, callResult.Outcome, callload.OutcomeDone, "%+v", callResult)
 	}
 
-	strangers, err := testsite.NewAuthority("strangers")
+	otherAuthority, err := testsite.NewAuthority("strangers")
 	assert.NilError(t, err)
 	for name, keys := range map[string]settings.PeerTLS{
-		"plain":              {},
-		"stranger authority": writeKeys(t, strangers, tlssetup.PeerName),
+		"plain":           {},
+		"other authority": writeKeys(t, otherAuthority, tlssetup.PeerName),
 	} {
 		t.Run(name, func(t *testing.T) {
 			network, err := tlssetup.Network(keys.Certificate, keys.Key, keys.Authority)
 			assert.NilError(t, err)
-			conn, err := network.Dial(ctx, beside.Daemon.Addresses().Peer)
+			conn, err := network.Dial(ctx, besideDaemon.Daemon.Addresses().Peer)
 			if err != nil {
 				return
 			}
 			_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 			_, _ = conn.Write([]byte("LPSV1\n\x04\x0a\x02\x08\x01"))
 			answer, _ := io.ReadAll(conn)
-			assert.Assert(t, !bytes.Contains(answer, []byte("beside")), "a stranger got %q", answer)
+			assert.Assert(t, !bytes.Contains(answer, []byte("beside")), "an unauthenticated peer got %q", answer)
 		})
 	}
 }
@@ -138,8 +138,8 @@
 	assert.Assert(t, response.StatusCode == http.StatusNotFound || response.Header.Get("Retry-After") != "")
 }
 
-// TestMachineListDrains lists a machine as leaving and sees its back end get no
-// new work.
+// TestMachineListDrains lists a machine as leaving and checks that its back end
+// gets no new calls.
 func TestMachineListDrains(t *testing.T) {
 	site := startSite(t, 2, func(p *testsite.Profile) { p.MachineLag = 0 })
 	settings := site.Daemons["beside-desk-1"].Settings
@@ -153,10 +153,10 @@
 			return poll.Success()
 		}
 		return poll.Continue("the machine's back end is not drained yet")
-	}, poll.WithTimeout(settleTime), poll.WithDelay(20*time.Millisecond))
+	}, poll.WithTimeout(convergenceTimeout), poll.WithDelay(20*time.Millisecond))
 	for number := range 20 {
-		one := edgeCaller(site, "/order", nil).Do(context.Background(), fmt.Sprintf("leaving-%d", number))
-		assert.Equal(t, one.Outcome, callload.OutcomeDone)
-		assert.Equal(t, one.Instance, "desk-2")
+		callResult := edgeCaller(site, "/order", nil).Do(context.Background(), fmt.Sprintf("leaving-%d", number))
+		assert.Equal(t, callResult.Outcome, callload.OutcomeDone)
+		assert.Equal(t, callResult.Instance, "desk-2")
 	}
 }
--- a/internal/lab/testsite/keys.go
+++ b/internal/lab/testsite/keys.go
@@ -15,20 +15,20 @@
 	"github.com/lapisvane/lapisvane/internal/transport/tlssetup"
 )
 
-// keyLifetime is how long keys made by the lab are valid.
+// keyLifetime is how long certificates issued by an Authority are valid.
 const keyLifetime = 30 * 24 * time.Hour
 
 // KeyPair is a certificate with its key in PEM form.
 type KeyPair struct{ Certificate, Key []byte }
 
-// Authority signs certificates for trials.
+// Authority is a certificate authority for tests.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	PEM         []byte
 }
 
-// NewAuthority makes an authority with a fresh key.
+// NewAuthority returns an authority with a new key and a self-signed certificate.
 func NewAuthority(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Issue signs a key pair for name.
+// Issue returns a new key pair with a certificate for name.
 func (a *Authority) Issue(name string) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -80,9 +80,9 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// PeerKeysCommand writes keys for mutual TLS between daemons.
+// PeerKeysCommand writes a certificate authority and a key pair for mutual TLS between daemons.
 type PeerKeysCommand struct {
-	Directory string `long:"directory" description:"where to write authority.pem, peer.pem and peer.key" required:"true"`
+	Directory string `long:"directory" description:"directory for authority.pem, peer.pem and peer.key" required:"true"`
 }
 
 // Execute implements flags.Commander.
--- a/internal/lab/testsite/profile.go
+++ b/internal/lab/testsite/profile.go
@@ -7,7 +7,7 @@
 	"github.com/lapisvane/lapisvane/internal/distribution/tunables"
 )
 
-// Profile is the shape of a site: its sizes, delays and limits.
+// Profile holds the sizes, delays and limits of a site.
 type Profile struct {
 	Name string
 	// Zones are the names of the zones.
@@ -16,15 +16,15 @@
 	Slots, Connections int
 	ConnectionCost     time.Duration
 	ServiceTime        time.Duration
-	// Distribution names the tunables: convergence or bytes.
+	// Distribution is the profile of the distribution settings: convergence or bytes.
 	Distribution string
 	MachineLag   time.Duration
 	StopLimit    tunables.Duration
 	Seed         uint64
 }
 
-// Swancycle is the shape of a bicycle rental with four zones in one city,
-// which weighs convergence time.
+// Swancycle is the profile of a bicycle rental with four zones in one city. Its
+// distribution settings favour convergence time over bytes.
 func Swancycle() Profile {
 	return Profile{
 		Name: "swancycle", Zones: []string{"perth-1", "perth-2", "perth-3", "perth-4"},
--- a/internal/lab/testsite/site.go
+++ b/internal/lab/testsite/site.go
@@ -1,8 +1,8 @@
 // Package testsite starts a small site for tests: stand-ins for the object API and back ends,
 // real daemons in the test's process, and operators.
 //
-// A Site owns what it starts, on loopback, and ends it with Close; it is not safe for concurrent
-// changes. It is used by tests only, and its certificates by lapislab peer-keys.
+// All servers of a Site listen on loopback and stop with Site.Close. Only tests use the package,
+// except for its certificates, which lapislab peer-keys writes.
 package testsite
 
 import (
@@ -29,17 +29,17 @@
 	"github.com/lapisvane/lapisvane/internal/operators/query"
 )
 
-// Loopback lets the system choose a port.
+// Loopback is a listen address whose port the system chooses.
 const Loopback = "127.0.0.1:0"
 
-// Tokens of the lab's operators.
+// Token and name of the operator of a Site.
 const (
 	AdminToken = "lab-admin-token"
-	LabAdmin   = "lab-admin"
+	AdminName  = "lab-admin"
 )
 
-// Site is a platform stand-in with daemons and back ends around it, all in
-// this process. It is not safe for concurrent changes.
+// Site is a platform stand-in with daemons and back ends, all in this process.
+// It is not safe for concurrent changes.
 type Site struct {
 	Platform *objectapistub.Server
 	Store    *objectapi.Client
@@ -58,11 +58,11 @@
 	force    chan struct{}
 	done     chan struct{}
 	once     sync.Once
-	// Cut is the number of calls cut at the end, valid after Stop.
-	Cut int64
+	// CutCalls is the number of calls that the daemon cut when it ended, valid after Stop or Kill.
+	CutCalls int64
 }
 
-// NewSite starts the platform stand-in.
+// NewSite starts the platform stand-in of a site without daemons and back ends.
 func NewSite(profile Profile, logger logr.Logger) (*Site, error) {
 	daemon.QuietHTTPLibrary()
 	stub, err := objectapistub.Start(objectapistub.Options{Address: Loopback, MachineLag: profile.MachineLag, Seed: profile.Seed})
@@ -74,13 +74,13 @@
 		Daemons: map[string]*Member{}, Backends: map[string]*backendstub.Server{}, logger: logger, profile: profile,
 	}
 	operators, _ := json.Marshal([]operator.Operator{
-		{Name: LabAdmin, Group: operator.AdminGroup, TokenSHA256: operator.HashToken(AdminToken)},
+		{Name: AdminName, Group: operator.AdminGroup, TokenSHA256: operator.HashToken(AdminToken)},
 	})
 	_, err = site.Store.Put(context.Background(), operator.TokensKey, operators, objectapi.VersionAny)
 	return site, err
 }
 
-// AddBackend starts a back-end stand-in of the profile's kind.
+// AddBackend starts a back-end stand-in with the limits of the profile.
 func (s *Site) AddBackend(service, instance string) (*backendstub.Server, error) {
 	backend, err := backendstub.Start(backendstub.Options{
 		Address: Loopback, Instance: instance, Slots: s.profile.Slots, ConnectionLimit: s.profile.Connections,
@@ -93,28 +93,28 @@
 	return backend, err
 }
 
-// StartDaemon runs a daemon in zone beside the given back ends
-// ("service/instance").
+// StartDaemon runs a daemon in zone that serves the given back ends
+// ("service/instance") and holds the given services.
 func (s *Site) StartDaemon(node, zone string, services []string, backends ...string) (*Member, error) {
 	config := s.baseSettings(node, zone, backends...)
 	config.Services = services
-	return s.startWith(config)
+	return s.start(config)
 }
 
-// StartTLSDaemon runs a daemon that serves callers over HTTPS too.
+// StartTLSDaemon runs a daemon that also accepts callers over HTTPS.
 func (s *Site) StartTLSDaemon(node, zone string) (*Member, error) {
 	config := s.baseSettings(node, zone)
 	config.Services = []string{"*"}
 	config.CallerTLSAddress = Loopback
-	return s.startWith(config)
+	return s.start(config)
 }
 
-// StartSecureDaemon runs a daemon that speaks mutual TLS to other daemons.
-func (s *Site) StartSecureDaemon(node, zone string, keys settings.PeerTLS, backends ...string) (*Member, error) {
+// StartMTLSDaemon runs a daemon that uses mutual TLS with other daemons.
+func (s *Site) StartMTLSDaemon(node, zone string, keys settings.PeerTLS, backends ...string) (*Member, error) {
 	config := s.baseSettings(node, zone, backends...)
 	config.Services = []string{"*"}
 	config.PeerTLS = keys
-	return s.startWith(config)
+	return s.start(config)
 }
 
 func (s *Site) baseSettings(node, zone string, backends ...string) *settings.Daemon {
@@ -132,7 +132,7 @@
 	return &config
 }
 
-func (s *Site) startWith(config *settings.Daemon) (*Member, error) {
+func (s *Site) start(config *settings.Daemon) (*Member, error) {
 	if err := config.Check(); err != nil {
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 	}
 	go func() {
 		defer close(member.done)
-		member.Cut = running.Run(member.stop, member.force)
+		member.CutCalls = running.Run(member.stop, member.force)
 	}()
 	s.Platform.SetMachine(objectapi.Machine{
 		Node: config.Node, Address: running.Addresses().Peer, Zone: config.Zone, Region: config.Region, State: objectapi.MachineLive,
@@ -155,13 +155,13 @@
 	return member, nil
 }
 
-// Stop stops the daemon as planned and waits for it.
+// Stop makes a planned stop of the daemon and waits for its end.
 func (m *Member) Stop() {
 	m.once.Do(func() { close(m.stop) })
 	<-m.done
 }
 
-// Kill ends the daemon without letting anything finish.
+// Kill ends the daemon without waiting for calls in flight.
 func (m *Member) Kill() {
 	m.once.Do(func() { close(m.stop) })
 	select {
@@ -172,13 +172,13 @@
 	<-m.done
 }
 
-// Close ends everything.
+// Close ends all daemons, back ends and the platform stand-in.
 func (s *Site) Close() {
-	var ending sync.WaitGroup
+	var closing sync.WaitGroup
 	for _, member := range s.Daemons {
-		ending.Go(member.Kill)
+		closing.Go(member.Kill)
 	}
-	ending.Wait()
+	closing.Wait()
 	for _, backend := range s.Backends {
 		backend.Close()
 	}
@@ -186,7 +186,7 @@
 	s.Platform.Close()
 }
 
-// Command runs one command of the operators' language at a daemon.
+// Command runs one command of the operator language at a daemon.
 func (s *Site) Command(ctx context.Context, node, line string) (*opapi.Table, error) {
 	command, err := query.Parse(line)
 	if err != nil {
@@ -195,7 +195,7 @@
 	return ctl.NewClient(s.Daemons[node].Daemon.Addresses().Operator, AdminToken).Run(ctx, command)
 }
 
-// Accept makes changes the next revision without an operator's interface.
+// Accept writes changes to the change log as the next revision, without the operator interface.
 func (s *Site) Accept(ctx context.Context, operation string, file meshconfig.File) (uint64, error) {
 	changes, err := file.Changes()
 	if err != nil {
@@ -207,31 +207,31 @@
 		return 0, err
 	}
 	return log.Accept(ctx, &lapisv1.Proposal{
-		OperationId: operation, Author: LabAdmin, BaseRevision: state.Revision, Changes: changes,
+		OperationId: operation, Author: AdminName, BaseRevision: state.Revision, Changes: changes,
 	})
 }
 
-// WaitInForce waits until every daemon has revision in force.
+// WaitInForce waits until revision or a later one is in force at every daemon.
 func (s *Site) WaitInForce(ctx context.Context, revision uint64) error {
 	for {
-		behind := ""
-		for name, member := range s.Daemons {
+		lagging := ""
+		for node, member := range s.Daemons {
 			if member.Daemon.Info().InForce < revision {
-				behind = name
+				lagging = node
 			}
 		}
-		if behind == "" {
+		if lagging == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s does not have revision %d in force: %w", behind, revision, ctx.Err())
+			return fmt.Errorf("%s does not have revision %d in force: %w", lagging, revision, ctx.Err())
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// WaitEndpoints waits until every daemon knows count ready instances of
+// WaitEndpoints waits until every daemon knows at least count ready instances of
 // service.
 func (s *Site) WaitEndpoints(ctx context.Context, service string, count int) error {
 	for {
@@ -246,7 +246,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not all %d instances of %s are known everywhere: %w", count, service, ctx.Err())
+			return fmt.Errorf("some daemons know fewer than %d ready instances of %s: %w", count, service, ctx.Err())
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
