--- a/internal/lab/soak/process_test.go
+++ b/internal/lab/soak/process_test.go
@@ -1,8 +1,8 @@
-// Package soak_test plays days with daemons that are processes of their own: lapisvaned as it is
-// built and run, ended by signals, with the sockets and buffers of the kernel between it and its
-// callers. The store, the instances and the callers are the emulator's and run in the test.
+// Package soak_test plays days with daemons that run as separate processes: the built lapisvaned,
+// stopped by signals, with the kernel's sockets and buffers between it and its callers. The store,
+// the instances and the callers are the emulator's and run in the test process.
 //
-// It owns the processes that it starts and ends them by their ids.
+// The tests signal only the processes that they started, by process ID.
 package soak_test
 
 import (
@@ -30,10 +30,10 @@
 	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
 )
 
-// program is the built lapisvaned.
+// program is the path of the built lapisvaned.
 var program string
 
-// TestMain builds the program once for all tests.
+// TestMain builds lapisvaned once for all tests.
 func TestMain(m *testing.M) {
 	directory, err := os.MkdirTemp("", "lapisvane-soak-")
 	if err != nil {
@@ -49,50 +49,50 @@
 	os.Exit(code)
 }
 
-// process is one lapisvaned. It implements day.Process.
+// process is a running or ended lapisvaned. It implements day.Process.
 type process struct {
 	command   *exec.Cmd
 	addresses daemon.Addresses
-	output    *lines
-	ended     chan struct{}
-	// wait is how the process ended, valid once ended is closed.
-	wait error
+	output    *outputBuffer
+	exited    chan struct{}
+	// waitError is the error of Wait, nil for exit status 0. It is valid once exited is closed.
+	waitError error
 }
 
-// lines is what a process has written.
-type lines struct {
+// outputBuffer records the output of a process. It is safe for concurrent use.
+type outputBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(piece []byte) (int, error) {
+func (l *outputBuffer) Write(piece []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(piece)
 }
 
-func (l *lines) String() string {
+func (l *outputBuffer) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.String()
 }
 
-// launcher starts processes, and remembers them for their ends.
+// launcher starts processes and kills those that still run when the test ends.
 type launcher struct {
 	t         *testing.T
 	directory string
-	// output replaces the recording of what processes write; nil for that.
+	// output receives the output of the processes; nil to record it in outputBuffer.
 	output *os.File
-	// blocked are the nodes whose output is a pipe that nobody reads.
-	blocked map[string]bool
-	mutex   sync.Mutex
-	started []*process
+	// blockedOutput holds the nodes whose standard output is a pipe that is never read.
+	blockedOutput map[string]bool
+	mutex         sync.Mutex
+	started       []*process
 }
 
 func newLauncher(t *testing.T) *launcher {
 	created := &launcher{t: t, directory: t.TempDir()}
-	t.Cleanup(created.endAll)
+	t.Cleanup(created.killAll)
 	return created
 }
 
@@ -105,20 +105,20 @@
 		return nil, err
 	}
 	path := filepath.Join(l.directory, config.Node+".yaml")
-	// The settings file is YAML, of which JSON is a part.
+	// The settings file is YAML, which includes JSON.
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
 	started := &process{
-		command: exec.Command(program, "--settings", path), output: &lines{}, ended: make(chan struct{}),
+		command: exec.Command(program, "--settings", path), output: &outputBuffer{}, exited: make(chan struct{}),
 		addresses: daemon.Addresses{
 			Peer: config.PeerAddress, Caller: config.CallerAddress, Metrics: config.MetricsAddress,
 			Instances: config.InstanceAddress, Readiness: config.ReadinessAddress,
 		},
 	}
 	started.command.Stdout, started.command.Stderr = started.output, started.output
-	if l.blocked[config.Node] {
-		// Nobody reads what it writes.
+	if l.blockedOutput[config.Node] {
+		// The pipe is never read, so writes block once it is full.
 		reader, writer, err := os.Pipe()
 		if err != nil {
 			return nil, err
@@ -130,14 +130,14 @@
 	if l.output != nil {
 		started.command.Stdout, started.command.Stderr = l.output, l.output
 	}
-	// A process does not outlast the test that started it.
+	// The kernel kills the process when the test process ends.
 	started.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := started.command.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
-		defer close(started.ended)
-		started.wait = started.command.Wait()
+		defer close(started.exited)
+		started.waitError = started.command.Wait()
 	}()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -145,48 +145,48 @@
 	return started, nil
 }
 
-// endAll kills what still runs, and prints what each process wrote where that is asked for.
-func (l *launcher) endAll() {
+// killAll kills the processes that still run, and logs the output of each with -soak.verbose.
+func (l *launcher) killAll() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, started := range l.started {
 		started.Kill()
-		<-started.ended
+		<-started.exited
 		if *verbose {
 			l.t.Log(started.output)
 		}
 	}
 }
 
-// signal sends a signal; a process that has ended gets none.
+// signal sends a signal to the process unless it has exited.
 func (p *process) signal(signal os.Signal) {
-	if !p.hasEnded() {
-		// One that ends meanwhile gets none.
+	if !p.hasExited() {
+		// The process may exit before the signal is sent; the error is ignored.
 		_ = p.command.Process.Signal(signal)
 	}
 }
 
-func (p *process) hasEnded() bool {
+func (p *process) hasExited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// exit returns how the process ended.
-func (p *process) exit(t *testing.T) string {
+// exitStatus waits for the process to exit and returns its exit status or the signal that ended it.
+func (p *process) exitStatus(t *testing.T) string {
 	t.Helper()
 	select {
-	case <-p.ended:
-	case <-time.After(patience):
-		t.Fatalf("the process is still there:\n%s", p.output)
+	case <-p.exited:
+	case <-time.After(waitTimeout):
+		t.Fatalf("the process has not exited:\n%s", p.output)
 	}
-	if p.wait == nil {
+	if p.waitError == nil {
 		return "exit status 0"
 	}
-	return p.wait.Error()
+	return p.waitError.Error()
 }
 
 // Addresses implements day.Process.
@@ -203,7 +203,7 @@
 // Quarantined implements day.Process.
 func (p *process) Quarantined() int { return int(p.metric("lapisvane_requests_quarantined", "")) }
 
-// Evacuated implements day.Process; the soak gives no such orders.
+// Evacuated implements day.Process. It is always false because the soak evacuates no zone.
 func (p *process) Evacuated(string) bool { return false }
 
 // Stop implements day.Process.
@@ -213,18 +213,18 @@
 func (p *process) Kill() { p.signal(syscall.SIGKILL) }
 
 // Ended implements day.Process.
-func (p *process) Ended() <-chan struct{} { return p.ended }
+func (p *process) Ended() <-chan struct{} { return p.exited }
 
-// Cut implements day.Process: the process tells only that it cut calls.
+// Cut implements day.Process. The exit status shows only whether calls were cut, so it returns 0 or 1.
 func (p *process) Cut() int64 {
-	if p.wait != nil {
+	if p.waitError != nil {
 		return 1
 	}
 	return 0
 }
 
-// metric returns the value of a gauge, that of a service where one is named; 0 where the
-// process does not answer.
+// metric returns the value of a gauge, for the given service unless that is empty. It returns 0 if
+// the process does not answer or does not have the gauge.
 func (p *process) metric(name, service string) float64 {
 	client := http.Client{Timeout: time.Second}
 	response, err := client.Get("http://" + p.addresses.Metrics + "/metrics")
@@ -238,14 +238,15 @@
 		return 0
 	}
 	for _, sample := range families[name].GetMetric() {
-		if service == "" || labelled(sample, service) {
+		if service == "" || hasServiceLabel(sample, service) {
 			return sample.GetGauge().GetValue()
 		}
 	}
 	return 0
 }
 
-func labelled(sample *dto.Metric, service string) bool {
+// hasServiceLabel reports whether a sample has the given service as its label.
+func hasServiceLabel(sample *dto.Metric, service string) bool {
 	for _, label := range sample.GetLabel() {
 		if label.GetName() == "service" && label.GetValue() == service {
 			return true
@@ -254,7 +255,7 @@
 	return false
 }
 
-// processOf returns the process of a machine's daemon.
+// processOf returns the process of a machine's daemon, which must be running.
 func processOf(t *testing.T, machine *day.Machine) *process {
 	t.Helper()
 	running, isProcess := machine.Daemon().(*process)
--- a/internal/lab/soak/return_test.go
+++ b/internal/lab/soak/return_test.go
@@ -10,15 +10,16 @@
 	"github.com/lapisvane/lapisvane/internal/lab/emulator/day"
 )
 
-// When the store comes back from a copy, every daemon writes its entry again, but not all at once: they
-// stay within the store's rates, and within the time of two lists of the directory all are back.
-func TestStoresReturnCostsFewCalls(t *testing.T) {
+// Guards against a burst of writes after the store is restored from a backup without the daemons'
+// entries. Every daemon writes its entry again, spread over time, so that reads and writes stay within
+// the store's rates; all entries are back within the time of two lists of the directory.
+func TestStoreRestoreStaysWithinRates(t *testing.T) {
 	const members = "lapisvane-members"
-	started := newLauncher(t)
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	processes := newLauncher(t)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
-	sized := options(started.launch, 1, *machines)
-	site, err := day.Start(ctx, sized, day.StandardRoutes())
+	siteOptions := options(processes.launch, 1, *machines)
+	site, err := day.Start(ctx, siteOptions, day.StandardRoutes())
 	if site != nil {
 		defer site.Close()
 	}
@@ -26,14 +27,14 @@
 	for _, member := range site.Store.Objects(members) {
 		site.Store.Remove(members, member.Metadata.Name)
 	}
-	began := time.Now()
+	returnedAt := time.Now()
 	assert.NilError(t, site.ReturnStore(site.Store.KeepCopy()))
 	for len(site.Store.Objects(members)) < *machines {
 		assert.Assert(t, ctx.Err() == nil, "%d of %d entries are back", len(site.Store.Objects(members)), *machines)
 		time.Sleep(50 * time.Millisecond)
 	}
-	busiest := site.Store.Busiest(began)
-	t.Logf("%d daemons: all entries back after %s; at most %d reads and %d writes in a second", *machines, time.Since(began), busiest.Reads, busiest.Writes)
-	assert.Assert(t, float64(busiest.Reads) <= sized.ReadsPerSecond)
-	assert.Assert(t, float64(busiest.Writes) <= sized.WritesPerSecond)
+	busiest := site.Store.Busiest(returnedAt)
+	t.Logf("%d daemons: all entries back after %s; at most %d reads and %d writes in a second", *machines, time.Since(returnedAt), busiest.Reads, busiest.Writes)
+	assert.Assert(t, float64(busiest.Reads) <= siteOptions.ReadsPerSecond)
+	assert.Assert(t, float64(busiest.Writes) <= siteOptions.WritesPerSecond)
 }
--- a/internal/lab/soak/signals_test.go
+++ b/internal/lab/soak/signals_test.go
@@ -27,35 +27,33 @@
 	"github.com/lapisvane/lapisvane/platform"
 )
 
-// The failure: requests in flight ended without an answer, most 0.2 to 0.4 s after they were sent,
-// when a daemon that was being stopped got a second signal; a daemon that had just begun to listen
-// ended by a SIGHUP; and a daemon whose output nobody reads any more ended at its next line. The
-// cause: the second signal meant "cut everything", and the handlers were set after the listeners,
-// or not at all. Those who send such signals do not know of one another: a supervisor that
-// repeats its stop, a platform that overlaps two kinds of planned work, a terminal that signals
-// the whole group of processes.
+// Guards against signals that end a daemon too early. A second signal during a stop cut the requests
+// in flight: the exit status was 1 after 0.15 to 0.33 s and 68 requests were lost in 36 stops, most
+// 0.2 to 0.4 s after they were sent; without the second signal the status was 0 after 2.6 to 3.4 s.
+// Without handlers that are set before the listeners open, a SIGHUP ends a daemon that has just begun
+// to listen, and SIGPIPE ends a daemon at its next log line once the reader of its output is gone.
 //
-// The evidence: with a second signal the exit status was 1 after 0.15 to 0.33 s and 68 requests
-// were lost in 36 stops; without it the status was 0 after 2.6 to 3.4 s.
+// Independent senders can overlap: a supervisor that repeats its stop, a platform that runs two kinds
+// of planned work at once, a terminal that signals the whole process group.
 func TestSignals(t *testing.T) {
-	t.Run("a second one during a stop cuts nothing", testRepeatedSignals)
-	t.Run("callers that are refused meanwhile are no calls to cut", testRefusedDuringAStop)
-	t.Run("bodies that are coming in are answered", testUploadsDuringAStop)
-	t.Run("one right after the first listener opened", testSignalsOfAStartingDaemon)
-	t.Run("nobody reads the output any more", testClosedOutput)
+	t.Run("second signal during a stop cuts no call", testRepeatedSignals)
+	t.Run("refusals during a stop do not count as cut calls", testRefusalsDuringAStop)
+	t.Run("uploads during a stop are answered", testUploadsDuringAStop)
+	t.Run("signal right after the first listener opened", testSignalsOfAStartingDaemon)
+	t.Run("reader of the output is gone", testClosedOutput)
 }
 
 func testRepeatedSignals(t *testing.T) {
-	started := newLauncher(t)
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	processes := newLauncher(t)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
-	site, err := day.Start(ctx, options(started.launch, 1, 3), day.StandardRoutes())
+	site, err := day.Start(ctx, options(processes.launch, 1, 3), day.StandardRoutes())
 	if site != nil {
 		defer site.Close()
 	}
 	assert.NilError(t, err)
 	loadCtx, endLoad := context.WithCancel(ctx)
-	load := &client.Load{Kept: callers(2), Targets: site.Targets(), Ledger: site.Ledger, Tally: client.NewTally(), Seed: 1}
+	load := &client.Load{Kept: callerGroups(2), Targets: site.Targets(), Ledger: site.Ledger, Tally: client.NewTally(), Seed: 1}
 	var loading sync.WaitGroup
 	loading.Go(func() { load.Run(loadCtx) })
 	for index, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGTERM} {
@@ -67,7 +65,7 @@
 		}
 		_, err := machine.Roll(0)
 		assert.NilError(t, err)
-		assert.Check(t, running.exit(t) == "exit status 0", "%s after SIGTERM: %s", signal, running.exit(t))
+		assert.Check(t, running.exitStatus(t) == "exit status 0", "%s after SIGTERM: %s", signal, running.exitStatus(t))
 		assert.NilError(t, site.AwaitReady(ctx))
 	}
 	endLoad()
@@ -77,38 +75,38 @@
 	}
 }
 
-// The failure: a stop ended with status 1 and "daemon.calls_cut calls=1" although every call had been
-// answered: callers came again as soon as they were refused, so that the stop never saw a moment
-// without a request, and counted the refusal in progress at its limit as a call that it cut.
-func testRefusedDuringAStop(t *testing.T) {
-	started := newLauncher(t)
-	running := launchAlone(t, started)
+// Guards against a stop that ends with status 1 and "daemon.calls_cut calls=1" although every call was
+// answered. Callers that retry at once after a refusal keep a request open at every moment of the stop;
+// the refusal in progress at the stop limit must not count as a cut call.
+func testRefusalsDuringAStop(t *testing.T) {
+	processes := newLauncher(t)
+	running := launchSingle(t, processes)
 	awaitListening(t, running.addresses.Caller)
 	const callers = 32
 	var calling sync.WaitGroup
 	for range callers {
-		calling.Go(func() { callUntilEnded(running) })
+		calling.Go(func() { callUntilExit(running) })
 	}
 	running.signal(syscall.SIGTERM)
-	assert.Check(t, running.exit(t) == "exit status 0", "%s", running.exit(t))
+	assert.Check(t, running.exitStatus(t) == "exit status 0", "%s", running.exitStatus(t))
 	calling.Wait()
 	_, stop, _ := strings.Cut(running.output.String(), "event=daemon.stopping")
 	assert.Check(t, !strings.Contains(stop, "event=daemon.calls_cut"))
 	assert.Check(t, strings.Contains(stop, "cut=0 open=0 undelivered=0"), "%s", lastLine(stop))
 }
 
-// The failure: callers of long uploads saw their connections end when the process ended, amid the
-// body or before they had read the refusal that was written meanwhile.
+// Guards against uploads whose connection closes when the process ends, in the middle of the body or
+// before the caller has read the refusal that the daemon wrote.
 func testUploadsDuringAStop(t *testing.T) {
-	started := newLauncher(t)
-	running := launchAlone(t, started)
+	processes := newLauncher(t)
+	running := launchSingle(t, processes)
 	awaitListening(t, running.addresses.Caller)
 	const callers = 8
 	var answered, cut atomic.Int64
 	var calling sync.WaitGroup
 	for range callers {
 		calling.Go(func() {
-			for !running.hasEnded() {
+			for !running.hasExited() {
 				switch err := upload(running.addresses.Caller); {
 				case err == nil:
 					answered.Add(1)
@@ -120,16 +118,16 @@
 		})
 	}
 	running.signal(syscall.SIGTERM)
-	assert.Check(t, running.exit(t) == "exit status 0", "%s", running.exit(t))
+	assert.Check(t, running.exitStatus(t) == "exit status 0", "%s", running.exitStatus(t))
 	calling.Wait()
 	assert.Assert(t, answered.Load() > callers)
 	assert.Equal(t, cut.Load(), int64(0))
 }
 
-// errNotAccepted is for an upload that the daemon never asked for.
+// errNotAccepted is returned for an upload without a 100 Continue from the daemon.
 var errNotAccepted = errors.New("not accepted")
 
-// upload sends a long body in pieces, once the daemon has asked for it, and reads the answer.
+// upload waits for 100 Continue, sends a long body in pieces and reads the answer.
 func upload(address string) error {
 	const pieces, pieceBytes, pause = 30, 10_000, 10 * time.Millisecond
 	conn, err := net.Dial("tcp", address)
@@ -158,40 +156,41 @@
 	return response.Body.Close()
 }
 
-// lastLine returns the last line of what a process has written.
+// lastLine returns the last line of a process's output.
 func lastLine(output string) string {
 	lines := strings.Split(strings.TrimSpace(output), "\n")
 	return lines[len(lines)-1]
 }
 
-// callUntilEnded sends one request after the other, each on a connection of its own, until the
+// callUntilExit sends one request after the other, each on a connection of its own, until the
 // process has ended.
-func callUntilEnded(running *process) {
-	caller := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+func callUntilExit(running *process) {
+	caller := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
 	for {
 		select {
-		case <-running.ended:
+		case <-running.exited:
 			return
 		default:
 		}
-		// A call fails once nobody listens any more.
+		// Calls fail once the listener is closed.
 		if response, err := caller.Get("http://" + running.addresses.Caller + "/"); err == nil {
 			_ = response.Body.Close()
 		}
 	}
 }
 
-// ownHost returns an address of loopback that tests of other processes do not use at the same time.
-func ownHost() string {
+// loopbackHost returns a loopback address derived from the process ID, so that test processes that run at
+// the same time use different ones.
+func loopbackHost() string {
 	const perByte = 250
 	number := os.Getpid()
 	return fmt.Sprintf("127.254.%d.%d", 1+number/perByte%perByte, 1+number%perByte)
 }
 
-// launchAlone starts a daemon that finds a store and no other daemons.
-func launchAlone(t *testing.T, started *launcher) *process {
+// launchSingle starts a daemon with a store of its own and without other daemons.
+func launchSingle(t *testing.T, processes *launcher) *process {
 	t.Helper()
-	host := ownHost()
+	host := loopbackHost()
 	store, err := objectstore.Start(objectstore.Options{Address: "127.0.0.1:0"})
 	assert.NilError(t, err)
 	t.Cleanup(store.Close)
@@ -202,53 +201,53 @@
 	config.InstanceAddress, config.ReadinessAddress = host+":20003", host+":20004"
 	config.Platform.Form, config.Platform.Addresses = platform.Form, []string{store.Address()}
 	config.StopLimit = tunables.Duration(4 * time.Second)
-	running, err := started.launch(&config, logr.Discard())
+	running, err := processes.launch(&config, logr.Discard())
 	assert.NilError(t, err)
 	return running.(*process)
 }
 
-// awaitListening returns once a process listens at an address.
+// awaitListening waits until a connection to address is accepted.
 func awaitListening(t *testing.T, address string) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(waitTimeout); ; {
 		conn, err := net.Dial("tcp", address)
 		if err == nil {
 			_ = conn.Close()
 			return
 		}
-		assert.Assert(t, time.Now().Before(end), "nobody listens at %s", address)
+		assert.Assert(t, time.Now().Before(end), "no process listens on %s", address)
 	}
 }
 
 func testSignalsOfAStartingDaemon(t *testing.T) {
-	started := newLauncher(t)
+	processes := newLauncher(t)
 	const rounds = 4
 	for range rounds {
-		running := launchAlone(t, started)
+		running := launchSingle(t, processes)
 		awaitListening(t, running.addresses.Peer)
 		running.signal(syscall.SIGHUP)
 		running.signal(syscall.SIGTERM)
-		assert.Equal(t, running.exit(t), "exit status 0")
+		assert.Equal(t, running.exitStatus(t), "exit status 0")
 		assert.Assert(t, strings.Contains(running.output.String(), "event=daemon.stopped"), "%s", running.output)
 	}
 }
 
 func testClosedOutput(t *testing.T) {
-	started := newLauncher(t)
+	processes := newLauncher(t)
 	reader, writer, err := os.Pipe()
 	assert.NilError(t, err)
-	started.output = writer
-	running := launchAlone(t, started)
+	processes.output = writer
+	running := launchSingle(t, processes)
 	assert.NilError(t, writer.Close())
 	awaitListening(t, running.addresses.Caller)
 	_, err = io.ReadAtLeast(reader, make([]byte, 1<<10), 1)
 	assert.NilError(t, err)
 	assert.NilError(t, reader.Close())
-	// Each makes the daemon write a line.
+	// Each SIGHUP makes the daemon write a log line.
 	for range 3 {
 		running.signal(syscall.SIGHUP)
 		time.Sleep(50 * time.Millisecond)
 	}
 	running.signal(syscall.SIGTERM)
-	assert.Equal(t, running.exit(t), "exit status 0")
+	assert.Equal(t, running.exitStatus(t), "exit status 0")
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -22,19 +22,20 @@
 )
 
 var (
-	firstSeed = flag.Uint64("soak.seed", 1, "first seed of the soak")
-	seedCount = flag.Int("soak.seeds", 2, "number of seeds of the soak")
-	dayLength = flag.Duration("soak.length", 10*time.Second, "length of each day of the soak")
-	machines  = flag.Int("soak.machines", 6, "number of daemons of each day")
-	repeated  = flag.Bool("soak.repeated", true, "send signals during stops")
-	verbose   = flag.Bool("soak.verbose", false, "print the lines of the daemons")
+	firstSeed           = flag.Uint64("soak.seed", 1, "first seed of the soak")
+	seedCount           = flag.Int("soak.seeds", 2, "number of seeds of the soak")
+	dayLength           = flag.Duration("soak.length", 10*time.Second, "length of each day of the soak")
+	machines            = flag.Int("soak.machines", 6, "number of daemons of each day")
+	extraSignalsEnabled = flag.Bool("soak.repeated", true, "send signals during stops")
+	verbose             = flag.Bool("soak.verbose", false, "print the lines of the daemons")
 )
 
-// patience bounds waits for what must come; no test asserts how long it took.
-const patience = time.Minute
+// waitTimeout is the timeout of waits for events that must occur. No test asserts how long they took.
+const waitTimeout = time.Minute
 
-// options returns a site whose instances work for longer than a request may cross the end of its
-// connection, so that a request that is read and dropped shows.
+// options returns the options of a site with count machines. The service time is longer than the time
+// in which a request may cross the close of its connection; the ledger then does not excuse a request
+// that a daemon read and dropped.
 func options(launch day.Launch, seed uint64, count int) day.Options {
 	options := day.DefaultOptions()
 	options.Machines = nil
@@ -53,8 +54,9 @@
 	return options
 }
 
-// callers keep their connections: some send one request after the other, some send ahead.
-func callers(connections int) []client.Kept {
+// callerGroups returns groups of callers with persistent connections: one sends each request after the
+// answer to the last, the others pipeline requests.
+func callerGroups(connections int) []client.Kept {
 	classes := day.StandardClasses(1)
 	look, order, file := classes[0], classes[1], classes[2]
 	look.CallPath = ""
@@ -69,101 +71,100 @@
 	}
 }
 
-// soakDay is a day of planned work on real processes.
+// soakDay is a day of planned work and faults with daemons in separate processes.
 type soakDay struct {
 	t      *testing.T
 	site   *day.Site
 	random *rand.Rand
-	// mutex protects everything below.
+	// mutex protects the fields below.
 	mutex sync.Mutex
 	stops int
 	exits map[string]int
 }
 
-// TestPlannedWorkLosesNoRequest plays days of planned work in series that overlap: daemons are
-// stopped and started again, signals come twice and in between, configurations change, instances
-// are replaced, the store is away for a while. Nothing of that may cost a request that a daemon
-// had read.
-func TestPlannedWorkLosesNoRequest(t *testing.T) { eachSeed(t, nil) }
+// TestPlannedWorkLosesNoRequest plays days of overlapping planned work: daemons are restarted and get
+// further signals while they stop, configurations change, instances are replaced, and the store is
+// unavailable for a while. No request that a daemon had read may be lost.
+func TestPlannedWorkLosesNoRequest(t *testing.T) { playEachSeed(t, nil) }
 
-// TestFaultsBreakNoPromise adds what nobody plans: processes are killed, alone and in herds, and
-// stand still for longer than the contact time. Requests may then end without an answer; all other
-// promises hold, and the site serves again.
+// TestFaultsBreakNoPromise adds unplanned faults: daemons are killed, one or half of them at a time, and
+// suspended, some for longer than the contact time. Requests may then end without an answer; all other
+// promises must hold, and the site must recover.
 func TestFaultsBreakNoPromise(t *testing.T) {
-	eachSeed(t, func(played *soakDay) []series { return []series{played.kills, played.pauses} })
+	playEachSeed(t, func(played *soakDay) []disturbance { return []disturbance{played.kills, played.pauses} })
 }
 
-// series is a row of disturbances, which goes on until its context ends.
-type series func(ctx context.Context, random *rand.Rand)
+// disturbance repeats one kind of planned work or fault until its context ends.
+type disturbance func(ctx context.Context, random *rand.Rand)
 
-// eachSeed plays a day of planned work for each seed, with further disturbances.
-func eachSeed(t *testing.T, further func(*soakDay) []series) {
+// playEachSeed plays a day of planned work for each seed, with extra disturbances unless that is nil.
+func playEachSeed(t *testing.T, extraDisturbances func(*soakDay) []disturbance) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { play(t, seed, further) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { play(t, seed, extraDisturbances) })
 	}
 }
 
-func play(t *testing.T, seed uint64, further func(*soakDay) []series) {
-	started := newLauncher(t)
-	started.blocked = map[string]bool{"machine-b-2": true}
-	ctx, cancel := context.WithTimeout(context.Background(), *dayLength+patience)
+func play(t *testing.T, seed uint64, extra func(*soakDay) []disturbance) {
+	processes := newLauncher(t)
+	processes.blockedOutput = map[string]bool{"machine-b-2": true}
+	ctx, cancel := context.WithTimeout(context.Background(), *dayLength+waitTimeout)
 	defer cancel()
-	site, err := day.Start(ctx, options(started.launch, seed, *machines), day.StandardRoutes())
+	site, err := day.Start(ctx, options(processes.launch, seed, *machines), day.StandardRoutes())
 	if site != nil {
 		defer site.Close()
 	}
 	assert.NilError(t, err)
 	tally := client.NewTally()
 	played := &soakDay{t: t, site: site, random: rand.New(rand.NewPCG(seed, 1)), exits: map[string]int{}}
-	load := &client.Load{Kept: callers(max(1, 12 / *machines)), Targets: site.Targets(), Ledger: site.Ledger, Tally: tally, Seed: seed}
+	load := &client.Load{Kept: callerGroups(max(1, 12 / *machines)), Targets: site.Targets(), Ledger: site.Ledger, Tally: tally, Seed: seed}
 	dayCtx, end := context.WithTimeout(ctx, *dayLength)
 	defer end()
 	var running sync.WaitGroup
 	running.Go(func() { load.Run(dayCtx) })
-	running.Go(func() { played.watchEnds(dayCtx) })
-	disturbances := []series{played.hangUps, played.changes, played.releases, played.storeFaults, played.scaleIns, played.storeReturns, played.watchRevisions, played.spoils}
+	running.Go(func() { played.watchExits(dayCtx) })
+	disturbances := []disturbance{played.sighups, played.configurationChanges, played.instanceReplacements, played.storeFaults, played.scaleIns, played.storeRestores, played.watchRevisions, played.malformedData}
 	for range max(2, *machines/4) {
 		disturbances = append(disturbances, played.stopInTurn)
 	}
-	if further != nil {
-		disturbances = append(disturbances, further(played)...)
+	if extra != nil {
+		disturbances = append(disturbances, extra(played)...)
 	}
 	for _, disturb := range disturbances {
 		random := rand.New(rand.NewPCG(seed, played.random.Uint64()))
 		running.Go(func() { disturb(dayCtx, random) })
 	}
 	running.Wait()
-	played.recover(ctx)
+	played.awaitRecovery(ctx)
 	breaches := site.Ledger.Breaches()
 	t.Logf("served %d, refused %d, failed %d; stops %d, exits %v; broken promises %d",
 		tally.Served.Load(), tally.Refused.Load(), tally.Failed.Load(), played.stops, played.exits, len(breaches))
-	t.Logf("ended without their answer and excused: %v", site.Ledger.Excused())
+	t.Logf("requests excused for ending without an answer: %v", site.Ledger.Excused())
 	for _, breach := range breaches[:min(len(breaches), 10)] {
 		t.Errorf("%+v", breach)
 	}
 	assert.Assert(t, tally.Served.Load() > 0)
 }
 
-// pause waits for a random time around a mean.
-func pause(ctx context.Context, random *rand.Rand, mean time.Duration) bool {
+// sleepAround sleeps for a random time of 0.5 to 1.5 times mean, and reports false if ctx ends before.
+func sleepAround(ctx context.Context, random *rand.Rand, mean time.Duration) bool {
 	return sleep.For(ctx, time.Duration((0.5+random.Float64())*float64(mean)))
 }
 
-// stopInTurn stops one daemon after the other and starts it again.
+// stopInTurn restarts random daemons, one after the other.
 func (d *soakDay) stopInTurn(ctx context.Context, random *rand.Rand) {
-	for pause(ctx, random, time.Second) {
+	for sleepAround(ctx, random, time.Second) {
 		machine := d.site.Machines[random.IntN(len(d.site.Machines))]
-		// Some are stopped again while they start.
+		// One in five is stopped again right after its start.
 		for range 1 + random.IntN(5)/4 {
 			d.stop(machine, d.extraSignals(random), time.Duration(random.Float64()*float64(300*time.Millisecond)))
 		}
 	}
 }
 
-// scaleIns takes machines away as platforms do: the instance leaves, and its daemon is stopped once
-// the instance has ended. Both come back after a while.
+// scaleIns replaces an instance and then restarts its daemon, in the order in which a platform scales
+// in: the daemon stops only once the instance has ended.
 func (d *soakDay) scaleIns(ctx context.Context, random *rand.Rand) {
-	for pause(ctx, random, 2*time.Second) {
+	for sleepAround(ctx, random, 2*time.Second) {
 		machine := d.site.Machines[random.IntN(len(d.site.Machines))]
 		_, err := machine.Release(ctx, 1500*time.Millisecond, random.IntN(2) == 0)
 		assert.Check(d.t, err)
@@ -171,48 +172,48 @@
 	}
 }
 
-// extraSignal is sent a while after the SIGTERM of a stop.
-type extraSignal struct {
+// delayedSignal is a signal that is sent the time after later than the SIGTERM of a stop.
+type delayedSignal struct {
 	signal syscall.Signal
 	after  time.Duration
 }
 
-// extraSignals draws what comes during a stop: often nothing, else signals that platforms and
-// operators send twice or in between.
-func (d *soakDay) extraSignals(random *rand.Rand) []extraSignal {
-	var extra []extraSignal
-	if !*repeated {
+// extraSignals draws up to three further signals that a daemon gets during a stop, as overlapping
+// platforms and operators send them.
+func (d *soakDay) extraSignals(random *rand.Rand) []delayedSignal {
+	var extra []delayedSignal
+	if !*extraSignalsEnabled {
 		return nil
 	}
 	kinds := []syscall.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP}
 	for range random.IntN(4) {
-		extra = append(extra, extraSignal{kinds[random.IntN(len(kinds))], time.Duration(20+random.IntN(1500)) * time.Millisecond})
+		extra = append(extra, delayedSignal{kinds[random.IntN(len(kinds))], time.Duration(20+random.IntN(1500)) * time.Millisecond})
 	}
 	return extra
 }
 
-// stop carries out one planned stop and the start after it.
-func (d *soakDay) stop(machine *day.Machine, extra []extraSignal, down time.Duration) {
-	process, running := machine.Daemon().(*process)
-	if !running {
-		// Another series stops it.
+// stop stops a daemon as planned, sends the extra signals meanwhile, and starts it again after down.
+func (d *soakDay) stop(machine *day.Machine, extra []delayedSignal, down time.Duration) {
+	running, isProcess := machine.Daemon().(*process)
+	if !isProcess {
+		// Another disturbance has stopped it.
 		return
 	}
 	for _, next := range extra {
-		timer := time.AfterFunc(next.after, func() { process.signal(next.signal) })
+		timer := time.AfterFunc(next.after, func() { running.signal(next.signal) })
 		defer timer.Stop()
 	}
 	_, err := machine.Roll(down)
 	assert.Check(d.t, err, "%s did not start again", machine.Name)
-	d.noteExit(process.exit(d.t))
+	d.countExit(running.exitStatus(d.t))
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.stops++
 }
 
-// kills ends daemons at once: one, or half of them.
+// kills kills one daemon, or half of them in one case in four, and starts them again.
 func (d *soakDay) kills(ctx context.Context, random *rand.Rand) {
-	for pause(ctx, random, 2*time.Second) {
+	for sleepAround(ctx, random, 2*time.Second) {
 		count := 1
 		if random.IntN(4) == 0 {
 			count = len(d.site.Machines) / 2
@@ -226,23 +227,24 @@
 	}
 }
 
-// pauses makes a daemon stand still for up to twice the contact time.
+// pauses suspends a daemon for 0.5 to 1.5 times the contact time.
 func (d *soakDay) pauses(ctx context.Context, random *rand.Rand) {
-	for pause(ctx, random, 2*time.Second) {
-		process, running := d.site.Machines[random.IntN(len(d.site.Machines))].Daemon().(*process)
-		if !running {
+	for sleepAround(ctx, random, 2*time.Second) {
+		running, isProcess := d.site.Machines[random.IntN(len(d.site.Machines))].Daemon().(*process)
+		if !isProcess {
 			continue
 		}
 		d.site.Ledger.DaemonsKilled(time.Now())
-		process.signal(syscall.SIGSTOP)
-		pause(context.Background(), random, d.site.Contact())
-		process.signal(syscall.SIGCONT)
+		running.signal(syscall.SIGSTOP)
+		sleepAround(context.Background(), random, d.site.Contact())
+		running.signal(syscall.SIGCONT)
 		d.site.Ledger.DaemonsKilled(time.Now())
 	}
 }
 
-// recover waits until the site is whole again and the newest configuration is in force.
-func (d *soakDay) recover(ctx context.Context) {
+// awaitRecovery ends the store's faults, declares a configuration and waits until it is in force and all
+// daemons are ready.
+func (d *soakDay) awaitRecovery(ctx context.Context) {
 	d.site.Store.SetFaults(objectstore.Faults{})
 	version, err := d.site.Declare(day.StandardRoutes())
 	assert.Check(d.t, err)
@@ -250,109 +252,110 @@
 	assert.Check(d.t, d.site.AwaitReady(ctx))
 }
 
-// hangUps sends SIGHUP to some daemons.
-func (d *soakDay) hangUps(ctx context.Context, random *rand.Rand) {
-	for pause(ctx, random, 300*time.Millisecond) {
-		if process, running := d.site.Machines[random.IntN(len(d.site.Machines))].Daemon().(*process); running {
-			process.signal(syscall.SIGHUP)
+// sighups sends SIGHUP to random daemons.
+func (d *soakDay) sighups(ctx context.Context, random *rand.Rand) {
+	for sleepAround(ctx, random, 300*time.Millisecond) {
+		if running, isProcess := d.site.Machines[random.IntN(len(d.site.Machines))].Daemon().(*process); isProcess {
+			running.signal(syscall.SIGHUP)
 		}
 	}
 }
 
-// changes declares one configuration after the other, some in quick succession.
-func (d *soakDay) changes(ctx context.Context, random *rand.Rand) {
-	for pause(ctx, random, 700*time.Millisecond) {
+// configurationChanges declares bursts of up to five configurations.
+func (d *soakDay) configurationChanges(ctx context.Context, random *rand.Rand) {
+	for sleepAround(ctx, random, 700*time.Millisecond) {
 		for range 1 + random.IntN(5) {
 			_, err := d.site.Declare(day.StandardRoutes())
 			assert.Check(d.t, err)
-			pause(ctx, random, 20*time.Millisecond)
+			sleepAround(ctx, random, 20*time.Millisecond)
 		}
 	}
 }
 
-// storeReturns makes the store come back from a copy of some seconds ago, now and then after it was
-// away.
-func (d *soakDay) storeReturns(ctx context.Context, random *rand.Rand) {
+// storeRestores restores the store from a backup that is some seconds old, half of the times after an
+// outage.
+func (d *soakDay) storeRestores(ctx context.Context, random *rand.Rand) {
 	for {
-		held := d.site.Store.KeepCopy()
-		if !pause(ctx, random, 2500*time.Millisecond) {
+		backup := d.site.Store.KeepCopy()
+		if !sleepAround(ctx, random, 2500*time.Millisecond) {
 			return
 		}
 		if random.IntN(2) == 0 {
 			d.site.Store.SetFaults(objectstore.Faults{Silent: true})
-			pause(ctx, random, 500*time.Millisecond)
+			sleepAround(ctx, random, 500*time.Millisecond)
 			d.site.Store.SetFaults(objectstore.Faults{})
 		}
-		assert.Check(d.t, d.site.ReturnStore(held))
+		assert.Check(d.t, d.site.ReturnStore(backup))
 	}
 }
 
-// revisionPoll is how often watchRevisions looks.
-const revisionPoll = 200 * time.Millisecond
+// pollInterval is the interval between two checks of watchRevisions and of watchExits.
+const pollInterval = 200 * time.Millisecond
 
-// watchRevisions checks that no process goes back to an earlier configuration.
+// watchRevisions checks that no process returns to an earlier configuration revision.
 func (d *soakDay) watchRevisions(ctx context.Context, _ *rand.Rand) {
-	newest := map[*process]uint64{}
-	for sleep.For(ctx, revisionPoll) {
+	highest := map[*process]uint64{}
+	for sleep.For(ctx, pollInterval) {
 		for _, machine := range d.site.Machines {
 			running, isProcess := machine.Daemon().(*process)
 			if !isProcess {
 				continue
 			}
-			// A process that is ending or standing still answers nothing, which reads as 0.
+			// Revision returns 0 if the process does not answer, because it is stopping or suspended.
 			if revision := running.Revision(); revision > 0 {
-				assert.Check(d.t, revision >= newest[running], "%s went back from %d to %d", machine.Name, newest[running], revision)
-				newest[running] = revision
+				assert.Check(d.t, revision >= highest[running], "%s went back from %d to %d", machine.Name, highest[running], revision)
+				highest[running] = revision
 			}
 		}
 	}
 }
 
-// endedByHangUp is how a process ends that gets a SIGHUP before the first line of its program: nothing
-// can catch it then, and nothing was accepted yet.
-const endedByHangUp = "signal: hangup"
+// exitBySIGHUP is the exit status of a process that gets a SIGHUP before its main function runs. No
+// handler can be set by then, and the process has not accepted any request.
+const exitBySIGHUP = "signal: hangup"
 
-// watchEnds starts a daemon again that was hung up before its program ran, as a supervisor does. No
-// other process may end unless the day ends it.
-func (d *soakDay) watchEnds(ctx context.Context) {
-	for sleep.For(ctx, revisionPoll) {
+// watchExits restarts a daemon that a SIGHUP ended before its main function ran, as a supervisor does.
+// No other process may exit unless a disturbance ends it.
+func (d *soakDay) watchExits(ctx context.Context) {
+	for sleep.For(ctx, pollInterval) {
 		for _, machine := range d.site.Machines {
-			process, running := machine.Daemon().(*process)
-			if !running || !process.hasEnded() {
+			running, isProcess := machine.Daemon().(*process)
+			if !isProcess || !running.hasExited() {
 				continue
 			}
-			how := process.exit(d.t)
-			assert.Check(d.t, how == endedByHangUp, "%s ended by itself: %s\n%s", machine.Name, how, process.output)
-			d.noteExit(how)
+			status := running.exitStatus(d.t)
+			assert.Check(d.t, status == exitBySIGHUP, "%s exited unexpectedly: %s\n%s", machine.Name, status, running.output)
+			d.countExit(status)
 			_, err := machine.Roll(0)
 			assert.Check(d.t, err, "%s did not start again", machine.Name)
 		}
 	}
 }
 
-func (d *soakDay) noteExit(how string) {
+func (d *soakDay) countExit(status string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.exits[how]++
+	d.exits[status]++
 }
 
-// spoils writes what no daemon and no instance writes: entries of the store that cannot be used, and
-// heartbeats in the name of instances, some of them at addresses that others have.
-func (d *soakDay) spoils(ctx context.Context, random *rand.Rand) {
-	for number := 0; pause(ctx, random, 300*time.Millisecond); number++ {
+// malformedData writes unusable daemon entries to the store, and sends unusable heartbeats under the IDs
+// of instances, most of them with the address of another instance.
+func (d *soakDay) malformedData(ctx context.Context, random *rand.Rand) {
+	for number := 0; sleepAround(ctx, random, 300*time.Millisecond); number++ {
 		machine, other := d.site.Machines[random.IntN(len(d.site.Machines))], d.site.Machines[random.IntN(len(d.site.Machines))]
-		entry := spoiledEntries[random.IntN(len(spoiledEntries))]
+		entry := malformedEntries[random.IntN(len(malformedEntries))]
 		assert.Check(d.t, d.site.Store.PutSpec("lapisvane-members", fmt.Sprintf("spoiled-%d", number%4), entry))
-		heartbeat := fmt.Sprintf(spoiledHeartbeats[random.IntN(len(spoiledHeartbeats))], other.Instance().Address())
+		heartbeat := fmt.Sprintf(malformedHeartbeats[random.IntN(len(malformedHeartbeats))], other.Instance().Address())
 		d.putHeartbeat(ctx, machine, machine.Instance().ID(), heartbeat)
 	}
 }
 
-// spoiledEntries are specs of daemons' entries that nobody can use.
-var spoiledEntries = []any{7, "text", []int{1}, map[string]any{"peer": 5}, map[string]any{"peer": "nowhere", "at": "a", "of": "desk"}, map[string]any{"at": "a"}}
+// malformedEntries are specs of daemon entries that no daemon can decode or use.
+var malformedEntries = []any{7, "text", []int{1}, map[string]any{"peer": 5}, map[string]any{"peer": "nowhere", "at": "a", "of": "desk"}, map[string]any{"at": "a"}}
 
-// spoiledHeartbeats name no instance to use; the address of another one takes the place of %s.
-var spoiledHeartbeats = []string{
+// malformedHeartbeats are bodies of heartbeats that a daemon must not use; %q stands for the address of
+// an instance.
+var malformedHeartbeats = []string{
 	`{"address":%q,"info":{"service":"desk","version":"v1","zone":"a","slots":6},"status":{"state":"resting","call-sequence":1000000,"cold-remaining-ms":0}}`,
 	`{"address":%q,"info":{"service":"nobody","version":"v1","zone":"a","slots":6},"status":{"state":"ready","call-sequence":1000000,"cold-remaining-ms":0}}`,
 	`{"address":%q,"info":{"service":"desk","version":"v1","zone":"a","slots":"6"},"status":{"state":"ready","call-sequence":1000000,"cold-remaining-ms":0}}`,
@@ -360,7 +363,7 @@
 	`{"address":%q`,
 }
 
-// putHeartbeat sends a heartbeat to a machine's daemon, which may be gone.
+// putHeartbeat sends a heartbeat to a machine's daemon and ignores failures, as the daemon may be down.
 func (d *soakDay) putHeartbeat(ctx context.Context, machine *day.Machine, instance, body string) {
 	running, isProcess := machine.Daemon().(*process)
 	if !isProcess {
@@ -375,30 +378,31 @@
 	}
 }
 
-// releases ends one instance after the other as planned; another one follows, or a new start of it.
-func (d *soakDay) releases(ctx context.Context, random *rand.Rand) {
-	for number := 0; pause(ctx, random, 2*time.Second); number++ {
+// instanceReplacements shuts down random instances as planned. In turn, an instance is restarted under
+// its ID or replaced by a new one.
+func (d *soakDay) instanceReplacements(ctx context.Context, random *rand.Rand) {
+	for number := 0; sleepAround(ctx, random, 2*time.Second); number++ {
 		machine := d.site.Machines[random.IntN(len(d.site.Machines))]
-		leave := machine.Release
+		replace := machine.Release
 		if number%2 == 0 {
-			leave = machine.Return
+			replace = machine.Return
 		}
-		_, err := leave(ctx, 3*time.Second, random.IntN(3) == 0)
+		_, err := replace(ctx, 3*time.Second, random.IntN(3) == 0)
 		assert.Check(d.t, err)
 	}
 }
 
-// storeFaults makes the store fail for a while, everywhere or for some.
+// storeFaults makes the store fail for a while, for all machines or for one.
 func (d *soakDay) storeFaults(ctx context.Context, random *rand.Rand) {
 	faults := []objectstore.Faults{{Down: true}, {Silent: true}, {Reset: true}, {Delay: 300 * time.Millisecond}, {LoseWrites: 0.4, Late: true}}
-	for pause(ctx, random, 1500*time.Millisecond) {
+	for sleepAround(ctx, random, 1500*time.Millisecond) {
 		fault := faults[random.IntN(len(faults))]
 		if random.IntN(2) == 0 {
 			d.site.FailStoreFor(fault, d.site.Machines[random.IntN(len(d.site.Machines))])
 		} else {
 			d.site.Store.SetFaults(fault)
 		}
-		pause(ctx, random, time.Second)
+		sleepAround(ctx, random, time.Second)
 		d.site.Store.SetFaults(objectstore.Faults{})
 	}
 }
