--- a/internal/requestpath/balance/balancer.go
+++ b/internal/requestpath/balance/balancer.go
@@ -86,10 +86,10 @@
 	return selection.pick(b.Targets(service.Bundle.GetPool().GetName()))
 }
 
-// MostlySound reports whether more than half of the instances of a service have a low recent
+// MajorityHealthy reports whether more than half of the instances of a service have a low recent
 // failure rate (maxHealthyFailureRate). A failed call is then attributed to its instance and not to
 // a dependency that all instances share.
-func (b *Balancer) MostlySound(service string) bool {
+func (b *Balancer) MajorityHealthy(service string) bool {
 	targets := b.Targets(service)
 	now := b.now()
 	healthy := 0
--- a/internal/requestpath/balance/balancer_test.go
+++ b/internal/requestpath/balance/balancer_test.go
@@ -77,8 +77,8 @@
 // Checks that an instance that fails or answers slowly receives a smaller share of the calls.
 func TestInstancesThatDoWorseGetLess(t *testing.T) {
 	succeed := func(p *pool, chosen *balance.Target) {
-		chosen.Succeeded()
-		chosen.Answered(route, serviceTime, p.clock.now)
+		chosen.RecordSuccess()
+		chosen.RecordAnswer(route, serviceTime, p.clock.now)
 	}
 	for name, row := range map[string]struct {
 		zones []string
@@ -87,10 +87,10 @@
 		minShare, maxShare float64
 	}{
 		"all alike":                   {zones: []string{"a", "a", "a", "a"}, behavior: succeed, minShare: 0.15, maxShare: 0.35},
-		"fails at once, without load": {zones: []string{"a", "a", "a", "a"}, behavior: func(p *pool, c *balance.Target) { c.Succeeded(); c.AnsweredFailure(p.clock.now) }, maxShare: 0.1},
-		"cannot be reached":           {zones: []string{"a", "a", "a", "a"}, behavior: func(p *pool, c *balance.Target) { c.Failed(p.clock.now) }, maxShare: 0.05},
-		"is three times as slow":      {zones: []string{"a", "a", "a", "a"}, behavior: func(p *pool, c *balance.Target) { c.Succeeded(); c.Answered(route, 3*serviceTime, p.clock.now) }, maxShare: 0.15},
-		"fails, alone in its zone":    {zones: []string{"a", "b", "b", "b"}, behavior: func(p *pool, c *balance.Target) { c.Succeeded(); c.AnsweredFailure(p.clock.now) }, maxShare: 0.15},
+		"fails at once, without load": {zones: []string{"a", "a", "a", "a"}, behavior: func(p *pool, c *balance.Target) { c.RecordSuccess(); c.RecordErrorAnswer(p.clock.now) }, maxShare: 0.1},
+		"cannot be reached":           {zones: []string{"a", "a", "a", "a"}, behavior: func(p *pool, c *balance.Target) { c.RecordFailure(p.clock.now) }, maxShare: 0.05},
+		"is three times as slow":      {zones: []string{"a", "a", "a", "a"}, behavior: func(p *pool, c *balance.Target) { c.RecordSuccess(); c.RecordAnswer(route, 3*serviceTime, p.clock.now) }, maxShare: 0.15},
+		"fails, alone in its zone":    {zones: []string{"a", "b", "b", "b"}, behavior: func(p *pool, c *balance.Target) { c.RecordSuccess(); c.RecordErrorAnswer(p.clock.now) }, maxShare: 0.15},
 		"is alone in its zone":        {zones: []string{"a", "b", "b", "b"}, behavior: succeed, minShare: 0.95, maxShare: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -112,13 +112,13 @@
 	p := newPool("a", "a")
 	for _, failing := range p.Targets("desk")[:1] {
 		for range 20 {
-			failing.AnsweredFailure(p.clock.now)
+			failing.RecordErrorAnswer(p.clock.now)
 		}
 	}
 	p.clock.now = p.clock.now.Add(30 * time.Second)
 	fraction := p.share(t, "desk-0", func(chosen *balance.Target) {
-		chosen.Succeeded()
-		chosen.Answered(route, serviceTime, p.clock.now)
+		chosen.RecordSuccess()
+		chosen.RecordAnswer(route, serviceTime, p.clock.now)
 	})
 	assert.Assert(t, fraction > 0.3, "share is %.3f", fraction)
 }
@@ -154,7 +154,7 @@
 func TestLongTimesCountBesideTheMean(t *testing.T) {
 	p := newPool("a", "b")
 	for range 20 {
-		p.Targets("desk")[1].Answered(route, target/10, p.clock.now)
+		p.Targets("desk")[1].RecordAnswer(route, target/10, p.clock.now)
 	}
 	long := false
 	crossZonePicks := 0
@@ -162,9 +162,9 @@
 		chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: target, Bytes: 2000})
 		assert.NilError(t, err)
 		p.clock.now = p.clock.now.Add(5 * time.Millisecond)
-		chosen.Succeeded()
+		chosen.RecordSuccess()
 		if chosen.Endpoint.GetZone() == "b" {
-			chosen.Answered(route, target/10, p.clock.now)
+			chosen.RecordAnswer(route, target/10, p.clock.now)
 			if pick > picks/2 {
 				crossZonePicks++
 			}
@@ -175,7 +175,7 @@
 		if long {
 			took = target * 21 / 20
 		}
-		chosen.Answered(route, took, p.clock.now)
+		chosen.RecordAnswer(route, took, p.clock.now)
 	}
 	fraction := float64(crossZonePicks) / (picks / 2)
 	assert.Assert(t, fraction > 0.7, "share is %.3f", fraction)
@@ -195,12 +195,12 @@
 	starts(1)
 	failing := func(chosen *balance.Target) {
 		if chosen.Endpoint.GetInstance() == "desk-1@1" {
-			chosen.Failed(p.clock.now)
+			chosen.RecordFailure(p.clock.now)
 			return
 		}
-		chosen.Succeeded()
+		chosen.RecordSuccess()
 	}
 	assert.Assert(t, p.share(t, "desk-1@1", failing) < 0.1)
 	starts(2)
-	assert.Assert(t, p.share(t, "desk-1@2", func(chosen *balance.Target) { chosen.Succeeded() }) > 0.2)
+	assert.Assert(t, p.share(t, "desk-1@2", func(chosen *balance.Target) { chosen.RecordSuccess() }) > 0.2)
 }
--- a/internal/requestpath/balance/constraint_test.go
+++ b/internal/requestpath/balance/constraint_test.go
@@ -57,7 +57,7 @@
 				p := newRegions(row.places...)
 				for _, target := range p.Targets("desk")[:row.ejected] {
 					for range 5 {
-						target.Failed(p.clock.now)
+						target.RecordFailure(p.clock.now)
 					}
 				}
 				for range 50 {
@@ -104,7 +104,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := newRegions(row.places...)
 			for index, loaded := range p.Targets("desk") {
-				loaded.Answered(route, 300*time.Millisecond, p.clock.now)
+				loaded.RecordAnswer(route, 300*time.Millisecond, p.clock.now)
 				for range 40 * min(max(row.loaded-index, 0), 1) {
 					loaded.Begin()
 				}
@@ -127,7 +127,7 @@
 		if instance.Endpoint.GetZone() == "b" {
 			took = 70 * time.Millisecond
 		}
-		instance.Answered(route, took, p.clock.now)
+		instance.RecordAnswer(route, took, p.clock.now)
 	}
 	for range 50 {
 		chosen, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: 150 * time.Millisecond})
@@ -141,8 +141,8 @@
 func TestBytesToAnotherRegionCostMore(t *testing.T) {
 	for fast, chosen := range map[string]string{"c/r1": "c", "c/r2": "b"} {
 		p := newRegions("b/r1", fast)
-		p.Targets("desk")[0].Answered(route, 3*time.Second, p.clock.now)
-		p.Targets("desk")[1].Answered(route, time.Second, p.clock.now)
+		p.Targets("desk")[0].RecordAnswer(route, 3*time.Second, p.clock.now)
+		p.Targets("desk")[1].RecordAnswer(route, time.Second, p.clock.now)
 		for range 50 {
 			picked, err := p.Pick(p.service, balance.Choice{Route: route, TargetLatency: 10 * time.Second, Bytes: 30_000})
 			assert.NilError(t, err)
--- a/internal/requestpath/balance/cost.go
+++ b/internal/requestpath/balance/cost.go
@@ -98,7 +98,7 @@
 // candidates.
 func (s *selector) callState(candidates []costState) callState {
 	call := callState{target: s.choice.TargetLatency.Seconds(), bytes: s.choice.Bytes, now: s.now}
-	call.remaining = call.target - s.choice.Spent.Seconds()
+	call.remaining = call.target - s.choice.Elapsed.Seconds()
 	call.scv = meanSCV(candidates, s.now)
 	routeServiceTime, known := meanServiceTime(candidates)
 	if !known {
--- a/internal/requestpath/balance/health.go
+++ b/internal/requestpath/balance/health.go
@@ -23,7 +23,7 @@
 	// duration reaches maxEjection before this bound.
 	maxEjectionDoublings = 10
 	// maxHealthyFailureRate is the failure rate, 0 to 1, below which an instance counts as healthy
-	// in MostlySound. It is above 0, because a decayed failure rate never quite reaches 0, and far
+	// in MajorityHealthy. It is above 0, because a decayed failure rate never quite reaches 0, and far
 	// below the 0.4 of an instance that fails part of its calls (docs/design/0012).
 	maxHealthyFailureRate = 0.1
 )
--- a/internal/requestpath/balance/pick_bench_test.go
+++ b/internal/requestpath/balance/pick_bench_test.go
@@ -27,8 +27,8 @@
 			}
 			p := newPool(zones...)
 			for _, instance := range p.Targets("desk") {
-				instance.Answered(route, serviceTime, p.clock.now)
-				instance.Reported(0.5, p.clock.now)
+				instance.RecordAnswer(route, serviceTime, p.clock.now)
+				instance.RecordLoad(0.5, p.clock.now)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/requestpath/balance/reference_test.go
+++ b/internal/requestpath/balance/reference_test.go
@@ -168,7 +168,7 @@
 		states[index] = referenceStateOf(target, choice.Route, b.tierOf(target.Endpoint), slots, coldRate, b.now)
 	}
 	target := choice.TargetLatency.Seconds()
-	remaining := target - choice.Spent.Seconds()
+	remaining := target - choice.Elapsed.Seconds()
 	scv := referenceMeanSCV(states, b.now)
 	routeServiceTime, known := referenceMeanServiceTime(states)
 	if !known {
@@ -456,7 +456,7 @@
 	}
 	if d.chance(0.6) {
 		choice.TargetLatency = time.Duration(1+d.IntN(2000)) * time.Millisecond
-		choice.Spent = time.Duration(d.IntN(3000)) * time.Millisecond
+		choice.Elapsed = time.Duration(d.IntN(3000)) * time.Millisecond
 	}
 	for _, target := range targets {
 		if d.chance(0.1) {
--- a/internal/requestpath/balance/selector.go
+++ b/internal/requestpath/balance/selector.go
@@ -21,8 +21,8 @@
 	// TargetLatency is the response time up to which an answer has its full value; 0 if the route
 	// sets none.
 	TargetLatency time.Duration
-	// Spent is the part of TargetLatency that has already passed.
-	Spent time.Duration
+	// Elapsed is the part of TargetLatency that has already passed.
+	Elapsed time.Duration
 	// Bytes is the approximate size of the request and the response together.
 	Bytes float64
 	// Constraints are the conditions that an instance must meet to be selected.
--- a/internal/requestpath/balance/target.go
+++ b/internal/requestpath/balance/target.go
@@ -61,8 +61,8 @@
 // End reverts one Begin when the call has ended.
 func (t *Target) End() { t.inFlight.Add(-1) }
 
-// Reported records the load, in calls per slot, that the daemon of the instance reported.
-func (t *Target) Reported(load float32, now time.Time) {
+// RecordLoad records the load, in calls per slot, that the daemon of the instance reported.
+func (t *Target) RecordLoad(load float32, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.reportedLoad = float64(load)
@@ -70,17 +70,17 @@
 	t.reportedAt = now
 }
 
-// Succeeded records that the instance answered with any status, which resets the count of
+// RecordSuccess records that the instance answered with any status, which resets the count of
 // consecutive failures.
-func (t *Target) Succeeded() {
+func (t *Target) RecordSuccess() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.consecutiveFailures = 0
 }
 
-// Failed records that the instance could not be reached or that its answer was interrupted. Several
-// consecutive failures eject the instance (ejectionDuration).
-func (t *Target) Failed(now time.Time) {
+// RecordFailure records that the instance could not be reached or that its answer was interrupted.
+// Several consecutive failures eject the instance (ejectionDuration).
+func (t *Target) RecordFailure(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.consecutiveFailures++
@@ -90,16 +90,16 @@
 	}
 }
 
-// RefusedCold records that the instance refused a call because it is cold, and that it rejects
+// RecordColdRejection records that the instance refused a call because it is cold, and that it rejects
 // further calls for retryAfter.
-func (t *Target) RefusedCold(retryAfter time.Duration, now time.Time) {
+func (t *Target) RecordColdRejection(retryAfter time.Duration, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.refusedUntil = now.Add(retryAfter)
 }
 
-// Answered records the service time of an answered call of a route.
-func (t *Target) Answered(route string, service time.Duration, now time.Time) {
+// RecordAnswer records the service time of an answered call of a route.
+func (t *Target) RecordAnswer(route string, service time.Duration, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	estimate, ok := t.serviceTimes[route]
@@ -127,18 +127,18 @@
 	estimate.add(seconds, now)
 }
 
-// StatedWork records the slowdown that the instance reported at the given time, as a percentage of
+// RecordSlowdown records the slowdown that the instance reported at the given time, as a percentage of
 // the usual service time; 0 means no report. A report that arrived with an answer must be recorded
 // before the answer, with the same time.
-func (t *Target) StatedWork(percent uint32, at time.Time) {
+func (t *Target) RecordSlowdown(percent uint32, at time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.work.Add(percent, at)
 }
 
-// Work returns the current service time at the instance as a percentage of the usual one, as far as
+// Slowdown returns the current service time at the instance as a percentage of the usual one, as far as
 // its reports are trusted, and the age of the newest report. Without a report it returns 0 and 0.
-func (t *Target) Work(now time.Time) (percent float64, age time.Duration) {
+func (t *Target) Slowdown(now time.Time) (percent float64, age time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	at, ok := t.work.LatestTime()
@@ -148,17 +148,17 @@
 	return worktime.UsualPercent * t.work.CurrentRatio(now), now.Sub(at)
 }
 
-// AnsweredFailure records that the instance answered a call with an error. Its time does not count
+// RecordErrorAnswer records that the instance answered a call with an error. Its time does not count
 // as a service time. The instance is not ejected, but its cost rises.
-func (t *Target) AnsweredFailure(now time.Time) {
+func (t *Target) RecordErrorAnswer(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.failureRate.addWithBase(0, 1, failureSmoothing, failureDecay, now)
 }
 
-// Report returns the most recently reported load, in calls per slot, and its age; 0 and 0 before
+// ReportedLoad returns the most recently reported load, in calls per slot, and its age; 0 and 0 before
 // the first report.
-func (t *Target) Report(now time.Time) (load float64, age time.Duration) {
+func (t *Target) ReportedLoad(now time.Time) (load float64, age time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.reportedAt.IsZero() {
@@ -167,8 +167,8 @@
 	return t.reportedLoad, now.Sub(t.reportedAt)
 }
 
-// RefusedFor returns how much longer the instance rejects calls after RefusedCold.
-func (t *Target) RefusedFor(now time.Time) time.Duration {
+// ColdRejectionRemaining returns how much longer the instance rejects calls after RecordColdRejection.
+func (t *Target) ColdRejectionRemaining(now time.Time) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return max(t.refusedUntil.Sub(now), 0)
--- a/internal/requestpath/balance/work_test.go
+++ b/internal/requestpath/balance/work_test.go
@@ -17,9 +17,9 @@
 		silent, plain := newPool("a"), newPool("a")
 		for range rapid.IntRange(1, 20).Draw(t, "answers") {
 			took := time.Duration(rapid.IntRange(1, 500).Draw(t, "took")) * time.Millisecond
-			silent.Targets("desk")[0].StatedWork(0, silent.clock.now)
-			silent.Targets("desk")[0].Answered(route, took, silent.clock.now)
-			plain.Targets("desk")[0].Answered(route, took, plain.clock.now)
+			silent.Targets("desk")[0].RecordSlowdown(0, silent.clock.now)
+			silent.Targets("desk")[0].RecordAnswer(route, took, silent.clock.now)
+			plain.Targets("desk")[0].RecordAnswer(route, took, plain.clock.now)
 		}
 		first, second := silent.Targets("desk")[0], plain.Targets("desk")[0]
 		assert.Equal(t, first.ServiceTime(route), second.ServiceTime(route))
@@ -32,9 +32,9 @@
 // fewer calls whether it reports it or not.
 func TestStatementsAgainstAnswers(t *testing.T) {
 	answer := func(p *pool, chosen *balance.Target, percent uint32, took time.Duration) {
-		chosen.Reported(0, p.clock.now)
-		chosen.StatedWork(percent, p.clock.now)
-		chosen.Answered(route, took, p.clock.now)
+		chosen.RecordLoad(0, p.clock.now)
+		chosen.RecordSlowdown(percent, p.clock.now)
+		chosen.RecordAnswer(route, took, p.clock.now)
 	}
 	for name, row := range map[string]struct {
 		percent            func() uint32
@@ -74,9 +74,9 @@
 			if chosen.Endpoint.GetInstance() == "desk-0" {
 				stated = percent
 			}
-			chosen.Reported(0, p.clock.now)
-			chosen.StatedWork(stated, p.clock.now)
-			chosen.Answered(route, serviceTime, p.clock.now)
+			chosen.RecordLoad(0, p.clock.now)
+			chosen.RecordSlowdown(stated, p.clock.now)
+			chosen.RecordAnswer(route, serviceTime, p.clock.now)
 		}
 		for range 40 {
 			for _, target := range p.Targets("desk") {
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -131,7 +131,7 @@
 	return a.pickVersion(pool, func(version ...balance.Constraint) (*balance.Target, error) {
 		return a.gateway.config.Balancer.Pick(service, balance.Choice{
 			Exclude: a.tried, Key: a.opening.GetIdempotencyKey(), Route: a.route.GetName(),
-			TargetLatency: a.targetLatency(), Spent: time.Since(a.startedAt) + a.priorWait, Bytes: a.gateway.answerSizes.expectedBytes(a.route.GetName(), a.body),
+			TargetLatency: a.targetLatency(), Elapsed: time.Since(a.startedAt) + a.priorWait, Bytes: a.gateway.answerSizes.expectedBytes(a.route.GetName(), a.body),
 			Constraints: append(a.constraints(), version...),
 		})
 	})
@@ -159,7 +159,7 @@
 		a.version.recordNoAnswer(err)
 		a.gateway.observeFailure(target, err)
 		if a.timedOut(err, now.Sub(began)) {
-			target.AnsweredFailure(now)
+			target.RecordErrorAnswer(now)
 		}
 		return nil, err
 	}
@@ -206,7 +206,7 @@
 // mayReplace reports whether another instance is tried to replace an answer (retry.MayReplace).
 func (a *attempter) mayReplace(answer *callapi.Answer) bool {
 	facts := retry.Answer{Status: answer.Head.GetStatus(), Length: answer.Head.GetContentLength(), Kept: a.keptAnswer != nil}
-	return retry.MayReplace(a.retryCall(), facts, func() bool { return a.gateway.config.Balancer.MostlySound(a.opening.GetService()) })
+	return retry.MayReplace(a.retryCall(), facts, func() bool { return a.gateway.config.Balancer.MajorityHealthy(a.opening.GetService()) })
 }
 
 // keepFailedAnswer reads a failed answer into memory and keeps it, so that its instance is free again.
--- a/internal/requestpath/gateway/attempts_test.go
+++ b/internal/requestpath/gateway/attempts_test.go
@@ -108,7 +108,7 @@
 			if row.allFail {
 				for _, target := range attempt.gateway.config.Balancer.Targets("desk") {
 					for range 5 {
-						target.AnsweredFailure(time.Now())
+						target.RecordErrorAnswer(time.Now())
 					}
 				}
 			}
@@ -208,7 +208,7 @@
 			done, err := attempt.run(t.Context())
 			assert.Equal(t, remote.calls, row.attempts)
 			for _, target := range attempt.tried {
-				assert.Assert(t, target.RefusedFor(time.Now()) > 59*time.Minute)
+				assert.Assert(t, target.ColdRejectionRemaining(time.Now()) > 59*time.Minute)
 			}
 			if row.status == 0 {
 				assert.Assert(t, result.Is(err, result.CallNotRunCold), "%v", err)
@@ -233,7 +233,7 @@
 			remote := &recordingRemote{err: result.Errorf(result.CallNotRunExpired, "too late")}
 			attempt := newAttempter(t, remote, true, retry.Limits{Fraction: 1, Burst: 10})
 			for _, target := range attempt.gateway.config.Balancer.Targets("desk") {
-				target.Answered("r", 400*time.Millisecond, time.Now())
+				target.RecordAnswer("r", 400*time.Millisecond, time.Now())
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), row.left)
 			defer cancel()
@@ -255,7 +255,7 @@
 		remote := &recordingRemote{err: result.Errorf(result.CallNotRunExpired, "too late")}
 		attempt := newAttempter(t, remote, true, retry.Limits{Fraction: 1, Burst: 10})
 		for _, target := range attempt.gateway.config.Balancer.Targets("desk") {
-			target.Answered("r", 10*time.Second, time.Now())
+			target.RecordAnswer("r", 10*time.Second, time.Now())
 		}
 		call := func() {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/internal/requestpath/gateway/lines.go
+++ b/internal/requestpath/gateway/lines.go
@@ -71,7 +71,7 @@
 // attempt follows.
 func (a *attempter) logAttempt(ctx context.Context, target *balance.Target, err error, again bool) {
 	code, _ := result.CodeOf(err)
-	load, age := target.Report(time.Now())
+	load, age := target.ReportedLoad(time.Now())
 	a.gateway.config.Decisions.Failure(eventAttemptFailed, a.requestID,
 		"attempt", a.attemptID, "instance", target.Endpoint.GetInstance(), "member", target.Endpoint.GetNode(),
 		"state", target.Endpoint.GetState(), "code", uint32(code), "name", code, "again", again,
@@ -94,7 +94,7 @@
 // answerPairs returns the log keys and values for an answered call.
 func (a *attempter) answerPairs(done instanceAnswer) []any {
 	head := done.answer.Head
-	work, workAge := done.target.Work(time.Now())
+	work, workAge := done.target.Slowdown(time.Now())
 	return []any{
 		"attempt", a.attemptID, "route", a.route.GetName(), "revision", a.current.Revision,
 		"instance", done.target.Endpoint.GetInstance(), "member", done.target.Endpoint.GetNode(),
--- a/internal/requestpath/gateway/observations.go
+++ b/internal/requestpath/gateway/observations.go
@@ -14,14 +14,14 @@
 // instance is reachable, and whether the answer is a failure. Service time and size are recorded only for
 // successful answers, since a fast failure does not mean a fast service.
 func (a *attempter) observeAnswer(target *balance.Target, answer *callapi.Answer, now time.Time) {
-	target.Reported(answer.Head.GetLoad(), now)
-	target.StatedWork(answer.Head.GetWorkPercent(), now)
-	target.Succeeded()
+	target.RecordLoad(answer.Head.GetLoad(), now)
+	target.RecordSlowdown(answer.Head.GetWorkPercent(), now)
+	target.RecordSuccess()
 	if answer.Head.GetStatus() >= callapi.FirstServerError {
-		target.AnsweredFailure(now)
+		target.RecordErrorAnswer(now)
 		return
 	}
-	target.Answered(a.route.GetName(), time.Duration(answer.Head.GetServiceMicros())*time.Microsecond, now)
+	target.RecordAnswer(a.route.GetName(), time.Duration(answer.Head.GetServiceMicros())*time.Microsecond, now)
 	a.gateway.answerSizes.record(a.route.GetName(), answer.Head.GetContentLength())
 }
 
@@ -40,13 +40,13 @@
 // count as failures, but update the work that the instance last stated.
 func (g *Gateway) observeFailure(target *balance.Target, err error) {
 	if refused, ok := err.(*result.Error); ok {
-		target.StatedWork(refused.WorkPercent, time.Now().Add(-refused.WorkAge))
+		target.RecordSlowdown(refused.WorkPercent, time.Now().Add(-refused.WorkAge))
 	}
 	code, _ := result.CodeOf(err)
 	switch code {
 	case result.CallNotRunUnreachable, result.CallUnknownOutcome, result.CallTruncated, result.CallNotRunUnknownHere, result.CallInstanceCrashed:
-		target.Failed(time.Now())
+		target.RecordFailure(time.Now())
 	case result.CallNotRunCold:
-		target.RefusedCold(retryAfterOf(err), time.Now())
+		target.RecordColdRejection(retryAfterOf(err), time.Now())
 	}
 }
--- a/internal/requestpath/worktime/uneven_test.go
+++ b/internal/requestpath/worktime/uneven_test.go
@@ -156,9 +156,9 @@
 	}
 	if sent.target != nil {
 		sent.target.End()
-		sent.target.Reported(float32(srv.running+len(srv.waiting))/serverSlots, sim.now)
-		sent.target.StatedWork(percent, sim.now)
-		sent.target.Answered(route, sim.now.Sub(sent.startedAt), sim.now)
+		sent.target.RecordLoad(float32(srv.running+len(srv.waiting))/serverSlots, sim.now)
+		sent.target.RecordSlowdown(percent, sim.now)
+		sent.target.RecordAnswer(route, sim.now.Sub(sent.startedAt), sim.now)
 	}
 	if len(srv.waiting) > 0 {
 		next := srv.waiting[0]
