--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -180,7 +180,7 @@
 // what happened, and is final.
 func (a *attempter) failureOf(ctx context.Context, err error) retry.Failure {
 	failure := retry.Failure{
-		CallOver: ctx.Err() != nil, BodySpent: !a.body.replayable(), Crashes: a.crashCount(err),
+		CallDone: ctx.Err() != nil, BodyConsumed: !a.body.replayable(), Crashes: a.crashCount(err),
 	}
 	if code, ok := result.CodeOf(err); ok {
 		failure.Reason = retry.ReasonOf(code)
@@ -194,9 +194,9 @@
 	counts, decision := retry.Decide(a.retryCall(), a.failureCounts, failure)
 	a.failureCounts = counts
 	switch decision {
-	case retry.AgainElsewhere:
+	case retry.RetryElsewhere:
 		return true
-	case retry.AgainWithinBudget:
+	case retry.RetryWithinBudget:
 		return a.gateway.retryBudget.Spend(a.opening.GetService())
 	default:
 		return false
--- a/internal/requestpath/gateway/deliver.go
+++ b/internal/requestpath/gateway/deliver.go
@@ -34,7 +34,7 @@
 		}
 		attempt.recordMayHaveRun(err)
 		failure := attempt.failureOf(ctx, err)
-		failure.InDelivery = true
+		failure.ResponseInterrupted = true
 		failure.AnswerBegun = exchange.Request.Response.GetHijackWriter() != nil
 		again := attempt.tryAgain(failure)
 		attempt.logAttempt(ctx, done.target, err, again)
--- a/internal/requestpath/gateway/lines.go
+++ b/internal/requestpath/gateway/lines.go
@@ -76,7 +76,7 @@
 		"attempt", a.attemptID, "instance", target.Endpoint.GetInstance(), "member", target.Endpoint.GetNode(),
 		"state", target.Endpoint.GetState(), "code", uint32(code), "name", code, "again", again,
 		"revision", a.current.Revision, "load", load, "load_age_ms", age.Milliseconds(),
-		"budget", a.gateway.retryBudget.Left(a.opening.GetService()), "left_ms", remainingMillis(ctx),
+		"budget", a.gateway.retryBudget.Remaining(a.opening.GetService()), "left_ms", remainingMillis(ctx),
 		"took_ms", time.Since(a.startedAt).Milliseconds(), "head", fingerprint.HeadOf(fingerprint.LineOf(a.opening)), "detail", err)
 }
 
--- a/internal/requestpath/retry/budget.go
+++ b/internal/requestpath/retry/budget.go
@@ -97,8 +97,8 @@
 	b.tokens[service] = max(b.tokens[service]-1, -maxDebt)
 }
 
-// Left returns the number of retries that a service has left, negative while it is in debt.
-func (b *Budget) Left(service string) float64 {
+// Remaining returns the number of retries that a service has left, negative while it is in debt.
+func (b *Budget) Remaining(service string) float64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.tokens[service]
--- a/internal/requestpath/retry/budget_test.go
+++ b/internal/requestpath/retry/budget_test.go
@@ -35,10 +35,10 @@
 		budget.Earn("desk")
 		for budget.Spend("desk") {
 		}
-		left := budget.Left("desk")
+		left := budget.Remaining("desk")
 		gap = time.Hour
 		time.Sleep(time.Second)
-		assert.Equal(t, budget.Left("desk"), left)
+		assert.Equal(t, budget.Remaining("desk"), left)
 		assert.Assert(t, !budget.Spend("desk"))
 	})
 }
@@ -49,7 +49,7 @@
 	for range 3 * maxDebt {
 		budget.Charge("desk")
 	}
-	assert.Equal(t, budget.Left("desk"), float64(-maxDebt))
+	assert.Equal(t, budget.Remaining("desk"), float64(-maxDebt))
 	calls := 0
 	for !budget.Spend("desk") {
 		budget.Earn("desk")
@@ -67,7 +67,7 @@
 		for range 10_000 {
 			budget.Earn("desk")
 		}
-		together := budget.Left("desk") * float64(max(daemons, 1))
+		together := budget.Remaining("desk") * float64(max(daemons, 1))
 		assert.Assert(t, together <= plannedFraction*limits.Burst+1e-9, "%d daemons have %f", daemons, together)
 	}
 }
--- a/internal/requestpath/retry/doc.go
+++ b/internal/requestpath/retry/doc.go
@@ -20,7 +20,7 @@
 //
 // Budget is a token bucket for each service: calls fill it, and retries that an instance may see
 // take from it. It starts no goroutine and does no I/O. Callers must call Earn once for each call,
-// and Spend only if Decide returned AgainWithinBudget.
+// and Spend only if Decide returned RetryWithinBudget.
 //
 // Invariants: a call that is not repeatable reaches at most one instance that may run it; over all
 // daemons, the retries of a service stay within its limits.
--- a/internal/requestpath/retry/reference_test.go
+++ b/internal/requestpath/retry/reference_test.go
@@ -104,8 +104,8 @@
 // failureOf converts a failure in the same way as the gateway.
 func failureOf(generated referenceFailure) Failure {
 	failure := Failure{
-		Reason: ReasonOf(generated.code), CallOver: generated.over, BodySpent: !generated.replayable,
-		InDelivery: generated.delivery, AnswerBegun: generated.begun, Crashes: generated.ended,
+		Reason: ReasonOf(generated.code), CallDone: generated.over, BodyConsumed: !generated.replayable,
+		ResponseInterrupted: generated.delivery, AnswerBegun: generated.begun, Crashes: generated.ended,
 	}
 	if !generated.coded {
 		failure.Reason = Final
@@ -151,13 +151,13 @@
 			generated := randomFailure(random, codes)
 			var decision Decision
 			counts, decision = Decide(call, counts, failureOf(generated))
-			again = decision == AgainElsewhere || (decision == AgainWithinBudget && actual.Spend("s"))
+			again = decision == RetryElsewhere || (decision == RetryWithinBudget && actual.Spend("s"))
 			want := reference.again(generated)
 			// Assertions run only on a mismatch, because they would take most of the time for this
 			// many inputs.
-			if again != want || actual.Left("s") != expected.Left("s") {
+			if again != want || actual.Remaining("s") != expected.Remaining("s") {
 				assert.Equal(t, again, want, "%+v %+v %+v", call, counts, generated)
-				assert.Equal(t, actual.Left("s"), expected.Left("s"))
+				assert.Equal(t, actual.Remaining("s"), expected.Remaining("s"))
 			}
 			if again {
 				assert.Assert(t, (counts.Seen > 0) == (reference.seen > 0))
@@ -282,7 +282,7 @@
 			actual.ShareAmong(daemons)
 			expected.daemons = max(daemons, 1)
 		}
-		if left, want := actual.Left(service), expected.tokens[service]; left != want {
+		if left, want := actual.Remaining(service), expected.tokens[service]; left != want {
 			assert.Equal(t, left, want)
 		}
 	}
--- a/internal/requestpath/retry/rule.go
+++ b/internal/requestpath/retry/rule.go
@@ -73,15 +73,15 @@
 // Failure is an attempt without an answer for the caller.
 type Failure struct {
 	Reason Reason
-	// CallOver is true after the deadline of the call, a disconnect of its caller, or when a
+	// CallDone is true after the deadline of the call, a disconnect of its caller, or when a
 	// draining gateway cancels the calls in flight.
-	CallOver bool
-	// BodySpent is true if a part of the request body was read and not kept, so that it cannot be
+	CallDone bool
+	// BodyConsumed is true if a part of the request body was read and not kept, so that it cannot be
 	// sent again.
-	BodySpent bool
-	// InDelivery is true if the instance answered but the answer was interrupted. AnswerBegun is
-	// true if a part of it may have reached the caller.
-	InDelivery, AnswerBegun bool
+	BodyConsumed bool
+	// ResponseInterrupted is true if the instance answered but the answer was interrupted.
+	// AnswerBegun is true if a part of it may have reached the caller.
+	ResponseInterrupted, AnswerBegun bool
 	// Crashes is the number of instances that are known to have crashed under the keys of the call.
 	Crashes int
 }
@@ -105,12 +105,12 @@
 const (
 	// GiveUp ends the call with the result that EndingOf returns.
 	GiveUp Decision = iota
-	// AgainElsewhere makes another attempt at another instance. It adds no load, because no
+	// RetryElsewhere makes another attempt at another instance. It adds no load, because no
 	// instance saw the last attempt.
-	AgainElsewhere
-	// AgainWithinBudget makes another attempt if Budget.Spend grants it, and otherwise ends the
+	RetryElsewhere
+	// RetryWithinBudget makes another attempt if Budget.Spend grants it, and otherwise ends the
 	// call like GiveUp.
-	AgainWithinBudget
+	RetryWithinBudget
 )
 
 // Decide returns the next step after a failed attempt at a call, and the counts including that
@@ -120,10 +120,10 @@
 // the limit of failed deliveries, whether a repeat is safe for the reason, and the limits on load.
 // The budget comes last, so that it is spent only on attempts that are made.
 func Decide(call Call, counts Counts, failure Failure) (Counts, Decision) {
-	if failure.CallOver || failure.BodySpent || failure.AnswerBegun {
+	if failure.CallDone || failure.BodyConsumed || failure.AnswerBegun {
 		return counts, GiveUp
 	}
-	if failure.InDelivery {
+	if failure.ResponseInterrupted {
 		counts.FailedDeliveries++
 		if counts.FailedDeliveries >= maxFailedDeliveries {
 			return counts, GiveUp
@@ -132,18 +132,18 @@
 	switch failure.Reason {
 	case NotReached:
 		counts.NotReached++
-		return counts, decisionIf(counts.NotReached <= maxNotReached, AgainElsewhere)
+		return counts, decisionIf(counts.NotReached <= maxNotReached, RetryElsewhere)
 	case NoCapacity:
 		counts.NoCapacity++
-		return counts, decisionIf(counts.NoCapacity <= maxNoCapacity, AgainElsewhere)
+		return counts, decisionIf(counts.NoCapacity <= maxNoCapacity, RetryElsewhere)
 	case Shed:
 		counts.Seen++
-		return counts, decisionIf(call.mayReachAnotherInstance(counts), AgainWithinBudget)
+		return counts, decisionIf(call.mayReachAnotherInstance(counts), RetryWithinBudget)
 	case MayHaveRun:
 		counts.Seen++
 		// A request that crashes instances must not be sent from one to the next.
 		safe := call.Repeatable && quarantine.MayRepeat(failure.Crashes)
-		return counts, decisionIf(safe && call.mayReachAnotherInstance(counts), AgainWithinBudget)
+		return counts, decisionIf(safe && call.mayReachAnotherInstance(counts), RetryWithinBudget)
 	default:
 		return counts, GiveUp
 	}
--- a/internal/requestpath/retry/rule_test.go
+++ b/internal/requestpath/retry/rule_test.go
@@ -48,29 +48,29 @@
 		failure Failure
 		want    Decision
 	}{
-		"not reached":                              {order, Counts{}, Failure{Reason: NotReached}, AgainElsewhere},
-		"not reached, the last that is allowed":    {order, Counts{NotReached: maxNotReached - 1}, Failure{Reason: NotReached}, AgainElsewhere},
+		"not reached":                              {order, Counts{}, Failure{Reason: NotReached}, RetryElsewhere},
+		"not reached, the last that is allowed":    {order, Counts{NotReached: maxNotReached - 1}, Failure{Reason: NotReached}, RetryElsewhere},
 		"not reached too often":                    {order, Counts{NotReached: maxNotReached}, Failure{Reason: NotReached}, GiveUp},
-		"not reached, itself a retry":              {retried, Counts{}, Failure{Reason: NotReached}, AgainElsewhere},
-		"no room":                                  {order, Counts{}, Failure{Reason: NoCapacity}, AgainElsewhere},
+		"not reached, itself a retry":              {retried, Counts{}, Failure{Reason: NotReached}, RetryElsewhere},
+		"no room":                                  {order, Counts{}, Failure{Reason: NoCapacity}, RetryElsewhere},
 		"no room too often":                        {order, Counts{NoCapacity: maxNoCapacity}, Failure{Reason: NoCapacity}, GiveUp},
-		"no room, itself a retry":                  {retried, Counts{}, Failure{Reason: NoCapacity}, AgainElsewhere},
-		"shed":                                     {order, Counts{}, Failure{Reason: Shed}, AgainWithinBudget},
+		"no room, itself a retry":                  {retried, Counts{}, Failure{Reason: NoCapacity}, RetryElsewhere},
+		"shed":                                     {order, Counts{}, Failure{Reason: Shed}, RetryWithinBudget},
 		"shed by all that may see it":              {order, Counts{Seen: 2}, Failure{Reason: Shed}, GiveUp},
 		"shed, itself a retry":                     {retried, Counts{}, Failure{Reason: Shed}, GiveUp},
-		"may have run":                             {read, Counts{}, Failure{Reason: MayHaveRun}, AgainWithinBudget},
+		"may have run":                             {read, Counts{}, Failure{Reason: MayHaveRun}, RetryWithinBudget},
 		"may have run, at all that may see it":     {read, Counts{Seen: 2}, Failure{Reason: MayHaveRun}, GiveUp},
 		"may have run, may not be repeated":        {order, Counts{}, Failure{Reason: MayHaveRun}, GiveUp},
 		"may have run, itself a retry":             {retried, Counts{}, Failure{Reason: MayHaveRun}, GiveUp},
-		"one instance crashed":                     {read, Counts{}, Failure{Reason: MayHaveRun, Crashes: 1}, AgainWithinBudget},
+		"one instance crashed":                     {read, Counts{}, Failure{Reason: MayHaveRun, Crashes: 1}, RetryWithinBudget},
 		"two instances crashed":                    {read, Counts{}, Failure{Reason: MayHaveRun, Crashes: 2}, GiveUp},
 		"final":                                    {read, Counts{}, Failure{Reason: Final}, GiveUp},
-		"the call is over":                         {read, Counts{}, Failure{Reason: NotReached, CallOver: true}, GiveUp},
-		"the body is spent":                        {read, Counts{}, Failure{Reason: NotReached, BodySpent: true}, GiveUp},
-		"an answer broke off":                      {read, Counts{}, Failure{Reason: MayHaveRun, InDelivery: true}, AgainWithinBudget},
-		"answers broke off too often":              {read, Counts{FailedDeliveries: maxFailedDeliveries - 1}, Failure{Reason: MayHaveRun, InDelivery: true}, GiveUp},
-		"an answer broke off that the caller sees": {read, Counts{}, Failure{Reason: MayHaveRun, InDelivery: true, AnswerBegun: true}, GiveUp},
-		"no bound stated":                          {Call{Repeatable: true}, Counts{Seen: DefaultMaxAttempts - 2}, Failure{Reason: MayHaveRun}, AgainWithinBudget},
+		"the call is over":                         {read, Counts{}, Failure{Reason: NotReached, CallDone: true}, GiveUp},
+		"the body is spent":                        {read, Counts{}, Failure{Reason: NotReached, BodyConsumed: true}, GiveUp},
+		"an answer broke off":                      {read, Counts{}, Failure{Reason: MayHaveRun, ResponseInterrupted: true}, RetryWithinBudget},
+		"answers broke off too often":              {read, Counts{FailedDeliveries: maxFailedDeliveries - 1}, Failure{Reason: MayHaveRun, ResponseInterrupted: true}, GiveUp},
+		"an answer broke off that the caller sees": {read, Counts{}, Failure{Reason: MayHaveRun, ResponseInterrupted: true, AnswerBegun: true}, GiveUp},
+		"no bound stated":                          {Call{Repeatable: true}, Counts{Seen: DefaultMaxAttempts - 2}, Failure{Reason: MayHaveRun}, RetryWithinBudget},
 		"no bound stated, default reached":         {Call{Repeatable: true}, Counts{Seen: DefaultMaxAttempts - 1}, Failure{Reason: MayHaveRun}, GiveUp},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -92,8 +92,8 @@
 		counts, attempts := Counts{}, 1
 		for {
 			failure := Failure{
-				Reason:     Reason(rapid.IntRange(int(Final), int(MayHaveRun)).Draw(random, "reason")),
-				InDelivery: rapid.Bool().Draw(random, "in delivery"), Crashes: rapid.IntRange(0, 3).Draw(random, "crashes"),
+				Reason:              Reason(rapid.IntRange(int(Final), int(MayHaveRun)).Draw(random, "reason")),
+				ResponseInterrupted: rapid.Bool().Draw(random, "in delivery"), Crashes: rapid.IntRange(0, 3).Draw(random, "crashes"),
 			}
 			var decision Decision
 			counts, decision = Decide(call, counts, failure)
