--- a/internal/requestpath/gateway/call.go
+++ b/internal/requestpath/gateway/call.go
@@ -57,10 +57,10 @@
 // waitBounds returns how long the call may wait at an instance with the given service time.
 func (c *call) waitBounds(ctx context.Context, serviceTime time.Duration) refusal.Bounds {
 	timing := refusal.Timing{
-		Target: c.targetLatency(), ServiceTime: serviceTime, Spent: time.Since(c.startedAt), SpentBefore: c.priorWait,
+		Target: c.targetLatency(), ServiceTime: serviceTime, Elapsed: time.Since(c.startedAt), ElapsedBeforeArrival: c.priorWait,
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		timing.HasDeadline, timing.Whole = true, deadline.Sub(c.startedAt)
+		timing.HasDeadline, timing.TimeToDeadline = true, deadline.Sub(c.startedAt)
 	}
 	return refusal.BoundsOf(timing)
 }
--- a/internal/requestpath/gateway/deadline.go
+++ b/internal/requestpath/gateway/deadline.go
@@ -55,5 +55,5 @@
 // recent calls of the route took serviceTime.
 func (c *call) cannotFinishInTime(ctx context.Context, serviceTime time.Duration) bool {
 	deadline, ok := ctx.Deadline()
-	return ok && refusal.Hopeless(c.timeUntil(deadline), serviceTime)
+	return ok && refusal.TooLate(c.timeUntil(deadline), serviceTime)
 }
--- a/internal/requestpath/gateway/opening.go
+++ b/internal/requestpath/gateway/opening.go
@@ -47,13 +47,13 @@
 	if a.targetLatency() > 0 {
 		bounds := a.waitBounds(ctx, target.ServiceTime(a.route.GetName()))
 		open.SlackMillis = millisWithMinimum(1, bounds.Headroom)
-		open.TargetMillis = millisWithMinimum(0, bounds.DueIn)
+		open.TargetMillis = millisWithMinimum(0, bounds.StartWithin)
 		open.MaxWaitMillis = millisWithMinimum(0, bounds.MaxWait)
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		remaining := a.timeUntil(deadline)
 		open.DeadlineMillis = millisWithMinimum(1, remaining)
-		open.ExpiresAfterMillis = millisWithMinimum(1, remaining-refusal.LeastTime(a.recentServiceTime(target)))
+		open.ExpiresAfterMillis = millisWithMinimum(1, remaining-refusal.MinRemaining(a.recentServiceTime(target)))
 	}
 	return open
 }
--- a/internal/requestpath/refusal/refusal_test.go
+++ b/internal/requestpath/refusal/refusal_test.go
@@ -29,12 +29,12 @@
 		want   Bounds
 	}{
 		"half of the headroom":     {Timing{Target: 400 * ms, ServiceTime: 100 * ms}, Bounds{300 * ms, 300 * ms, 150 * ms}},
-		"less what was spent":      {Timing{Target: 400 * ms, ServiceTime: 100 * ms, Spent: 40 * ms}, Bounds{300 * ms, 260 * ms, 110 * ms}},
-		"due from the first try":   {Timing{Target: 400 * ms, ServiceTime: 100 * ms, SpentBefore: 350 * ms}, Bounds{300 * ms, -50 * ms, 150 * ms}},
-		"the deadline is near":     {Timing{Target: 400 * ms, HasDeadline: true, Whole: 200 * ms}, Bounds{400 * ms, 400 * ms, 90 * ms}},
-		"the deadline is far":      {Timing{Target: 400 * ms, HasDeadline: true, Whole: 5 * time.Second}, Bounds{400 * ms, 400 * ms, 200 * ms}},
+		"less what was spent":      {Timing{Target: 400 * ms, ServiceTime: 100 * ms, Elapsed: 40 * ms}, Bounds{300 * ms, 260 * ms, 110 * ms}},
+		"due from the first try":   {Timing{Target: 400 * ms, ServiceTime: 100 * ms, ElapsedBeforeArrival: 350 * ms}, Bounds{300 * ms, -50 * ms, 150 * ms}},
+		"the deadline is near":     {Timing{Target: 400 * ms, HasDeadline: true, TimeToDeadline: 200 * ms}, Bounds{400 * ms, 400 * ms, 90 * ms}},
+		"the deadline is far":      {Timing{Target: 400 * ms, HasDeadline: true, TimeToDeadline: 5 * time.Second}, Bounds{400 * ms, 400 * ms, 200 * ms}},
 		"no headroom":              {Timing{Target: 100 * ms, ServiceTime: 300 * ms}, Bounds{-200 * ms, -200 * ms, minWait}},
-		"all of the wait is spent": {Timing{Target: 400 * ms, Spent: 300 * ms}, Bounds{400 * ms, 100 * ms, minLaterWait}},
+		"all of the wait is spent": {Timing{Target: 400 * ms, Elapsed: 300 * ms}, Bounds{400 * ms, 100 * ms, minLaterWait}},
 	} {
 		t.Run(name, func(t *testing.T) { assert.DeepEqual(t, BoundsOf(row.timing), row.want) })
 	}
@@ -48,21 +48,21 @@
 			return time.Duration(rapid.Int64Range(0, int64(limit)).Draw(random, name))
 		}
 		timing := Timing{
-			Target: draw("target", 10*time.Second), ServiceTime: draw("service", 10*time.Second), Spent: draw("spent", 10*time.Second),
-			HasDeadline: true, Whole: draw("whole", 10*time.Second),
+			Target: draw("target", 10*time.Second), ServiceTime: draw("service", 10*time.Second), Elapsed: draw("spent", 10*time.Second),
+			HasDeadline: true, TimeToDeadline: draw("whole", 10*time.Second),
 		}
 		wait := BoundsOf(timing).MaxWait
 		assert.Assert(t, wait >= minLaterWait)
-		assert.Assert(t, wait <= max(timing.Whole/2-timing.Spent, minWait-timing.Spent, minLaterWait))
+		assert.Assert(t, wait <= max(timing.TimeToDeadline/2-timing.Elapsed, minWait-timing.Elapsed, minLaterWait))
 	})
 }
 
 func TestHopelessIsLessThanHalfOfTheUsualTime(t *testing.T) {
-	assert.Assert(t, Hopeless(199*time.Millisecond, 400*time.Millisecond))
-	assert.Assert(t, !Hopeless(200*time.Millisecond, 400*time.Millisecond))
-	assert.Assert(t, Hopeless(minStartTime-1, 0))
-	assert.Assert(t, !Hopeless(minStartTime, 0))
-	assert.Assert(t, Hopeless(-time.Second, 0))
+	assert.Assert(t, TooLate(199*time.Millisecond, 400*time.Millisecond))
+	assert.Assert(t, !TooLate(200*time.Millisecond, 400*time.Millisecond))
+	assert.Assert(t, TooLate(minStartTime-1, 0))
+	assert.Assert(t, !TooLate(minStartTime, 0))
+	assert.Assert(t, TooLate(-time.Second, 0))
 }
 
 func TestWhenARefusedCallerMayReturn(t *testing.T) {
@@ -103,7 +103,7 @@
 		target := time.Duration(random.IntN(3000)) * time.Millisecond
 		service, spent, spentBefore := time.Duration(random.Int64N(3e9)), time.Duration(random.Int64N(3e9)), time.Duration(random.Int64N(3e9))
 		whole, hasDeadline := time.Duration(random.Int64N(6e9)-1e9), random.IntN(2) == 0
-		timing := Timing{Target: target, ServiceTime: service, Spent: spent, SpentBefore: spentBefore, HasDeadline: hasDeadline, Whole: whole}
+		timing := Timing{Target: target, ServiceTime: service, Elapsed: spent, ElapsedBeforeArrival: spentBefore, HasDeadline: hasDeadline, TimeToDeadline: whole}
 
 		headroom := target - service
 		limit := time.Duration(0.5 * float64(headroom))
@@ -113,16 +113,16 @@
 		limit = max(limit, 50*time.Millisecond)
 		// Assertions run only on a mismatch, because they would take most of the time for this many
 		// inputs.
-		bounds := Bounds{Headroom: headroom, DueIn: headroom - spent - spentBefore, MaxWait: max(limit-spent, 5*time.Millisecond)}
+		bounds := Bounds{Headroom: headroom, StartWithin: headroom - spent - spentBefore, MaxWait: max(limit-spent, 5*time.Millisecond)}
 		if got := BoundsOf(timing); got != bounds {
 			assert.Equal(t, got, bounds)
 		}
 
 		minTime := max(10*time.Millisecond, time.Duration(0.5*float64(service)))
-		if got := LeastTime(service); got != minTime {
+		if got := MinRemaining(service); got != minTime {
 			assert.Equal(t, got, minTime)
 		}
-		if got := Hopeless(whole, service); got != (whole < minTime) {
+		if got := TooLate(whole, service); got != (whole < minTime) {
 			assert.Equal(t, got, whole < minTime)
 		}
 
--- a/internal/requestpath/refusal/wait.go
+++ b/internal/requestpath/refusal/wait.go
@@ -32,23 +32,23 @@
 	// ServiceTime is the mean service time of the route at the instance, without the wait for a
 	// slot; 0 if there was no answer.
 	ServiceTime time.Duration
-	// Spent is the time since the arrival of the call. SpentBefore is the time from its caller's
-	// first attempt to its arrival.
-	Spent, SpentBefore time.Duration
-	// HasDeadline is true if the call has a deadline. Whole is the time from its arrival to the
-	// deadline.
-	HasDeadline bool
-	Whole       time.Duration
+	// Elapsed is the time since the arrival of the call. ElapsedBeforeArrival is the time from its
+	// caller's first attempt to its arrival.
+	Elapsed, ElapsedBeforeArrival time.Duration
+	// HasDeadline is true if the call has a deadline. TimeToDeadline is the time from its arrival to
+	// the deadline.
+	HasDeadline    bool
+	TimeToDeadline time.Duration
 }
 
 // Bounds holds the limits on the wait of a call at an instance.
 type Bounds struct {
 	// Headroom is the target latency minus the service time.
 	Headroom time.Duration
-	// DueIn is the part of Headroom that is left, counted from the caller's first attempt: the time
-	// within which the call must start for its answer to be in time. It is negative once the call
-	// is late.
-	DueIn time.Duration
+	// StartWithin is the part of Headroom that is left, counted from the caller's first attempt: the
+	// time within which the call must start for its answer to be in time. It is negative once the
+	// call is late.
+	StartWithin time.Duration
 	// MaxWait is the time after which the call is refused if it has no slot.
 	MaxWait time.Duration
 }
@@ -59,9 +59,9 @@
 func BoundsOf(timing Timing) Bounds {
 	headroom := timing.Target - timing.ServiceTime
 	return Bounds{
-		Headroom: headroom,
-		DueIn:    headroom - timing.Spent - timing.SpentBefore,
-		MaxWait:  max(timing.wait(headroom)-timing.Spent, minLaterWait),
+		Headroom:    headroom,
+		StartWithin: headroom - timing.Elapsed - timing.ElapsedBeforeArrival,
+		MaxWait:     max(timing.wait(headroom)-timing.Elapsed, minLaterWait),
 	}
 }
 
@@ -69,17 +69,17 @@
 func (t Timing) wait(headroom time.Duration) time.Duration {
 	limit := time.Duration(headroomWaitFraction * float64(headroom))
 	if t.HasDeadline {
-		limit = min(limit, time.Duration(deadlineWaitFraction*float64(t.Whole)))
+		limit = min(limit, time.Duration(deadlineWaitFraction*float64(t.TimeToDeadline)))
 	}
 	return max(limit, minWait)
 }
 
-// LeastTime returns the minimum time that must be left until its deadline for a call to start at an
+// MinRemaining returns the minimum time that must be left until its deadline for a call to start at an
 // instance, where serviceTime is the recent service time of such calls there.
-func LeastTime(serviceTime time.Duration) time.Duration {
+func MinRemaining(serviceTime time.Duration) time.Duration {
 	return max(minStartTime, time.Duration(minServiceTimeFraction*float64(serviceTime)))
 }
 
-// Hopeless reports whether too little time is left to start a call. The call is then refused before
+// TooLate reports whether too little time is left to start a call. The call is then refused before
 // it is sent to an instance.
-func Hopeless(remaining, serviceTime time.Duration) bool { return remaining < LeastTime(serviceTime) }
+func TooLate(remaining, serviceTime time.Duration) bool { return remaining < MinRemaining(serviceTime) }
