--- a/internal/daemon/accounts.go
+++ b/internal/daemon/accounts.go
@@ -25,9 +25,9 @@
 
 // identityOf returns the gateway's configuration for API keys and registers its metrics.
 func identityOf(config *settings.Daemon, freshness *configsource.Freshness, logger logr.Logger, registry prometheus.Registerer) gateway.Identity {
-	keys := &keyCurrency{freshness: freshness, logger: logger, bounds: identity.Bounds{Apply: config.Platform.ApplyBound.Get()}}
+	keys := &keyCurrency{freshness: freshness, logger: logger, bounds: identity.Bounds{MaxApplyDelay: config.Platform.ApplyBound.Get()}}
 	if config.Accounts.StrictRevocation {
-		keys.bounds.Revocation = config.Accounts.RevocationBound.Get()
+		keys.bounds.MaxUnconfirmed = config.Accounts.RevocationBound.Get()
 	}
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "lapisvane_keys_suspended", Help: "1 while no call is served by an API key, because the daemon could not confirm its configuration for the revocation bound.",
@@ -36,7 +36,7 @@
 }
 
 // Currency returns how current the configuration in force is.
-func (k *keyCurrency) Currency() identity.Currency {
+func (k *keyCurrency) Currency() identity.Freshness {
 	currency := k.current()
 	tooOld := k.bounds.TooOld(currency)
 	if k.suspended.Load() != tooOld && k.suspended.Swap(tooOld) != tooOld {
@@ -45,16 +45,16 @@
 	return currency
 }
 
-func (k *keyCurrency) current() identity.Currency {
-	return identity.Currency{Unconfirmed: boottime.Since(k.freshness.Confirmed()), Behind: k.freshness.Behind()}
+func (k *keyCurrency) current() identity.Freshness {
+	return identity.Freshness{SinceConfirmed: boottime.Since(k.freshness.Confirmed()), Behind: k.freshness.Behind()}
 }
 
-func (k *keyCurrency) logChange(tooOld bool, currency identity.Currency) {
+func (k *keyCurrency) logChange(tooOld bool, currency identity.Freshness) {
 	if tooOld {
-		k.logger.Info("keys.suspended", "unconfirmed_ms", currency.Unconfirmed.Milliseconds(), "bound_ms", k.bounds.Revocation.Milliseconds())
+		k.logger.Info("keys.suspended", "unconfirmed_ms", currency.SinceConfirmed.Milliseconds(), "bound_ms", k.bounds.MaxUnconfirmed.Milliseconds())
 		return
 	}
-	k.logger.Info("keys.resumed", "unconfirmed_ms", currency.Unconfirmed.Milliseconds())
+	k.logger.Info("keys.resumed", "unconfirmed_ms", currency.SinceConfirmed.Milliseconds())
 }
 
 func (k *keyCurrency) suspendedGauge() float64 {
--- a/internal/daemon/accounts_test.go
+++ b/internal/daemon/accounts_test.go
@@ -28,13 +28,13 @@
 			config.Accounts = settings.Accounts{StrictRevocation: strict, RevocationBound: tunables.Duration(5 * time.Second)}
 			freshness := &configsource.Freshness{}
 			keys := identityOf(&config, freshness, logging.NewPlain(&output), prometheus.NewRegistry())
-			assert.Equal(t, keys.Bounds.Apply, config.Platform.ApplyBound.Get())
+			assert.Equal(t, keys.Bounds.MaxApplyDelay, config.Platform.ApplyBound.Get())
 			suspended := func() bool { return keys.Bounds.TooOld(keys.Currency()) }
 
 			assert.Equal(t, suspended(), strict, "before the first confirmation")
 			freshness.Advance(3)
 			freshness.Confirm(configsource.Versions{Configuration: 3}, boottime.Now())
-			assert.Equal(t, keys.Currency(), identity.Currency{})
+			assert.Equal(t, keys.Currency(), identity.Freshness{})
 			time.Sleep(5*time.Second - time.Nanosecond)
 			assert.Assert(t, !suspended())
 			time.Sleep(time.Nanosecond)
--- a/internal/requestpath/gateway/identity.go
+++ b/internal/requestpath/gateway/identity.go
@@ -20,14 +20,14 @@
 // always the newest.
 type Identity struct {
 	// Currency returns how up to date the current configuration is; nil if it is always the newest.
-	Currency func() identity.Currency
+	Currency func() identity.Freshness
 	Bounds   identity.Bounds
 }
 
 // currency returns how up to date the current configuration is.
-func (i *Identity) currency() identity.Currency {
+func (i *Identity) currency() identity.Freshness {
 	if i.Currency == nil {
-		return identity.Currency{}
+		return identity.Freshness{}
 	}
 	return i.Currency()
 }
@@ -160,7 +160,7 @@
 func (g *Gateway) decideAgain(rc *app.RequestContext, found *admittedRequest, key presentedKey) (identity.Decision, error) {
 	var err error
 	if found.route, err = findRoute(rc, found.current); err != nil || found.current.Accounts == nil {
-		return identity.ServeAnyone, err
+		return identity.ServeAnonymous, err
 	}
 	return g.decideOnKey(found, key, true), nil
 }
@@ -170,7 +170,7 @@
 func (g *Gateway) keyRefusal(rc *app.RequestContext, route *lapisv1.Route, key presentedKey, decision identity.Decision) error {
 	code, reason := result.CallKeysUnconfirmed, reasonUnconfirmed
 	switch decision {
-	case identity.ServeCaller, identity.ServeAnyone:
+	case identity.ServeCaller, identity.ServeAnonymous:
 		return nil
 	case identity.RefuseUnknown:
 		code, reason = result.CallUnknownKey, key.refusalReason()
@@ -182,11 +182,11 @@
 // decideOnKey decides on the key of a request and sets the caller of found.
 func (g *Gateway) decideOnKey(found *admittedRequest, key presentedKey, waited bool) identity.Decision {
 	public := found.route.GetPublic()
-	facts := identity.Facts{Caller: key.findIn(found.current.Accounts), Public: public, Waited: waited}
+	facts := identity.Input{Caller: key.findIn(found.current.Accounts), Public: public, Waited: waited}
 	// The currency is read only if needed, since reading it takes a lock: for an unknown key, or if keys
 	// can become too old.
-	if facts.Caller == nil || g.config.Identity.Bounds.Revocation > 0 {
-		facts.Currency = g.config.Identity.currency()
+	if facts.Caller == nil || g.config.Identity.Bounds.MaxUnconfirmed > 0 {
+		facts.Freshness = g.config.Identity.currency()
 	}
 	decision := identity.Decide(facts, g.config.Identity.Bounds)
 	if decision == identity.ServeCaller {
@@ -210,7 +210,7 @@
 		return g.config.Snapshots.Current()
 	}
 	target := time.Duration(found.route.GetCallClass().GetTargetLatencyMillis()) * time.Millisecond
-	return g.config.Snapshots.AwaitAfter(ctx, found.current, identity.WaitFor(target))
+	return g.config.Snapshots.AwaitAfter(ctx, found.current, identity.UpdateWait(target))
 }
 
 // recheckKey returns an error if, since the call was admitted, its key was revoked or the key data became
@@ -226,7 +226,7 @@
 		return result.Errorf(result.CallUnknownKey, "API key: %s", reasonRevoked)
 	}
 	decider := &a.gateway.config.Identity
-	if decider.Bounds.Revocation > 0 && decider.Bounds.TooOld(decider.currency()) {
+	if decider.Bounds.MaxUnconfirmed > 0 && decider.Bounds.TooOld(decider.currency()) {
 		a.gateway.metrics.refusedKeys.WithLabelValues(string(reasonUnconfirmed)).Inc()
 		return result.Errorf(result.CallKeysUnconfirmed, "API key: %s", reasonUnconfirmed)
 	}
--- a/internal/requestpath/gateway/identity_test.go
+++ b/internal/requestpath/gateway/identity_test.go
@@ -329,19 +329,19 @@
 // second attempt. The caller is told that the call did not run.
 func TestKeysThatBecomeTooOldBetweenAttempts(t *testing.T) {
 	for path, calls := range map[string]int{"/": 1, "/open/": 2} {
-		var currency atomic.Pointer[identity.Currency]
-		currency.Store(&identity.Currency{})
+		var currency atomic.Pointer[identity.Freshness]
+		currency.Store(&identity.Freshness{})
 		site := startKeyedGateway(t, func(config *Config) {
 			config.Identity = Identity{
-				Currency: func() identity.Currency { return *currency.Load() },
-				Bounds:   identity.Bounds{Apply: time.Second, Revocation: time.Minute},
+				Currency: func() identity.Freshness { return *currency.Load() },
+				Bounds:   identity.Bounds{MaxApplyDelay: time.Second, MaxUnconfirmed: time.Minute},
 			}
 		})
 		site.origin.before = func(*lapisv1.CallOpen) error {
 			if len(site.origin.calls()) > 1 {
 				return nil
 			}
-			currency.Store(&identity.Currency{Unconfirmed: time.Minute})
+			currency.Store(&identity.Freshness{SinceConfirmed: time.Minute})
 			return result.Errorf(result.CallNotRunDraining, "leaving")
 		}
 		status, answer := site.send(get(path, "Mesh-Key: "+keyOfAlpha))
--- a/internal/requestpath/gateway/lines.go
+++ b/internal/requestpath/gateway/lines.go
@@ -56,7 +56,7 @@
 	currency := g.config.Identity.currency()
 	g.config.Decisions.Failure(eventKeyRefused, g.requestID(rc),
 		"reason", string(reason), "digest", key.loggedDigest(), "route", route.GetName(), "revision", g.revision(),
-		"unconfirmed_ms", currency.Unconfirmed.Milliseconds(), "behind", currency.Behind)
+		"unconfirmed_ms", currency.SinceConfirmed.Milliseconds(), "behind", currency.Behind)
 }
 
 // revision returns the revision of the current configuration, 0 if there is none yet.
--- a/internal/requestpath/gateway/unknownkey_test.go
+++ b/internal/requestpath/gateway/unknownkey_test.go
@@ -36,13 +36,13 @@
 type behindGateway struct {
 	*Gateway
 	snapshots *snapshot.Store
-	currency  atomic.Pointer[identity.Currency]
+	currency  atomic.Pointer[identity.Freshness]
 	asked     atomic.Int64
 	lines     []string
 	registry  *prometheus.Registry
 }
 
-func newBehindGateway(t *testing.T, currency identity.Currency) *behindGateway {
+func newBehindGateway(t *testing.T, currency identity.Freshness) *behindGateway {
 	t.Helper()
 	g := &behindGateway{snapshots: &snapshot.Store{}, registry: prometheus.NewRegistry()}
 	g.currency.Store(&currency)
@@ -51,8 +51,8 @@
 	g.Gateway = New(Config{
 		Node: "here", Snapshots: g.snapshots, Envelope: keyEnvelope, Registry: g.registry, Decisions: decision.New(logger, 1000, time.Now),
 		Identity: Identity{
-			Currency: func() identity.Currency { g.asked.Add(1); return *g.currency.Load() },
-			Bounds:   identity.Bounds{Apply: 2 * time.Second},
+			Currency: func() identity.Freshness { g.asked.Add(1); return *g.currency.Load() },
+			Bounds:   identity.Bounds{MaxApplyDelay: 2 * time.Second},
 		},
 	})
 	return g
@@ -74,12 +74,12 @@
 // configuration is on its way, the request waits for it for a fraction of its target latency; the newer
 // configuration then decides on the key and on the route.
 func TestUnknownKeyWhileBehind(t *testing.T) {
-	newest := identity.Currency{Unconfirmed: time.Second}
-	unconfirmed := identity.Currency{Unconfirmed: 3 * time.Second}
-	behind := identity.Currency{Unconfirmed: time.Second, Behind: true}
+	newest := identity.Freshness{SinceConfirmed: time.Second}
+	unconfirmed := identity.Freshness{SinceConfirmed: 3 * time.Second}
+	behind := identity.Freshness{SinceConfirmed: time.Second, Behind: true}
 	const arrival = 15 * time.Millisecond
 	for name, row := range map[string]struct {
-		currency identity.Currency
+		currency identity.Freshness
 		// arrives, if not nil, returns the configuration that becomes current after arrival.
 		arrives func(t *testing.T) *lapisv1.Configuration
 		code    result.Code
@@ -122,9 +122,9 @@
 // If the configuration is replaced while a key is looked up in the previous one, the new configuration
 // decides on the key: the currency that is read applies to the new configuration only.
 func TestUnknownKeyWhileTheConfigurationIsReplaced(t *testing.T) {
-	g := newBehindGateway(t, identity.Currency{})
+	g := newBehindGateway(t, identity.Freshness{})
 	newest := g.config.Identity.Currency
-	g.config.Identity.Currency = func() identity.Currency {
+	g.config.Identity.Currency = func() identity.Freshness {
 		if g.snapshots.Current().Revision == 1 {
 			assert.NilError(t, g.snapshots.ReplaceConfiguration(keyedWith("gamma", keyOfGamma)(t)))
 		}
@@ -151,7 +151,7 @@
 // Requests with known keys and requests on public routes do not wait while the configuration is behind.
 func TestKnownKeysDoNotWaitWhileBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newBehindGateway(t, identity.Currency{Behind: true})
+		g := newBehindGateway(t, identity.Freshness{Behind: true})
 		began := time.Now()
 		for _, request := range [][2]string{{"/", keyOfAlpha}, {"/open/", ""}, {"/open/", keyOfGamma}} {
 			_, err := g.admitKey(t.Context(), request[0], request[1])
@@ -166,7 +166,7 @@
 func TestFloodOfUnknownKeys(t *testing.T) {
 	const flood = 4 * maxAwaitingKeys
 	synctest.Test(t, func(t *testing.T) {
-		g := newBehindGateway(t, identity.Currency{Behind: true})
+		g := newBehindGateway(t, identity.Freshness{Behind: true})
 		g.config.Decisions = nil
 		var waited atomic.Int64
 		var running sync.WaitGroup
@@ -191,7 +191,7 @@
 // The wait for a newer configuration ends when the caller disconnects.
 func TestWaitForKeysEndsWithItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newBehindGateway(t, identity.Currency{Behind: true})
+		g := newBehindGateway(t, identity.Freshness{Behind: true})
 		ctx, leave := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer leave()
 		began := time.Now()
@@ -204,11 +204,11 @@
 // With a bound on the age of revocations, a daemon without a recent confirmation serves public routes only.
 // Refused callers are told that their calls did not run and when to return.
 func TestStrictRevocation(t *testing.T) {
-	g := newBehindGateway(t, identity.Currency{Unconfirmed: 4 * time.Second})
-	g.config.Identity.Bounds.Revocation = 5 * time.Second
+	g := newBehindGateway(t, identity.Freshness{SinceConfirmed: 4 * time.Second})
+	g.config.Identity.Bounds.MaxUnconfirmed = 5 * time.Second
 	_, err := g.admitKey(t.Context(), "/", keyOfAlpha)
 	assert.NilError(t, err)
-	g.currency.Store(&identity.Currency{Unconfirmed: 5 * time.Second})
+	g.currency.Store(&identity.Freshness{SinceConfirmed: 5 * time.Second})
 	found, err := g.admitKey(t.Context(), "/", keyOfAlpha)
 	assert.Assert(t, result.Is(err, result.CallKeysUnconfirmed), "%v", err)
 	assert.Equal(t, statusOf(result.CallKeysUnconfirmed), 503)
@@ -221,14 +221,14 @@
 
 // Refusals are counted by reason. Their log line contains the start of the key's digest, but not the key.
 func TestRefusedKeysAreCountedAndLogged(t *testing.T) {
-	g := newBehindGateway(t, identity.Currency{})
+	g := newBehindGateway(t, identity.Freshness{})
 	for range 2 {
 		_, err := g.admitKey(t.Context(), "/", keyOfGamma)
 		assert.ErrorContains(t, err, "unknown")
 	}
 	_, err := g.admitKey(t.Context(), "/", "")
 	assert.ErrorContains(t, err, "missing")
-	g.currency.Store(&identity.Currency{Unconfirmed: time.Minute})
+	g.currency.Store(&identity.Freshness{SinceConfirmed: time.Minute})
 	_, err = g.admitKey(t.Context(), "/", keyOfGamma)
 	assert.ErrorContains(t, err, "unconfirmed")
 	recorder := httptest.NewRecorder()
--- a/internal/requestpath/identity/identity.go
+++ b/internal/requestpath/identity/identity.go
@@ -17,41 +17,41 @@
 	"github.com/lapisvane/lapisvane/internal/model/account"
 )
 
-// Currency states how current the configuration in force at this daemon is. The zero value means
+// Freshness states how current the configuration in force at this daemon is. The zero value means
 // that it is the newest.
-type Currency struct {
-	// Unconfirmed is the time since the configuration was last confirmed to be the newest.
-	Unconfirmed time.Duration
+type Freshness struct {
+	// SinceConfirmed is the time since the configuration was last confirmed to be the newest.
+	SinceConfirmed time.Duration
 	// Behind is true if another daemon has a newer configuration in force.
 	Behind bool
 }
 
 // Bounds are the requirements of a site on how current the keys of a daemon are.
 type Bounds struct {
-	// Apply is the time within which an accepted configuration must be in force at all daemons.
-	Apply time.Duration
-	// Revocation is the time without confirmation after which no key is served; 0 for no limit.
-	Revocation time.Duration
+	// MaxApplyDelay is the time within which an accepted configuration must be in force at all daemons.
+	MaxApplyDelay time.Duration
+	// MaxUnconfirmed is the time without confirmation after which no key is served; 0 for no limit.
+	MaxUnconfirmed time.Duration
 }
 
 // TooOld reports whether a revocation may have gone unnoticed for longer than the site allows.
-func (b Bounds) TooOld(currency Currency) bool {
-	return b.Revocation > 0 && currency.Unconfirmed >= b.Revocation
+func (b Bounds) TooOld(currency Freshness) bool {
+	return b.MaxUnconfirmed > 0 && currency.SinceConfirmed >= b.MaxUnconfirmed
 }
 
 // upToDate reports whether the configuration in force is new enough to refuse an unknown key: no
 // configuration that must be in force by now can contain the key.
-func (b Bounds) upToDate(currency Currency) bool {
-	return !currency.Behind && currency.Unconfirmed <= b.Apply
+func (b Bounds) upToDate(currency Freshness) bool {
+	return !currency.Behind && currency.SinceConfirmed <= b.MaxApplyDelay
 }
 
-// Facts holds the input of the decision on a request, as known when its key was looked up.
-type Facts struct {
+// Input holds the input of the decision on a request, as known when its key was looked up.
+type Input struct {
 	// Caller is the account of the key, nil for none.
 	Caller *account.Account
 	// Public is true for a route that requires no key.
-	Public   bool
-	Currency Currency
+	Public    bool
+	Freshness Freshness
 	// Waited is true if the request has already waited for a newer configuration.
 	Waited bool
 }
@@ -61,10 +61,10 @@
 
 // Decisions on a request.
 const (
-	// ServeCaller serves the request under the account of its caller. ServeAnyone serves it without
+	// ServeCaller serves the request under the account of its caller. ServeAnonymous serves it without
 	// an account.
 	ServeCaller Decision = iota
-	ServeAnyone
+	ServeAnonymous
 	// RefuseUnknown refuses a key that belongs to no account.
 	RefuseUnknown
 	// RefuseUnconfirmed refuses a key that this daemon cannot decide on. The caller may retry.
@@ -76,7 +76,7 @@
 // Decide decides how a request is handled. It checks in this order:
 //
 //   - A known key is served, unless the configuration is too old. A newer configuration may have
-//     revoked the key; Bounds.Revocation and the apply bound of the distribution limit for how long
+//     revoked the key; Bounds.MaxUnconfirmed and the apply bound of the distribution limit for how long
 //     that can go unnoticed.
 //   - A public route is served regardless of the key, without an account if the key is not known or
 //     the configuration is too old.
@@ -85,19 +85,19 @@
 //     that configuration will arrive soon. Otherwise there is nothing to wait for.
 //   - An unknown key is refused for good if the configuration in force is new enough, otherwise
 //     until it is confirmed.
-func Decide(facts Facts, bounds Bounds) Decision {
-	tooOld := bounds.TooOld(facts.Currency)
+func Decide(facts Input, bounds Bounds) Decision {
+	tooOld := bounds.TooOld(facts.Freshness)
 	known := facts.Caller != nil && !tooOld
 	switch {
 	case known:
 		return ServeCaller
 	case facts.Public:
-		return ServeAnyone
+		return ServeAnonymous
 	case tooOld:
 		return RefuseUnconfirmed
-	case facts.Currency.Behind && !facts.Waited:
+	case facts.Freshness.Behind && !facts.Waited:
 		return AwaitNewer
-	case !bounds.upToDate(facts.Currency):
+	case !bounds.upToDate(facts.Freshness):
 		return RefuseUnconfirmed
 	default:
 		return RefuseUnknown
@@ -112,9 +112,9 @@
 // that are being distributed between daemons arrive sooner.
 const maxWait = 200 * time.Millisecond
 
-// WaitFor returns how long a request with an unknown key waits for a newer configuration. target is
+// UpdateWait returns how long a request with an unknown key waits for a newer configuration. target is
 // the target latency of its route, 0 for none.
-func WaitFor(target time.Duration) time.Duration {
+func UpdateWait(target time.Duration) time.Duration {
 	if target == 0 {
 		return maxWait
 	}
--- a/internal/requestpath/identity/identity_test.go
+++ b/internal/requestpath/identity/identity_test.go
@@ -18,41 +18,41 @@
 var caller = &account.Account{Name: "alpha"}
 
 func TestDecisions(t *testing.T) {
-	fresh := identity.Currency{Unconfirmed: apply}
-	unconfirmed := identity.Currency{Unconfirmed: apply + 1}
-	behind := identity.Currency{Behind: true}
-	tooOld := identity.Currency{Unconfirmed: revocation}
+	fresh := identity.Freshness{SinceConfirmed: apply}
+	unconfirmed := identity.Freshness{SinceConfirmed: apply + 1}
+	behind := identity.Freshness{Behind: true}
+	tooOld := identity.Freshness{SinceConfirmed: revocation}
 	for name, row := range map[string]struct {
-		facts                   identity.Facts
+		facts                   identity.Input
 		withoutLimit, withLimit identity.Decision
 	}{
-		"known":                            {identity.Facts{Caller: caller, Currency: fresh}, identity.ServeCaller, identity.ServeCaller},
-		"known, not confirmed":             {identity.Facts{Caller: caller, Currency: unconfirmed}, identity.ServeCaller, identity.ServeCaller},
-		"known, behind":                    {identity.Facts{Caller: caller, Currency: behind}, identity.ServeCaller, identity.ServeCaller},
-		"known, too old":                   {identity.Facts{Caller: caller, Currency: tooOld}, identity.ServeCaller, identity.RefuseUnconfirmed},
-		"unknown":                          {identity.Facts{Currency: fresh}, identity.RefuseUnknown, identity.RefuseUnknown},
-		"unknown, not confirmed":           {identity.Facts{Currency: unconfirmed}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
-		"unknown, not confirmed, waited":   {identity.Facts{Currency: unconfirmed, Waited: true}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
-		"unknown, behind":                  {identity.Facts{Currency: behind}, identity.AwaitNewer, identity.AwaitNewer},
-		"unknown, still behind":            {identity.Facts{Currency: behind, Waited: true}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
-		"unknown, no longer behind":        {identity.Facts{Currency: fresh, Waited: true}, identity.RefuseUnknown, identity.RefuseUnknown},
-		"unknown, too old":                 {identity.Facts{Currency: tooOld}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
-		"unknown, behind and too old":      {identity.Facts{Currency: identity.Currency{Unconfirmed: revocation, Behind: true}}, identity.AwaitNewer, identity.RefuseUnconfirmed},
-		"public without a key, behind":     {identity.Facts{Public: true, Currency: behind}, identity.ServeAnyone, identity.ServeAnyone},
-		"public with a key":                {identity.Facts{Public: true, Caller: caller, Currency: fresh}, identity.ServeCaller, identity.ServeCaller},
-		"public with a key that is old":    {identity.Facts{Public: true, Caller: caller, Currency: tooOld}, identity.ServeCaller, identity.ServeAnyone},
-		"public, no confirmation for long": {identity.Facts{Public: true, Currency: tooOld}, identity.ServeAnyone, identity.ServeAnyone},
+		"known":                            {identity.Input{Caller: caller, Freshness: fresh}, identity.ServeCaller, identity.ServeCaller},
+		"known, not confirmed":             {identity.Input{Caller: caller, Freshness: unconfirmed}, identity.ServeCaller, identity.ServeCaller},
+		"known, behind":                    {identity.Input{Caller: caller, Freshness: behind}, identity.ServeCaller, identity.ServeCaller},
+		"known, too old":                   {identity.Input{Caller: caller, Freshness: tooOld}, identity.ServeCaller, identity.RefuseUnconfirmed},
+		"unknown":                          {identity.Input{Freshness: fresh}, identity.RefuseUnknown, identity.RefuseUnknown},
+		"unknown, not confirmed":           {identity.Input{Freshness: unconfirmed}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
+		"unknown, not confirmed, waited":   {identity.Input{Freshness: unconfirmed, Waited: true}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
+		"unknown, behind":                  {identity.Input{Freshness: behind}, identity.AwaitNewer, identity.AwaitNewer},
+		"unknown, still behind":            {identity.Input{Freshness: behind, Waited: true}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
+		"unknown, no longer behind":        {identity.Input{Freshness: fresh, Waited: true}, identity.RefuseUnknown, identity.RefuseUnknown},
+		"unknown, too old":                 {identity.Input{Freshness: tooOld}, identity.RefuseUnconfirmed, identity.RefuseUnconfirmed},
+		"unknown, behind and too old":      {identity.Input{Freshness: identity.Freshness{SinceConfirmed: revocation, Behind: true}}, identity.AwaitNewer, identity.RefuseUnconfirmed},
+		"public without a key, behind":     {identity.Input{Public: true, Freshness: behind}, identity.ServeAnonymous, identity.ServeAnonymous},
+		"public with a key":                {identity.Input{Public: true, Caller: caller, Freshness: fresh}, identity.ServeCaller, identity.ServeCaller},
+		"public with a key that is old":    {identity.Input{Public: true, Caller: caller, Freshness: tooOld}, identity.ServeCaller, identity.ServeAnonymous},
+		"public, no confirmation for long": {identity.Input{Public: true, Freshness: tooOld}, identity.ServeAnonymous, identity.ServeAnonymous},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, identity.Decide(row.facts, identity.Bounds{Apply: apply}), row.withoutLimit)
-			assert.Equal(t, identity.Decide(row.facts, identity.Bounds{Apply: apply, Revocation: revocation}), row.withLimit)
+			assert.Equal(t, identity.Decide(row.facts, identity.Bounds{MaxApplyDelay: apply}), row.withoutLimit)
+			assert.Equal(t, identity.Decide(row.facts, identity.Bounds{MaxApplyDelay: apply, MaxUnconfirmed: revocation}), row.withLimit)
 		})
 	}
 }
 
 // Checks that a configuration without currency information counts as the newest.
 func TestZeroCurrencyIsTheNewest(t *testing.T) {
-	assert.Equal(t, identity.Decide(identity.Facts{}, identity.Bounds{}), identity.RefuseUnknown)
+	assert.Equal(t, identity.Decide(identity.Input{}, identity.Bounds{}), identity.RefuseUnknown)
 }
 
 // Checks that the wait leaves most of the target latency for a retry, and is short without a
@@ -61,6 +61,6 @@
 	for target, wait := range map[time.Duration]time.Duration{
 		0: 200 * time.Millisecond, 250 * time.Millisecond: 50 * time.Millisecond, time.Second: 200 * time.Millisecond, time.Minute: 200 * time.Millisecond,
 	} {
-		assert.Equal(t, identity.WaitFor(target), wait, "target %s", target)
+		assert.Equal(t, identity.UpdateWait(target), wait, "target %s", target)
 	}
 }
