--- a/internal/requestpath/admission/decision.go
+++ b/internal/requestpath/admission/decision.go
@@ -82,7 +82,7 @@
 	switch {
 	case state.closed:
 		return actionRefuseClosed
-	case !request.StartBy.IsZero() && !now.Before(request.StartBy):
+	case !request.LatestStart.IsZero() && !now.Before(request.LatestStart):
 		return actionRefuseExpired
 	case state.slotFree && !state.othersWait:
 		return actionStart
@@ -104,8 +104,8 @@
 		return actionRefuseFull, time.Time{}
 	}
 	deadline := now.Add(longest)
-	if !request.StartBy.IsZero() && request.StartBy.Before(deadline) {
-		deadline = request.StartBy
+	if !request.LatestStart.IsZero() && request.LatestStart.Before(deadline) {
+		deadline = request.LatestStart
 	}
 	return actionWait, deadline
 }
--- a/internal/requestpath/admission/decision_test.go
+++ b/internal/requestpath/admission/decision_test.go
@@ -13,7 +13,7 @@
 
 // Checks the decision on an arriving call and the precedence of its conditions.
 func TestDecideArrival(t *testing.T) {
-	expired := Request{StartBy: arrivedAt}
+	expired := Request{LatestStart: arrivedAt}
 	for name, row := range map[string]struct {
 		request Request
 		state   queueState
@@ -22,7 +22,7 @@
 		"a slot is free":                   {Request{}, queueState{slotFree: true}, actionStart},
 		"no slot is free":                  {Request{}, queueState{}, actionQueue},
 		"a slot is free, others wait":      {Request{}, queueState{slotFree: true, othersWait: true}, actionQueue},
-		"it may start for a moment yet":    {Request{StartBy: arrivedAt.Add(1)}, queueState{slotFree: true}, actionStart},
+		"it may start for a moment yet":    {Request{LatestStart: arrivedAt.Add(1)}, queueState{slotFree: true}, actionStart},
 		"too late, a slot is free":         {expired, queueState{slotFree: true}, actionRefuseExpired},
 		"too late, no slot is free":        {expired, queueState{}, actionRefuseExpired},
 		"closed, a slot is free":           {Request{}, queueState{closed: true, slotFree: true}, actionRefuseClosed},
@@ -49,8 +49,8 @@
 		"its own bound is longer":              {Request{MaxWait: 2 * time.Second}, 0, waits(1500*time.Millisecond, 0), actionWait, 2 * time.Second},
 		"its own bound is shorter":             {Request{MaxWait: time.Millisecond}, 0, waits(2*time.Millisecond, 0), actionRefuseFull, 0},
 		"background waits longer":              {Request{Background: true}, 0, waits(BackgroundFactor*time.Second, 0), actionWait, BackgroundFactor * time.Second},
-		"it must start before its wait ends":   {Request{StartBy: arrivedAt.Add(time.Millisecond)}, 0, waits(0, 0), actionWait, time.Millisecond},
-		"it may start after its wait ends":     {Request{StartBy: arrivedAt.Add(time.Hour)}, 0, waits(0, 0), actionWait, time.Second},
+		"it must start before its wait ends":   {Request{LatestStart: arrivedAt.Add(time.Millisecond)}, 0, waits(0, 0), actionWait, time.Millisecond},
+		"it may start after its wait ends":     {Request{LatestStart: arrivedAt.Add(time.Hour)}, 0, waits(0, 0), actionWait, time.Second},
 		"the queue is full":                    {Request{}, 2, waits(0, 0), actionRefuseFull, 0},
 		"as long a wait as it may":             {Request{}, 1, waits(time.Second, 0), actionWait, time.Second},
 		"too long a wait for a slot":           {Request{}, 1, waits(time.Second+1, 0), actionRefuseFull, 0},
--- a/internal/requestpath/admission/limit_test.go
+++ b/internal/requestpath/admission/limit_test.go
@@ -28,7 +28,7 @@
 		}
 		first, err := queue.Acquire(t.Context(), admission.Request{Group: "a"})
 		assert.NilError(t, err)
-		_, err = queue.Acquire(t.Context(), admission.Request{Group: "a", StartBy: time.Now().Add(time.Millisecond)})
+		_, err = queue.Acquire(t.Context(), admission.Request{Group: "a", LatestStart: time.Now().Add(time.Millisecond)})
 		assert.Assert(t, err != nil, "the limit did not decrease")
 		first.Release(false)
 		for range 100 {
@@ -37,7 +37,7 @@
 			slot.Release(false)
 		}
 		for range 4 {
-			_, err := queue.Acquire(t.Context(), admission.Request{Group: "a", StartBy: time.Now().Add(time.Millisecond)})
+			_, err := queue.Acquire(t.Context(), admission.Request{Group: "a", LatestStart: time.Now().Add(time.Millisecond)})
 			assert.NilError(t, err)
 		}
 	})
--- a/internal/requestpath/admission/occupancy.go
+++ b/internal/requestpath/admission/occupancy.go
@@ -10,15 +10,15 @@
 type Occupancy struct {
 	// Running and Waiting are numbers of calls. Limit is the current concurrency limit.
 	Running, Waiting, Limit int
-	// MeanService is the smoothed time that a call holds its slot, excluding uploads.
-	MeanService time.Duration
+	// MeanServiceTime is the smoothed time that a call holds its slot, excluding uploads.
+	MeanServiceTime time.Duration
 }
 
 // Occupancy returns the current usage of the back end.
 func (q *Queue) Occupancy() Occupancy {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return Occupancy{Running: q.running, Waiting: q.waiting, Limit: q.limit.current, MeanService: q.meanService}
+	return Occupancy{Running: q.running, Waiting: q.waiting, Limit: q.limit.current, MeanServiceTime: q.meanService}
 }
 
 // Load returns the number of running and waiting calls per slot.
--- a/internal/requestpath/admission/order.go
+++ b/internal/requestpath/admission/order.go
@@ -28,8 +28,8 @@
 	MaxWait time.Duration
 	// NoWait refuses the call if it cannot start immediately.
 	NoWait bool
-	// StartBy is the time after which the call must not start; zero for none.
-	StartBy time.Time
+	// LatestStart is the time after which the call must not start; zero for none.
+	LatestStart time.Time
 }
 
 // before reports whether a request that arrived later goes before another one of its group: by
--- a/internal/requestpath/admission/queue_bench_test.go
+++ b/internal/requestpath/admission/queue_bench_test.go
@@ -9,8 +9,9 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/admission"
 )
 
-// BenchmarkFreeSlot measures admission with a free slot and no waiting calls. Three runs on a busy
-// machine took 1,178 to 1,415 ns, with one allocation of 80 bytes.
+// BenchmarkFreeSlot measures admission with a free slot and no waiting calls. Three runs each on a
+// busy machine, before and after the decisions became pure functions, took 1,150 to 1,230 ns and
+// 1,178 to 1,415 ns, with one allocation of 80 bytes both before and after.
 func BenchmarkFreeSlot(b *testing.B) {
 	queue := newQueue(6, map[string]uint32{"a": 50, "b": 50})
 	request := admission.Request{Group: "a", Due: time.Now().Add(time.Hour), MaxWait: time.Second}
@@ -22,8 +23,9 @@
 	}
 }
 
-// BenchmarkRefusal measures an immediate refusal with twenty waiting calls. The same runs took
-// 1,012 to 1,191 ns, with 3 allocations.
+// BenchmarkRefusal measures an immediate refusal with twenty waiting calls. The same runs,
+// before and after, took 1,029 to 1,279 ns and 1,012 to 1,191 ns, with 3 allocations both before and
+// after.
 func BenchmarkRefusal(b *testing.B) {
 	queue := newQueue(1, map[string]uint32{"a": 50, "b": 50})
 	held, err := queue.Acquire(b.Context(), admission.Request{Group: "a"})
--- a/internal/requestpath/admission/queue_test.go
+++ b/internal/requestpath/admission/queue_test.go
@@ -40,11 +40,11 @@
 func TestNothingStartsAfterItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		queue := newQueue(1, nil)
-		_, err := queue.Acquire(t.Context(), admission.Request{Group: "a", StartBy: time.Now()})
+		_, err := queue.Acquire(t.Context(), admission.Request{Group: "a", LatestStart: time.Now()})
 		assert.Assert(t, result.Is(err, result.CallNotRunExpired), "%v", err)
 		held, err := queue.Acquire(t.Context(), admission.Request{Group: "a"})
 		assert.NilError(t, err)
-		_, err = queue.Acquire(t.Context(), admission.Request{Group: "a", StartBy: time.Now().Add(100 * time.Millisecond)})
+		_, err = queue.Acquire(t.Context(), admission.Request{Group: "a", LatestStart: time.Now().Add(100 * time.Millisecond)})
 		assert.Assert(t, err != nil)
 		held.Release(false)
 		assert.Equal(t, queue.Running(), 0)
--- a/internal/requestpath/admission/slot.go
+++ b/internal/requestpath/admission/slot.go
@@ -41,16 +41,16 @@
 	return &Slot{queue: q, group: q.groupOf(waiting.request), upload: waiting.request.Upload, started: q.now(), concurrent: q.running, position: waiting.position}
 }
 
-// HadRoom reports whether fewer calls were running than the back end has slots when the slot was
+// HadFreeSlot reports whether fewer calls were running than the back end has slots when the slot was
 // given, or whether the back end recently shed calls for another reason than load.
-func (s *Slot) HadRoom() bool {
+func (s *Slot) HadFreeSlot() bool {
 	s.queue.mutex.Lock()
 	defer s.queue.mutex.Unlock()
 	return s.concurrent < s.queue.limit.slots || s.queue.now().Before(s.queue.limit.ignoreShedUntil)
 }
 
-// Ahead returns the number of calls that were ahead of this one when it arrived.
-func (s *Slot) Ahead() int { return s.position.ahead }
+// QueuePosition returns the number of calls that were ahead of this one when it arrived.
+func (s *Slot) QueuePosition() int { return s.position.ahead }
 
 // slotOutcome is the result of the call of a slot.
 type slotOutcome int
--- a/internal/requestpath/admission/slot_test.go
+++ b/internal/requestpath/admission/slot_test.go
@@ -35,7 +35,7 @@
 				for range 20 {
 					release(acquire())
 				}
-				assert.Equal(t, queue.Occupancy().MeanService, 100*time.Millisecond)
+				assert.Equal(t, queue.Occupancy().MeanServiceTime, 100*time.Millisecond)
 			})
 		})
 	}
--- a/internal/requestpath/origin/handle.go
+++ b/internal/requestpath/origin/handle.go
@@ -105,7 +105,7 @@
 		request.AccountPriority = i.anonymousPriority.Load()
 	}
 	if open.GetExpiresAfterMillis() > 0 {
-		request.StartBy = arrivedAt.Add(time.Duration(open.GetExpiresAfterMillis()) * time.Millisecond)
+		request.LatestStart = arrivedAt.Add(time.Duration(open.GetExpiresAfterMillis()) * time.Millisecond)
 	}
 	if open.GetTargetMillis() > 0 {
 		request.Due = arrivedAt.Add(time.Duration(open.GetTargetMillis()) * time.Millisecond)
@@ -138,7 +138,7 @@
 	answer, err := o.handOver(ctx, instance, slot, call)
 	handedOver = true
 	if err == nil {
-		o.logAnswer(instance, call, answer, queueTime, slot.Ahead())
+		o.logAnswer(instance, call, answer, queueTime, slot.QueuePosition())
 	}
 	return answer, err
 }
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -40,7 +40,7 @@
 	o.recordCallEnd(instance, nil)
 	workPercent := o.config.Envelope.WorkPercent(response.Header)
 	instance.reportedWork.record(workPercent, time.Now())
-	if refusal := o.responseRefusal(instance, response, slot.HadRoom()); refusal != nil {
+	if refusal := o.responseRefusal(instance, response, slot.HadFreeSlot()); refusal != nil {
 		_ = response.Body.Close() // It only ends the exchange, and never fails.
 		releaseRefused(slot, refusal)
 		return nil, refusal
--- a/internal/requestpath/origin/health_test.go
+++ b/internal/requestpath/origin/health_test.go
@@ -23,7 +23,7 @@
 		instance, _ := fixture.instance("desk", "desk-1")
 		waiting := make(chan error, 1)
 		go func() {
-			_, err := instance.queue.Acquire(context.Background(), admission.Request{MaxWait: time.Minute, StartBy: time.Now().Add(time.Minute)})
+			_, err := instance.queue.Acquire(context.Background(), admission.Request{MaxWait: time.Minute, LatestStart: time.Now().Add(time.Minute)})
 			waiting <- err
 		}()
 		synctest.Wait()
--- a/internal/requestpath/origin/requestlog.go
+++ b/internal/requestpath/origin/requestlog.go
@@ -56,7 +56,7 @@
 	o.config.Decisions.Failure(event, o.requestID(call),
 		"attempt", open.GetAttemptId(), "instance", open.GetInstance(), "state", string(state),
 		"code", uint32(code), "name", code, "running", occupancy.Running, "waiting", occupancy.Waiting,
-		"limit", occupancy.Limit, "service_ms", occupancy.MeanService.Milliseconds(), "beat_age_ms", heartbeatAge.Milliseconds(),
+		"limit", occupancy.Limit, "service_ms", occupancy.MeanServiceTime.Milliseconds(), "beat_age_ms", heartbeatAge.Milliseconds(),
 		"cold_rate", cold.PerSecond, "cold_tokens", cold.Tokens,
 		"account", open.GetAccount(), "account_priority", open.GetAccountPriority(), "priority", open.GetPriority(), "due_ms", open.GetTargetMillis(),
 		"may_wait_ms", open.GetMaxWaitMillis(), "given_ms", open.GetDeadlineMillis(),
