--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -58,7 +58,7 @@
 	counter(registry, "lapisvane_origin_duplicates_total", "Copies of calls that were kept from running.",
 		func() float64 { return float64(sources.Origin.Counts().Duplicates) })
 	counter(registry, "lapisvane_origin_unknown_total", "Calls handed over whose answer was lost.",
-		func() float64 { return float64(sources.Origin.Counts().Broken) })
+		func() float64 { return float64(sources.Origin.Counts().Interrupted) })
 }
 
 // registerStore adds the metrics of the object API client.
--- a/internal/daemon/metrics/platform.go
+++ b/internal/daemon/metrics/platform.go
@@ -145,7 +145,7 @@
 		return func() float64 {
 			total := 0.0
 			for _, instance := range instances.Instances() {
-				total += read(instance.ColdUse())
+				total += read(instance.PaceUse())
 			}
 			return total
 		}
--- a/internal/daemon/platformapi/platform.go
+++ b/internal/daemon/platformapi/platform.go
@@ -21,9 +21,9 @@
 type Instances interface {
 	// Register records a heartbeat.
 	Register(registration origin.Registration)
-	// WithdrawStart records that an instance retires. The start of the instance is identified by its id
-	// and the time born; if born is 0, the known start with that id retires.
-	WithdrawStart(id string, born uint64)
+	// WithdrawIncarnation records that an instance retires. The start of the instance is identified
+	// by its id and the time born; if born is 0, the known start with that id retires.
+	WithdrawIncarnation(id string, born uint64)
 }
 
 // RefusedEntry is a class of invalid entries in the platform's store, or of invalid heartbeats, which
--- a/internal/daemon/tree_distribution.go
+++ b/internal/daemon/tree_distribution.go
@@ -80,7 +80,7 @@
 // Endpoints implements tree.Observer.
 func (t *treeDistribution) Endpoints(service string, endpoints []*lapisv1.Endpoint) {
 	t.path.balancer.Update(service, endpoints)
-	t.path.origin.FollowMachineList(service, endpoints, t.path.settings.Load().Node)
+	t.path.origin.ApplyEndpointStates(service, endpoints, t.path.settings.Load().Node)
 }
 
 // EndpointsOf implements distribution.
--- a/internal/requestpath/origin/coldness.go
+++ b/internal/requestpath/origin/coldness.go
@@ -186,7 +186,7 @@
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	now := time.Now()
-	i.coldState.recordHeartbeat(registration.ColdFor, registration.Sequence, now)
+	i.coldState.recordHeartbeat(registration.ColdRemaining, registration.Sequence, now)
 	i.queue.SetPace(i.coldState.pace(now))
 }
 
@@ -225,5 +225,5 @@
 	return i.updatePace(i.coldState.loggedSource, now)
 }
 
-// ColdUse returns the use of the instance's pace; the rate is 0 while no pace applies.
-func (i *Instance) ColdUse() admission.PaceUse { return i.queue.PaceUse() }
+// PaceUse returns the use of the instance's pace; the rate is 0 while no pace applies.
+func (i *Instance) PaceUse() admission.PaceUse { return i.queue.PaceUse() }
--- a/internal/requestpath/origin/coldness_test.go
+++ b/internal/requestpath/origin/coldness_test.go
@@ -84,7 +84,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t, 4)
 		_, isNew := fixture.findOrRegister(Registration{
-			Service: "desk", Instance: "desk-1", Address: "127.0.0.1:1", Slots: 100, Sequence: 1, ColdFor: coldDuration,
+			Service: "desk", Instance: "desk-1", Address: "127.0.0.1:1", Slots: 100, Sequence: 1, ColdRemaining: coldDuration,
 		})
 		assert.Assert(t, isNew)
 		admitted := fixture.admitFor(time.Second)
--- a/internal/requestpath/origin/crash.go
+++ b/internal/requestpath/origin/crash.go
@@ -30,16 +30,14 @@
 	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 }
 
-// noopCrashReporter is used if Config.Crashes is nil.
-type noopCrashReporter struct{}
+// noReporter is used if Config.Crashes is nil.
+type noReporter struct{}
 
-func (noopCrashReporter) Crashed(string, uint64, []quarantine.InFlight) {}
-func (noopCrashReporter) Suspected(fingerprint.Line) bool               { return false }
-func (noopCrashReporter) Answered([]fingerprint.Key)                    {}
-func (noopCrashReporter) Count([]fingerprint.Key) int                   { return 0 }
-func (noopCrashReporter) Evaluate([]fingerprint.Key, string) quarantine.Verdict {
-	return quarantine.Verdict{}
-}
+func (noReporter) Crashed(string, uint64, []quarantine.InFlight)         {}
+func (noReporter) Suspected(fingerprint.Line) bool                       { return false }
+func (noReporter) Answered([]fingerprint.Key)                            {}
+func (noReporter) Count([]fingerprint.Key) int                           { return 0 }
+func (noReporter) Evaluate([]fingerprint.Key, string) quarantine.Verdict { return quarantine.Verdict{} }
 
 // finishUnanswered removes a call that got no response from the calls in flight, and returns its
 // final error. If the instance crashed, that is CallInstanceCrashed with the number of instances
--- a/internal/requestpath/origin/fixture_test.go
+++ b/internal/requestpath/origin/fixture_test.go
@@ -76,7 +76,7 @@
 	f.sequence++
 	f.Register(Registration{
 		Service: "desk", Instance: "desk-1", Address: "127.0.0.1:1", Slots: 100,
-		Sequence: f.sequence - sentEarlier, ColdFor: coldFor,
+		Sequence: f.sequence - sentEarlier, ColdRemaining: coldFor,
 	})
 }
 
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -91,7 +91,7 @@
 
 // Counts are totals of calls since the daemon started.
 type Counts struct {
-	HandedOver, Refused, Duplicates, Broken int64
+	HandedOver, Refused, Duplicates, Interrupted int64
 }
 
 // counters are the running totals of Counts.
@@ -106,7 +106,7 @@
 		config.Logger = logr.Discard()
 	}
 	if config.Crashes == nil {
-		config.Crashes = noopCrashReporter{}
+		config.Crashes = noReporter{}
 	}
 	if config.Changed == nil {
 		config.Changed = func() {}
@@ -210,10 +210,10 @@
 	return instance, ok
 }
 
-// FollowMachineList applies the endpoint states of the machine list to the instances of node, this
+// ApplyEndpointStates applies the endpoint states of the machine list to the instances of node, this
 // daemon: a ready instance that is listed as draining is drained, and one that is listed as ready
 // is resumed.
-func (o *Origin) FollowMachineList(service string, endpoints []*lapisv1.Endpoint, node string) {
+func (o *Origin) ApplyEndpointStates(service string, endpoints []*lapisv1.Endpoint, node string) {
 	for _, endpoint := range endpoints {
 		instance, ok := o.instance(service, endpoint.GetInstance())
 		if !ok || endpoint.GetNode() != node {
@@ -266,6 +266,6 @@
 func (o *Origin) Counts() Counts {
 	return Counts{
 		HandedOver: o.counts.handedOver.Load(), Refused: o.counts.refused.Load(),
-		Duplicates: o.counts.duplicates.Load(), Broken: o.counts.broken.Load(),
+		Duplicates: o.counts.duplicates.Load(), Interrupted: o.counts.broken.Load(),
 	}
 }
--- a/internal/requestpath/origin/registration.go
+++ b/internal/requestpath/origin/registration.go
@@ -10,10 +10,10 @@
 // Registration is the content of one heartbeat of an instance.
 type Registration struct {
 	Service string
-	// Instance is the ID of the instance, and Born its start time (incarnation.Incarnation).
-	Instance string
-	Born     uint64
-	Address  string
+	// Instance is the ID of the instance, and StartUnixMillis its start time (incarnation.Incarnation).
+	Instance        string
+	StartUnixMillis uint64
+	Address         string
 	// Version is the version of the instance's software, which does not change while it runs.
 	Version string
 	// Slots is the number of calls that the instance runs at the same time.
@@ -22,13 +22,13 @@
 	Draining bool
 	// Sequence increases with each heartbeat, so that a delayed one is detected.
 	Sequence uint64
-	// ColdFor is the remaining time for which the instance is cold.
-	ColdFor time.Duration
+	// ColdRemaining is the remaining time for which the instance is cold.
+	ColdRemaining time.Duration
 }
 
 // incarnation returns the incarnation that sent the heartbeat.
 func (r Registration) incarnation() incarnation.Incarnation {
-	return incarnation.Incarnation{ID: r.Instance, Born: r.Born}
+	return incarnation.Incarnation{ID: r.Instance, Born: r.StartUnixMillis}
 }
 
 // Register records a heartbeat; the first one registers the instance. After Register has returned
@@ -81,7 +81,7 @@
 	o.watch(instance)
 	o.config.Logger.Info("instance.registered", "instance", instance.Name, "service", instance.Service,
 		"address", registration.Address, "version", registration.Version, "slots", registration.Slots, "sequence", registration.Sequence,
-		"cold_ms", registration.ColdFor.Milliseconds())
+		"cold_ms", registration.ColdRemaining.Milliseconds())
 	return instance, true
 }
 
@@ -201,7 +201,7 @@
 	if isNew {
 		source = coldByStart
 	}
-	i.coldState.recordHeartbeat(registration.ColdFor, registration.Sequence, now)
+	i.coldState.recordHeartbeat(registration.ColdRemaining, registration.Sequence, now)
 	changed = i.updatePace(source, now)
 	if registration.Slots > 0 && registration.Slots != i.slots {
 		i.slots = registration.Slots
@@ -234,9 +234,9 @@
 	}
 }
 
-// WithdrawStart withdraws the incarnation with an ID and a start time; without a start time (0),
+// WithdrawIncarnation withdraws the incarnation with an ID and a start time; without a start time (0),
 // the known incarnations with the ID.
-func (o *Origin) WithdrawStart(id string, born uint64) {
+func (o *Origin) WithdrawIncarnation(id string, born uint64) {
 	named := incarnation.Incarnation{ID: id, Born: born}
 	known := false
 	if born == 0 {
--- a/internal/requestpath/origin/restart_test.go
+++ b/internal/requestpath/origin/restart_test.go
@@ -20,7 +20,7 @@
 // newHeartbeat returns a heartbeat of the incarnation of desk-1 that started at born seconds.
 func newHeartbeat(born, sequence uint64) origin.Registration {
 	heartbeat := registration("desk-1", "127.0.0.1:1")
-	heartbeat.Born, heartbeat.Sequence = born*1000, sequence
+	heartbeat.StartUnixMillis, heartbeat.Sequence = born*1000, sequence
 	return heartbeat
 }
 
@@ -112,9 +112,9 @@
 		withdraw func(*origin.Origin)
 		ready    []string
 	}{
-		"of the earlier incarnation": {func(o *origin.Origin) { o.WithdrawStart("desk-1", 1000) }, []string{"desk-1@2000"}},
-		"of the present incarnation": {func(o *origin.Origin) { o.WithdrawStart("desk-1", 2000) }, []string{}},
-		"of the ID":                  {func(o *origin.Origin) { o.WithdrawStart("desk-1", 0) }, []string{}},
+		"of the earlier incarnation": {func(o *origin.Origin) { o.WithdrawIncarnation("desk-1", 1000) }, []string{"desk-1@2000"}},
+		"of the present incarnation": {func(o *origin.Origin) { o.WithdrawIncarnation("desk-1", 2000) }, []string{}},
+		"of the ID":                  {func(o *origin.Origin) { o.WithdrawIncarnation("desk-1", 0) }, []string{}},
 		"by name":                    {func(o *origin.Origin) { o.Withdraw("desk-1@1000") }, []string{"desk-1@2000"}},
 	} {
 		t.Run(name, func(t *testing.T) {
