--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -115,7 +115,7 @@
 	cancel()
 	d.listeners.close()
 	d.path.calls.Close()
-	d.path.gateway.Cut()
+	d.path.gateway.CancelCalls()
 	d.running.Wait()
 	d.distribution.Close()
 	d.path.logStopped(cut)
--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -342,7 +342,7 @@
 			path.gateway.Stop()
 			ending.refusingCalls = true
 		case <-poll.C:
-			switch ending.next(stopState{serving: path.serving(), waiting: path.gateway.Waiting(), drained: path.drained(), now: time.Now()}) {
+			switch ending.next(stopState{serving: path.serving(), waiting: path.gateway.PendingConnections(), drained: path.drained(), now: time.Now()}) {
 			case stopAccepting:
 				path.gateway.StopAccepting()
 			case stopEnd:
--- a/internal/daemon/requestpath.go
+++ b/internal/daemon/requestpath.go
@@ -90,8 +90,8 @@
 		Node: values.Node, Incarnation: mode.incarnation, Snapshots: p.snapshots, Balancer: p.balancer,
 		Local: p.origin, Remote: p.calls, DefaultDeadline: values.Calls.DefaultDeadline.Get(),
 		Envelope: mode.envelope, CallerService: p.callerService, Retries: retryLimits(values.Retries),
-		Decisions: decisions, Registry: d.registry, RepeatShare: p.origin.RepeatShare, Evacuated: p.orders.Evacuated,
-		SentAhead: sentAhead(values.SentAhead), Quarantine: p.suspects, Identity: mode.identity,
+		Decisions: decisions, Registry: d.registry, RepeatFraction: p.origin.RepeatShare, Evacuated: p.orders.Evacuated,
+		PipelineLimits: sentAhead(values.SentAhead), Quarantine: p.suspects, Identity: mode.identity,
 		Quota: p.rateLimits.quota(), Rollout: trafficOf(d),
 	})
 	return p
@@ -157,8 +157,8 @@
 // logStopped logs the number of calls cut and of unfinished requests and answers at the end of the
 // process.
 func (p *requestPath) logStopped(cut int64) {
-	p.logger.Info("daemon.stopped", "cut", cut, "open", p.gateway.InFlight(), "undelivered", p.gateway.Undelivered(),
-		"undelivered_to_daemons", p.callServer.Undelivered(), "unserved", p.gateway.Unserved())
+	p.logger.Info("daemon.stopped", "cut", cut, "open", p.gateway.InFlight(), "undelivered", p.gateway.UndeliveredConnections(),
+		"undelivered_to_daemons", p.callServer.Undelivered(), "unserved", p.gateway.UnservedConnections())
 }
 
 // endByForce cuts the calls in flight on a forced stop and returns their number.
@@ -178,7 +178,7 @@
 		p.logger.Info("daemon.calls_cut", "calls", cut, "cause", cause)
 	}
 	p.gateway.StopAccepting()
-	p.gateway.Cut()
+	p.gateway.CancelCalls()
 	// Close the connections to other daemons, otherwise a call would last until the write to a daemon
 	// that does not read times out.
 	p.calls.Close()
@@ -199,7 +199,7 @@
 // callersDrained is like drained, but only for local callers. The callers of calls from other daemons
 // are answered by those daemons.
 func (p *requestPath) callersDrained() bool {
-	return p.gateway.InFlight() == 0 && p.gateway.Undelivered() == 0 && p.gateway.Receiving() == 0
+	return p.gateway.InFlight() == 0 && p.gateway.UndeliveredConnections() == 0 && p.gateway.ReceivingConnections() == 0
 }
 
 // stopLimitCause returns the cause logged for calls that are cut when StopLimit expires.
--- a/internal/requestpath/gateway/gateway.go
+++ b/internal/requestpath/gateway/gateway.go
@@ -61,9 +61,9 @@
 	CallerService func() string
 	// Retries bound the retries of each service; the zero value stands for the default.
 	Retries retry.Limits
-	// RepeatShare returns the fraction, 0 to 1, of the calls running on this machine that are repeats;
-	// nil if that is not known.
-	RepeatShare func() float64
+	// RepeatFraction returns the fraction, 0 to 1, of the calls running on this machine that are
+	// repeats; nil if that is not known.
+	RepeatFraction func() float64
 	// DefaultDeadline is the deadline of calls whose route sets none; 0 for no deadline.
 	DefaultDeadline time.Duration
 	// Evacuated reports whether a zone is evacuated; nil if zones are never evacuated.
@@ -77,9 +77,9 @@
 	Identity Identity
 	// Quota limits the calls of accounts; nil for no limit.
 	Quota Quota
-	// SentAhead limits the resources held for pipelined requests; the zero value stands for the
+	// PipelineLimits limits the resources held for pipelined requests; the zero value stands for the
 	// default limits.
-	SentAhead pipeline.Limits
+	PipelineLimits pipeline.Limits
 	// Decisions receives the log lines about requests and Registry the metrics; either may be nil.
 	Decisions *decision.Log
 	Registry  prometheus.Registerer
@@ -136,7 +136,7 @@
 	gateway.callerServer = pipeline.New(pipeline.Config{
 		MaxHeaderBytes: maxHeaderBytes, MaxBodyBytes: maxBodyBytes, MaxBufferedBodyBytes: callmux.BufferedBodyBytes,
 		IdleTimeout: callerIdleTimeout, HeaderTimeout: headerTimeout, BodyIdleTimeout: bodyIdleTimeout, LingerTimeout: lingerTimeout,
-		Limits: config.SentAhead, Check: gateway.checkHead, Handle: gateway.serve, Stopping: gateway.stopping.Load,
+		Limits: config.PipelineLimits, Check: gateway.checkHead, Handle: gateway.serve, Stopping: gateway.stopping.Load,
 		OnUnserved: gateway.recordUnserved,
 	})
 	gateway.acceptContext, gateway.stopAccepting = context.WithCancel(context.Background())
@@ -162,8 +162,8 @@
 // that are repeats. Calls to the instance's own service count as calls of external clients, since an
 // instance rarely calls its own service.
 func (g *Gateway) inheritsRepeat(service string) bool {
-	if g.config.RepeatShare == nil || service == g.callerService() {
+	if g.config.RepeatFraction == nil || service == g.callerService() {
 		return false
 	}
-	return rand.Float64() < g.config.RepeatShare()
+	return rand.Float64() < g.config.RepeatFraction()
 }
--- a/internal/requestpath/gateway/lifecycle.go
+++ b/internal/requestpath/gateway/lifecycle.go
@@ -87,8 +87,8 @@
 // because of a stop do not count, since no work is lost if they end.
 func (g *Gateway) Serving() int64 { return g.serving.Load() }
 
-// Waiting returns the number of callers' connections that wait to be accepted.
-func (g *Gateway) Waiting() int {
+// PendingConnections returns the number of callers' connections that wait to be accepted.
+func (g *Gateway) PendingConnections() int {
 	g.listenersMutex.Lock()
 	defer g.listenersMutex.Unlock()
 	waiting := 0
@@ -115,21 +115,21 @@
 // InFlight returns the number of requests that were read and are not answered yet.
 func (g *Gateway) InFlight() int64 { return g.callerServer.OpenRequests() }
 
-// Undelivered returns the number of callers' connections with a written answer that the caller could
-// lose if the process ended now.
-func (g *Gateway) Undelivered() int { return g.callerServer.UndeliveredConnections() }
+// UndeliveredConnections returns the number of callers' connections with a written answer that the
+// caller could lose if the process ended now.
+func (g *Gateway) UndeliveredConnections() int { return g.callerServer.UndeliveredConnections() }
 
-// Receiving returns the number of callers' connections on which a request is being received that is not
-// served yet, or a body whose request is already answered.
-func (g *Gateway) Receiving() int { return g.callerServer.ReceivingConnections() }
+// ReceivingConnections returns the number of callers' connections on which a request is being
+// received that is not served yet, or a body whose request is already answered.
+func (g *Gateway) ReceivingConnections() int { return g.callerServer.ReceivingConnections() }
 
-// Unserved returns the number of callers' connections so far that the gateway closed although it had
-// read a request that it did not answer.
-func (g *Gateway) Unserved() int64 { return g.callerServer.UnservedConnections() }
+// UnservedConnections returns the number of callers' connections so far that the gateway closed
+// although it had read a request that it did not answer.
+func (g *Gateway) UnservedConnections() int64 { return g.callerServer.UnservedConnections() }
 
 // Close closes callers' connections immediately, as the end of the process does; no more answers are
 // sent.
 func (g *Gateway) Close() { g.callerServer.Close() }
 
-// Cut cancels the calls in flight; their callers get an error answer.
-func (g *Gateway) Cut() { g.cancelCalls() }
+// CancelCalls cancels the calls in flight; their callers get an error answer.
+func (g *Gateway) CancelCalls() { g.cancelCalls() }
