--- a/internal/daemon/requestpath.go
+++ b/internal/daemon/requestpath.go
@@ -108,8 +108,8 @@
 
 func sentAhead(bounds settings.SentAhead) pipeline.Limits {
 	return pipeline.Limits{
-		RequestsPerConnection: bounds.RequestsPerConnection, RequestsAhead: bounds.Requests,
-		BytesPerConnection: bounds.BytesPerConnection, Bytes: bounds.Bytes,
+		RequestsPerConnection: bounds.RequestsPerConnection, PipelinedRequests: bounds.Requests,
+		BytesPerConnection: bounds.BytesPerConnection, TotalBytes: bounds.Bytes,
 	}
 }
 
--- a/internal/requestpath/gateway/pipeline/connection.go
+++ b/internal/requestpath/gateway/pipeline/connection.go
@@ -48,7 +48,7 @@
 	awaitingRequest, watching bool
 	// reservedBytes is the total size of answers held in memory until earlier ones are written.
 	reservedBytes int64
-	// nextSentAhead is true if the request to be read next counts towards Limits.RequestsAhead.
+	// nextSentAhead is true if the request to be read next counts towards Limits.PipelinedRequests.
 	// Only the reader uses it.
 	nextSentAhead bool
 	// droppedRequest is true once a fully read request was not dispatched because the connection
--- a/internal/requestpath/gateway/pipeline/exchange.go
+++ b/internal/requestpath/gateway/pipeline/exchange.go
@@ -37,7 +37,7 @@
 	closesConnection bool
 	// answerStarted is true once a streamed answer may have been started.
 	answerStarted bool
-	// sentAhead is true if the request counts towards Limits.RequestsAhead.
+	// sentAhead is true if the request counts towards Limits.PipelinedRequests.
 	sentAhead bool
 	// reservedBytes is the part of the connection's reservedBytes that belongs to this answer.
 	reservedBytes int64
--- a/internal/requestpath/gateway/pipeline/pipeline_test.go
+++ b/internal/requestpath/gateway/pipeline/pipeline_test.go
@@ -105,8 +105,8 @@
 		handled  int
 	}{
 		"room for more":        {DefaultLimits, 3, 3},
-		"behind full pipeline": {Limits{RequestsPerConnection: 2, RequestsAhead: 10, BytesPerConnection: 1 << 20, Bytes: 1 << 20}, 40, 2},
-		"daemon's bound":       {Limits{RequestsPerConnection: 20, RequestsAhead: 1, BytesPerConnection: 1 << 20, Bytes: 1 << 20}, 40, 2},
+		"behind full pipeline": {Limits{RequestsPerConnection: 2, PipelinedRequests: 10, BytesPerConnection: 1 << 20, TotalBytes: 1 << 20}, 40, 2},
+		"daemon's bound":       {Limits{RequestsPerConnection: 20, PipelinedRequests: 1, BytesPerConnection: 1 << 20, TotalBytes: 1 << 20}, 40, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			entered, ended := make(chan struct{}, 50), make(chan struct{}, 50)
@@ -136,7 +136,7 @@
 
 func TestStopAnswersWhatWasPassedOnAndRunsNothingBehind(t *testing.T) {
 	gates := newHandlerGates()
-	srv := startServer(t, Limits{RequestsPerConnection: 3, RequestsAhead: 10, BytesPerConnection: 1 << 20, Bytes: 1 << 20}, func(_ context.Context, exchange *Exchange) {
+	srv := startServer(t, Limits{RequestsPerConnection: 3, PipelinedRequests: 10, BytesPerConnection: 1 << 20, TotalBytes: 1 << 20}, func(_ context.Context, exchange *Exchange) {
 		gates.enterAndWait(pathOf(exchange))
 		reply(exchange, pathOf(exchange))
 	})
@@ -249,10 +249,10 @@
 func TestBoundsSlowTheCallerAndLoseNothing(t *testing.T) {
 	const requests = 200
 	for name, limits := range map[string]Limits{
-		"requests of a connection": {RequestsPerConnection: 3, RequestsAhead: 1000, BytesPerConnection: 1 << 20, Bytes: 1 << 20},
-		"requests of the daemon":   {RequestsPerConnection: 100, RequestsAhead: 2, BytesPerConnection: 1 << 20, Bytes: 1 << 20},
-		"one after the other":      {RequestsPerConnection: 1, RequestsAhead: 1, BytesPerConnection: 1 << 20, Bytes: 1 << 20},
-		"bytes":                    {RequestsPerConnection: 100, RequestsAhead: 1000, BytesPerConnection: 40, Bytes: 100},
+		"requests of a connection": {RequestsPerConnection: 3, PipelinedRequests: 1000, BytesPerConnection: 1 << 20, TotalBytes: 1 << 20},
+		"requests of the daemon":   {RequestsPerConnection: 100, PipelinedRequests: 2, BytesPerConnection: 1 << 20, TotalBytes: 1 << 20},
+		"one after the other":      {RequestsPerConnection: 1, PipelinedRequests: 1, BytesPerConnection: 1 << 20, TotalBytes: 1 << 20},
+		"bytes":                    {RequestsPerConnection: 100, PipelinedRequests: 1000, BytesPerConnection: 40, TotalBytes: 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var running, maxRunning, heldBytes atomic.Int64
@@ -274,7 +274,7 @@
 				callers.Go(func() { client.sendPipelined(connection, requests) })
 			}
 			callers.Wait()
-			ahead := int64(min(3*(limits.RequestsPerConnection-1), limits.RequestsAhead))
+			ahead := int64(min(3*(limits.RequestsPerConnection-1), limits.PipelinedRequests))
 			assert.Assert(t, maxRunning.Load() <= ahead+3, "%d requests ran concurrently", maxRunning.Load())
 			srv.server.quota.mutex.Lock()
 			defer srv.server.quota.mutex.Unlock()
--- a/internal/requestpath/gateway/pipeline/quota.go
+++ b/internal/requestpath/gateway/pipeline/quota.go
@@ -12,13 +12,13 @@
 	// RequestsPerConnection is the maximum number of open requests of one connection; 1 disables
 	// concurrent handling.
 	RequestsPerConnection int
-	// RequestsAhead is the maximum number of requests of all connections that are open behind
+	// PipelinedRequests is the maximum number of requests of all connections that are open behind
 	// another request of their connection.
-	RequestsAhead int
-	// BytesPerConnection and Bytes are the maximum total sizes in bytes of answers that are buffered
-	// until earlier ones are written, for one connection and for all connections.
+	PipelinedRequests int
+	// BytesPerConnection and TotalBytes are the maximum total sizes in bytes of answers that are
+	// buffered until earlier ones are written, for one connection and for all connections.
 	BytesPerConnection int64
-	Bytes              int64
+	TotalBytes         int64
 }
 
 // DefaultLimits are the limits used if the settings state none. Each limit for all connections must
@@ -26,9 +26,9 @@
 // gateway buffers.
 var DefaultLimits = Limits{
 	RequestsPerConnection: 16,
-	RequestsAhead:         2048,
+	PipelinedRequests:     2048,
 	BytesPerConnection:    256 << 10,
-	Bytes:                 16 << 20,
+	TotalBytes:            16 << 20,
 }
 
 // quota counts the resources that all connections hold together. It is safe for concurrent use.
@@ -47,7 +47,7 @@
 func (q *quota) acquireRequest(conn *connection) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.openAhead < q.limits.RequestsAhead {
+	if q.openAhead < q.limits.PipelinedRequests {
 		q.openAhead++
 		// The connection may still be queued if another event woke it. If it stayed in the queue, it
 		// would be woken in place of a connection that still waits.
@@ -81,12 +81,12 @@
 	next.wake()
 }
 
-// reserveBytes reserves memory for a buffered answer; it returns false if Limits.Bytes would be
+// reserveBytes reserves memory for a buffered answer; it returns false if Limits.TotalBytes would be
 // exceeded.
 func (q *quota) reserveBytes(bytes int64) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.reservedBytes+bytes > q.limits.Bytes {
+	if q.reservedBytes+bytes > q.limits.TotalBytes {
 		return false
 	}
 	q.reservedBytes += bytes
@@ -104,7 +104,7 @@
 func (q *quota) remove(conn *connection) {
 	q.mutex.Lock()
 	q.waiting = slices.DeleteFunc(q.waiting, func(waiter *connection) bool { return waiter == conn })
-	if q.openAhead >= q.limits.RequestsAhead {
+	if q.openAhead >= q.limits.PipelinedRequests {
 		q.mutex.Unlock()
 		return
 	}
--- a/internal/requestpath/gateway/pipeline/quota_test.go
+++ b/internal/requestpath/gateway/pipeline/quota_test.go
@@ -11,7 +11,7 @@
 // leave the queue. Otherwise the next free slot would wake it without need, and another connection
 // would keep waiting although a slot is free.
 func TestConnectionWithAPlaceDoesNotWaitForOne(t *testing.T) {
-	shared := &quota{limits: Limits{RequestsAhead: 1}}
+	shared := &quota{limits: Limits{PipelinedRequests: 1}}
 	first, second, third := &connection{}, &connection{}, &connection{}
 	assert.Assert(t, shared.acquireRequest(first))
 	assert.Assert(t, !shared.acquireRequest(second))
--- a/internal/requestpath/gateway/pipeline/sequence_test.go
+++ b/internal/requestpath/gateway/pipeline/sequence_test.go
@@ -148,7 +148,7 @@
 // TestPipelineEqualsASequentialServer generates random pipelines and checks that each answer is the
 // one that a server handling one request at a time would give.
 func TestPipelineEqualsASequentialServer(t *testing.T) {
-	srv := startServer(t, Limits{RequestsPerConnection: 5, RequestsAhead: 8, BytesPerConnection: 60, Bytes: 100}, answerModel)
+	srv := startServer(t, Limits{RequestsPerConnection: 5, PipelinedRequests: 8, BytesPerConnection: 60, TotalBytes: 100}, answerModel)
 	rapid.Check(t, func(rt *rapid.T) {
 		var all strings.Builder
 		var wants []string
--- a/internal/requestpath/gateway/relations_test.go
+++ b/internal/requestpath/gateway/relations_test.go
@@ -26,6 +26,6 @@
 // use up the latter.
 func TestLimitsOfOneConnectionLieBelowThoseOfAll(t *testing.T) {
 	limits := pipeline.DefaultLimits
-	assert.Assert(t, limits.RequestsPerConnection < limits.RequestsAhead)
-	assert.Assert(t, limits.BytesPerConnection < limits.Bytes)
+	assert.Assert(t, limits.RequestsPerConnection < limits.PipelinedRequests)
+	assert.Assert(t, limits.BytesPerConnection < limits.TotalBytes)
 }
