--- a/internal/model/callapi/callapi.go
+++ b/internal/model/callapi/callapi.go
@@ -68,23 +68,23 @@
 	// Trailers returns the request trailers after Body was read to its end; it may be
 	// nil.
 	Trailers func() []*lapisv1.HeaderField
-	// StaysWithSilent reports whether the call keeps waiting after the daemon beside the instance has
-	// stopped responding. If it is nil, the call ends with a Silence, so that another instance may be
-	// tried. It must not block.
-	StaysWithSilent func() bool
+	// KeepWaitingWhenSilent reports whether the call keeps waiting after the daemon beside the
+	// instance has stopped responding. If it is nil, the call ends with a SilentPeerError, so that
+	// another instance may be tried. It must not block.
+	KeepWaitingWhenSilent func() bool
 }
 
-// Silence is the cause of an attempt's error if the daemon beside the instance stopped responding. The
-// instance may still be processing the call and answer later, so the attempt continues until its
-// context ends.
-type Silence struct {
+// SilentPeerError is the cause of an attempt's error if the daemon beside the instance stopped
+// responding. The instance may still be processing the call and answer later, so the attempt
+// continues until its context ends.
+type SilentPeerError struct {
 	// Await keeps waiting for the answer until ctx or the attempt's context ends. It may be called at
 	// most once. Errors: those of a Handler.
 	Await func(ctx context.Context) (*Answer, error)
 }
 
 // Error implements error.
-func (*Silence) Error() string { return "the daemon beside the instance is silent" }
+func (*SilentPeerError) Error() string { return "the daemon beside the instance is silent" }
 
 // Answer is a back end's answer.
 type Answer struct {
--- a/internal/model/callapi/envelope.go
+++ b/internal/model/callapi/envelope.go
@@ -48,12 +48,12 @@
 type LoadField struct {
 	Name string
 	// WorkPercent returns the present processing time from a value of the field, in percent of the
-	// usual one; 0 if it is not reported.
+	// usual one: 100 means the usual time, and 0 that the back end reports none.
 	WorkPercent func(value string) uint32
 }
 
 // WorkPercent returns the back end's present processing time reported in an answer's header, in percent
-// of the usual one; 0 if it is not reported.
+// of the usual one: 100 means the usual time, and 0 that the back end reports none.
 func (e *Envelope) WorkPercent(header http.Header) uint32 {
 	if e.Load == nil {
 		return 0
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -141,7 +141,7 @@
 func (a *attempter) makeAttempt(ctx context.Context, target *balance.Target) (*callapi.Answer, error) {
 	open := a.newOpening(ctx, target)
 	a.attemptID = open.GetAttemptId()
-	call := &callapi.Call{Open: open, StaysWithSilent: a.gateway.draining}
+	call := &callapi.Call{Open: open, KeepWaitingWhenSilent: a.gateway.draining}
 	a.attach(call)
 	target.Begin()
 	answered := false
--- a/internal/requestpath/gateway/silent.go
+++ b/internal/requestpath/gateway/silent.go
@@ -38,7 +38,7 @@
 // awaitIfSilent continues to wait in the background, until ctx ends, for the answer to the latest attempt if
 // the attempt failed because its daemon became silent.
 func (a *attempter) awaitIfSilent(ctx context.Context, target *balance.Target, err error) {
-	var silence *callapi.Silence
+	var silence *callapi.SilentPeerError
 	if !errors.As(err, &silence) {
 		return
 	}
--- a/internal/transport/callmux/call.go
+++ b/internal/transport/callmux/call.go
@@ -19,7 +19,7 @@
 // Handle sends one attempt of a call to the daemon at address and returns the answer. If the
 // connection is lost, the attempt is fenced over a new connection (fenceLost) and reported as not
 // run only if the fence proves it. If the peer stalls during a repeatable call, Handle returns an
-// error that wraps a *callapi.Silence, and the attempt continues until ctx ends. Errors:
+// error that wraps a *callapi.SilentPeerError, and the attempt continues until ctx ends. Errors:
 // CallNotRunUnreachable, CallUnknownOutcome, CallDeadline, CallCancelled, and the codes of the peer's
 // resets (5xxx).
 func (c *Client) Handle(ctx context.Context, address string, call *callapi.Call) (*callapi.Answer, error) {
@@ -69,13 +69,13 @@
 
 // silence returns a handle to await the answer of a call whose peer has stalled. The call is
 // cancelled when ctx ends, unless Await was called before.
-func (s *sentCall) silence(ctx context.Context) *callapi.Silence {
+func (s *sentCall) silence(ctx context.Context) *callapi.SilentPeerError {
 	release := context.AfterFunc(ctx, func() {
 		s.stream.sendReset(result.Errorf(result.CallCancelled, "the caller no longer wants the answer"))
 		s.stopBody()
 		s.stream.session.remove(s.stream.id)
 	})
-	return &callapi.Silence{Await: func(ctx context.Context) (*callapi.Answer, error) {
+	return &callapi.SilentPeerError{Await: func(ctx context.Context) (*callapi.Answer, error) {
 		if !release() {
 			return nil, result.Errorf(result.CallCancelled, "the caller gave up")
 		}
@@ -96,7 +96,7 @@
 	if call.Open.GetRepeatable() {
 		stall = opened.session.stall()
 	}
-	return awaitHead(ctx, opened, stall, call.StaysWithSilent)
+	return awaitHead(ctx, opened, stall, call.KeepWaitingWhenSilent)
 }
 
 // awaitHead waits for the head of the answer. It returns errStalled when stall is closed, unless
--- a/internal/transport/callmux/stall_test.go
+++ b/internal/transport/callmux/stall_test.go
@@ -68,7 +68,7 @@
 			opened := newSession(wire.NewConn(near, nil), 1, Timing{})
 			called := newStream(1, opened)
 			assert.NilError(t, opened.add(called))
-			call := &callapi.Call{Open: &lapisv1.CallOpen{Repeatable: true}, StaysWithSilent: func() bool { return stays }}
+			call := &callapi.Call{Open: &lapisv1.CallOpen{Repeatable: true}, KeepWaitingWhenSilent: func() bool { return stays }}
 			time.AfterFunc(time.Second, func() { opened.setStalled(true) })
 			time.AfterFunc(2*time.Second, func() { called.head <- &lapisv1.CallHead{Status: 200} })
 			head, err := (&Client{}).exchange(t.Context(), t.Context(), called, call)
