--- a/internal/lab/emulator/instance/instance.go
+++ b/internal/lab/emulator/instance/instance.go
@@ -138,7 +138,7 @@
 		before := newestStart.Load()
 		born := max(uint64(time.Now().UnixMilli()), before+1)
 		if newestStart.CompareAndSwap(before, born) {
-			return incarnation.Incarnation{ID: id, Born: born}
+			return incarnation.Incarnation{ID: id, StartUnixMillis: born}
 		}
 	}
 }
@@ -265,7 +265,7 @@
 		Status: platform.HeartbeatStatus{
 			State: state, Sequence: sequence, ColdRemainingMillis: i.cold.remaining(time.Now()).Milliseconds(),
 		},
-		Start: platform.Start{Born: i.start.Born},
+		Start: platform.Start{Born: i.start.StartUnixMillis},
 	}
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
@@ -281,7 +281,7 @@
 
 // withdraw says that the instance retires.
 func (i *Instance) withdraw(ctx context.Context) error {
-	body, err := json.Marshal(platform.Start{Born: i.start.Born})
+	body, err := json.Marshal(platform.Start{Born: i.start.StartUnixMillis})
 	if err != nil {
 		return err
 	}
--- a/internal/model/incarnation/incarnation.go
+++ b/internal/model/incarnation/incarnation.go
@@ -18,17 +18,17 @@
 // Incarnation is one start of an instance.
 type Incarnation struct {
 	ID string
-	// Born is the start time reported by the instance, in milliseconds since 1970; 0 if it reports
-	// none. Two starts of an id with the same Born, also 0, are not distinguished.
-	Born uint64
+	// StartUnixMillis is the start time reported by the instance, in milliseconds since 1970; 0 if it
+	// reports none. Two starts of an id with the same StartUnixMillis, also 0, are not distinguished.
+	StartUnixMillis uint64
 }
 
 // Name returns the name of the incarnation: its id, followed by its start time if that is reported.
 func (i Incarnation) Name() string {
-	if i.Born == 0 && !strings.Contains(i.ID, separator) {
+	if i.StartUnixMillis == 0 && !strings.Contains(i.ID, separator) {
 		return i.ID
 	}
-	return i.ID + separator + strconv.FormatUint(i.Born, 10)
+	return i.ID + separator + strconv.FormatUint(i.StartUnixMillis, 10)
 }
 
 // Parse returns the incarnation of a name. A text that is not in the form of Name is taken as an id.
@@ -41,11 +41,11 @@
 	if err != nil {
 		return Incarnation{ID: name}
 	}
-	return Incarnation{ID: name[:at], Born: born}
+	return Incarnation{ID: name[:at], StartUnixMillis: born}
 }
 
 // StartedAfter reports whether i is known to have started after other. Both must have run on the same
 // machine, so that the times are of one clock.
 func (i Incarnation) StartedAfter(other Incarnation) bool {
-	return other.Born > 0 && i.Born > other.Born
+	return other.StartUnixMillis > 0 && i.StartUnixMillis > other.StartUnixMillis
 }
--- a/internal/model/incarnation/incarnation_test.go
+++ b/internal/model/incarnation/incarnation_test.go
@@ -11,7 +11,7 @@
 func TestNamesIdentifyStarts(t *testing.T) {
 	names := map[string]bool{}
 	for _, one := range []incarnation.Incarnation{
-		{ID: "i-1"}, {ID: "i-1", Born: 5}, {ID: "i-1", Born: 6}, {ID: "i-1@5"}, {ID: "i-1@5", Born: 5}, {ID: "@"}, {ID: "i-1@"},
+		{ID: "i-1"}, {ID: "i-1", StartUnixMillis: 5}, {ID: "i-1", StartUnixMillis: 6}, {ID: "i-1@5"}, {ID: "i-1@5", StartUnixMillis: 5}, {ID: "@"}, {ID: "i-1@"},
 	} {
 		assert.Assert(t, !names[one.Name()], "%s", one.Name())
 		names[one.Name()] = true
@@ -26,6 +26,6 @@
 		born, other uint64
 		after       bool
 	}{{6, 5, true}, {5, 6, false}, {5, 5, false}, {5, 0, false}, {0, 5, false}, {0, 0, false}} {
-		assert.Equal(t, incarnation.Incarnation{Born: row.born}.StartedAfter(incarnation.Incarnation{Born: row.other}), row.after, "%+v", row)
+		assert.Equal(t, incarnation.Incarnation{StartUnixMillis: row.born}.StartedAfter(incarnation.Incarnation{StartUnixMillis: row.other}), row.after, "%+v", row)
 	}
 }
--- a/internal/requestpath/balance/balancer_test.go
+++ b/internal/requestpath/balance/balancer_test.go
@@ -187,7 +187,7 @@
 	p := newPool()
 	starts := func(born uint64) {
 		var endpoints []*lapisv1.Endpoint
-		for _, one := range []incarnation.Incarnation{{ID: "desk-0", Born: 1}, {ID: "desk-1", Born: born}} {
+		for _, one := range []incarnation.Incarnation{{ID: "desk-0", StartUnixMillis: 1}, {ID: "desk-1", StartUnixMillis: born}} {
 			endpoints = append(endpoints, &lapisv1.Endpoint{Service: "desk", Instance: one.Name(), Zone: "a", Slots: 6, State: lapisv1.Endpoint_STATE_READY, Incarnation: 1})
 		}
 		p.Update("desk", endpoints)
--- a/internal/requestpath/origin/registration.go
+++ b/internal/requestpath/origin/registration.go
@@ -28,7 +28,7 @@
 
 // incarnation returns the incarnation that sent the heartbeat.
 func (r Registration) incarnation() incarnation.Incarnation {
-	return incarnation.Incarnation{ID: r.Instance, Born: r.StartUnixMillis}
+	return incarnation.Incarnation{ID: r.Instance, StartUnixMillis: r.StartUnixMillis}
 }
 
 // Register records a heartbeat; the first one registers the instance. After Register has returned
@@ -237,7 +237,7 @@
 // WithdrawIncarnation withdraws the incarnation with an ID and a start time; without a start time (0),
 // the known incarnations with the ID.
 func (o *Origin) WithdrawIncarnation(id string, born uint64) {
-	named := incarnation.Incarnation{ID: id, Born: born}
+	named := incarnation.Incarnation{ID: id, StartUnixMillis: born}
 	known := false
 	if born == 0 {
 		for _, instance := range o.Instances() {
