--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -119,7 +119,7 @@
 	config := fleet.Config{
 		Self:        fleet.Member{Node: values.Node, Address: d.listeners.peer.Addr().String(), Zone: values.Zone, Region: values.Region, Service: values.Service},
 		Incarnation: d.incarnation, Directory: platform.Directory(), Calls: p.path.calls, Observer: p,
-		InForce: p.inForce.Load, Orders: p.ordersInForce(), Rollouts: p.rollouts.observer(), Suspects: p.path.suspects.Known, Freshness: p.freshness,
+		InForce: p.inForce.Load, Orders: p.ordersInForce(), Rollouts: p.rollouts.observer(), Suspects: p.path.suspects.InitialRecords, Freshness: p.freshness,
 		Withdrawn: p.path.origin.Withdrawn, Random: rand.Float64, Logger: p.path.logger,
 	}
 	if p.allowances != nil {
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -74,7 +74,7 @@
 // storeReturned triggers a rewrite of all records. It is called after the store was restored from an
 // older copy of its data, which may lack some of them.
 func (s *suspects) storeReturned() {
-	s.ForgetStored()
+	s.MarkAllUnstored()
 	s.wake()
 }
 
@@ -102,11 +102,11 @@
 	if s.store == nil {
 		return false
 	}
-	granted, err := s.store.Try(ctx, verdict.Key, verdict.Trials)
+	granted, err := s.store.ClaimTrial(ctx, verdict.Key, verdict.Trials)
 	s.logger.Info("request.trial", "key", verdict.Key, "ended", verdict.Crashes, "trials", verdict.Trials, "granted", granted, "error", err)
 	// The trial is counted no matter which daemon it was granted to, and also if the store did not
 	// answer.
-	s.spread(s.NoteTrial(verdict.Key, verdict.Trials+1), "")
+	s.spread(s.RecordTrial(verdict.Key, verdict.Trials+1), "")
 	return granted
 }
 
@@ -189,7 +189,7 @@
 			return 0, err
 		}
 		delete(s.due, record.Key)
-		s.NoteStored(record)
+		s.MarkStored(record)
 		record.Stored = true
 		s.spread([]quarantine.Record{record}, "")
 		s.logger.Info("quarantine.stored", "key", record.Key, "ended", record.Count())
--- a/internal/distribution/fleet/followers_test.go
+++ b/internal/distribution/fleet/followers_test.go
@@ -63,7 +63,7 @@
 			}
 			member := memberAt(fmt.Sprintf("%c-%d", 'A'+index, index), fmt.Sprintf("x:%d", index))
 			follow := func(config *Config) {
-				config.Observer, config.Orders, config.Suspects = joined, &joined.orders, joined.registry.Known
+				config.Observer, config.Orders, config.Suspects = joined, &joined.orders, joined.registry.InitialRecords
 			}
 			joined.fleet.Store(start(member, append(adjust, follow)...))
 			return joined
--- a/internal/model/quarantine/registry.go
+++ b/internal/model/quarantine/registry.go
@@ -162,9 +162,9 @@
 	return changed
 }
 
-// NoteTrial records that a request with the key ran, or may have run, as a trial; trials is the
+// RecordTrial records that a request with the key ran, or may have run, as a trial; trials is the
 // number of trials including this one. It returns the record if it changed.
-func (r *Registry) NoteTrial(key fingerprint.Key, trials uint32) (changed []Record) {
+func (r *Registry) RecordTrial(key fingerprint.Key, trials uint32) (changed []Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	suspect, ok := r.entries[key]
@@ -208,9 +208,9 @@
 	return e.updateStored(record, updated) || updated
 }
 
-// ForgetStored marks every record as not stored, and every refuted record as due for removal. It is
+// MarkAllUnstored marks every record as not stored, and every refuted record as due for removal. It is
 // for a Store that may have lost recent writes and may have restored removed records.
-func (r *Registry) ForgetStored() {
+func (r *Registry) MarkAllUnstored() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, suspect := range r.entries {
@@ -219,9 +219,9 @@
 	}
 }
 
-// Known returns the records to send over a new connection to a daemon: at most
+// InitialRecords returns the records to send over a new connection to a daemon: at most
 // maxInitialRecords, ordered by descending number of crashes.
-func (r *Registry) Known() []Record {
+func (r *Registry) InitialRecords() []Record {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
--- a/internal/model/quarantine/registry_test.go
+++ b/internal/model/quarantine/registry_test.go
@@ -36,7 +36,7 @@
 	registry, poison := newFakeClockRegistry(), inFlightOf("/deadly", "desk")
 	for crash := range uint64(3) {
 		assert.Assert(t, !registry.Evaluate(poison.Keys, "desk").Quarantined)
-		assert.Equal(t, MayRepeat(registry.Count(poison.Keys)), crash < 2)
+		assert.Equal(t, MayRetry(registry.Count(poison.Keys)), crash < 2)
 		registry.Crashed(crash, []InFlight{poison})
 		// The same crash, reported again, counts once.
 		registry.Crashed(crash, []InFlight{poison})
@@ -117,7 +117,7 @@
 	registry.now = registry.now.Add(trialDelay)
 	verdict := registry.Evaluate(poison.Keys, "desk")
 	assert.Assert(t, verdict.Quarantined && verdict.TrialDue)
-	assert.Equal(t, len(registry.NoteTrial(verdict.Key, verdict.Trials+1)), 1)
+	assert.Equal(t, len(registry.RecordTrial(verdict.Key, verdict.Trials+1)), 1)
 	assert.Assert(t, !registry.Evaluate(poison.Keys, "desk").TrialDue)
 	registry.Crashed(9, []InFlight{poison})
 	verdict = registry.Evaluate(poison.Keys, "desk")
@@ -161,7 +161,7 @@
 			other.Merge([]Record{records[index]})
 		}
 		assert.Equal(t, one.Count([]fingerprint.Key{key}), other.Count([]fingerprint.Key{key}))
-		assert.Equal(t, len(Records(Message(one.Known()))), 1)
+		assert.Equal(t, len(Records(Message(one.InitialRecords()))), 1)
 	})
 }
 
@@ -182,7 +182,7 @@
 	lacking := registry.Unstored()
 	assert.Equal(t, len(lacking), 1)
 	assert.Assert(t, lacking[0].Local)
-	registry.NoteStored(lacking[0])
+	registry.MarkStored(lacking[0])
 	assert.Equal(t, len(registry.Unstored()), 0)
 	registry.Crashed(3, []InFlight{poison})
 	assert.Equal(t, len(registry.Unstored()), 1)
--- a/internal/model/quarantine/rule.go
+++ b/internal/model/quarantine/rule.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// MayRepeat reports whether a daemon may retry a request on another instance, given the number of
+// MayRetry reports whether a daemon may retry a request on another instance, given the number of
 // crashes under its keys.
-func MayRepeat(crashes int) bool { return stateOf(crashes) < stateNoRetry }
+func MayRetry(crashes int) bool { return stateOf(crashes) < stateNoRetry }
 
 // Verdict is the decision on one request.
 type Verdict struct {
@@ -79,9 +79,9 @@
 	Trials   uint32
 }
 
-// Refusal returns the error for a quarantined request, with the time until a trial may run, and nil
+// Err returns the error for a quarantined request, with the time until a trial may run, and nil
 // for any other request. Errors: CallNotRunQuarantined.
-func (v Verdict) Refusal() error {
+func (v Verdict) Err() error {
 	if !v.Quarantined {
 		return nil
 	}
@@ -105,4 +105,4 @@
 // crashes is the number of earlier crashes under its keys, and maxCount the highest such number of
 // all requests in flight. If some of them were in flight in several crashes, only those with the
 // highest number are suspected; the others were merely in flight together with them.
-func isSuspected(crashes, maxCount int) bool { return MayRepeat(maxCount) || crashes >= maxCount }
+func isSuspected(crashes, maxCount int) bool { return MayRetry(maxCount) || crashes >= maxCount }
--- a/internal/model/quarantine/rule_test.go
+++ b/internal/model/quarantine/rule_test.go
@@ -14,7 +14,7 @@
 	wanted := []state{stateRefuted, stateSuspect, stateNoRetry, stateQuarantined, stateQuarantined}
 	for crashes, state := range wanted {
 		assert.Equal(t, stateOf(crashes), state)
-		assert.Equal(t, MayRepeat(crashes), crashes < 2)
+		assert.Equal(t, MayRetry(crashes), crashes < 2)
 	}
 }
 
@@ -78,8 +78,8 @@
 // The refusal of a quarantined request must carry the time until a trial and the number of crashes;
 // any other verdict refuses nothing.
 func TestQuarantinedNamesTheTimeOfATrial(t *testing.T) {
-	assert.NilError(t, Verdict{}.Refusal())
-	err := Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}.Refusal()
+	assert.NilError(t, Verdict{}.Err())
+	err := Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}.Err()
 	var refusal *result.Error
 	assert.Assert(t, errors.As(err, &refusal))
 	assert.Equal(t, refusal.Code, result.CallNotRunQuarantined)
--- a/internal/model/quarantine/store.go
+++ b/internal/model/quarantine/store.go
@@ -18,10 +18,10 @@
 	Save(ctx context.Context, record Record) error
 	// Remove deletes the record of a key. A missing record is not an error.
 	Remove(ctx context.Context, key fingerprint.Key) error
-	// Try claims one more trial of a record that has at most that many trials, and counts it. It
+	// ClaimTrial claims one more trial of a record that has at most that many trials, and counts it. It
 	// is granted to one daemon only; it is not granted if the record has more trials or does not
 	// exist.
-	Try(ctx context.Context, key fingerprint.Key, trials uint32) (granted bool, err error)
+	ClaimTrial(ctx context.Context, key fingerprint.Key, trials uint32) (granted bool, err error)
 }
 
 // updateStored updates whether the Store holds the entry's crashes after a merge; updated is true
@@ -43,15 +43,15 @@
 	now := r.now()
 	var records []Record
 	for _, suspect := range r.entries {
-		if !suspect.Stored && !MayRepeat(suspect.Count()) {
+		if !suspect.Stored && !MayRetry(suspect.Count()) {
 			records = append(records, suspect.record(now))
 		}
 	}
 	return records
 }
 
-// NoteStored marks a record as stored, unless it changed in the meantime.
-func (r *Registry) NoteStored(record Record) {
+// MarkStored marks a record as stored, unless it changed in the meantime.
+func (r *Registry) MarkStored(record Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	suspect, ok := r.entries[record.Key]
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -84,7 +84,7 @@
 		call.opening.Trial = true
 		return done, nil
 	}
-	return done, verdict.Refusal()
+	return done, verdict.Err()
 }
 
 // requestKeys returns the keys of a request: those of its whole body, or those of its path and length if
--- a/internal/requestpath/gateway/quarantine_test.go
+++ b/internal/requestpath/gateway/quarantine_test.go
@@ -16,10 +16,10 @@
 // random time as for a refusal for load: it would be refused again.
 func TestQuarantinedCallerReturnsForTheTrial(t *testing.T) {
 	route := &lapisv1.Route{CallClass: &lapisv1.CallClass{TargetLatencyMillis: 200}}
-	err := withRetryAfter(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}.Refusal(), route)
+	err := withRetryAfter(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}.Err(), route)
 	assert.Equal(t, retryAfterOf(err), 42*time.Second)
 	assert.Equal(t, statusOf(result.CallNotRunQuarantined), 503)
-	assert.NilError(t, quarantine.Verdict{}.Refusal())
+	assert.NilError(t, quarantine.Verdict{}.Err())
 }
 
 // A call is repeated after the first instance that crashed, but not after the second.
--- a/internal/requestpath/origin/quarantine.go
+++ b/internal/requestpath/origin/quarantine.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return result.Wrap(result.CallNotRunExpired, err, "reading the request body")
 	}
-	return o.config.Crashes.Evaluate(fingerprint.Of(line, content).Whole(), call.Open.GetCallerService()).Refusal()
+	return o.config.Crashes.Evaluate(fingerprint.Of(line, content).Whole(), call.Open.GetCallerService()).Err()
 }
 
 // bufferBody returns a short body and replaces it by a copy, so that it can be read again.
--- a/internal/requestpath/retry/reference_test.go
+++ b/internal/requestpath/retry/reference_test.go
@@ -73,10 +73,10 @@
 func (c *referenceCall) mayAddLoad() bool { return c.attempt == 0 && c.budget.Spend("s") }
 
 func (c *referenceCall) mayRepeat(failure referenceFailure) bool {
-	if !quarantine.MayRepeat(failure.ended) {
+	if !quarantine.MayRetry(failure.ended) {
 		return false
 	}
-	return !failure.keyed || quarantine.MayRepeat(failure.known)
+	return !failure.keyed || quarantine.MayRetry(failure.known)
 }
 
 // again reports whether a failed attempt, or a failed delivery of its answer, is retried.
--- a/internal/requestpath/retry/rule.go
+++ b/internal/requestpath/retry/rule.go
@@ -142,7 +142,7 @@
 	case MayHaveRun:
 		counts.Seen++
 		// A request that crashes instances must not be sent from one to the next.
-		safe := call.Repeatable && quarantine.MayRepeat(failure.Crashes)
+		safe := call.Repeatable && quarantine.MayRetry(failure.Crashes)
 		return counts, decisionIf(safe && call.mayReachAnotherInstance(counts), RetryWithinBudget)
 	default:
 		return counts, GiveUp
