--- a/internal/daemon/platform_rollouts.go
+++ b/internal/daemon/platform_rollouts.go
@@ -32,10 +32,10 @@
 	probedNodes  []string
 
 	// mutex protects the fields below. incarnations holds the incarnation of each daemon in its last
-	// RolloutWord. newcomers decides which local instances are not announced yet.
-	mutex        sync.Mutex
-	incarnations map[string]uint64
-	newcomers    rollout.Newcomers
+	// RolloutWord. newVersionGate decides which local instances are not announced yet.
+	mutex          sync.Mutex
+	incarnations   map[string]uint64
+	newVersionGate rollout.NewVersionGate
 }
 
 // newRollouts returns the rollouts of a daemon, or nil if roll-outs are disabled.
@@ -46,7 +46,7 @@
 	}
 	r := &rollouts{
 		distribution: p, newestRevisions: map[string]uint64{}, incarnations: map[string]uint64{},
-		newcomers: rollout.Newcomers{Longest: values.Platform.ApplyBound.Get()},
+		newVersionGate: rollout.NewVersionGate{MaxHold: values.Platform.ApplyBound.Get()},
 	}
 	r.runner = rollout.NewRunner(rollout.RunnerConfig{
 		Node: values.Node, Incarnation: incarnation, Store: p.platform.Rollouts(), Links: r, Instances: r,
@@ -80,7 +80,7 @@
 
 // run makes roll-out decisions and announces newcomers periodically until ctx ends.
 func (r *rollouts) run(ctx context.Context) {
-	ticker := time.NewTicker(rollout.TickEvery)
+	ticker := time.NewTicker(rollout.TickInterval)
 	defer ticker.Stop()
 	var decided time.Time
 	for {
@@ -129,12 +129,12 @@
 		stated[message.GetName()] = true
 		r.newestRevisions[message.GetName()] = max(message.GetRevision(), r.newestRevisions[message.GetName()])
 		order := rollout.OrderOf(message)
-		r.runner.Ordered(message.GetName(), &order)
+		r.runner.HandleOrder(message.GetName(), &order)
 	}
 	for name, revision := range r.newestRevisions {
 		if !stated[name] && now.Revision() > revision {
 			delete(r.newestRevisions, name)
-			r.runner.Ordered(name, nil)
+			r.runner.HandleOrder(name, nil)
 		}
 	}
 }
@@ -143,10 +143,10 @@
 func (r *rollouts) admit(endpoints []*lapisv1.Endpoint) []*lapisv1.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	surroundings := rollout.Surroundings{
-		Versions: r.versions, Ordered: r.runner.Names, Confirmed: r.distribution.freshness.Confirmed(),
+	gateInputs := rollout.GateInputs{
+		Versions: r.versions, Ordered: r.runner.HasTarget, Confirmed: r.distribution.freshness.Confirmed(),
 	}
-	return r.newcomers.Admit(endpoints, surroundings, time.Now())
+	return r.newVersionGate.Admit(endpoints, gateInputs, time.Now())
 }
 
 // versions returns the set of versions of a service's known instances.
@@ -161,7 +161,7 @@
 // releaseNewcomers announces local instances that no longer have to be held back.
 func (r *rollouts) releaseNewcomers() {
 	r.mutex.Lock()
-	holding := r.newcomers.Holding()
+	holding := r.newVersionGate.Holding()
 	r.mutex.Unlock()
 	if holding {
 		r.distribution.SetLocalEndpoints(r.distribution.path.origin.Advertised())
@@ -177,9 +177,9 @@
 	r.incarnations[word.Node] = word.Incarnation
 	r.mutex.Unlock()
 	if known && before != word.Incarnation {
-		r.runner.Lost(word.Node)
+		r.runner.HandleDisconnect(word.Node)
 	}
-	r.runner.Heard(word)
+	r.runner.HandleAnnouncement(word)
 }
 
 // Report implements fleet.RolloutObserver.
@@ -189,7 +189,7 @@
 		r.distribution.path.logger.Error(err, "rollout.report_refused", "member", message.GetNode())
 		return
 	}
-	r.runner.Reported(message.GetService(), report)
+	r.runner.HandleReport(message.GetService(), report)
 }
 
 // Unlinked implements fleet.RolloutObserver.
@@ -197,7 +197,7 @@
 	r.mutex.Lock()
 	delete(r.incarnations, node)
 	r.mutex.Unlock()
-	r.runner.Lost(node)
+	r.runner.HandleDisconnect(node)
 }
 
 // Members implements rollout.Links.
@@ -209,13 +209,13 @@
 // Serving implements rollout.Links.
 func (r *rollouts) Serving(service string) int { return r.distribution.fleet.Serving(service) }
 
-// Spread implements rollout.Links.
-func (r *rollouts) Spread(word rollout.Word, nodes []string) {
+// Broadcast implements rollout.Links.
+func (r *rollouts) Broadcast(word rollout.Word, nodes []string) {
 	r.distribution.fleet.SpreadWord(rollout.WordMessage(word), nodes)
 }
 
-// Tell implements rollout.Links.
-func (r *rollouts) Tell(node, service string, report rollout.Report) {
+// Send implements rollout.Links.
+func (r *rollouts) Send(node, service string, report rollout.Report) {
 	r.distribution.fleet.TellReport(node, rollout.ReportMessage(service, report))
 }
 
--- a/internal/model/rollout/again_test.go
+++ b/internal/model/rollout/again_test.go
@@ -45,7 +45,7 @@
 		t.Run(name, func(t *testing.T) {
 			known := Adopt(nil, row.states[0])
 			for _, seen := range row.states[1:] {
-				if Read(&known, seen) != ReadingOld {
+				if Classify(&known, seen) != ClassificationOld {
 					known = Adopt(&known, seen)
 				}
 			}
--- a/internal/model/rollout/controller.go
+++ b/internal/model/rollout/controller.go
@@ -98,12 +98,12 @@
 // Verdict returns the verdict on the evidence known to this daemon.
 func (c *Controller) Verdict() Verdict { return c.verdict }
 
-// Observe records a state of the order's object, nil for a deleted one. After any reading other
-// than ReadingSame and ReadingOld the controller must not be used any further.
-func (c *Controller) Observe(seen *Order) Reading { return c.decider.Observe(seen) }
+// Observe records a state of the order's object, nil for a deleted one. After any classification other
+// than ClassificationSame and ClassificationOld the controller must not be used any further.
+func (c *Controller) Observe(seen *Order) Classification { return c.decider.Observe(seen) }
 
 // Answered records the answer to a write.
-func (c *Controller) Answered(now time.Time, answer Answer) Reading {
+func (c *Controller) Answered(now time.Time, answer Answer) Classification {
 	return c.decider.Answered(now, answer)
 }
 
@@ -179,7 +179,7 @@
 // InitialAllocation returns the allocation of an order before the first decision: all calls go to
 // the new version if the store holds the order as completed, and none otherwise.
 func InitialAllocation(order Order, barred []string) Allocation {
-	allocation := Allocation{Order: order.Identity, Barred: barred}
+	allocation := Allocation{Order: order.Identity, ExcludedVersions: barred}
 	if order.End() == EndCompleted {
 		allocation.Share = 1
 	}
@@ -306,7 +306,7 @@
 // that it sends no calls to the old version keeps to this until the store holds the end of the
 // order.
 func (c *Controller) allocation(view View) Allocation {
-	allocation := Allocation{Order: c.Order().Identity, Barred: view.Barred, Sole: view.sole()}
+	allocation := Allocation{Order: c.Order().Identity, ExcludedVersions: view.Barred, OnlyVersion: view.sole()}
 	switch c.State() {
 	case StateProbing:
 		allocation.Share = c.probeShare
--- a/internal/model/rollout/controller_test.go
+++ b/internal/model/rollout/controller_test.go
@@ -29,7 +29,7 @@
 		m.controller.Report(Report{Order: testOrder, Node: node, Sequence: 1})
 	}
 	plan := PlanFor(m.orderedAt, testOrder.Duration)
-	for at := plan.ShiftAt; at.Before(plan.CompletionAt); at = at.Add(TickEvery) {
+	for at := plan.ShiftAt; at.Before(plan.CompletionAt); at = at.Add(TickInterval) {
 		m.at(at)
 	}
 	assert.Equal(t, m.controller.State(), StateMoved)
@@ -59,7 +59,7 @@
 
 func TestEndWaitsForEveryMember(t *testing.T) {
 	plan := PlanFor(time.Unix(1000, 0), testOrder.Duration)
-	settled, last := plan.CompletionAt.Add(TickEvery), plan.DrainDeadline.Add(time.Second/2)
+	settled, last := plan.CompletionAt.Add(TickInterval), plan.DrainDeadline.Add(time.Second/2)
 	for name, test := range map[string]struct {
 		hearWord          func(m *movedController)
 		atSettled, atLast bool
@@ -99,7 +99,7 @@
 	assert.Equal(t, decision.Steps[0].To, StateRollingBack)
 	assert.Equal(t, decision.Allocation.Share, 1.0)
 	m.controller.Observe(&Order{Service: "desk", Identity: testOrder, Revision: 5, Status: Status{End: EndRolledBack, Target: "v2"}})
-	assert.Equal(t, m.at(m.view.Now.Add(TickEvery)).Allocation.Share, 0.0)
+	assert.Equal(t, m.at(m.view.Now.Add(TickInterval)).Allocation.Share, 0.0)
 }
 
 func TestPlanFitsEveryDuration(t *testing.T) {
--- a/internal/model/rollout/day_test.go
+++ b/internal/model/rollout/day_test.go
@@ -363,7 +363,7 @@
 	}
 	instance.running++
 	if instance.isNew && d.coldNow() {
-		daemon.traffic.Cold(attempt)
+		daemon.traffic.MarkCold(attempt)
 	}
 	cold := instance.isNew && d.coldNow()
 	failed := d.random.Float64() < instance.failing
--- a/internal/model/rollout/decider.go
+++ b/internal/model/rollout/decider.go
@@ -72,22 +72,22 @@
 func (d *Decider) Order() Order { return d.order }
 
 // Observe records a state of the object, nil for a deleted one, and returns how it relates to the
-// known state. After any reading other than ReadingSame and ReadingOld the decider must not be used
-// any further.
-func (d *Decider) Observe(seen *Order) Reading {
+// known state. After any classification other than ClassificationSame and ClassificationOld the
+// decider must not be used any further.
+func (d *Decider) Observe(seen *Order) Classification {
 	if seen == nil {
 		d.gone = true
-		return ReadingWithdrawn
+		return ClassificationWithdrawn
 	}
-	reading := Read(&d.order, *seen)
-	switch reading {
-	case ReadingSame:
+	classification := Classify(&d.order, *seen)
+	switch classification {
+	case ClassificationSame:
 		d.order = Adopt(&d.order, *seen)
-	case ReadingOld:
+	case ClassificationOld:
 	default:
 		d.gone = true
 	}
-	return reading
+	return classification
 }
 
 // Want sets the end to be written and returns the write that is due now. A rank above 0 delays the
@@ -113,7 +113,7 @@
 
 // Answered records the answer to a write. A write without an answer is sent again with the same
 // revision: if the first one was done after all, the second one is answered with a conflict.
-func (d *Decider) Answered(now time.Time, answer Answer) Reading {
+func (d *Decider) Answered(now time.Time, answer Answer) Classification {
 	d.writing = false
 	if answer.Outcome == OutcomeGone {
 		return d.Observe(nil)
@@ -122,7 +122,7 @@
 		d.notBefore = now.Add(StoreRetryDelay)
 	}
 	if answer.Seen == nil {
-		return ReadingSame
+		return ClassificationSame
 	}
 	if answer.Outcome == OutcomeConflict {
 		d.notBefore = now
--- a/internal/model/rollout/era_test.go
+++ b/internal/model/rollout/era_test.go
@@ -40,7 +40,7 @@
 		state := controller.State()
 		returned := order
 		returned.Revision, returned.Status = placeIn(t, 2, 7), Status{End: EndRunning, Target: "v2"}
-		assert.Equal(t, controller.Observe(&returned), ReadingSame)
+		assert.Equal(t, controller.Observe(&returned), ClassificationSame)
 		decision := controller.Tick(view)
 		assert.Equal(t, controller.State(), state)
 		assert.Assert(t, decision.Write != nil, "%s is not written again", end)
@@ -54,19 +54,19 @@
 	controller, order, _ := endedIn(t, EndCompleted)
 	returned := order
 	returned.Revision = placeIn(t, 2, 3)
-	assert.Equal(t, controller.Observe(&returned), ReadingSame)
+	assert.Equal(t, controller.Observe(&returned), ClassificationSame)
 	late := order
 	late.Revision = placeIn(t, 1, 90)
-	assert.Equal(t, controller.Observe(&late), ReadingOld)
+	assert.Equal(t, controller.Observe(&late), ClassificationOld)
 }
 
 // An order that changed after its end in the same era was given again; in another era, a later
 // revision does not show that.
 func TestReturnGivesNoOrderAgain(t *testing.T) {
 	_, order, _ := endedIn(t, EndCompleted)
-	for era, reading := range map[uint64]Reading{1: ReadingNew, 2: ReadingSame} {
+	for era, classification := range map[uint64]Classification{1: ClassificationNew, 2: ClassificationSame} {
 		later := order
 		later.Revision = placeIn(t, era, 12)
-		assert.Equal(t, Read(&order, later), reading, "era %d", era)
+		assert.Equal(t, Classify(&order, later), classification, "era %d", era)
 	}
 }
--- a/internal/model/rollout/newcomers.go
+++ b/internal/model/rollout/newcomers.go
@@ -10,25 +10,25 @@
 // that knows it.
 const orderSpreadTime = 200 * time.Millisecond
 
-// Newcomers delays the announcement of a new instance whose version is new to its service. That
+// NewVersionGate delays the announcement of a new instance whose version is new to its service. That
 // version may be subject to an order that other daemons have not read yet, and it would then get
 // calls without a bound.
 //
 // An instance is held back while all of these hold: its service has instances, none of them has its
 // version, no known order names the version, and the orders were not confirmed as the newest since
-// the instance was first seen. Longest limits the delay, so that an outage of the store holds back
+// the instance was first seen. MaxHold limits the delay, so that an outage of the store holds back
 // no instance forever.
 //
 // It is not safe for concurrent use.
-type Newcomers struct {
-	// Longest is the maximum time for which an instance is held back.
-	Longest time.Duration
+type NewVersionGate struct {
+	// MaxHold is the maximum time for which an instance is held back.
+	MaxHold time.Duration
 	// heldSince holds, by name, the time at which each held instance was first seen.
 	heldSince map[string]time.Time
 }
 
-// Surroundings provides what a daemon knows about other instances and about orders.
-type Surroundings struct {
+// GateInputs provides what a daemon knows about other instances and about orders.
+type GateInputs struct {
 	// Versions returns the versions of the known instances of a service.
 	Versions func(service string) map[string]bool
 	// Ordered reports whether a known order names a version of a service.
@@ -38,7 +38,7 @@
 }
 
 // Admit returns the endpoints that may be announced to other daemons now.
-func (n *Newcomers) Admit(endpoints []*lapisv1.Endpoint, around Surroundings, now time.Time) []*lapisv1.Endpoint {
+func (n *NewVersionGate) Admit(endpoints []*lapisv1.Endpoint, around GateInputs, now time.Time) []*lapisv1.Endpoint {
 	admitted := make([]*lapisv1.Endpoint, 0, len(endpoints))
 	held := map[string]time.Time{}
 	for _, endpoint := range endpoints {
@@ -57,16 +57,16 @@
 }
 
 // Holding reports whether any instance is held back.
-func (n *Newcomers) Holding() bool { return len(n.heldSince) > 0 }
+func (n *NewVersionGate) Holding() bool { return len(n.heldSince) > 0 }
 
-func (n *Newcomers) mustHold(endpoint *lapisv1.Endpoint, around Surroundings, since, now time.Time) bool {
+func (n *NewVersionGate) mustHold(endpoint *lapisv1.Endpoint, around GateInputs, since, now time.Time) bool {
 	versions := around.Versions(endpoint.GetService())
 	switch {
 	case len(versions) == 0 || versions[endpoint.GetVersion()]:
 		return false
 	case around.Ordered(endpoint.GetService(), endpoint.GetVersion()):
 		return false
-	case now.Sub(since) >= n.Longest:
+	case now.Sub(since) >= n.MaxHold:
 		return false
 	default:
 		return !around.Confirmed.After(since) || now.Sub(since) < orderSpreadTime
--- a/internal/model/rollout/newcomers_test.go
+++ b/internal/model/rollout/newcomers_test.go
@@ -32,9 +32,9 @@
 		"held for the maximum time":    {[]string{"v1"}, "", 0, longest, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			newcomers := Newcomers{Longest: longest}
+			gate := NewVersionGate{MaxHold: longest}
 			endpoints := []*lapisv1.Endpoint{{Service: "desk", Instance: "i", Version: "v2"}}
-			around := Surroundings{
+			around := GateInputs{
 				Versions: func(string) map[string]bool {
 					versions := map[string]bool{}
 					for _, version := range row.known {
@@ -45,11 +45,11 @@
 				Ordered:   func(_, version string) bool { return version == row.ordered },
 				Confirmed: start,
 			}
-			newcomers.Admit(endpoints, around, start)
+			gate.Admit(endpoints, around, start)
 			around.Confirmed = start.Add(row.confirmed)
-			admitted := newcomers.Admit(endpoints, around, start.Add(row.after))
+			admitted := gate.Admit(endpoints, around, start.Add(row.after))
 			assert.Equal(t, len(admitted) == 1, row.admitted)
-			assert.Equal(t, newcomers.Holding(), !row.admitted)
+			assert.Equal(t, gate.Holding(), !row.admitted)
 		})
 	}
 }
--- a/internal/model/rollout/order.go
+++ b/internal/model/rollout/order.go
@@ -63,45 +63,45 @@
 	return o.Status.End
 }
 
-// Reading classifies an observed state of an order's object.
-type Reading string
+// Classification classifies an observed state of an order's object.
+type Classification string
 
-// Readings of an order.
+// Classifications of an order.
 const (
-	ReadingNew Reading = "new"
-	// ReadingSame is the order that is already followed, possibly with another status.
-	ReadingSame Reading = "same"
-	// ReadingOld is an earlier state of the object than the known one.
-	ReadingOld Reading = "old"
-	// ReadingSuperseded is another order while the known one has no final end.
-	ReadingSuperseded Reading = "superseded"
-	// ReadingWithdrawn is a deleted object.
-	ReadingWithdrawn Reading = "withdrawn"
-	// ReadingImpossible is an order with a duration below MinDuration.
-	ReadingImpossible Reading = "impossible"
-	// ReadingMalformed is an order without a service or a version.
-	ReadingMalformed Reading = "malformed"
+	ClassificationNew Classification = "new"
+	// ClassificationSame is the order that is already followed, possibly with another status.
+	ClassificationSame Classification = "same"
+	// ClassificationOld is an earlier state of the object than the known one.
+	ClassificationOld Classification = "old"
+	// ClassificationSuperseded is another order while the known one has no final end.
+	ClassificationSuperseded Classification = "superseded"
+	// ClassificationWithdrawn is a deleted object.
+	ClassificationWithdrawn Classification = "withdrawn"
+	// ClassificationImpossible is an order with a duration below MinDuration.
+	ClassificationImpossible Classification = "impossible"
+	// ClassificationMalformed is an order without a service or a version.
+	ClassificationMalformed Classification = "malformed"
 )
 
 // MinDuration is the shortest duration in which a version can be tested and the calls can be moved:
 // ramp, confirmation and write, and a few seconds of probing.
 const MinDuration = 5 * time.Second
 
-// Read classifies the state of an object relative to the known one, which is nil if there is none.
-func Read(known *Order, seen Order) Reading {
+// Classify classifies the state of an object relative to the known one, which is nil if there is none.
+func Classify(known *Order, seen Order) Classification {
 	switch {
 	case known != nil && seen.Revision < known.Revision:
-		return ReadingOld
+		return ClassificationOld
 	case seen.Service == "" || seen.Target == "":
-		return ReadingMalformed
+		return ClassificationMalformed
 	case known != nil && sameOrder(*known, seen):
-		return ReadingSame
+		return ClassificationSame
 	case seen.Duration < MinDuration:
-		return ReadingImpossible
+		return ClassificationImpossible
 	case known != nil && !known.End().Final():
-		return ReadingSuperseded
+		return ClassificationSuperseded
 	default:
-		return ReadingNew
+		return ClassificationNew
 	}
 }
 
--- a/internal/model/rollout/parts_test.go
+++ b/internal/model/rollout/parts_test.go
@@ -249,7 +249,7 @@
 	}
 	hangs, _ := traffic.Begin("r", fresh, now)
 	cold, _ := traffic.Begin("r", fresh, now)
-	traffic.Cold(cold)
+	traffic.MarkCold(cold)
 	key := Key{New: true, Route: "r", Instance: "b"}
 	assert.Equal(t, traffic.Evidence(now.Add(200 * time.Millisecond))[key].Answers, uint32(0))
 	late := now.Add(2 * time.Second)
--- a/internal/model/rollout/runner.go
+++ b/internal/model/rollout/runner.go
@@ -15,9 +15,9 @@
 
 // Intervals of the runner.
 const (
-	// TickEvery is the interval between decisions: a twentieth of the two seconds that a roll-back
+	// TickInterval is the interval between decisions: a twentieth of the two seconds that a roll-back
 	// may take in addition to the time of the test.
-	TickEvery = 100 * time.Millisecond
+	TickInterval = 100 * time.Millisecond
 	// ReportInterval is the interval of the reports to the deciders. WordInterval is the interval
 	// of unchanged words to all daemons; a changed word is sent immediately.
 	ReportInterval = 200 * time.Millisecond
@@ -27,7 +27,7 @@
 	discoveryTime = 2 * time.Second
 )
 
-// Store writes the status of orders. Orders are read elsewhere and passed to Runner.Ordered.
+// Store writes the status of orders. Orders are read elsewhere and passed to Runner.HandleOrder.
 type Store interface {
 	// WriteStatus does one conditional write, and returns once it is answered or given up.
 	WriteStatus(ctx context.Context, write Write) Answer
@@ -48,10 +48,10 @@
 	Known() int
 	// Serving returns the number of known daemons that run an instance of a service.
 	Serving(service string) int
-	// Spread sends a word to the given members, or to all members if nodes is nil.
-	Spread(word Word, nodes []string)
-	// Tell sends a report on a service's order to one member.
-	Tell(node, service string, report Report)
+	// Broadcast sends a word to the given members, or to all members if nodes is nil.
+	Broadcast(word Word, nodes []string)
+	// Send sends a report on a service's order to one member.
+	Send(node, service string, report Report)
 }
 
 // Instances returns the known instances of services.
@@ -118,9 +118,9 @@
 	return runner
 }
 
-// Run decides in intervals of TickEvery until ctx ends.
+// Run decides at TickInterval until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
-	ticker := time.NewTicker(TickEvery)
+	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -164,8 +164,8 @@
 	return slices.Compact(nodes)
 }
 
-// Names reports whether a followed order has the version of the service as its target.
-func (r *Runner) Names(service, version string) bool {
+// HasTarget reports whether a followed order has the version of the service as its target.
+func (r *Runner) HasTarget(service, version string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	followed := r.following[service]
@@ -175,8 +175,8 @@
 // Idle reports whether there is nothing to decide: no order is followed, and no version is barred.
 func (r *Runner) Idle() bool { return len(*r.traffic.Load()) == 0 }
 
-// Ordered records a state of the object of a service's order, nil for a deleted one.
-func (r *Runner) Ordered(service string, order *Order) {
+// HandleOrder records a state of the object of a service's order, nil for a deleted one.
+func (r *Runner) HandleOrder(service string, order *Order) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ordered(service, order)
@@ -190,18 +190,18 @@
 		return
 	}
 	known := followed.controller.Order()
-	r.handleReading(service, known, followed.controller.Observe(order), order)
+	r.handleClassification(service, known, followed.controller.Observe(order), order)
 }
 
-// handleReading switches to another order if the object's state was read as one. The caller must
-// hold mutex.
-func (r *Runner) handleReading(service string, known Order, reading Reading, order *Order) {
-	if reading == ReadingSame || reading == ReadingOld {
+// handleClassification switches to another order if the object's state was classified as one. The
+// caller must hold mutex.
+func (r *Runner) handleClassification(service string, known Order, classification Classification, order *Order) {
+	if classification == ClassificationSame || classification == ClassificationOld {
 		return
 	}
-	r.log(service, reading, order)
+	r.log(service, classification, order)
 	r.unfollow(service, known)
-	if order != nil && reading != ReadingMalformed {
+	if order != nil && classification != ClassificationMalformed {
 		r.follow(service, Adopt(&known, *order))
 	}
 }
@@ -211,9 +211,9 @@
 	if order == nil {
 		return
 	}
-	reading := Read(nil, *order)
-	r.log(service, reading, order)
-	if reading != ReadingMalformed {
+	classification := Classify(nil, *order)
+	r.log(service, classification, order)
+	if classification != ClassificationMalformed {
 		r.follow(service, Adopt(nil, *order))
 	}
 }
@@ -250,7 +250,7 @@
 	for service, barred := range r.barred {
 		if len(barred) > 0 {
 			traffic[service] = NewTraffic(Identity{})
-			traffic[service].Apply(Allocation{Sole: true, Barred: slices.Clone(barred)})
+			traffic[service].Apply(Allocation{OnlyVersion: true, ExcludedVersions: slices.Clone(barred)})
 		}
 	}
 	for service, followed := range r.following {
@@ -265,8 +265,8 @@
 }
 
 // log logs how the state of an order's object was read.
-func (r *Runner) log(service string, reading Reading, order *Order) {
-	pairs := []any{"service", service, "reading", reading}
+func (r *Runner) log(service string, classification Classification, order *Order) {
+	pairs := []any{"service", service, "reading", classification}
 	if order != nil {
 		pairs = append(pairs, "target", order.Target, "revision", order.Revision,
 			"duration_ms", order.Duration.Milliseconds(), "end", order.End())
@@ -274,8 +274,8 @@
 	r.config.Logger.Info("rollout.order", pairs...)
 }
 
-// Heard records a word of another daemon.
-func (r *Runner) Heard(word Word) {
+// HandleAnnouncement records a word of another daemon.
+func (r *Runner) HandleAnnouncement(word Word) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if followed := r.following[word.Service]; followed != nil {
@@ -283,8 +283,8 @@
 	}
 }
 
-// Reported records a report of another daemon on a service's order.
-func (r *Runner) Reported(service string, report Report) {
+// HandleReport records a report of another daemon on a service's order.
+func (r *Runner) HandleReport(service string, report Report) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if followed := r.following[service]; followed != nil {
@@ -292,8 +292,8 @@
 	}
 }
 
-// Lost records that a daemon restarted or that the link to it was lost.
-func (r *Runner) Lost(node string) {
+// HandleDisconnect records that a daemon restarted or that the link to it was lost.
+func (r *Runner) HandleDisconnect(node string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, followed := range r.following {
--- a/internal/model/rollout/runner_test.go
+++ b/internal/model/rollout/runner_test.go
@@ -98,7 +98,7 @@
 	}
 	for node, runner := range s.runners {
 		if node != s.unread {
-			go runner.Ordered("desk", shown)
+			go runner.HandleOrder("desk", shown)
 		}
 	}
 }
@@ -232,19 +232,19 @@
 	return len(l.site.members)
 }
 
-// Spread implements Links.
-func (l siteLinks) Spread(word Word, nodes []string) {
+// Broadcast implements Links.
+func (l siteLinks) Broadcast(word Word, nodes []string) {
 	for node, runner := range l.site.runners {
 		if l.reaches(node) {
-			go runner.Heard(word)
+			go runner.HandleAnnouncement(word)
 		}
 	}
 }
 
-// Tell implements Links.
-func (l siteLinks) Tell(node, _ string, report Report) {
+// Send implements Links.
+func (l siteLinks) Send(node, _ string, report Report) {
 	if l.reaches(node) {
-		go l.site.runners[node].Reported("desk", report)
+		go l.site.runners[node].HandleReport("desk", report)
 	}
 }
 
--- a/internal/model/rollout/runner_tick.go
+++ b/internal/model/rollout/runner_tick.go
@@ -82,7 +82,7 @@
 			nodes = nil
 		}
 		followed.lastWord, followed.lastWordAt = decision.Word, now
-		r.config.Links.Spread(decision.Word, nodes)
+		r.config.Links.Broadcast(decision.Word, nodes)
 	}
 	if followed.controller.Ended() || now.Sub(followed.reportedAt) < ReportInterval {
 		return
@@ -91,7 +91,7 @@
 	report := followed.report(r.config.Node, r.config.Incarnation, now)
 	for _, decider := range decision.Deciders {
 		if decider != r.config.Node {
-			r.config.Links.Tell(decider, followed.controller.Order().Service, report)
+			r.config.Links.Send(decider, followed.controller.Order().Service, report)
 		}
 	}
 }
@@ -131,8 +131,8 @@
 		return
 	}
 	known := followed.controller.Order()
-	reading := followed.controller.Answered(r.config.Now(), answer)
-	r.handleReading(service, known, reading, answer.Seen)
+	classification := followed.controller.Answered(r.config.Now(), answer)
+	r.handleClassification(service, known, classification, answer.Seen)
 }
 
 // ask queries the store for an order and records the result.
@@ -145,5 +145,5 @@
 		return
 	}
 	known := followed.controller.Order()
-	r.handleReading(service, known, followed.controller.Observe(order), order)
+	r.handleClassification(service, known, followed.controller.Observe(order), order)
 }
--- a/internal/model/rollout/traffic.go
+++ b/internal/model/rollout/traffic.go
@@ -15,18 +15,19 @@
 	Share float64
 	// Probed holds the instances that get the share while it is below 1.
 	Probed []string
-	// Sole is true if no other version has instances, so that the new version is the one in force.
-	Sole bool
-	// Barred holds the versions of orders that ended without completion; they get no calls.
-	Barred []string
+	// OnlyVersion is true if no other version has instances, so that the new version is the one in
+	// force.
+	OnlyVersion bool
+	// ExcludedVersions holds the versions of orders that ended without completion; they get no calls.
+	ExcludedVersions []string
 }
 
 // allows reports whether a version may get calls.
 func (a Allocation) allows(version string) bool {
 	switch {
 	case version == a.Order.Target:
-		return a.Share > 0 || a.Sole
-	case slices.Contains(a.Barred, version):
+		return a.Share > 0 || a.OnlyVersion
+	case slices.Contains(a.ExcludedVersions, version):
 		return false
 	default:
 		return a.Share < 1
@@ -35,8 +36,8 @@
 
 // exclusions returns the constraint on calls that do not go to the new version.
 func (a Allocation) exclusions() Choice {
-	barred := slices.Clone(a.Barred)
-	if !a.Sole {
+	barred := slices.Clone(a.ExcludedVersions)
+	if !a.OnlyVersion {
 		barred = append(barred, a.Order.Target)
 	}
 	return NotVersions(barred...)
@@ -185,13 +186,13 @@
 // failure of the instance itself, and taken is the service time. Answers of cold instances are not
 // counted as evidence.
 func (t *Traffic) Answered(attempt Attempt, failed, cold bool, taken time.Duration, now time.Time) {
-	t.Judge(attempt, failed, cold, taken, now)
+	t.RecordAnswer(attempt, failed, cold, taken, now)
 	t.Ended(attempt, now)
 }
 
-// Judge records the answer of an instance like Answered, but leaves the attempt in flight: its body
-// is still being transferred, and the caller must call Ended afterwards.
-func (t *Traffic) Judge(attempt Attempt, failed, cold bool, taken time.Duration, now time.Time) {
+// RecordAnswer records the answer of an instance like Answered, but leaves the attempt in flight: its
+// body is still being transferred, and the caller must call Ended afterwards.
+func (t *Traffic) RecordAnswer(attempt Attempt, failed, cold bool, taken time.Duration, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	open := t.takePending(attempt)
@@ -204,9 +205,9 @@
 	}
 }
 
-// Cold records that the instance of an attempt is cold, so that the attempt is not counted as
+// MarkCold records that the instance of an attempt is cold, so that the attempt is not counted as
 // evidence.
-func (t *Traffic) Cold(attempt Attempt) {
+func (t *Traffic) MarkCold(attempt Attempt) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	delete(t.pending, attempt.id)
--- a/internal/requestpath/gateway/versions.go
+++ b/internal/requestpath/gateway/versions.go
@@ -102,7 +102,7 @@
 		return false
 	}
 	if target.Cold(now) {
-		v.traffic.Cold(v.attempt)
+		v.traffic.MarkCold(v.attempt)
 	}
 	return true
 }
@@ -118,13 +118,13 @@
 	if failed {
 		v.outcome = endFailed
 	}
-	v.traffic.Judge(v.attempt, failed, target.Cold(now), time.Duration(head.GetServiceMicros())*time.Microsecond, now)
+	v.traffic.RecordAnswer(v.attempt, failed, target.Cold(now), time.Duration(head.GetServiceMicros())*time.Microsecond, now)
 }
 
 // recordNoAnswer records the error of an attempt without an answer. end must be called afterwards.
 func (v *versionAttempt) recordNoAnswer(err error) {
 	if v != nil && result.Is(err, result.CallNotRunCold) {
-		v.traffic.Cold(v.attempt)
+		v.traffic.MarkCold(v.attempt)
 	}
 }
 
--- a/internal/requestpath/gateway/versions_test.go
+++ b/internal/requestpath/gateway/versions_test.go
@@ -50,7 +50,7 @@
 		"everything":                {rollout.Allocation{Share: 1}, []any{500}, rollout.Sent{All: 1, New: 1}, 1, 1},
 		"other server errors":       {rollout.Allocation{}, []any{503, 502}, rollout.Sent{All: 2}, 2, 2},
 		"refused, then answered":    {rollout.Allocation{}, []any{refused, 200}, rollout.Sent{All: 2}, 1, 0},
-		"the only version there is": {rollout.Allocation{Sole: true, Barred: []string{"v1"}}, []any{200}, rollout.Sent{All: 1, New: 1}, 1, 0},
+		"the only version there is": {rollout.Allocation{OnlyVersion: true, ExcludedVersions: []string{"v1"}}, []any{200}, rollout.Sent{All: 1, New: 1}, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			attempt := newAttempter(t, &scriptedRemote{script: row.script}, true, retry.Limits{Fraction: 1, Burst: 10})
