--- a/internal/daemon/platform_orders.go
+++ b/internal/daemon/platform_orders.go
@@ -118,7 +118,7 @@
 	defer p.orders.mutex.Unlock()
 	before, replaced := replace()
 	now := p.path.orders.Load()
-	for _, zone := range now.GivenAgain(before) {
+	for _, zone := range now.ReissuedZones(before) {
 		p.path.logger.Info("orders.given_again", "zone", zone, "revision", position.Position(now.Revision()), "by", by)
 	}
 	if !replaced {
--- a/internal/distribution/configsource/comeback_test.go
+++ b/internal/distribution/configsource/comeback_test.go
@@ -47,7 +47,7 @@
 func TestWithdrawalLongAfterTheReturn(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, source *countedSource, fleet []*fleetDaemon) {
 		source.giveOrder("a")
-		time.Sleep(2 * orders.SettleTime)
+		time.Sleep(2 * orders.SettlingPeriod)
 		source.withdrawOrder("a")
 		time.Sleep(ordersBound)
 		ordersAppliedAt(t, fleet)
@@ -69,7 +69,7 @@
 		for range 100 {
 			// An unrelated change makes the followers read the orders again.
 			source.change(func(*countedSource) {})
-			time.Sleep(orders.SettleTime / 100)
+			time.Sleep(orders.SettlingPeriod / 100)
 			ordersAppliedAt(t, fleet)
 		}
 	})
@@ -96,12 +96,12 @@
 		"all hear of the return": func(_, _ *fleetDaemon) {},
 		"one hears of it late": func(_, other *fleetDaemon) {
 			other.set(func(m *fleetDaemon) { m.gossipInBlocked, m.refused = true, true })
-			time.AfterFunc(orders.SettleTime-time.Second, func() {
+			time.AfterFunc(orders.SettlingPeriod-time.Second, func() {
 				other.set(func(m *fleetDaemon) { m.gossipInBlocked, m.refused = false, false })
 			})
 		},
 		"the first that heard of it ends": func(first, _ *fleetDaemon) {
-			time.AfterFunc(orders.SettleTime-time.Second, first.stop)
+			time.AfterFunc(orders.SettlingPeriod-time.Second, first.stop)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 				disrupt(first, others[0])
 				source.restoreFromCopy(t)
 				returned := time.Now()
-				time.Sleep(orders.SettleTime + ordersBound)
+				time.Sleep(orders.SettlingPeriod + ordersBound)
 				t.Logf("the order ended %s after the restore", ordersAppliedAt(t, others).Sub(returned))
 			})
 		})
--- a/internal/model/orders/orders.go
+++ b/internal/model/orders/orders.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// GivenAgain returns the zones that are evacuated in both sets, but by different orders: the first
+// ReissuedZones returns the zones that are evacuated in both sets, but by different orders: the first
 // order was withdrawn and another one given in between.
-func (s *Set) GivenAgain(before *Set) []string {
+func (s *Set) ReissuedZones(before *Set) []string {
 	if position.Position(s.Revision()).Era() != position.Position(before.Revision()).Era() {
 		// Revisions of different eras cannot be compared.
 		return nil
--- a/internal/model/orders/orders_test.go
+++ b/internal/model/orders/orders_test.go
@@ -40,9 +40,9 @@
 	before, taken := current.ApplyStored(set(9, 8, "a"))
 	assert.Assert(t, !taken)
 	assert.Equal(t, current.Load().Revision(), uint64(5))
-	assert.DeepEqual(t, current.Load().GivenAgain(before), []string{"a"})
+	assert.DeepEqual(t, current.Load().ReissuedZones(before), []string{"a"})
 	before, _ = current.ApplyStored(set(11, 8, "a"))
-	assert.Equal(t, len(current.Load().GivenAgain(before)), 0)
+	assert.Equal(t, len(current.Load().ReissuedZones(before)), 0)
 	_, taken = current.ApplyStored(set(8, 0))
 	assert.Assert(t, !taken && current.Evacuated("a"), "an answer that was overtaken")
 }
--- a/internal/model/orders/settling.go
+++ b/internal/model/orders/settling.go
@@ -9,25 +9,25 @@
 	"github.com/lapisvane/lapisvane/internal/model/position"
 )
 
-// SettleTime is the time for which previous orders stay in force, although the store lacks them,
+// SettlingPeriod is the time for which previous orders stay in force, although the store lacks them,
 // after the store was restored from a copy. It gives the operator time to write lost orders again.
 // It is longer than the age of the copies, which is a few seconds.
-const SettleTime = 10 * time.Second
+const SettlingPeriod = 10 * time.Second
 
 // eraTransition carries orders from one era of the store to the next. After a restore the store
 // lacks the newest writes. Without this rule, a lost order would be dropped until its operator
 // writes it again, and a withdrawn one would return.
 //
 // Its inputs are a set of the store or of another daemon, the current set, and the time. A set of
-// the current era is taken unchanged. The first set of a later era starts SettleTime. During it,
+// the current era is taken unchanged. The first set of a later era starts SettlingPeriod. During it,
 // the orders of the current set are carried: they stay in force in addition to those of the new
 // era, at a position between the eras (Position.Settling), so that daemons order these sets
 // correctly. An order of the new era supersedes the carried one for the same zone, even after it is
 // withdrawn. Daemons exchange superseded zones only; a roll-out is superseded only on a daemon that
 // has seen it in the new era itself. An order that was withdrawn in the previous era and is
-// unchanged in the copy is left out. After SettleTime, the store's orders are taken unchanged.
+// unchanged in the copy is left out. After SettlingPeriod, the store's orders are taken unchanged.
 //
-// SettleTime belongs to the era. Daemons exchange its age and the superseded zones, and each takes
+// SettlingPeriod belongs to the era. Daemons exchange its age and the superseded zones, and each takes
 // the highest age and all zones that it received. It therefore ends for all daemons when it ends
 // for the first one that learned of the era, even if others learned of it later.
 type eraTransition struct {
@@ -60,7 +60,7 @@
 	if era == s.era && era > 0 {
 		s.mergePeerState(set.Message(), now)
 	}
-	if s.age(now) >= SettleTime {
+	if s.age(now) >= SettlingPeriod {
 		s.carried, s.rollouts, s.withdrawn = nil, nil, nil
 	}
 	s.recordFollowed(set)
@@ -87,9 +87,9 @@
 func (s *eraTransition) age(now time.Time) time.Duration { return now.Sub(s.beganAt) }
 
 // mergePeerState merges the age and the superseded zones from a message of the current era. Ages
-// are capped at SettleTime, at which the era has settled.
+// are capped at SettlingPeriod, at which the era has settled.
 func (s *eraTransition) mergePeerState(message *lapisv1.Orders, now time.Time) {
-	peerAge := time.Duration(min(message.GetEraAgeMs(), uint64(SettleTime.Milliseconds()))) * time.Millisecond
+	peerAge := time.Duration(min(message.GetEraAgeMs(), uint64(SettlingPeriod.Milliseconds()))) * time.Millisecond
 	if peerAge > s.age(now) {
 		s.beganAt = now.Add(-peerAge)
 	}
