--- a/internal/model/account/account.go
+++ b/internal/model/account/account.go
@@ -85,9 +85,9 @@
 	return d.byKey[key]
 }
 
-// Holds reports whether callers with the key's digest may make calls: the key belongs to an
+// Authorizes reports whether callers with the key's digest may make calls: the key belongs to an
 // account, or the configuration has no accounts. A digest of a different length matches no key.
-func (d *Directory) Holds(key []byte) bool {
+func (d *Directory) Authorizes(key []byte) bool {
 	if d == nil {
 		return true
 	}
--- a/internal/model/account/account_test.go
+++ b/internal/model/account/account_test.go
@@ -51,9 +51,9 @@
 	var without *account.Directory
 	digest := account.DigestOf([]byte("any"))
 	assert.Assert(t, account.NewDirectory(nil) == without)
-	assert.Assert(t, without.Find(digest) == nil && without.Holds(digest[:]) && without.ByName("alpha") == nil && without.Accounts() == nil && without.Keys() == 0)
+	assert.Assert(t, without.Find(digest) == nil && without.Authorizes(digest[:]) && without.ByName("alpha") == nil && without.Accounts() == nil && without.Keys() == 0)
 	empty := account.NewDirectory(&lapisv1.Accounts{})
-	assert.Assert(t, empty != nil && empty.Find(digest) == nil && !empty.Holds(digest[:]))
+	assert.Assert(t, empty != nil && empty.Find(digest) == nil && !empty.Authorizes(digest[:]))
 }
 
 // A truncated or empty digest must match no key, in a configuration or in a call.
@@ -62,9 +62,9 @@
 	short := &lapisv1.Account{Name: "alpha", KeyDigests: [][]byte{digest[:4], nil, append(digest[:], 0)}}
 	directory := account.NewDirectory(&lapisv1.Accounts{Accounts: []*lapisv1.Account{short}})
 	for _, presented := range [][]byte{digest[:], digest[:4], nil, {}} {
-		assert.Assert(t, !directory.Holds(presented))
+		assert.Assert(t, !directory.Authorizes(presented))
 	}
-	assert.Assert(t, account.NewDirectory(&lapisv1.Accounts{Accounts: []*lapisv1.Account{newAccount("alpha", "key")}}).Holds(digest[:]))
+	assert.Assert(t, account.NewDirectory(&lapisv1.Accounts{Accounts: []*lapisv1.Account{newAccount("alpha", "key")}}).Authorizes(digest[:]))
 }
 
 func TestOnlyAccountsWithARateAreLimited(t *testing.T) {
--- a/internal/model/account/weights.go
+++ b/internal/model/account/weights.go
@@ -32,9 +32,9 @@
 	return uint32(min(math.Ceil(max(a.Rate, 0)), math.MaxUint32))
 }
 
-// UsualPriority returns the priority of calls without an account relative to those with one, such
+// MedianPriority returns the priority of calls without an account relative to those with one, such
 // as calls of instances and of public routes: the median of the accounts' priorities.
-func (d *Directory) UsualPriority() uint32 {
+func (d *Directory) MedianPriority() uint32 {
 	var priorities []uint32
 	for _, known := range d.Accounts() {
 		priorities = append(priorities, known.Priority)
--- a/internal/model/account/weights_test.go
+++ b/internal/model/account/weights_test.go
@@ -24,6 +24,6 @@
 	directory := NewDirectory(&lapisv1.Accounts{Accounts: []*lapisv1.Account{
 		{Name: "a", Priority: 0}, {Name: "b", Priority: 2}, {Name: "c", Priority: 1}, {Name: "d", Priority: 1},
 	}})
-	assert.Equal(t, directory.UsualPriority(), uint32(1))
-	assert.Equal(t, (*Directory)(nil).UsualPriority(), uint32(0))
+	assert.Equal(t, directory.MedianPriority(), uint32(1))
+	assert.Equal(t, (*Directory)(nil).MedianPriority(), uint32(0))
 }
--- a/internal/requestpath/gateway/identity.go
+++ b/internal/requestpath/gateway/identity.go
@@ -221,7 +221,7 @@
 	if len(digest) == 0 {
 		return nil
 	}
-	if current := a.gateway.config.Snapshots.Current(); current != a.current && !current.Accounts.Holds(digest) {
+	if current := a.gateway.config.Snapshots.Current(); current != a.current && !current.Accounts.Authorizes(digest) {
 		a.gateway.metrics.refusedKeys.WithLabelValues(string(reasonRevoked)).Inc()
 		return result.Errorf(result.CallUnknownKey, "API key: %s", reasonRevoked)
 	}
--- a/internal/requestpath/origin/instance.go
+++ b/internal/requestpath/origin/instance.go
@@ -182,7 +182,7 @@
 		slots = int(service.Bundle.GetPool().GetSlots())
 	}
 	if current.Accounts != nil {
-		i.anonymousPriority.Store(current.Accounts.UsualPriority())
+		i.anonymousPriority.Store(current.Accounts.MedianPriority())
 		i.queue.ConfigureAccounts(slots, current.Accounts.Weights())
 	} else {
 		i.queue.Configure(slots, service.Shares)
--- a/internal/requestpath/origin/refusal.go
+++ b/internal/requestpath/origin/refusal.go
@@ -94,7 +94,7 @@
 // CallUnknownKey.
 func checkKey(open *lapisv1.CallOpen, current *snapshot.Snapshot) error {
 	digest := open.GetKeyDigest()
-	if len(digest) == 0 || current == nil || current.Revision <= open.GetRouteRevision() || current.Accounts.Holds(digest) {
+	if len(digest) == 0 || current == nil || current.Revision <= open.GetRouteRevision() || current.Accounts.Authorizes(digest) {
 		return nil
 	}
 	return result.Errorf(result.CallUnknownKey, "the API key was revoked in revision %d", current.Revision)
