--- a/internal/daemon/metrics/platform.go
+++ b/internal/daemon/metrics/platform.go
@@ -52,9 +52,9 @@
 		return time.Since(since).Seconds()
 	})
 	gauge(registry, "lapisvane_ready", "1 while callers may be sent here.", func() float64 { return boolValue(sources.Ready()) })
-	gauge(registry, "lapisvane_members_known", "Other daemons known.", func() float64 { return float64(sources.Fleet.Known()) })
+	gauge(registry, "lapisvane_members_known", "Other daemons known.", func() float64 { return float64(sources.Fleet.KnownMembers()) })
 	gauge(registry, "lapisvane_members_connected", "Daemons that calls can be sent to.",
-		func() float64 { return float64(sources.Fleet.Connected()) })
+		func() float64 { return float64(sources.Fleet.ConnectedMembers()) })
 	counter(registry, "lapisvane_source_questions_total", "Questions to the configuration source.",
 		func() float64 { return float64(sources.Follower.ConfigurationRequests.Load()) })
 	counter(registry, "lapisvane_source_failures_total", "Questions to the configuration source that failed.",
--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -127,13 +127,13 @@
 	}
 	p.fleet = fleet.New(config)
 	p.follower = &configsource.Follower{
-		Source: platform.Source(), Apply: p.Offer, Freshness: p.freshness, Confirmed: p.fleet.SendHeartbeats,
+		Source: platform.Source(), Apply: p.OfferConfiguration, Freshness: p.freshness, Confirmed: p.fleet.SendHeartbeats,
 		ApplyOrders: p.ordersReader(), OrderKinds: p.orderKinds(), OrdersBound: p.ordersBound(),
 		Awaited: p.path.snapshots.Awaited, Bound: p.pollBound(), Daemons: func() int { return int(p.members.Load()) },
 		MinInterval: p.minInterval, Random: rand.Float64, Resumed: p.resumed, Logger: p.path.logger,
 	}
 	platform.OnStoreReturn(func() {
-		p.fleet.DirectoryReturned()
+		p.fleet.DirectoryRestored()
 		p.path.suspects.storeReturned()
 	})
 	return p
@@ -146,7 +146,7 @@
 
 // stall returns the configuration of the stall detection.
 func (p *platformDistribution) stall() callmux.Stall {
-	return callmux.Stall{Check: stallCheckInterval, Quiet: stallPingAfter, Answer: stallPingTimeout, Changed: p.fleet.Stalled}
+	return callmux.Stall{Check: stallCheckInterval, Quiet: stallPingAfter, Answer: stallPingTimeout, Changed: p.fleet.SetStalled}
 }
 
 // Run implements distribution.
@@ -197,7 +197,7 @@
 
 // SpreadSuspects implements distribution.
 func (p *platformDistribution) SpreadSuspects(records []quarantine.Record, from string) {
-	p.fleet.SpreadSuspects(records, from)
+	p.fleet.BroadcastSuspects(records, from)
 }
 
 // Resumed implements distribution. The follower checks again whether the source has to be polled, since
@@ -258,12 +258,12 @@
 	if time.Since(p.started) > readyGracePeriod {
 		return true
 	}
-	return p.fleet.Connected() > 0 && p.path.origin.LocalService() != ""
+	return p.fleet.ConnectedMembers() > 0 && p.path.origin.LocalService() != ""
 }
 
-// Offer puts a configuration in force if it is newer than the current one. It implements
+// OfferConfiguration puts a configuration in force if it is newer than the current one. It implements
 // fleet.Observer.
-func (p *platformDistribution) Offer(configuration *lapisv1.Configuration) {
+func (p *platformDistribution) OfferConfiguration(configuration *lapisv1.Configuration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	path := p.path
--- a/internal/daemon/platform_orders.go
+++ b/internal/daemon/platform_orders.go
@@ -97,7 +97,7 @@
 	p.orders.deferred = nil
 	p.mutex.Unlock()
 	if deferred != nil {
-		p.Offer(deferred)
+		p.OfferConfiguration(deferred)
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	p.orders.follow(before, now, by)
 	p.freshness.AdvanceOrders(now.Revision())
-	p.fleet.SpreadOrders()
+	p.fleet.BroadcastOrders()
 	p.fleet.SendHeartbeats()
 	if before == nil {
 		p.releaseDeferred()
--- a/internal/daemon/platform_rollouts.go
+++ b/internal/daemon/platform_rollouts.go
@@ -117,7 +117,7 @@
 	for _, order := range running {
 		rankings = append(rankings, order.Rank)
 	}
-	r.distribution.fleet.LinkToFirst(rankings, rollout.Deciders, probed)
+	r.distribution.fleet.SetRankedLinks(rankings, rollout.Deciders, probed)
 }
 
 // applyOrders passes the roll-out orders of the set to the runner. The caller holds ordersState.mutex.
@@ -168,9 +168,9 @@
 	}
 }
 
-// Word implements fleet.RolloutObserver. A message from a new incarnation of a daemon invalidates those
-// of its earlier incarnation.
-func (r *rollouts) Word(message *lapisv1.RolloutWord) {
+// ReceiveAnnouncement implements fleet.RolloutObserver. A message from a new incarnation of a daemon
+// invalidates those of its earlier incarnation.
+func (r *rollouts) ReceiveAnnouncement(message *lapisv1.RolloutWord) {
 	word := rollout.WordOf(message)
 	r.mutex.Lock()
 	before, known := r.incarnations[word.Node]
@@ -182,8 +182,8 @@
 	r.runner.HandleAnnouncement(word)
 }
 
-// Report implements fleet.RolloutObserver.
-func (r *rollouts) Report(message *lapisv1.RolloutReport) {
+// ReceiveReport implements fleet.RolloutObserver.
+func (r *rollouts) ReceiveReport(message *lapisv1.RolloutReport) {
 	report, err := rollout.ReportOf(message)
 	if err != nil {
 		r.distribution.path.logger.Error(err, "rollout.report_refused", "member", message.GetNode())
@@ -192,8 +192,8 @@
 	r.runner.HandleReport(message.GetService(), report)
 }
 
-// Unlinked implements fleet.RolloutObserver.
-func (r *rollouts) Unlinked(node string) {
+// NodeUnlinked implements fleet.RolloutObserver.
+func (r *rollouts) NodeUnlinked(node string) {
 	r.mutex.Lock()
 	delete(r.incarnations, node)
 	r.mutex.Unlock()
@@ -201,22 +201,22 @@
 }
 
 // Members implements rollout.Links.
-func (r *rollouts) Members() []string { return r.distribution.fleet.InTouch() }
+func (r *rollouts) Members() []string { return r.distribution.fleet.LinkedNodes() }
 
 // Known implements rollout.Links.
-func (r *rollouts) Known() int { return r.distribution.fleet.Running() }
+func (r *rollouts) Known() int { return r.distribution.fleet.ActiveMembers() }
 
 // Serving implements rollout.Links.
-func (r *rollouts) Serving(service string) int { return r.distribution.fleet.Serving(service) }
+func (r *rollouts) Serving(service string) int { return r.distribution.fleet.MembersOfService(service) }
 
 // Broadcast implements rollout.Links.
 func (r *rollouts) Broadcast(word rollout.Word, nodes []string) {
-	r.distribution.fleet.SpreadWord(rollout.WordMessage(word), nodes)
+	r.distribution.fleet.BroadcastAnnouncement(rollout.WordMessage(word), nodes)
 }
 
 // Send implements rollout.Links.
 func (r *rollouts) Send(node, service string, report rollout.Report) {
-	r.distribution.fleet.TellReport(node, rollout.ReportMessage(service, report))
+	r.distribution.fleet.SendReport(node, rollout.ReportMessage(service, report))
 }
 
 // Of implements rollout.Instances. The result includes instances in evacuated zones. Unreachable
--- a/internal/daemon/platform_rollouts_test.go
+++ b/internal/daemon/platform_rollouts_test.go
@@ -88,14 +88,14 @@
 		rollsBack bool
 	}{
 		"nothing":  {func(*rollouts) {}, false},
-		"received": {func(followed *rollouts) { followed.Word(wordOf(9, rollout.PhaseRollingBack)) }, true},
+		"received": {func(followed *rollouts) { followed.ReceiveAnnouncement(wordOf(9, rollout.PhaseRollingBack)) }, true},
 		"received after a restart": {func(followed *rollouts) {
-			followed.Word(wordOf(9, rollout.PhaseProbing))
-			followed.Word(wordOf(3, rollout.PhaseRollingBack))
+			followed.ReceiveAnnouncement(wordOf(9, rollout.PhaseProbing))
+			followed.ReceiveAnnouncement(wordOf(3, rollout.PhaseRollingBack))
 		}, true},
 		"link lost": {func(followed *rollouts) {
-			followed.Word(wordOf(9, rollout.PhaseRollingBack))
-			followed.Unlinked("b")
+			followed.ReceiveAnnouncement(wordOf(9, rollout.PhaseRollingBack))
+			followed.NodeUnlinked("b")
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/distribution/fleet/catchup.go
+++ b/internal/distribution/fleet/catchup.go
@@ -117,7 +117,7 @@
 }
 
 func (f *Fleet) receiveConfiguration(configuration *lapisv1.Configuration) {
-	f.config.Observer.Offer(configuration)
+	f.config.Observer.OfferConfiguration(configuration)
 	signal(f.configurationArrived)
 }
 
--- a/internal/distribution/fleet/directory.go
+++ b/internal/distribution/fleet/directory.go
@@ -60,7 +60,7 @@
 			wait = schedule.afterFailure()
 		} else {
 			published = true
-			wait = schedule.afterSuccess(f.Known())
+			wait = schedule.afterSuccess(f.KnownMembers())
 		}
 		if !sleep.For(ctx, f.jitter(wait)) {
 			return
@@ -68,10 +68,10 @@
 	}
 }
 
-// DirectoryReturned reports that recent directory entries may be lost. At its next list, this
+// DirectoryRestored reports that recent directory entries may be lost. At its next list, this
 // daemon publishes its entry again if it is missing. Daemons thus write within directoryInterval
 // plus jitter instead of all at once.
-func (f *Fleet) DirectoryReturned() { f.entryLost.Store(true) }
+func (f *Fleet) DirectoryRestored() { f.entryLost.Store(true) }
 
 // listDirectory records the listed members and reports whether this daemon's entry is correct.
 func (f *Fleet) listDirectory(ctx context.Context, published bool) (found bool, err error) {
--- a/internal/distribution/fleet/directory_test.go
+++ b/internal/distribution/fleet/directory_test.go
@@ -35,7 +35,7 @@
 		lists, writes := directory.calls()
 		assert.Equal(t, lists, 1)
 		assert.Equal(t, writes, 0)
-		assert.Equal(t, daemon.Known(), 1)
+		assert.Equal(t, daemon.KnownMembers(), 1)
 	})
 }
 
--- a/internal/distribution/fleet/followers_test.go
+++ b/internal/distribution/fleet/followers_test.go
@@ -30,7 +30,7 @@
 		now := time.Now()
 		f.appliedAt.Store(&now)
 		if fleet := f.fleet.Load(); fleet != nil {
-			fleet.SpreadOrders()
+			fleet.BroadcastOrders()
 		}
 	}
 }
@@ -42,7 +42,7 @@
 
 func (f *follower) spread(records []quarantine.Record, from string) {
 	if fleet := f.fleet.Load(); fleet != nil {
-		fleet.SpreadSuspects(records, from)
+		fleet.BroadcastSuspects(records, from)
 	}
 }
 
--- a/internal/distribution/fleet/peer.go
+++ b/internal/distribution/fleet/peer.go
@@ -86,8 +86,8 @@
 	return peer
 }
 
-// Connected returns the number of daemons that calls can be sent to.
-func (f *Fleet) Connected() int {
+// ConnectedMembers returns the number of daemons that calls can be sent to.
+func (f *Fleet) ConnectedMembers() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	count := 0
@@ -99,8 +99,8 @@
 	return count
 }
 
-// Known returns the number of other known daemons.
-func (f *Fleet) Known() int {
+// KnownMembers returns the number of other known daemons.
+func (f *Fleet) KnownMembers() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return len(f.peers)
@@ -118,9 +118,9 @@
 	return f.config.Self.Zone == zone
 }
 
-// Stalled records that the daemon at an address stopped answering on its open link (stalled is
+// SetStalled records that the daemon at an address stopped answering on its open link (stalled is
 // true) or answers again.
-func (f *Fleet) Stalled(address string, stalled bool) {
+func (f *Fleet) SetStalled(address string, stalled bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, peer := range f.peers {
--- a/internal/distribution/fleet/rollouts.go
+++ b/internal/distribution/fleet/rollouts.go
@@ -12,33 +12,33 @@
 // RolloutObserver receives the rollout messages of other daemons. Its methods are called without
 // locks held.
 type RolloutObserver interface {
-	// Word passes what another daemon states about itself.
-	Word(word *lapisv1.RolloutWord)
-	// Report passes what another daemon observed.
-	Report(report *lapisv1.RolloutReport)
-	// Unlinked reports that the last link with a daemon ended.
-	Unlinked(node string)
+	// ReceiveAnnouncement passes what another daemon announces about itself.
+	ReceiveAnnouncement(announcement *lapisv1.RolloutWord)
+	// ReceiveReport passes what another daemon observed.
+	ReceiveReport(report *lapisv1.RolloutReport)
+	// NodeUnlinked reports that the last link with a daemon ended.
+	NodeUnlinked(node string)
 }
 
 // Ranking maps names of daemons to ranks. The lowest number ranks first.
 type Ranking func(node string) uint64
 
-// pendingRollouts holds the rollout messages to be sent on one link: the newest word and report of
-// each service. Fleet.mutex protects its maps.
+// pendingRollouts holds the rollout messages to be sent on one link: the newest announcement and
+// report of each service. Fleet.mutex protects its maps.
 type pendingRollouts struct {
-	words   map[string]*lapisv1.RolloutWord
-	reports map[string]*lapisv1.RolloutReport
+	announcements map[string]*lapisv1.RolloutWord
+	reports       map[string]*lapisv1.RolloutReport
 	// wake requests that they be sent.
 	wake chan struct{}
 }
 
 func newPendingRollouts() pendingRollouts {
-	return pendingRollouts{words: map[string]*lapisv1.RolloutWord{}, reports: map[string]*lapisv1.RolloutReport{}, wake: make(chan struct{}, 1)}
+	return pendingRollouts{announcements: map[string]*lapisv1.RolloutWord{}, reports: map[string]*lapisv1.RolloutReport{}, wake: make(chan struct{}, 1)}
 }
 
 // clear drops the messages queued for an earlier link; Fleet.mutex is held.
 func (p *pendingRollouts) clear() {
-	clear(p.words)
+	clear(p.announcements)
 	clear(p.reports)
 }
 
@@ -47,8 +47,8 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var frames []*lapisv1.CallFrame
-	for _, word := range pending.words {
-		frames = append(frames, &lapisv1.CallFrame{Body: &lapisv1.CallFrame_RolloutWord{RolloutWord: word}})
+	for _, announcement := range pending.announcements {
+		frames = append(frames, &lapisv1.CallFrame{Body: &lapisv1.CallFrame_RolloutWord{RolloutWord: announcement}})
 	}
 	for _, report := range pending.reports {
 		frames = append(frames, &lapisv1.CallFrame{Body: &lapisv1.CallFrame_RolloutReport{RolloutReport: report}})
@@ -78,21 +78,21 @@
 	return pending
 }
 
-// SpreadWord queues a word for the linked daemons among nodes, or for all linked daemons if nodes
-// is nil. It does not block.
-func (f *Fleet) SpreadWord(word *lapisv1.RolloutWord, nodes []string) {
+// BroadcastAnnouncement queues an announcement for the linked daemons among nodes, or for all linked
+// daemons if nodes is nil. It does not block.
+func (f *Fleet) BroadcastAnnouncement(announcement *lapisv1.RolloutWord, nodes []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for node, pending := range f.pendingRolloutsByNode() {
 		if nodes == nil || slices.Contains(nodes, node) {
-			pending.words[word.GetService()] = word
+			pending.announcements[announcement.GetService()] = announcement
 			signal(pending.wake)
 		}
 	}
 }
 
-// TellReport queues a report for one daemon if it is linked. It does not block.
-func (f *Fleet) TellReport(node string, report *lapisv1.RolloutReport) {
+// SendReport queues a report for one daemon if it is linked. It does not block.
+func (f *Fleet) SendReport(node string, report *lapisv1.RolloutReport) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if pending := f.pendingRolloutsByNode()[node]; pending != nil {
@@ -101,8 +101,8 @@
 	}
 }
 
-// InTouch returns the names of the linked daemons and of this one.
-func (f *Fleet) InTouch() []string {
+// LinkedNodes returns the names of the linked daemons and of this one.
+func (f *Fleet) LinkedNodes() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	names := []string{f.config.Self.Node}
@@ -112,9 +112,9 @@
 	return names
 }
 
-// Running returns the number of daemons that may be running, including this one: all known daemons
-// that are not displaced. Unreachable daemons count.
-func (f *Fleet) Running() int {
+// ActiveMembers returns the number of daemons that may be running, including this one: all known
+// daemons that are not displaced. Unreachable daemons count.
+func (f *Fleet) ActiveMembers() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	running := 1
@@ -127,8 +127,9 @@
 	return running
 }
 
-// Serving returns the number of known daemons, including this one, on whose machine a service runs.
-func (f *Fleet) Serving(service string) int {
+// MembersOfService returns the number of known daemons, including this one, on whose machine a
+// service runs.
+func (f *Fleet) MembersOfService(service string) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	serving := 0
@@ -143,17 +144,17 @@
 	return serving
 }
 
-// LinkToFirst sets further daemons to link to, besides those needed for calls: the first count
+// SetRankedLinks sets further daemons to link to, besides those needed for calls: the first count
 // reachable daemons of each ranking, and additionalNodes. If all daemons do so, the daemons that
 // rank first are linked to the whole fleet.
-func (f *Fleet) LinkToFirst(rankings []Ranking, count int, additionalNodes []string) {
+func (f *Fleet) SetRankedLinks(rankings []Ranking, count int, additionalNodes []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.rankings, f.linksPerRanking, f.additionalNodes = rankings, count, additionalNodes
 	signal(f.reviewLinks)
 }
 
-// addFirstRanked adds the daemons set by LinkToFirst to those chosen. Unreachable daemons that rank
+// addFirstRanked adds the daemons set by SetRankedLinks to those chosen. Unreachable daemons that rank
 // before the last reachable one are added as well. The caller holds mutex.
 func (f *Fleet) addFirstRanked(chosen map[string]bool, candidates []candidate) {
 	if len(f.rankings) == 0 {
@@ -193,7 +194,7 @@
 	linked := f.pendingRolloutsByNode()[node] != nil
 	f.mutex.Unlock()
 	if !linked {
-		f.config.Rollouts.Unlinked(node)
+		f.config.Rollouts.NodeUnlinked(node)
 	}
 }
 
@@ -206,11 +207,11 @@
 	switch body := frame.GetBody().(type) {
 	case *lapisv1.CallFrame_RolloutWord:
 		if body.RolloutWord.GetNode() == sender {
-			f.config.Rollouts.Word(body.RolloutWord)
+			f.config.Rollouts.ReceiveAnnouncement(body.RolloutWord)
 		}
 	case *lapisv1.CallFrame_RolloutReport:
 		if body.RolloutReport.GetNode() == sender {
-			f.config.Rollouts.Report(body.RolloutReport)
+			f.config.Rollouts.ReceiveReport(body.RolloutReport)
 		}
 	}
 }
--- a/internal/distribution/fleet/rollouts_test.go
+++ b/internal/distribution/fleet/rollouts_test.go
@@ -20,34 +20,34 @@
 
 // rolloutListener records the rollout messages of other daemons.
 type rolloutListener struct {
-	mutex    sync.Mutex
-	words    map[string]uint64
-	reports  int
-	unlinked map[string]bool
+	mutex         sync.Mutex
+	announcements map[string]uint64
+	reports       int
+	unlinked      map[string]bool
 }
 
-func (l *rolloutListener) Word(word *lapisv1.RolloutWord) {
+func (l *rolloutListener) ReceiveAnnouncement(announcement *lapisv1.RolloutWord) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.words[word.GetNode()] = word.GetSequence()
+	l.announcements[announcement.GetNode()] = announcement.GetSequence()
 }
 
-func (l *rolloutListener) Report(*lapisv1.RolloutReport) {
+func (l *rolloutListener) ReceiveReport(*lapisv1.RolloutReport) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.reports++
 }
 
-func (l *rolloutListener) Unlinked(node string) {
+func (l *rolloutListener) NodeUnlinked(node string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.unlinked[node] = true
 }
 
-func (l *rolloutListener) word(node string) uint64 {
+func (l *rolloutListener) announcement(node string) uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.words[node]
+	return l.announcements[node]
 }
 
 func (l *rolloutListener) reportCount() int {
@@ -85,7 +85,7 @@
 		var fleets []*Fleet
 		var listeners []*rolloutListener
 		for index := range daemons {
-			listener := &rolloutListener{words: map[string]uint64{}, unlinked: map[string]bool{}}
+			listener := &rolloutListener{announcements: map[string]uint64{}, unlinked: map[string]bool{}}
 			joined := start(index, nil, func(config *Config) {
 				config.Rollouts = listener
 				for _, change := range adjust {
@@ -99,15 +99,15 @@
 	})
 }
 
-// While a rollout order runs, every daemon links to the daemons that rank first for it. Their words
-// then reach every daemon, and a report reaches its recipient only.
+// While a rollout order runs, every daemon links to the daemons that rank first for it. Their
+// announcements then reach every daemon, and a report reaches its recipient only.
 func TestWordsOfTheFirstReachAllDaemons(t *testing.T) {
 	const daemons, linkedFirst = 30, 3
 	runRolloutListeners(t, daemons, func(fleets []*Fleet, listeners []*rolloutListener) {
-		assert.Assert(t, len(fleets[0].InTouch()) < daemons)
+		assert.Assert(t, len(fleets[0].LinkedNodes()) < daemons)
 		ranking := func(node string) uint64 { return rendezvous.Score("order", node) }
 		for _, fleet := range fleets {
-			fleet.LinkToFirst([]Ranking{ranking}, linkedFirst, nil)
+			fleet.SetRankedLinks([]Ranking{ranking}, linkedFirst, nil)
 		}
 		time.Sleep(5 * time.Second)
 		ranked := slices.Clone(fleets)
@@ -115,38 +115,38 @@
 			return cmp.Compare(ranking(a.config.Self.Node), ranking(b.config.Self.Node))
 		})
 		for index, fleet := range ranked {
-			assert.Equal(t, len(fleet.InTouch()) == daemons, index < linkedFirst, "daemon %d", index)
-			assert.Equal(t, fleet.Running(), daemons)
+			assert.Equal(t, len(fleet.LinkedNodes()) == daemons, index < linkedFirst, "daemon %d", index)
+			assert.Equal(t, fleet.ActiveMembers(), daemons)
 		}
 		self := ranked[0].config.Self.Node
-		ranked[0].SpreadWord(&lapisv1.RolloutWord{Service: "desk", Node: self, Sequence: 7}, nil)
-		ranked[0].SpreadWord(&lapisv1.RolloutWord{Service: "desk", Node: "another", Sequence: 9}, nil)
-		ranked[0].SpreadWord(&lapisv1.RolloutWord{Service: "desk", Node: self, Sequence: 8}, nil)
-		ranked[5].TellReport(self, &lapisv1.RolloutReport{Service: "desk", Node: ranked[5].config.Self.Node})
+		ranked[0].BroadcastAnnouncement(&lapisv1.RolloutWord{Service: "desk", Node: self, Sequence: 7}, nil)
+		ranked[0].BroadcastAnnouncement(&lapisv1.RolloutWord{Service: "desk", Node: "another", Sequence: 9}, nil)
+		ranked[0].BroadcastAnnouncement(&lapisv1.RolloutWord{Service: "desk", Node: self, Sequence: 8}, nil)
+		ranked[5].SendReport(self, &lapisv1.RolloutReport{Service: "desk", Node: ranked[5].config.Self.Node})
 		time.Sleep(time.Second)
 		for index, fleet := range fleets {
-			assert.Equal(t, listeners[index].word("another"), uint64(0), "received from a daemon other than its subject")
+			assert.Equal(t, listeners[index].announcement("another"), uint64(0), "received from a daemon other than its subject")
 			assert.Equal(t, listeners[index].reportCount(), map[bool]int{true: 1}[fleet == ranked[0]])
 			if fleet != ranked[0] {
-				assert.Equal(t, listeners[index].word(self), uint64(8), "daemon %d", index)
+				assert.Equal(t, listeners[index].announcement(self), uint64(8), "daemon %d", index)
 			}
 		}
 		for _, fleet := range fleets {
-			fleet.LinkToFirst(nil, 0, nil)
+			fleet.SetRankedLinks(nil, 0, nil)
 		}
 		time.Sleep(5 * time.Second)
-		assert.Assert(t, len(ranked[0].InTouch()) < daemons)
+		assert.Assert(t, len(ranked[0].LinkedNodes()) < daemons)
 	})
 }
 
-// A word may be addressed to some daemons only.
+// An announcement may be addressed to some daemons only.
 func TestWordsForSomeReachNoOthers(t *testing.T) {
 	runRolloutListeners(t, 3, func(fleets []*Fleet, listeners []*rolloutListener) {
 		self, wanted := fleets[0].config.Self.Node, fleets[1].config.Self.Node
-		fleets[0].SpreadWord(&lapisv1.RolloutWord{Service: "desk", Node: self, Sequence: 3}, []string{wanted})
+		fleets[0].BroadcastAnnouncement(&lapisv1.RolloutWord{Service: "desk", Node: self, Sequence: 3}, []string{wanted})
 		time.Sleep(time.Second)
-		assert.Equal(t, listeners[1].word(self), uint64(3))
-		assert.Equal(t, listeners[2].word(self), uint64(0))
+		assert.Equal(t, listeners[1].announcement(self), uint64(3))
+		assert.Equal(t, listeners[2].announcement(self), uint64(0))
 	})
 }
 
--- a/internal/distribution/fleet/spread.go
+++ b/internal/distribution/fleet/spread.go
@@ -33,9 +33,9 @@
 	signal(p.wake)
 }
 
-// SpreadSuspects queues changed records once for each linked daemon except from, which sent them.
+// BroadcastSuspects queues changed records once for each linked daemon except from, which sent them.
 // from is empty for a crash found by this daemon. It does not block.
-func (f *Fleet) SpreadSuspects(records []quarantine.Record, from string) {
+func (f *Fleet) BroadcastSuspects(records []quarantine.Record, from string) {
 	if len(records) == 0 {
 		return
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// SpreadOrders sends the orders in force on all links. It does not block.
-func (f *Fleet) SpreadOrders() {
+// BroadcastOrders sends the orders in force on all links. It does not block.
+func (f *Fleet) BroadcastOrders() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, peer := range f.peers {
