--- a/internal/distribution/allowance/scaffold_test.go
+++ b/internal/distribution/allowance/scaffold_test.go
@@ -25,9 +25,9 @@
 	random  *rand.Rand
 	now     time.Time
 	daemons []*simulatedDaemon
-	// partitioned holds the pairs of daemons that cannot reach each other.
-	partitioned map[[2]int]bool
-	bounds      Bounds
+	// split holds the pairs of daemons that cannot reach each other.
+	split  map[[2]int]bool
+	bounds Bounds
 	// limits are the limits by allowance. load is the rate of calls per second over all daemons, by
 	// allowance.
 	limits map[string]Limit
@@ -111,7 +111,7 @@
 
 func newSimulation(seed uint64, daemons int, variant variant) *simulation {
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), partitioned: map[[2]int]bool{},
+		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), split: map[[2]int]bool{},
 		bounds: Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20},
 		limits: map[string]Limit{}, load: map[string]float64{}, ranAt: map[string][]time.Time{}, variant: variant,
 		frames: map[string]int{}, bytes: map[string]int{}, grantedOf: map[string]int{}, indexes: map[string]int{}, maxDelay: maxFrameDelay,
@@ -165,12 +165,10 @@
 	d.waiting = nil
 }
 
-func (s *simulation) isPartitioned(a, b *simulatedDaemon) bool {
-	return s.partitioned[[2]int{a.index, b.index}]
-}
+func (s *simulation) isSplit(a, b *simulatedDaemon) bool { return s.split[[2]int{a.index, b.index}] }
 
 func (s *simulation) setPartitioned(a, b int, partitioned bool) {
-	s.partitioned[[2]int{a, b}], s.partitioned[[2]int{b, a}] = partitioned, partitioned
+	s.split[[2]int{a, b}], s.split[[2]int{b, a}] = partitioned, partitioned
 }
 
 // frame sets the arrival time of a frame, no earlier than that of the frames before it.
@@ -239,7 +237,7 @@
 	for _, name := range d.participant.Candidates(s.now) {
 		at := s.indexes[name]
 		other := s.daemons[at]
-		if other == d || d.outbound[at] != nil || s.isPartitioned(d, other) {
+		if other == d || d.outbound[at] != nil || s.isSplit(d, other) {
 			continue
 		}
 		switch {
@@ -260,10 +258,10 @@
 	if !link.serverOpen {
 		return
 	}
-	if !s.isPartitioned(link.client, link.server) && link.clientOpen && !link.client.paused {
+	if !s.isSplit(link.client, link.server) && link.clientOpen && !link.client.paused {
 		link.serverHeard = s.now
 	}
-	for len(link.toServer) > 0 && !s.now.Before(link.toServer[0].at) && !s.isPartitioned(link.client, link.server) {
+	for len(link.toServer) > 0 && !s.now.Before(link.toServer[0].at) && !s.isSplit(link.client, link.server) {
 		frame := link.toServer[0]
 		link.toServer = link.toServer[1:]
 		if frame.end {
@@ -289,10 +287,10 @@
 
 // receiveAsClient processes the frames from the daemon to which a connection was opened.
 func (s *simulation) receiveAsClient(link *simulatedLink) {
-	if !s.isPartitioned(link.client, link.server) && link.serverOpen && !link.server.paused {
+	if !s.isSplit(link.client, link.server) && link.serverOpen && !link.server.paused {
 		link.clientHeard = s.now
 	}
-	for len(link.toClient) > 0 && !s.now.Before(link.toClient[0].at) && !s.isPartitioned(link.client, link.server) {
+	for len(link.toClient) > 0 && !s.now.Before(link.toClient[0].at) && !s.isSplit(link.client, link.server) {
 		frame := link.toClient[0]
 		link.toClient = link.toClient[1:]
 		if frame.end {
@@ -312,7 +310,7 @@
 	link.clientOpen = false
 	delete(link.client.outbound, link.server.index)
 	link.client.participant.Lost(s.now, link.server.name, false)
-	if link.serverOpen && !s.isPartitioned(link.client, link.server) {
+	if link.serverOpen && !s.isSplit(link.client, link.server) {
 		link.serverOpen = false
 		link.server.participant.Left(s.now, link.client.name, link)
 	}
