--- a/internal/distribution/configsource/comeback_test.go
+++ b/internal/distribution/configsource/comeback_test.go
@@ -95,9 +95,9 @@
 	for name, disrupt := range map[string]func(first, other *fleetDaemon){
 		"all hear of the return": func(_, _ *fleetDaemon) {},
 		"one hears of it late": func(_, other *fleetDaemon) {
-			other.set(func(m *fleetDaemon) { m.gossipInBlocked, m.refused = true, true })
+			other.set(func(m *fleetDaemon) { m.inBlocked, m.refused = true, true })
 			time.AfterFunc(orders.SettlingPeriod-time.Second, func() {
-				other.set(func(m *fleetDaemon) { m.gossipInBlocked, m.refused = false, false })
+				other.set(func(m *fleetDaemon) { m.inBlocked, m.refused = false, false })
 			})
 		},
 		"the first that heard of it ends": func(first, _ *fleetDaemon) {
--- a/internal/distribution/configsource/fleetmates_test.go
+++ b/internal/distribution/configsource/fleetmates_test.go
@@ -29,12 +29,12 @@
 
 	orders orders.Current
 
-	// mutex protects the fields below. gossipOutBlocked drops the gossip that the daemon sends,
-	// gossipInBlocked the gossip that it receives. refused makes the source refuse its requests.
+	// mutex protects the fields below. outBlocked drops the gossip that the daemon sends,
+	// inBlocked the gossip that it receives. refused makes the source refuse its requests.
 	// ordersWithheld lets it learn the revision of the orders of others, but not the orders.
-	mutex                                                      sync.Mutex
-	gossipOutBlocked, gossipInBlocked, refused, ordersWithheld bool
-	ordersAppliedAt                                            time.Time
+	mutex                                          sync.Mutex
+	outBlocked, inBlocked, refused, ordersWithheld bool
+	ordersAppliedAt                                time.Time
 	// sentOrders holds the revision of the orders last sent to each other daemon.
 	sentOrders map[*fleetDaemon]uint64
 }
@@ -164,13 +164,13 @@
 // gossip sends a daemon's versions and confirmation, and changed orders, to all daemons that
 // receive gossip.
 func gossip(from *fleetDaemon, fleet []*fleetDaemon) {
-	if from.is(func(m *fleetDaemon) bool { return m.gossipOutBlocked }) {
+	if from.is(func(m *fleetDaemon) bool { return m.outBlocked }) {
 		return
 	}
 	versions, confirmed := from.freshness.InForce()
 	message := from.orders.Message()
 	for _, daemon := range fleet {
-		if daemon == from || daemon.is(func(m *fleetDaemon) bool { return m.gossipInBlocked }) {
+		if daemon == from || daemon.is(func(m *fleetDaemon) bool { return m.inBlocked }) {
 			continue
 		}
 		news := message != nil && from.recordSent(daemon, message.GetRevision())
--- a/internal/distribution/configsource/orders_test.go
+++ b/internal/distribution/configsource/orders_test.go
@@ -42,11 +42,9 @@
 // withdrawn.
 func TestOrderIsInForceInTimeWithoutTheLeader(t *testing.T) {
 	for name, disrupt := range map[string]func(*fleetDaemon){
-		"ended": func(m *fleetDaemon) { m.stop() },
-		"mute":  func(m *fleetDaemon) { m.set(func(m *fleetDaemon) { m.gossipOutBlocked = true }) },
-		"cut off": func(m *fleetDaemon) {
-			m.set(func(m *fleetDaemon) { m.gossipOutBlocked, m.gossipInBlocked = true, true })
-		},
+		"ended":   func(m *fleetDaemon) { m.stop() },
+		"mute":    func(m *fleetDaemon) { m.set(func(m *fleetDaemon) { m.outBlocked = true }) },
+		"cut off": func(m *fleetDaemon) { m.set(func(m *fleetDaemon) { m.outBlocked, m.inBlocked = true, true }) },
 		"refused": func(m *fleetDaemon) { m.set(func(m *fleetDaemon) { m.refused = true }) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/distribution/configsource/schedule.go
+++ b/internal/distribution/configsource/schedule.go
@@ -14,8 +14,8 @@
 // be in force everywhere.
 //
 // Rules: the active poller, which is the daemon whose own confirmation is the latest, polls
-// LeadPart after it. Any other daemon polls at a random time between EarliestPart and
-// standbyPollMaxFraction after the latest confirmation known to it. A daemon without any
+// ActivePollFraction after it. Any other daemon polls at a random time between StandbyPollMinFraction
+// and standbyPollMaxFraction after the latest confirmation known to it. A daemon without any
 // confirmation polls at a random time up to startupPollMaxFraction after its start, or
 // awaitedPollMaxFraction once a call waits. The last two never poll before the retry delay of their
 // last failed poll has passed. After a failure a daemon is not the active poller.
@@ -26,13 +26,13 @@
 // TestParts and TestTimesBesideTheBound check the relations between the fractions. They leave two
 // fifths of the bound for the answer and for a slow daemon.
 const (
-	// LeadPart is the time after which the active poller polls again. It must be smaller than
-	// EarliestPart.
-	LeadPart = 0.2
-	// EarliestPart and standbyPollMaxFraction limit the time after a confirmation at which any
-	// other daemon polls, unless it receives a newer confirmation. The minimum leaves the active
+	// ActivePollFraction is the time after which the active poller polls again. It must be smaller than
+	// StandbyPollMinFraction.
+	ActivePollFraction = 0.2
+	// StandbyPollMinFraction and standbyPollMaxFraction limit the time after a confirmation at which
+	// any other daemon polls, unless it receives a newer confirmation. The minimum leaves the active
 	// poller time for a late answer; the maximum must leave time for an answer within the bound.
-	EarliestPart, standbyPollMaxFraction = 0.4, 0.6
+	StandbyPollMinFraction, standbyPollMaxFraction = 0.4, 0.6
 	// startupPollMaxFraction is the latest time after its start at which a daemon polls, unless it
 	// receives the configuration from another daemon first.
 	startupPollMaxFraction = 0.15
@@ -41,14 +41,14 @@
 	// requests.
 	awaitedPollMaxFraction = 0.06
 	// retryMinFraction and retryMaxFraction limit the time between an unanswered poll and the next
-	// one. The minimum must not be smaller than AnswerPart.
+	// one. The minimum must not be smaller than AnswerTimeoutFraction.
 	retryMinFraction, retryMaxFraction = 0.5, 1.0
 	// startupRetryFactor scales the retry delay of a daemon without a configuration.
 	startupRetryFactor = 0.5
-	// AnswerPart is the answer timeout while the source answers. After an unanswered poll the
-	// timeout is the whole bound, so that a source that is always slow is followed with a delay
+	// AnswerTimeoutFraction is the answer timeout while the source answers. After an unanswered poll
+	// the timeout is the whole bound, so that a source that is always slow is followed with a delay
 	// instead of not at all.
-	AnswerPart = 0.25
+	AnswerTimeoutFraction = 0.25
 	// ordersPollFraction is the fraction of the bound for orders after which the active poller
 	// reads the orders regardless of the source's position. It leaves two thirds of the bound for a
 	// source whose positions turn out not to change with orders.
@@ -74,7 +74,7 @@
 	if failing {
 		return bound
 	}
-	return fractionOf(bound, AnswerPart)
+	return fractionOf(bound, AnswerTimeoutFraction)
 }
 
 // lastOrdersRead is the time at which a daemon last read the orders itself, and their position;
@@ -129,12 +129,12 @@
 // daemons.
 func (s *schedule) due(confirmed time.Time, daemons int) time.Time {
 	if s.activePoller && !confirmed.After(s.polledAt) {
-		return s.polledAt.Add(fractionOf(s.bound, LeadPart))
+		return s.polledAt.Add(fractionOf(s.bound, ActivePollFraction))
 	}
 	s.activePoller = false
 	if confirmed.After(s.confirmed) {
 		s.confirmed = confirmed
-		s.delay = s.randomDelay(EarliestPart, standbyPollMaxFraction, max(daemons, minAssumedDaemons))
+		s.delay = s.randomDelay(StandbyPollMinFraction, standbyPollMaxFraction, max(daemons, minAssumedDaemons))
 	}
 	base := s.confirmed
 	if base.IsZero() {
--- a/internal/distribution/configsource/schedule_parts_test.go
+++ b/internal/distribution/configsource/schedule_parts_test.go
@@ -14,17 +14,17 @@
 		why          string
 		lower, upper float64
 	}{
-		{"the active poller polls again before the other daemons do", LeadPart, EarliestPart},
-		{"the active poller's poll may be late by its whole interval", LeadPart + LeadPart, EarliestPart + 1e-9},
-		{"the other daemons draw their poll time from a non-empty interval", EarliestPart, standbyPollMaxFraction},
-		{"the last daemon to poll has the answer within the bound", standbyPollMaxFraction + AnswerPart, 1},
+		{"the active poller polls again before the other daemons do", ActivePollFraction, StandbyPollMinFraction},
+		{"the active poller's poll may be late by its whole interval", ActivePollFraction + ActivePollFraction, StandbyPollMinFraction + 1e-9},
+		{"the other daemons draw their poll time from a non-empty interval", StandbyPollMinFraction, standbyPollMaxFraction},
+		{"the last daemon to poll has the answer within the bound", standbyPollMaxFraction + AnswerTimeoutFraction, 1},
 		{"two fifths of the bound are left for the answer and for a slow daemon", standbyPollMaxFraction + 0.4, 1 + 1e-9},
-		{"a starting daemon has an answer within the bound", startupPollMaxFraction + AnswerPart, 1},
+		{"a starting daemon has an answer within the bound", startupPollMaxFraction + AnswerTimeoutFraction, 1},
 		{"a waiting call shortens the delay of the first poll", awaitedPollMaxFraction, startupPollMaxFraction},
-		{"a poll is repeated only after its answer timeout", AnswerPart, retryMinFraction},
-		{"a daemon without a configuration repeats a poll only after its answer timeout", AnswerPart, retryMinFraction*startupRetryFactor + 1e-9},
+		{"a poll is repeated only after its answer timeout", AnswerTimeoutFraction, retryMinFraction},
+		{"a daemon without a configuration repeats a poll only after its answer timeout", AnswerTimeoutFraction, retryMinFraction*startupRetryFactor + 1e-9},
 		{"retry delays are drawn from a non-empty interval", retryMinFraction, retryMaxFraction},
-		{"the active poller has the orders within their bound, whatever the position", ordersPollFraction + LeadPart + AnswerPart, 1},
+		{"the active poller has the orders within their bound, whatever the position", ordersPollFraction + ActivePollFraction + AnswerTimeoutFraction, 1},
 	} {
 		assert.Check(t, row.lower < row.upper, "%s: %g is not below %g", row.why, row.lower, row.upper)
 	}
@@ -41,7 +41,7 @@
 		lower, upper time.Duration
 	}{
 		{"the history after the last answer still exists when it is requested", historyMaxAge, sourceHistory},
-		{"the active poller always continues from its last answer", fractionOf(longest, LeadPart+AnswerPart), historyMaxAge},
+		{"the active poller always continues from its last answer", fractionOf(longest, ActivePollFraction+AnswerTimeoutFraction), historyMaxAge},
 		{"a waiting call is detected before the shortened delay ends", awaitedCheckInterval, fractionOf(shortest, awaitedPollMaxFraction)},
 		{"the answer timeout is longer after an unanswered poll", answerTimeout(shortest, false), answerTimeout(shortest, true)},
 		{"the wait of a poll is negligible", minNextWait, answerTimeout(shortest, false) / 100},
--- a/internal/distribution/configsource/schedule_test.go
+++ b/internal/distribution/configsource/schedule_test.go
@@ -32,7 +32,7 @@
 func TestChangeIsInForceInTimeWithoutTheLeader(t *testing.T) {
 	for name, disrupt := range map[string]func(*fleetDaemon){
 		"ended":   func(m *fleetDaemon) { m.stop() },
-		"mute":    func(m *fleetDaemon) { m.set(func(m *fleetDaemon) { m.gossipOutBlocked = true }) },
+		"mute":    func(m *fleetDaemon) { m.set(func(m *fleetDaemon) { m.outBlocked = true }) },
 		"refused": func(m *fleetDaemon) { m.set(func(m *fleetDaemon) { m.refused = true }) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 	for _, blocked := range []int{1, 50} {
 		runFleet(t, 50, func(source *scriptedSource, fleet []*fleetDaemon) {
 			for _, daemon := range fleet[:blocked] {
-				daemon.set(func(m *fleetDaemon) { m.gossipInBlocked = true })
+				daemon.set(func(m *fleetDaemon) { m.inBlocked = true })
 			}
 			changed := time.Now()
 			source.add(7)
--- a/internal/distribution/fleet/timing.go
+++ b/internal/distribution/fleet/timing.go
@@ -43,7 +43,7 @@
 )
 
 // Times for catching up with a newer configuration. Another daemon's answer must come before this
-// daemon polls the source itself: their sum must be smaller than configsource.EarliestPart of
+// daemon polls the source itself: their sum must be smaller than configsource.StandbyPollMinFraction of
 // platform.apply_bound (0.8 s of 2 s).
 const (
 	// maxZoneWait is the maximum wait for another daemon of the own zone to get a version that only
@@ -59,7 +59,7 @@
 // one that the peer stated last to be sent ahead of the next regular heartbeat.
 const (
 	// minGainInZone applies within a zone, where traffic is free. It is a quarter of the time after
-	// which a daemon polls the source again (configsource.LeadPart of platform.apply_bound).
+	// which a daemon polls the source again (configsource.ActivePollFraction of platform.apply_bound).
 	minGainInZone = 100 * time.Millisecond
 	// minGainInRegion applies between the zones of a region, where traffic is billed. It is two
 	// regular heartbeat intervals: within that time one of a zone's links to other zones usually
--- a/internal/distribution/fleet/timing_test.go
+++ b/internal/distribution/fleet/timing_test.go
@@ -35,7 +35,7 @@
 		{"instances of a lost daemon are kept until its link is replaced", lostLinkReplaceTimeout, endpointTTL},
 		{"withdrawn instances are remembered for longer than unreachable ones", endpointTTL, withdrawnTTL},
 		{"a corrected directory entry is read before a displaced daemon is dialed again", directoryInterval + directoryInterval/jitterDivisor, displacedRetryInterval},
-		{"other daemons have answered before this daemon polls the source", maxZoneWait + answerTimeout, fractionOfBound(configsource.EarliestPart)},
+		{"other daemons have answered before this daemon polls the source", maxZoneWait + answerTimeout, fractionOfBound(configsource.StandbyPollMinFraction)},
 		{"the own zone has a version before another zone is asked a second time", answerTimeout, maxZoneWait},
 		{"traffic costs more between regions than between zones", minGainInRegion, minGainAcrossRegions},
 		{"the wait between calls of a failing directory grows", directoryRetryMin, directoryRetryMax},
@@ -50,7 +50,7 @@
 // The minimum gains of early heartbeats are multiples of the intervals that they stand for.
 func TestGainsFollowTheIntervals(t *testing.T) {
 	bound := float64(settings.DefaultDaemon().Platform.ApplyBound.Get())
-	assert.Equal(t, 4*minGainInZone, time.Duration(configsource.LeadPart*bound))
+	assert.Equal(t, 4*minGainInZone, time.Duration(configsource.ActivePollFraction*bound))
 	assert.Equal(t, minGainInRegion, 2*heartbeatInterval)
 	assert.Equal(t, minGainAcrossRegions, 4*heartbeatInterval)
 }
