--- a/internal/distribution/objectapi/client.go
+++ b/internal/distribution/objectapi/client.go
@@ -21,9 +21,9 @@
 	// RequestTimeout limits a request that is not a watch, and the opening of a watch. It must be
 	// shorter than the lease of a reader.
 	RequestTimeout = 5 * time.Second
-	// WatchSilence is the time without an event or bookmark after which a watch is closed as
+	// WatchIdleTimeout is the time without an event or bookmark after which a watch is closed as
 	// broken. The platform sends a bookmark every second, so that ten in a row are missing.
-	WatchSilence = 10 * time.Second
+	WatchIdleTimeout = 10 * time.Second
 	// maxResponseBytes limits the size of a response; a starting reader loads about 1 MB at 950
 	// services.
 	maxResponseBytes = 64 << 20
--- a/internal/distribution/objectapi/watch.go
+++ b/internal/distribution/objectapi/watch.go
@@ -40,7 +40,7 @@
 }
 
 func (w *clientWatch) Next() (Event, error) {
-	idleTimer := time.AfterFunc(WatchSilence, w.cancel)
+	idleTimer := time.AfterFunc(WatchIdleTimeout, w.cancel)
 	defer idleTimer.Stop()
 	before := w.decoder.InputOffset()
 	var event Event
--- a/internal/distribution/tree/times_test.go
+++ b/internal/distribution/tree/times_test.go
@@ -36,7 +36,7 @@
 			{"a greeting that hangs is detected later than a silent link", greetingTimeout, profile.LinkSilence.Get() + 1},
 			{"a daemon without a parent checks its candidates less often than it may query the object API", candidatePollInterval, profile.JoinBackoffMin.Get() + 1},
 			{"a vacant seat in a zone with one reader is offered too late", offerInterval, lease},
-			{"a single late bookmark ends the watch", 2 * time.Second, objectapi.WatchSilence},
+			{"a single late bookmark ends the watch", 2 * time.Second, objectapi.WatchIdleTimeout},
 		}
 		for _, relation := range relations {
 			assert.Check(t, relation.small < relation.large, "profile %s: %s (%s, %s)", name, relation.breaks, relation.small, relation.large)
