--- a/internal/daemon/settings/daemon.go
+++ b/internal/daemon/settings/daemon.go
@@ -362,11 +362,11 @@
 	check.positive("distribution.catch_up_burst_bytes", float64(tunables.CatchUpBurstBytes))
 	check.positive("distribution.machines_interval", float64(tunables.MachinesInterval))
 	check.positive("distribution.join_backoff_min", float64(tunables.JoinBackoffMin))
-	check.positive("distribution.first_source_ask", float64(tunables.FirstSourceAsk))
-	if tunables.LinkSilence < 2*tunables.HeartbeatInterval {
+	check.positive("distribution.first_source_ask", float64(tunables.FirstSourceQueryMaxDelay))
+	if tunables.LinkIdleTimeout < 2*tunables.HeartbeatInterval {
 		check.faults.Add(result.SettingsBadNumber, "distribution.link_silence must be at least twice heartbeat_interval")
 	}
-	if tunables.StatusInterval > tunables.LinkSilence/2 {
+	if tunables.StatusInterval > tunables.LinkIdleTimeout/2 {
 		check.faults.Add(result.SettingsBadNumber, "distribution.status_interval must be at most half of link_silence")
 	}
 	if tunables.DebounceQuiet < 0 || tunables.DebounceMax < tunables.DebounceQuiet {
--- a/internal/distribution/tree/cluster_test.go
+++ b/internal/distribution/tree/cluster_test.go
@@ -84,7 +84,7 @@
 	assert.NilError(t, err)
 	tuned := tunables.Convergence()
 	tuned.Fanout = 3
-	tuned.FirstSourceAsk = tunables.Duration(100 * time.Millisecond)
+	tuned.FirstSourceQueryMaxDelay = tunables.Duration(100 * time.Millisecond)
 	tuned.SeatLease = tunables.Duration(2 * time.Second)
 	tuned.StatusInterval = tunables.Duration(200 * time.Millisecond)
 	c := &cluster{
--- a/internal/distribution/tree/link.go
+++ b/internal/distribution/tree/link.go
@@ -76,7 +76,7 @@
 }
 
 // exchange sends and receives on conn until ctx or the link ends, and returns the reason. A peer
-// that is silent for LinkSilence is considered lost. The caller closes conn afterwards.
+// that is silent for LinkIdleTimeout is considered lost. The caller closes conn afterwards.
 func (n *Node) exchange(ctx context.Context, link peerLink, conn *wire.Conn, protocol linkProtocol) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -89,7 +89,7 @@
 			failed <- err
 		}
 	}()
-	err := receiveFrames(conn, n.config.Tunables.LinkSilence.Get(), protocol.handle)
+	err := receiveFrames(conn, n.config.Tunables.LinkIdleTimeout.Get(), protocol.handle)
 	select {
 	case sending := <-failed:
 		return sending
--- a/internal/distribution/tree/link_test.go
+++ b/internal/distribution/tree/link_test.go
@@ -49,7 +49,7 @@
 		}()
 		lasted, err := exchangeUntilEnd(own, link, func(sendEvent) outgoing { return outgoing{} })
 		assert.Assert(t, result.Is(err, result.ProtocolTimeout), "%v", err)
-		assert.Equal(t, lasted, 2*time.Second+tunables.Convergence().LinkSilence.Get())
+		assert.Equal(t, lasted, 2*time.Second+tunables.Convergence().LinkIdleTimeout.Get())
 		closeConn(own)
 		closeConn(peer)
 	})
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -133,7 +133,7 @@
 }
 
 // housekeepInterval is the time between two checks of conditions that only depend on time. Shorter
-// intervals used 5% of the processor time of 1000 daemons in one process. It adds to GoneAfter and
+// intervals used 5% of the processor time of 1000 daemons in one process. It adds to GoneRetention and
 // InterestShrinkDelay and must stay well below both.
 const housekeepInterval = 5 * time.Second
 
@@ -146,7 +146,7 @@
 			return
 		case now := <-ticker.C:
 			n.mutex.Lock()
-			n.registry.Expire(now.Add(-n.config.Tunables.GoneAfter.Get()))
+			n.registry.Expire(now.Add(-n.config.Tunables.GoneRetention.Get()))
 			n.shrinkIdleInterest(now)
 			n.mutex.Unlock()
 		}
--- a/internal/distribution/tree/search.go
+++ b/internal/distribution/tree/search.go
@@ -33,7 +33,7 @@
 func (s *search) reset() {
 	tunables := s.node.config.Tunables
 	s.backoff = membership.NewSourceBackoff(
-		tunables.FirstSourceAsk.Get(), tunables.JoinBackoffMin.Get(), tunables.JoinBackoffMax.Get(),
+		tunables.FirstSourceQueryMaxDelay.Get(), tunables.JoinBackoffMin.Get(), tunables.JoinBackoffMax.Get(),
 		boottime.Now(), rand.Float64(),
 	)
 }
--- a/internal/distribution/tunables/distribution.go
+++ b/internal/distribution/tunables/distribution.go
@@ -41,9 +41,9 @@
 	// HeartbeatInterval is the time without other frames after which a link sends a heartbeat. It
 	// is longer in the profile that reduces control bytes.
 	HeartbeatInterval Duration `json:"heartbeat_interval"`
-	// LinkSilence is the time without any frame after which a link is closed as lost. It is three
+	// LinkIdleTimeout is the time without any frame after which a link is closed as lost. It is three
 	// heartbeat intervals, so that one delayed frame does not close the link.
-	LinkSilence Duration `json:"link_silence"`
+	LinkIdleTimeout Duration `json:"link_silence"`
 	// DetachedGrace is the time for which a child keeps a parent that lost its path to a reader.
 	// After the loss of a reader, all of 400 daemons had the next change within 0.1 s, so the
 	// parent has usually found another path by then.
@@ -51,9 +51,9 @@
 	// SuspectAfter is the time for which a lost daemon's endpoints stay ready. It must be longer
 	// than the time in which a daemon that lost its parent joins another one.
 	SuspectAfter Duration `json:"suspect_after"`
-	// GoneAfter is the time for which suspect and ended endpoints are kept, so that late statements
+	// GoneRetention is the time for which suspect and ended endpoints are kept, so that late statements
 	// about them are recognized.
-	GoneAfter Duration `json:"gone_after"`
+	GoneRetention Duration `json:"gone_after"`
 	// StatusInterval is the minimum time between two status reports of a daemon. The report of a
 	// whole site is delayed by one interval per level.
 	StatusInterval Duration `json:"status_interval"`
@@ -70,11 +70,11 @@
 	// by a daemon without a parent.
 	JoinBackoffMin Duration `json:"join_backoff_min"`
 	JoinBackoffMax Duration `json:"join_backoff_max"`
-	// FirstSourceAsk is the maximum random delay before a daemon without a parent queries the
+	// FirstSourceQueryMaxDelay is the maximum random delay before a daemon without a parent queries the
 	// object API for the readers. 3 s instead of 1 s halved the queries of a cold start of 19,000
 	// simulated daemons (5,436 instead of 10,150), but delayed zones that lost both readers, so it
 	// is 1 s.
-	FirstSourceAsk Duration `json:"first_source_ask"`
+	FirstSourceQueryMaxDelay Duration `json:"first_source_ask"`
 	// InterestShrinkDelay is the time for which a daemon keeps services that no child needs
 	// anymore. It must be longer than the time in which a restarted child is back.
 	InterestShrinkDelay Duration `json:"interest_shrink_delay"`
@@ -86,27 +86,27 @@
 // Convergence returns the profile for sites that prioritize convergence time.
 func Convergence() Distribution {
 	return Distribution{
-		Fanout:                24,
-		MaxDepth:              6,
-		SeatsPerZone:          2,
-		SeatLease:             Duration(6 * time.Second),
-		DebounceQuiet:         Duration(5 * time.Millisecond),
-		DebounceMax:           Duration(50 * time.Millisecond),
-		EndpointDebounce:      Duration(20 * time.Millisecond),
-		HeartbeatInterval:     Duration(time.Second),
-		LinkSilence:           Duration(3 * time.Second),
-		DetachedGrace:         Duration(1500 * time.Millisecond),
-		SuspectAfter:          Duration(1500 * time.Millisecond),
-		GoneAfter:             Duration(60 * time.Second),
-		StatusInterval:        Duration(time.Second),
-		JoinsPerSecond:        50,
-		CatchUpBytesPerSecond: 64 << 10,
-		CatchUpBurstBytes:     512 << 10,
-		JoinBackoffMin:        Duration(50 * time.Millisecond),
-		JoinBackoffMax:        Duration(2 * time.Second),
-		FirstSourceAsk:        Duration(time.Second),
-		InterestShrinkDelay:   Duration(30 * time.Second),
-		MachinesInterval:      Duration(time.Second),
+		Fanout:                   24,
+		MaxDepth:                 6,
+		SeatsPerZone:             2,
+		SeatLease:                Duration(6 * time.Second),
+		DebounceQuiet:            Duration(5 * time.Millisecond),
+		DebounceMax:              Duration(50 * time.Millisecond),
+		EndpointDebounce:         Duration(20 * time.Millisecond),
+		HeartbeatInterval:        Duration(time.Second),
+		LinkIdleTimeout:          Duration(3 * time.Second),
+		DetachedGrace:            Duration(1500 * time.Millisecond),
+		SuspectAfter:             Duration(1500 * time.Millisecond),
+		GoneRetention:            Duration(60 * time.Second),
+		StatusInterval:           Duration(time.Second),
+		JoinsPerSecond:           50,
+		CatchUpBytesPerSecond:    64 << 10,
+		CatchUpBurstBytes:        512 << 10,
+		JoinBackoffMin:           Duration(50 * time.Millisecond),
+		JoinBackoffMax:           Duration(2 * time.Second),
+		FirstSourceQueryMaxDelay: Duration(time.Second),
+		InterestShrinkDelay:      Duration(30 * time.Second),
+		MachinesInterval:         Duration(time.Second),
 	}
 }
 
@@ -118,7 +118,7 @@
 	distribution.DebounceMax = Duration(1500 * time.Millisecond)
 	distribution.EndpointDebounce = Duration(200 * time.Millisecond)
 	distribution.HeartbeatInterval = Duration(2 * time.Second)
-	distribution.LinkSilence = Duration(6 * time.Second)
+	distribution.LinkIdleTimeout = Duration(6 * time.Second)
 	distribution.StatusInterval = Duration(3 * time.Second)
 	return distribution
 }
--- a/internal/distribution/tunables/relations_test.go
+++ b/internal/distribution/tunables/relations_test.go
@@ -22,7 +22,7 @@
 func TestTimesOfAProfileFitTogether(t *testing.T) {
 	profiles := map[string]tunables.Distribution{"convergence": tunables.Convergence(), "bytes": tunables.Bytes()}
 	for name, profile := range profiles {
-		silence := profile.LinkSilence.Get()
+		silence := profile.LinkIdleTimeout.Get()
 		lease := profile.SeatLease.Get()
 		// The maximum number of hops of an endpoint change: up a tree, to another reader, down a
 		// tree.
@@ -39,12 +39,12 @@
 			{"a child closes the link to a detached parent as silent before the grace period ends", profile.DetachedGrace.Get(), silence},
 			{"a child of a zone without readers still waits for its parent when a seat is vacant", profile.DetachedGrace.Get(), lease},
 			{"a lost link to a reader is detected only after its seat became vacant", silence, lease + 1},
-			{"a daemon without a parent sends its first query only after a seat became vacant", profile.FirstSourceAsk.Get(), lease},
+			{"a daemon without a parent sends its first query only after a seat became vacant", profile.FirstSourceQueryMaxDelay.Get(), lease},
 			{"a daemon without a parent detects a vacant seat too late", profile.JoinBackoffMax.Get() * 3 / 2, lease},
 			{"the backoff between queries decreases", profile.JoinBackoffMin.Get(), profile.JoinBackoffMax.Get()},
-			{"endpoints are deleted before they are suspect", profile.SuspectAfter.Get(), profile.GoneAfter.Get()},
+			{"endpoints are deleted before they are suspect", profile.SuspectAfter.Get(), profile.GoneRetention.Get()},
 			{"the endpoints of a silent daemon are deleted before its parent suspects them",
-				silence + profile.SuspectAfter.Get(), profile.GoneAfter.Get()},
+				silence + profile.SuspectAfter.Get(), profile.GoneRetention.Get()},
 			{"a child that lost its link is suspect before its second query to the object API, at most 1.5 times the doubled minimum later",
 				profile.JoinBackoffMin.Get() * 3, profile.SuspectAfter.Get()},
 			{"a restarted child makes its parent drop services and request a full update",
@@ -54,7 +54,7 @@
 				profile.MachinesInterval.Get()*11/10 + time.Duration(profile.MaxDepth+1)*profile.EndpointDebounce.Get(), drainBound},
 			{"endpoint changes are collected for longer than a lost daemon stays ready", hops * profile.EndpointDebounce.Get(), silence},
 			{"a daemon whose parent became silent finds another one too late for a change made at that time",
-				silence + profile.FirstSourceAsk.Get(), applyBound},
+				silence + profile.FirstSourceQueryMaxDelay.Get(), applyBound},
 		}
 		for _, relation := range relations {
 			assert.Check(t, relation.small < relation.large, "profile %s: %s (%s, %s)", name, relation.breaks, relation.small, relation.large)
@@ -66,7 +66,7 @@
 // lost heartbeats.
 func TestLinkIsLostAfterTheSameNumberOfHeartbeats(t *testing.T) {
 	for _, profile := range []tunables.Distribution{tunables.Convergence(), tunables.Bytes()} {
-		assert.Equal(t, profile.LinkSilence.Get(), 3*profile.HeartbeatInterval.Get())
+		assert.Equal(t, profile.LinkIdleTimeout.Get(), 3*profile.HeartbeatInterval.Get())
 	}
 }
 
