--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -79,7 +79,7 @@
 	gauge(registry, "lapisvane_floor_known", "1 once the daemon knows which version it may apply.",
 		func() float64 { return boolValue(node.Info().FloorKnown) })
 	gauge(registry, "lapisvane_tree_rooted", "1 while there is a way to a reader.",
-		func() float64 { return boolValue(node.Info().Rooted) })
+		func() float64 { return boolValue(node.Info().HasReaderPath) })
 	gauge(registry, "lapisvane_tree_children", "Children in the distribution tree.",
 		func() float64 { return float64(node.Info().Children) })
 	gauge(registry, "lapisvane_tree_depth", "Levels from the reader, 1 for a reader.",
--- a/internal/distribution/tree/config.go
+++ b/internal/distribution/tree/config.go
@@ -80,9 +80,9 @@
 	// InForce is the revision last passed to the observer, 0 before the floor is known.
 	InForce    uint64
 	FloorKnown bool
-	// Rooted is true while there is a path to a reader.
-	Rooted   bool
-	Children int
+	// HasReaderPath is true while there is a path to a reader.
+	HasReaderPath bool
+	Children      int
 	// Depth is the number of nodes on the path from the reader, itself included: 1 for a reader and
 	// 0 without a path.
 	Depth     int
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -183,7 +183,7 @@
 	info := Info{
 		Node: n.config.Node, Zone: n.config.Zone, Role: n.role(),
 		Revision: n.holdings.Revision(), InForce: n.inForce, FloorKnown: n.floorKnown,
-		Rooted: len(n.path) > 0, Children: len(n.children), Depth: len(n.path),
+		HasReaderPath: len(n.path) > 0, Children: len(n.children), Depth: len(n.path),
 		Endpoints: n.registry.Len(),
 		Joins:     n.counts.joins, Resyncs: n.counts.resyncs,
 		JoinsServed: n.counts.joinsServed, JoinsRefused: n.counts.joinsRefused,
