--- a/internal/distribution/membership/bounds_test.go
+++ b/internal/distribution/membership/bounds_test.go
@@ -19,6 +19,6 @@
 		assert.Assert(t, detachedBeforeRemote > seats, "simultaneous restarts of the readers of a zone send its daemons to other zones")
 		assert.Assert(t, initialSeatWindow > seats, "one dead machine keeps a seat of the zone vacant for a round")
 		assert.Assert(t, maxCandidates > 2*MaxReferrals+seats+maxForeignReaders, "a welcome names more daemons than are remembered")
-		assert.Assert(t, profile.Fanout <= ForeignExtra, "the readers of one zone have no room for the children of another zone that lost its readers")
+		assert.Assert(t, profile.Fanout <= MaxExtraRemoteChildren, "the readers of one zone have no room for the children of another zone that lost its readers")
 	}
 }
--- a/internal/distribution/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -144,11 +144,11 @@
 	if result.Code(refusal.GetCode()) == result.DistributionDetached {
 		c.Detached()
 	}
-	c.Postponed(address, time.Duration(refusal.GetRetryAfterMillis())*time.Millisecond, now)
+	c.RetryAfter(address, time.Duration(refusal.GetRetryAfterMillis())*time.Millisecond, now)
 }
 
-// Postponed records that address is alive but must not be tried again before wait has passed.
-func (c *Candidates) Postponed(address string, wait time.Duration, now time.Time) {
+// RetryAfter records that address is alive but must not be tried again before wait has passed.
+func (c *Candidates) RetryAfter(address string, wait time.Duration, now time.Time) {
 	c.refusals++
 	if entry, ok := c.byAddress[address]; ok {
 		entry.avoidedUntil = now.Add(wait)
--- a/internal/distribution/membership/candidates_test.go
+++ b/internal/distribution/membership/candidates_test.go
@@ -27,7 +27,7 @@
 	choice, ok := candidates.Next(now)
 	assert.Assert(t, ok)
 	assert.Equal(t, choice.Address, "local")
-	candidates.Postponed("local", time.Second, now)
+	candidates.RetryAfter("local", time.Second, now)
 	_, ok = candidates.Next(now)
 	assert.Assert(t, !ok, "another zone is tried after a single refusal")
 	for range 3 {
@@ -99,7 +99,7 @@
 		}
 		attempts++
 		candidates.Redirect([]*lapisv1.PeerAddress{{Address: peerOf[choice.Address], Zone: "z1"}}, at)
-		candidates.Postponed(choice.Address, 300*time.Millisecond, at)
+		candidates.RetryAfter(choice.Address, 300*time.Millisecond, at)
 	}
 	assert.Assert(t, attempts <= 8, "%d attempts", attempts)
 }
--- a/internal/distribution/membership/join.go
+++ b/internal/distribution/membership/join.go
@@ -21,8 +21,8 @@
 	JoinLoop
 	// JoinTooDeep refuses because the tree would exceed its maximum depth.
 	JoinTooDeep
-	// JoinForeign refuses a child of another zone, which only readers with room accept.
-	JoinForeign
+	// JoinOtherZone refuses a child of another zone, which only readers with room accept.
+	JoinOtherZone
 	// JoinReadersFirst refuses a child that should ask the zone's readers first.
 	JoinReadersFirst
 	// JoinFull refuses because the parent has reached its maximum number of children.
@@ -33,12 +33,12 @@
 )
 
 const (
-	// ForeignExtra is the number of children of other zones that a reader accepts beyond its
+	// MaxExtraRemoteChildren is the number of children of other zones that a reader accepts beyond its
 	// fan-out. A zone that lost both readers had up to 48 daemons directly below them, while the
 	// six other readers of four zones had room for 8 each. With this value, and a first query of
 	// the object API after 1 s instead of 3 s, two restarts of 30% of 400 daemons took 622 and 1138
 	// ms instead of 4312 and 3124 ms (all daemons on one machine of 8 cores).
-	ForeignExtra = 24
+	MaxExtraRemoteChildren = 24
 	// maxRefusalsBeforeAccept is the number of refusals after which a parent accepts a child that
 	// was not redirected to it, because the readers are probably unreachable for that child. It
 	// must be larger than the number of readers of a zone (2), so that each of them is asked first.
@@ -83,7 +83,7 @@
 //  1. A parent that is stopping or has no path to a reader has nothing to pass on.
 //  2. A joiner on the parent's path would close a loop.
 //  3. The depth is bounded, because each level adds to the convergence time.
-//  4. A joiner of another zone is accepted by readers only, up to ForeignExtra beyond the fan-out,
+//  4. A joiner of another zone is accepted by readers only, up to MaxExtraRemoteChildren beyond the fan-out,
 //     so that a change crosses zones once.
 //  5. A joiner of the own zone asks the readers first, so that the tree fills from the top. After a
 //     restart of many daemons this reduced 9 levels to 6, and the p99 of the convergence time from
@@ -100,9 +100,9 @@
 	case len(parent.Path)+joiner.Depth > parent.MaxDepth:
 		return JoinTooDeep
 	case !local && !parent.Reader:
-		return JoinForeign
-	case !local && !joiner.Known && parent.Children >= parent.Fanout+ForeignExtra:
-		return JoinForeign
+		return JoinOtherZone
+	case !local && !joiner.Known && parent.Children >= parent.Fanout+MaxExtraRemoteChildren:
+		return JoinOtherZone
 	case local && shouldAskReadersFirst(parent, joiner):
 		return JoinReadersFirst
 	case local && !joiner.Known && parent.Children >= parent.Fanout:
@@ -164,8 +164,8 @@
 
 // Possible referrals.
 const (
-	// ReferToNobody names no daemon.
-	ReferToNobody Referral = iota
+	// ReferToNone names no daemon.
+	ReferToNone Referral = iota
 	// ReferToZoneReaders names the readers of the refusing daemon's zone.
 	ReferToZoneReaders
 	// ReferToReaders names the readers of that zone and some of other zones.
@@ -199,7 +199,7 @@
 	case JoinTooDeep:
 		refusal.Code, refusal.Reason = result.DistributionTooDeep, "the tree would be too deep"
 		refusal.Referral = ReferToZoneReaders
-	case JoinForeign:
+	case JoinOtherZone:
 		refusal.Reason, refusal.Referral = "a node of another zone goes to a reader", ReferToReaders
 	case JoinReadersFirst:
 		refusal.Reason, refusal.Referral = "ask the readers first", ReferToZoneReaders
--- a/internal/distribution/membership/join_test.go
+++ b/internal/distribution/membership/join_test.go
@@ -38,9 +38,9 @@
 		{"too deep", relay, membership.Joiner{Node: "c", Zone: "z", Depth: 3, Redirected: true}, membership.JoinTooDeep},
 		{"full", with(relay, func(p *membership.Parent) { p.Children = 2 }), child, membership.JoinFull},
 		{"full, child reconnects", with(relay, func(p *membership.Parent) { p.Children = 2 }), membership.Joiner{Node: "c", Zone: "z", Known: true}, membership.JoinAccepted},
-		{"other zone, not a reader", relay, membership.Joiner{Node: "c", Zone: "y", Redirected: true}, membership.JoinForeign},
+		{"other zone, not a reader", relay, membership.Joiner{Node: "c", Zone: "y", Redirected: true}, membership.JoinOtherZone},
 		{"other zone, reader beyond its fan-out", with(reader, func(p *membership.Parent) { p.Children = 5 }), membership.Joiner{Node: "c", Zone: "y"}, membership.JoinAccepted},
-		{"other zone, reader beyond ForeignExtra", with(reader, func(p *membership.Parent) { p.Children = 2 + membership.ForeignExtra }), membership.Joiner{Node: "c", Zone: "y"}, membership.JoinForeign},
+		{"other zone, reader beyond ForeignExtra", with(reader, func(p *membership.Parent) { p.Children = 2 + membership.MaxExtraRemoteChildren }), membership.Joiner{Node: "c", Zone: "y"}, membership.JoinOtherZone},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -81,10 +81,10 @@
 		minRetryAfter time.Duration
 		maxRetryAfter time.Duration
 	}{
-		{membership.JoinDetached, result.DistributionDetached, membership.ReferToNobody, 500 * time.Millisecond, 500 * time.Millisecond},
-		{membership.JoinLoop, result.DistributionLoop, membership.ReferToNobody, 300 * time.Millisecond, 600 * time.Millisecond},
+		{membership.JoinDetached, result.DistributionDetached, membership.ReferToNone, 500 * time.Millisecond, 500 * time.Millisecond},
+		{membership.JoinLoop, result.DistributionLoop, membership.ReferToNone, 300 * time.Millisecond, 600 * time.Millisecond},
 		{membership.JoinTooDeep, result.DistributionTooDeep, membership.ReferToZoneReaders, 300 * time.Millisecond, 600 * time.Millisecond},
-		{membership.JoinForeign, result.DistributionParentFull, membership.ReferToReaders, 300 * time.Millisecond, 600 * time.Millisecond},
+		{membership.JoinOtherZone, result.DistributionParentFull, membership.ReferToReaders, 300 * time.Millisecond, 600 * time.Millisecond},
 		{membership.JoinReadersFirst, result.DistributionParentFull, membership.ReferToZoneReaders, 300 * time.Millisecond, 600 * time.Millisecond},
 		{membership.JoinFull, result.DistributionParentFull, membership.ReferToChildren, 300 * time.Millisecond, 600 * time.Millisecond},
 		{membership.JoinTooFast, result.DistributionParentFull, membership.ReferToChildren, 300 * time.Millisecond, 600 * time.Millisecond},
--- a/internal/distribution/membership/readers.go
+++ b/internal/distribution/membership/readers.go
@@ -66,10 +66,10 @@
 	return cmp.Or(-cmp.Compare(a.Expected, b.Expected), cmp.Compare(a.Node, b.Node)) < 0
 }
 
-// ReadersToName returns the readers that a daemon of the given zone and region names to its
+// SelectReaders returns the readers that a daemon of the given zone and region names to its
 // children: all readers of its zone, then at most maxForeignReaders of other zones, those of its
 // region first. shuffle spreads the load over the foreign readers.
-func ReadersToName(readers []*lapisv1.PeerAddress, zone, region string, shuffle func(n int, swap func(i, j int))) []*lapisv1.PeerAddress {
+func SelectReaders(readers []*lapisv1.PeerAddress, zone, region string, shuffle func(n int, swap func(i, j int))) []*lapisv1.PeerAddress {
 	var own, near, far []*lapisv1.PeerAddress
 	for _, reader := range readers {
 		switch {
--- a/internal/distribution/membership/readers_test.go
+++ b/internal/distribution/membership/readers_test.go
@@ -47,7 +47,7 @@
 				own++
 			}
 		}
-		named := membership.ReadersToName(readers, "z1", "r1", rand.Shuffle)
+		named := membership.SelectReaders(readers, "z1", "r1", rand.Shuffle)
 		assert.Equal(rt, len(named), own+min(len(readers)-own, 4), "want all of the zone and at most four others")
 		previous := 0
 		for index, reader := range named {
--- a/internal/distribution/tree/parent_frames.go
+++ b/internal/distribution/tree/parent_frames.go
@@ -105,7 +105,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.parent == link && link.stateMachine.MustState() == linkStranded {
-		n.candidates.Postponed(link.address, n.config.Tunables.DetachedGrace.Get(), boottime.Now())
+		n.candidates.RetryAfter(link.address, n.config.Tunables.DetachedGrace.Get(), boottime.Now())
 		link.close()
 	}
 }
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -90,7 +90,7 @@
 	for _, holder := range n.seats.Holders(seat.Prefix, boottime.Now()) {
 		readers = append(readers, holder.Peer)
 	}
-	return membership.ReadersToName(readers, n.config.Zone, n.config.Region, rand.Shuffle)
+	return membership.SelectReaders(readers, n.config.Zone, n.config.Region, rand.Shuffle)
 }
 
 // zoneReaders returns the known readers of the own zone in random order; the caller holds mutex.
