--- a/internal/distribution/seat/lease.go
+++ b/internal/distribution/seat/lease.go
@@ -114,8 +114,8 @@
 	l.version = version
 }
 
-// Taken records that another daemon holds the seat.
-func (l *Lease) Taken() { l.fire(triggerTaken) }
+// Lost records that another daemon holds the seat.
+func (l *Lease) Lost() { l.fire(triggerTaken) }
 
 // Released records that this daemon released the seat.
 func (l *Lease) Released() { l.fire(triggerReleased) }
--- a/internal/distribution/seat/seat_test.go
+++ b/internal/distribution/seat/seat_test.go
@@ -37,11 +37,11 @@
 		{"taken over while suspended", func(l *seat.Lease) {
 			l.Acquired(start, 1)
 			_ = l.State(start.Add(time.Minute))
-			l.Taken()
+			l.Lost()
 		}, time.Minute, seat.StateLost, false},
 		{"a late renewal does not revive a lost seat", func(l *seat.Lease) {
 			l.Acquired(start, 1)
-			l.Taken()
+			l.Lost()
 			l.Renewed(start.Add(time.Second), 2)
 		}, time.Second, seat.StateLost, false},
 		{"released", func(l *seat.Lease) { l.Acquired(start, 1); l.Released() }, time.Second, seat.StateIdle, false},
@@ -76,8 +76,8 @@
 	assert.NilError(t, table.Observe(object(key, "a", 6), start.Add(leaseDuration)))
 	assert.Equal(t, vacant(leaseDuration+1), 0)
 	assert.NilError(t, table.Observe(object(key, "b", 4), start.Add(leaseDuration)))
-	assert.Equal(t, table.KnownHolders(key)[0].Peer.GetNode(), "a", "an older version is not ignored")
-	table.Resume(start.Add(time.Hour))
+	assert.Equal(t, table.LastKnownHolders(key)[0].Peer.GetNode(), "a", "an older version is not ignored")
+	table.RestartLeases(start.Add(time.Hour))
 	assert.Equal(t, vacant(time.Hour+leaseDuration), 0, "a seat not renewed during an outage counts as vacant")
 	assert.Equal(t, len(table.Vacancies("z", "a", 1, start.Add(time.Hour))), 1, "a restarted holder may not take its own seat")
 	assert.NilError(t, table.Observe(object(key, "", 9), start.Add(time.Hour)))
--- a/internal/distribution/seat/table.go
+++ b/internal/distribution/seat/table.go
@@ -114,16 +114,16 @@
 	return holders
 }
 
-// KnownHolders returns the last known holders of all seats whose key has prefix, including those
+// LastKnownHolders returns the last known holders of all seats whose key has prefix, including those
 // with expired leases. It is used while the object API cannot be read, when no holder can renew.
-func (t *Table) KnownHolders(prefix string) []Holder {
+func (t *Table) LastKnownHolders(prefix string) []Holder {
 	return t.holders(prefix, func(entry observedSeat) bool { return entry.lease.GetHolder() != "" })
 }
 
-// Resume restarts all leases at now. The observer calls it when it can read the object API again:
-// renewals may have been impossible during the outage, so missing ones do not show that a holder is
-// gone.
-func (t *Table) Resume(now time.Time) {
+// RestartLeases restarts all leases at now. The observer calls it when it can read the object API
+// again: renewals may have been impossible during the outage, so missing ones do not show that a
+// holder is gone.
+func (t *Table) RestartLeases(now time.Time) {
 	for key, entry := range t.seats {
 		entry.firstSeenAt = now
 		t.seats[key] = entry
--- a/internal/distribution/tree/floors.go
+++ b/internal/distribution/tree/floors.go
@@ -127,6 +127,6 @@
 			view.PeerHeads = append(view.PeerHeads, link.peerHeadRevision)
 		}
 	}
-	view.KnownReaders = max(len(n.seats.KnownHolders(seat.Prefix)), 1)
+	view.KnownReaders = max(len(n.seats.LastKnownHolders(seat.Prefix)), 1)
 	return view
 }
--- a/internal/distribution/tree/reader_lease.go
+++ b/internal/distribution/tree/reader_lease.go
@@ -105,7 +105,7 @@
 		r.node.lease.Renewed(sentAt, renewed)
 		return nil
 	case seatLost(err):
-		r.node.lease.Taken()
+		r.node.lease.Lost()
 		return err
 	default:
 		// The object API may be down. The lease becomes suspended when it lapses.
--- a/internal/distribution/tree/reader_mesh.go
+++ b/internal/distribution/tree/reader_mesh.go
@@ -64,7 +64,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := boottime.Now()
-	holders := n.seats.KnownHolders(seat.Prefix)
+	holders := n.seats.LastKnownHolders(seat.Prefix)
 	if n.storeReachable {
 		holders = n.seats.Holders(seat.Prefix, now)
 	}
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -29,7 +29,7 @@
 func (n *Node) markStoreReachable(now time.Time) {
 	if !n.storeReachable {
 		n.storeReachable = true
-		n.seats.Resume(now)
+		n.seats.RestartLeases(now)
 	}
 }
 
