--- a/internal/distribution/endpoint/refute_test.go
+++ b/internal/distribution/endpoint/refute_test.go
@@ -38,7 +38,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			statement := &lapisv1.Endpoint{Service: "s", Instance: test.instance, Node: test.node, Incarnation: test.incarnation, State: test.state}
 			local := []*lapisv1.Endpoint{{Service: "s", Instance: "i", State: test.own}}
-			assert.Equal(t, endpoint.MustRefute(statement, "here", 5, local), test.refute)
+			assert.Equal(t, endpoint.ShouldRefute(statement, "here", 5, local), test.refute)
 		})
 	}
 }
--- a/internal/distribution/endpoint/registry.go
+++ b/internal/distribution/endpoint/registry.go
@@ -167,9 +167,9 @@
 	return endpoints
 }
 
-// BelowSince returns the endpoints of this daemon's subtree that changed after change: those that
+// SubtreeSince returns the endpoints of this daemon's subtree that changed after change: those that
 // came through children, were changed by this daemon, or belong to self.
-func (r *Registry) BelowSince(self string, change uint64) []*lapisv1.Endpoint {
+func (r *Registry) SubtreeSince(self string, change uint64) []*lapisv1.Endpoint {
 	if r.change <= change {
 		return nil
 	}
@@ -268,7 +268,7 @@
 	}
 }
 
-// MustRefute reports whether a received statement about an instance on this machine is wrong, so
+// ShouldRefute reports whether a received statement about an instance on this machine is wrong, so
 // that this daemon must announce its own instances again. node and incarnation are this daemon's;
 // local holds its instances with the states that it announces. The rules are:
 //
@@ -277,7 +277,7 @@
 //     that ends.
 //  3. A statement that a running instance is suspect or gone is refuted. A drain is not, because it
 //     may come from a reader that knows that the machine is leaving.
-func MustRefute(statement *lapisv1.Endpoint, node string, incarnation uint64, local []*lapisv1.Endpoint) bool {
+func ShouldRefute(statement *lapisv1.Endpoint, node string, incarnation uint64, local []*lapisv1.Endpoint) bool {
 	if statement.GetNode() != node || statement.GetIncarnation() > incarnation {
 		return false
 	}
--- a/internal/distribution/endpoint/registry_test.go
+++ b/internal/distribution/endpoint/registry_test.go
@@ -46,7 +46,7 @@
 	assert.Assert(t, registry.Suspect(lost[0], 1, 1, now))
 	suspected, _ := registry.Get(lost[0])
 	assert.Equal(t, suspected.GetRegion(), "r1")
-	assert.Equal(t, len(registry.BelowSince("other", 0)), 1, "the suspicion is not sent to the parent")
+	assert.Equal(t, len(registry.SubtreeSince("other", 0)), 1, "the suspicion is not sent to the parent")
 	assert.Assert(t, registry.Merge(statement(1, 2, lapisv1.Endpoint_STATE_READY), "", now))
 	assert.Assert(t, !registry.Suspect(lost[0], 1, 1, now), "a late suspicion of an older statement is applied")
 	current, _ := registry.Get(lost[0])
--- a/internal/distribution/tree/endpoints.go
+++ b/internal/distribution/tree/endpoints.go
@@ -50,7 +50,7 @@
 	now := boottime.Now()
 	refute := false
 	for _, statement := range endpoints {
-		if endpoint.MustRefute(statement, n.config.Node, n.config.Incarnation, n.localEndpoints) {
+		if endpoint.ShouldRefute(statement, n.config.Node, n.config.Incarnation, n.localEndpoints) {
 			refute = true
 			continue
 		}
--- a/internal/distribution/tree/parent_frames.go
+++ b/internal/distribution/tree/parent_frames.go
@@ -168,7 +168,7 @@
 	if n.flushedChange <= *sentChange {
 		return frames
 	}
-	endpoints := n.registry.BelowSince(n.config.Node, *sentChange)
+	endpoints := n.registry.SubtreeSince(n.config.Node, *sentChange)
 	*sentChange = n.flushedChange
 	if len(endpoints) == 0 {
 		return frames
