--- a/internal/daemon/cut_test.go
+++ b/internal/daemon/cut_test.go
@@ -40,7 +40,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		calls := &callmux.Client{
 			Network: nonReadingNetwork{}, Hello: &lapisv1.Hello{Purpose: lapisv1.Hello_PURPOSE_CALLS},
-			Timing: callmux.Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Minute},
+			Timing: callmux.Timing{HeartbeatInterval: time.Hour, SilenceTimeout: time.Hour, WriteTimeout: time.Minute},
 		}
 		defer calls.Close()
 		path := &requestPath{
--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -54,17 +54,18 @@
 	stallPingTimeout   = 400 * time.Millisecond
 )
 
-// platformPeerTiming is the timing of connections between daemons on a platform. Silence is below the
-// contact time (setting platform.contact, 3 s by default), and above two intervals of KeepAlive, so
-// that a connection survives one lost frame. Write is just below Silence: the calls to a frozen daemon
-// are lost by the silence timeout, and not earlier because a write blocks on full buffers.
-var platformPeerTiming = callmux.Timing{KeepAlive: time.Second, Silence: 2500 * time.Millisecond, Write: 2400 * time.Millisecond}
+// platformPeerTiming is the timing of connections between daemons on a platform. SilenceTimeout is
+// below the contact time (setting platform.contact, 3 s by default), and above two intervals of
+// HeartbeatInterval, so that a connection survives one lost frame. WriteTimeout is just below
+// SilenceTimeout: the calls to a frozen daemon are lost by the silence timeout, and not earlier
+// because a write blocks on full buffers.
+var platformPeerTiming = callmux.Timing{HeartbeatInterval: time.Second, SilenceTimeout: 2500 * time.Millisecond, WriteTimeout: 2400 * time.Millisecond}
 
 // platformTiming returns the timing of connections between daemons. Heartbeats carry the revisions in
 // force at this daemon and the time of their last confirmation.
 func platformTiming(values *settings.Daemon, freshness *configsource.Freshness) callmux.Timing {
 	timing := platformPeerTiming
-	timing.Local = func() callmux.Heartbeat { return heartbeatOf(freshness) }
+	timing.LocalState = func() callmux.Heartbeat { return heartbeatOf(freshness) }
 	timing.LinkMegabits = values.LinkMegabits
 	return timing
 }
@@ -146,7 +147,7 @@
 
 // stall returns the configuration of the stall detection.
 func (p *platformDistribution) stall() callmux.Stall {
-	return callmux.Stall{Check: stallCheckInterval, Quiet: stallPingAfter, Answer: stallPingTimeout, Changed: p.fleet.SetStalled}
+	return callmux.Stall{CheckInterval: stallCheckInterval, PingAfter: stallPingAfter, PingTimeout: stallPingTimeout, Changed: p.fleet.SetStalled}
 }
 
 // Run implements distribution.
--- a/internal/daemon/standstill_test.go
+++ b/internal/daemon/standstill_test.go
@@ -69,7 +69,7 @@
 		network := freezingNetwork{freezeTime: 1400 * time.Millisecond, firstRead: make(chan struct{})}
 		timing := platformPeerTiming
 		// No heartbeats: one would block on a mutex, and synctest's clock does not advance meanwhile.
-		timing.KeepAlive = time.Hour
+		timing.HeartbeatInterval = time.Hour
 		calls := &callmux.Client{Network: network, Hello: &lapisv1.Hello{Purpose: lapisv1.Hello_PURPOSE_CALLS}, Timing: timing}
 		defer calls.Close()
 		first := make(chan error, 1)
--- a/internal/daemon/times_test.go
+++ b/internal/daemon/times_test.go
@@ -16,12 +16,12 @@
 		why          string
 		lower, upper time.Duration
 	}{
-		{"a connection survives one lost frame", 2 * platformPeerTiming.KeepAlive, platformPeerTiming.Silence},
-		{"a lost daemon is detected within the contact time", platformPeerTiming.Silence, defaults.Platform.Contact.Get()},
-		{"a blocked write does not outlast the silence timeout", platformPeerTiming.Write, platformPeerTiming.Silence},
-		{"the silence timeout detects a frozen daemon before the write timeout", platformPeerTiming.Silence - platformPeerTiming.KeepAlive, platformPeerTiming.Write},
+		{"a connection survives one lost frame", 2 * platformPeerTiming.HeartbeatInterval, platformPeerTiming.SilenceTimeout},
+		{"a lost daemon is detected within the contact time", platformPeerTiming.SilenceTimeout, defaults.Platform.Contact.Get()},
+		{"a blocked write does not outlast the silence timeout", platformPeerTiming.WriteTimeout, platformPeerTiming.SilenceTimeout},
+		{"the silence timeout detects a frozen daemon before the write timeout", platformPeerTiming.SilenceTimeout - platformPeerTiming.HeartbeatInterval, platformPeerTiming.WriteTimeout},
 		{"the checks are more frequent than the pings", stallCheckInterval, stallPingAfter},
-		{"a daemon is marked as stalled before its connection is closed", stallPingAfter + stallPingTimeout, platformPeerTiming.Silence},
+		{"a daemon is marked as stalled before its connection is closed", stallPingAfter + stallPingTimeout, platformPeerTiming.SilenceTimeout},
 		{"instances stop before callers are refused", instanceDrainTime, callerDrainTime},
 		{"the wait for the last answers spans several polls", inFlightPollInterval, answerDrainTime},
 		{"answers of cut calls get more time than ordinary ones", answerDrainTime, cutAnswerTimeout},
--- a/internal/distribution/fleet/heartbeat.go
+++ b/internal/distribution/fleet/heartbeat.go
@@ -31,11 +31,11 @@
 	defer f.mutex.Unlock()
 	for _, peer := range f.peers {
 		if peer.connected {
-			peer.link.HeartbeatEarly(f.minConfirmationGain(peer.place()))
+			peer.link.RequestHeartbeat(f.minConfirmationGain(peer.place()))
 		}
 	}
 	for inbound := range f.inbound {
-		inbound.link.HeartbeatEarly(f.minConfirmationGain(inbound.place))
+		inbound.link.RequestHeartbeat(f.minConfirmationGain(inbound.place))
 	}
 }
 
--- a/internal/distribution/fleet/link.go
+++ b/internal/distribution/fleet/link.go
@@ -196,8 +196,8 @@
 	f.addFirstRanked(chosen, candidates)
 	f.addAllowanceOwners(chosen)
 	for node, peer := range f.peers {
-		// Active is only called for daemons that are not chosen, where its result matters.
-		idle := !chosen[node] && (!peer.connected || peer.link.Active() == 0)
+		// ActiveCalls is only called for daemons that are not chosen, where its result matters.
+		idle := !chosen[node] && (!peer.connected || peer.link.ActiveCalls() == 0)
 		switch decideLinkAction(chosen[node], peer.stopMaintaining != nil, idle) {
 		case startLink:
 			linkCtx, stop := context.WithCancel(ctx)
--- a/internal/distribution/fleet/scaffold_test.go
+++ b/internal/distribution/fleet/scaffold_test.go
@@ -35,7 +35,7 @@
 // configuration.
 func daemonAt(ctx context.Context, running *sync.WaitGroup, network *memoryNetwork, self Member, directory Directory, adjust ...func(*Config)) *Fleet {
 	incarnation := uint64(len(self.Node)) + uint64(self.Node[0])<<8
-	timing := callmux.Timing{KeepAlive: time.Second, Silence: 2500 * time.Millisecond, Write: time.Second}
+	timing := callmux.Timing{HeartbeatInterval: time.Second, SilenceTimeout: 2500 * time.Millisecond, WriteTimeout: time.Second}
 	calls := &callmux.Client{
 		Network: network, Maintained: true, Timing: timing,
 		Hello: &lapisv1.Hello{
--- a/internal/requestpath/gateway/gateway.go
+++ b/internal/requestpath/gateway/gateway.go
@@ -134,7 +134,7 @@
 		metrics:       newMetrics(config.Registry),
 	}
 	gateway.callerServer = pipeline.New(pipeline.Config{
-		MaxHeaderBytes: maxHeaderBytes, MaxBodyBytes: maxBodyBytes, MaxBufferedBodyBytes: callmux.BufferedBodyBytes,
+		MaxHeaderBytes: maxHeaderBytes, MaxBodyBytes: maxBodyBytes, MaxBufferedBodyBytes: callmux.MaxBufferedBodyBytes,
 		IdleTimeout: callerIdleTimeout, HeaderTimeout: headerTimeout, BodyIdleTimeout: bodyIdleTimeout, LingerTimeout: lingerTimeout,
 		Limits: config.PipelineLimits, Check: gateway.checkHead, Handle: gateway.serve, Stopping: gateway.stopping.Load,
 		OnUnserved: gateway.recordUnserved,
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -18,9 +18,9 @@
 	// maxHeldBodyBytes is the maximum size of a request body that is read into memory to compute the
 	// request's keys, and maxTotalHeldBytes the maximum size of all bodies held at the same time, both in
 	// bytes. Bodies are held only for a path under which instances crashed; a longer body is checked by
-	// its path and length. maxHeldBodyBytes must be greater than callmux.BufferedBodyBytes, the size up
-	// to which bodies are always buffered. maxTotalHeldBytes must have room for four of the longest
-	// bodies, so that a few of them do not use it up.
+	// its path and length. maxHeldBodyBytes must be greater than callmux.MaxBufferedBodyBytes, the
+	// size up to which bodies are always buffered. maxTotalHeldBytes must have room for four of the
+	// longest bodies, so that a few of them do not use it up.
 	maxHeldBodyBytes  = 4 << 20
 	maxTotalHeldBytes = 16 << 20
 	// trialTimeout bounds ClaimTrial, for which the request waits. Without an answer in this time the
--- a/internal/requestpath/gateway/relations_test.go
+++ b/internal/requestpath/gateway/relations_test.go
@@ -17,7 +17,7 @@
 	assert.Assert(t, configurationTimeout < refusal.DefaultRetryAfter, "waiting for the configuration takes longer than a refused caller stays away")
 	assert.Assert(t, trialTimeout < refusal.DefaultRetryAfter, "claiming a trial takes longer than a refused caller stays away")
 	assert.Assert(t, retry.MaxKeptAnswerBytes <= pipeline.DefaultLimits.BytesPerConnection, "a buffered answer does not fit into the limit of a connection")
-	assert.Assert(t, callmux.BufferedBodyBytes < maxHeldBodyBytes, "held bodies are not longer than the bodies that are always buffered")
+	assert.Assert(t, callmux.MaxBufferedBodyBytes < maxHeldBodyBytes, "held bodies are not longer than the bodies that are always buffered")
 	assert.Assert(t, 4*maxHeldBodyBytes <= maxTotalHeldBytes, "fewer than four long bodies use up the total")
 	assert.Assert(t, maxHeldBodyBytes <= maxBodyBytes)
 }
--- a/internal/requestpath/gateway/silent_test.go
+++ b/internal/requestpath/gateway/silent_test.go
@@ -62,7 +62,7 @@
 	client := &callmux.Client{Network: p, Hello: &lapisv1.Hello{}, Timing: quietTiming}
 	watching, stopWatching := context.WithCancel(context.Background())
 	go client.WatchStalls(watching, callmux.Stall{
-		Check: 100 * time.Millisecond, Quiet: 250 * time.Millisecond, Answer: 400 * time.Millisecond, Changed: func(string, bool) {},
+		CheckInterval: 100 * time.Millisecond, PingAfter: 250 * time.Millisecond, PingTimeout: 400 * time.Millisecond, Changed: func(string, bool) {},
 	})
 	t.Cleanup(func() {
 		stopWatching()
@@ -118,7 +118,7 @@
 }
 
 // quietTiming disables heartbeats for the duration of a test, so that only answers end a silence.
-var quietTiming = callmux.Timing{KeepAlive: time.Hour, Silence: 2 * time.Hour, Write: time.Minute}
+var quietTiming = callmux.Timing{HeartbeatInterval: time.Hour, SilenceTimeout: 2 * time.Hour, WriteTimeout: time.Minute}
 
 // Guards against a 502 answer while an instance works on the request and answers within the deadline. The
 // attempt was abandoned when the daemon beside the instance had sent nothing for 0.65 s, before it was
--- a/internal/transport/callmux/cancel_test.go
+++ b/internal/transport/callmux/cancel_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() })
-	timing := Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Minute}
+	timing := Timing{HeartbeatInterval: time.Hour, SilenceTimeout: time.Hour, WriteTimeout: time.Minute}
 	opened = newSession(wire.NewConn(near, nil), 1, timing)
 	go func() { _ = opened.receive(nil) }()
 	return &Client{Maintained: true, peers: map[string]*peerLink{"peer": {session: opened}}}, opened, far
--- a/internal/transport/callmux/delivery_test.go
+++ b/internal/transport/callmux/delivery_test.go
@@ -51,7 +51,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		origin := eofOrigin{done: make(chan struct{})}
-		server := &Server{Origin: origin, Timing: Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Hour}}
+		server := &Server{Origin: origin, Timing: Timing{HeartbeatInterval: time.Hour, SilenceTimeout: time.Hour, WriteTimeout: time.Hour}}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
--- a/internal/transport/callmux/fence_test.go
+++ b/internal/transport/callmux/fence_test.go
@@ -80,7 +80,7 @@
 func TestCutCallDoesNotWaitForAFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		session := newSession(wire.NewConn(near, nil), 1, Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Minute})
+		session := newSession(wire.NewConn(near, nil), 1, Timing{HeartbeatInterval: time.Hour, SilenceTimeout: time.Hour, WriteTimeout: time.Minute})
 		go func() { _ = session.receive(nil) }()
 		client := &Client{Maintained: true, peers: map[string]*peerLink{"peer": {session: session}}}
 		ctx, cut := context.WithCancel(t.Context())
--- a/internal/transport/callmux/heartbeat.go
+++ b/internal/transport/callmux/heartbeat.go
@@ -37,22 +37,22 @@
 // heartbeat returns the frame for the next heartbeat.
 func (s *session) heartbeat() *lapisv1.CallFrame {
 	frame := &lapisv1.CallFrame{}
-	if s.timing.Local == nil {
+	if s.timing.LocalState == nil {
 		return frame
 	}
-	local := s.timing.Local()
+	local := s.timing.LocalState()
 	frame.Revision = local.Revision
 	frame.OrdersRevision = local.Orders
 	frame.Freshness = s.echoes.next(local, boottime.Now())
 	return frame
 }
 
-// keepAlive sends heartbeats at the KeepAlive interval until the session ends, and early ones on
+// keepAlive sends heartbeats at HeartbeatInterval until the session ends, and early ones on
 // request if the peer's state is outdated.
 func (s *session) keepAlive() {
-	ticker := time.NewTicker(s.timing.KeepAlive)
+	ticker := time.NewTicker(s.timing.HeartbeatInterval)
 	defer ticker.Stop()
-	if s.timing.Local != nil {
+	if s.timing.LocalState != nil {
 		s.notify(s.heartbeat())
 	}
 	for {
@@ -61,10 +61,10 @@
 			return
 		case <-ticker.C:
 		case gain := <-s.early:
-			if s.timing.Local == nil || !s.echoes.peerOutdated(s.timing.Local(), gain) {
+			if s.timing.LocalState == nil || !s.echoes.peerOutdated(s.timing.LocalState(), gain) {
 				continue
 			}
-			ticker.Reset(s.timing.KeepAlive)
+			ticker.Reset(s.timing.HeartbeatInterval)
 		}
 		s.notify(s.heartbeat())
 	}
--- a/internal/transport/callmux/heartbeat_test.go
+++ b/internal/transport/callmux/heartbeat_test.go
@@ -90,8 +90,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		local := func() Heartbeat { return Heartbeat{Orders: 12} }
-		sender := newSession(wire.NewConn(near, nil), 1, Timing{KeepAlive: time.Second, Silence: time.Hour, Write: time.Hour, Local: local})
-		receiver := newSession(wire.NewConn(far, nil), 1, Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Hour})
+		sender := newSession(wire.NewConn(near, nil), 1, Timing{HeartbeatInterval: time.Second, SilenceTimeout: time.Hour, WriteTimeout: time.Hour, LocalState: local})
+		receiver := newSession(wire.NewConn(far, nil), 1, Timing{HeartbeatInterval: time.Hour, SilenceTimeout: time.Hour, WriteTimeout: time.Hour})
 		var received atomic.Uint64
 		receiver.control.Heartbeat = func(heartbeat Heartbeat) { received.Store(heartbeat.Orders) }
 		go func() { _ = receiver.receive(nil) }()
--- a/internal/transport/callmux/inflight_test.go
+++ b/internal/transport/callmux/inflight_test.go
@@ -38,14 +38,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				near, far := net.Pipe()
-				sender := newSession(wire.NewConn(near, nil), 1, Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Hour, LinkMegabits: row.sender})
-				receiver := newSession(wire.NewConn(far, nil), 1, Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Hour, LinkMegabits: row.receiver})
+				sender := newSession(wire.NewConn(near, nil), 1, Timing{HeartbeatInterval: time.Hour, SilenceTimeout: time.Hour, WriteTimeout: time.Hour, LinkMegabits: row.sender})
+				receiver := newSession(wire.NewConn(far, nil), 1, Timing{HeartbeatInterval: time.Hour, SilenceTimeout: time.Hour, WriteTimeout: time.Hour, LinkMegabits: row.receiver})
 				if row.sendsLimit {
 					sender.boundInFlight(receiver.timing.InFlightBytes())
 					receiver.boundInFlight(sender.timing.InFlightBytes())
 				}
 				outgoing, incoming := newStream(1, sender), newStream(1, receiver)
-				incoming.receiveCredit, incoming.grantOnRead = BufferedBodyBytes, true
+				incoming.receiveCredit, incoming.grantOnRead = MaxBufferedBodyBytes, true
 				assert.NilError(t, sender.add(outgoing))
 				assert.NilError(t, receiver.add(incoming))
 				refuse := func(*lapisv1.CallFrame) error { return nil }
@@ -91,13 +91,13 @@
 
 func (e *eofRecorder) Close() error { return nil }
 
-// An answer of up to BufferedBodyBytes is read to its end, which frees the instance, before a slow link
-// has carried it.
+// An answer of up to MaxBufferedBodyBytes is read to its end, which frees the instance, before a slow
+// link has carried it.
 func TestAnswerFreesItsInstanceBeforeItIsSent(t *testing.T) {
 	for length, readToEnd := range map[int64]bool{2000: true, 40_000: true, 300_000: false} {
 		synctest.Test(t, func(t *testing.T) {
 			near, far := net.Pipe()
-			timing := Timing{KeepAlive: time.Hour, Silence: time.Hour, Write: time.Hour, LinkMegabits: 5}
+			timing := Timing{HeartbeatInterval: time.Hour, SilenceTimeout: time.Hour, WriteTimeout: time.Hour, LinkMegabits: 5}
 			session := newSession(wire.NewConn(near, nil), 1, timing)
 			session.boundInFlight(timing.InFlightBytes())
 			answering := newStream(1, session)
--- a/internal/transport/callmux/link.go
+++ b/internal/transport/callmux/link.go
@@ -12,12 +12,12 @@
 // methods are safe for concurrent use.
 type Link struct{ session *session }
 
-// Send writes the frames contiguously and blocks until they are written, for at most Timing.Write.
-// After an error the session is closed.
+// Send writes the frames contiguously and blocks until they are written, for at most
+// Timing.WriteTimeout. After an error the session is closed.
 func (l Link) Send(frames ...proto.Message) error { return l.session.send(frames...) }
 
-// Active returns the number of calls in flight on the session.
-func (l Link) Active() int { return l.session.active() }
+// ActiveCalls returns the number of calls in flight on the session.
+func (l Link) ActiveCalls() int { return l.session.active() }
 
 // Closed returns a channel that is closed when the session ends.
 func (l Link) Closed() <-chan struct{} { return l.session.closed }
@@ -28,9 +28,9 @@
 // Close ends the session and its calls, which fail with cause.
 func (l Link) Close(cause error) { l.session.close(cause) }
 
-// HeartbeatEarly sends a heartbeat before the next interval if this daemon has a newer revision than
+// RequestHeartbeat sends a heartbeat before the next interval if this daemon has a newer revision than
 // the peer, or a confirmation that is newer by more than gain. It does not block.
-func (l Link) HeartbeatEarly(gain time.Duration) {
+func (l Link) RequestHeartbeat(gain time.Duration) {
 	select {
 	case l.session.early <- gain:
 	default:
--- a/internal/transport/callmux/server.go
+++ b/internal/transport/callmux/server.go
@@ -87,8 +87,8 @@
 		return nil
 	}
 	stream := newStream(frame.GetCall(), session)
-	// Earlier releases send bodies of up to BufferedBodyBytes with the opening frame.
-	stream.receiveCredit = BufferedBodyBytes
+	// Earlier releases send bodies of up to MaxBufferedBodyBytes with the opening frame.
+	stream.receiveCredit = MaxBufferedBodyBytes
 	stream.credit = windowBytes
 	stream.granted = true
 	stream.grantOnRead = true
@@ -137,12 +137,13 @@
 }
 
 // sendAnswer sends the head and the body of an answer. A body of known length up to
-// BufferedBodyBytes is read completely first, so that its instance is free for the next call before a
-// slow link has carried the answer. A body that fits into one chunk is written together with the head.
+// MaxBufferedBodyBytes is read completely first, so that its instance is free for the next call
+// before a slow link has carried the answer. A body that fits into one chunk is written together with
+// the head.
 func sendAnswer(ctx context.Context, session *session, stream *stream, answer *callapi.Answer) error {
 	head := &lapisv1.CallFrame{Call: stream.id, Body: &lapisv1.CallFrame_Head{Head: answer.Head}}
 	length := answer.Head.GetContentLength()
-	if length < 0 || length > BufferedBodyBytes {
+	if length < 0 || length > MaxBufferedBodyBytes {
 		if err := session.send(head); err != nil {
 			return err
 		}
--- a/internal/transport/callmux/session.go
+++ b/internal/transport/callmux/session.go
@@ -18,7 +18,7 @@
 	timing  Timing
 	control Control
 	echoes  echoes
-	// early requests a heartbeat before the next interval (Link.HeartbeatEarly).
+	// early requests a heartbeat before the next interval (Link.RequestHeartbeat).
 	early chan time.Duration
 	// incarnation identifies the process of the peer daemon.
 	incarnation uint64
@@ -67,7 +67,7 @@
 
 func (s *session) write(send func() error) error {
 	// This fails only on a closed connection, where the write fails as well.
-	_ = s.conn.SetWriteDeadline(time.Now().Add(s.timing.Write))
+	_ = s.conn.SetWriteDeadline(time.Now().Add(s.timing.WriteTimeout))
 	err := send()
 	if err != nil {
 		s.close(err)
@@ -141,7 +141,7 @@
 func (s *session) receive(accept func(*lapisv1.CallFrame) error) error {
 	for {
 		// This fails only on a closed connection, where the read fails as well.
-		_ = s.conn.SetReadDeadline(time.Now().Add(s.timing.Silence))
+		_ = s.conn.SetReadDeadline(time.Now().Add(s.timing.SilenceTimeout))
 		frame := &lapisv1.CallFrame{}
 		err := s.conn.Receive(frame)
 		if err == nil {
--- a/internal/transport/callmux/stall.go
+++ b/internal/transport/callmux/stall.go
@@ -12,12 +12,12 @@
 // A stalled peer keeps its connection, since closing it would end those calls, but gets no new calls
 // until it recovers.
 type Stall struct {
-	// Check is the interval of the checks.
-	Check time.Duration
-	// Quiet is the time without a received frame after which a peer with calls in flight is pinged.
-	// Answer is the timeout for the next frame after a ping. Their sum must be below Timing.Silence,
-	// otherwise the connection is closed first.
-	Quiet, Answer time.Duration
+	// CheckInterval is the interval of the checks.
+	CheckInterval time.Duration
+	// PingAfter is the time without a received frame after which a peer with calls in flight is pinged.
+	// PingTimeout is the timeout for the next frame after a ping. Their sum must be below
+	// Timing.SilenceTimeout, otherwise the connection is closed first.
+	PingAfter, PingTimeout time.Duration
 	// Changed is called when the peer at an address stalls or recovers.
 	Changed func(address string, stalled bool)
 }
@@ -25,7 +25,7 @@
 // WatchStalls checks all sessions for stalled peers until ctx ends.
 func (c *Client) WatchStalls(ctx context.Context, bounds Stall) {
 	checkedAt := time.Now()
-	for sleep.For(ctx, bounds.Check) {
+	for sleep.For(ctx, bounds.CheckInterval) {
 		now := time.Now()
 		paused := ownPause(now.Sub(checkedAt), bounds)
 		checkedAt = now
@@ -41,7 +41,7 @@
 // ownPause returns the time for which this process was paused between two checks, during which it
 // could not receive an answer. Delays below one check interval count as 0.
 func ownPause(elapsed time.Duration, bounds Stall) time.Duration {
-	if late := elapsed - bounds.Check; late >= bounds.Check {
+	if late := elapsed - bounds.CheckInterval; late >= bounds.CheckInterval {
 		return late
 	}
 	return 0
@@ -106,9 +106,9 @@
 	switch {
 	case peer.stalled && !awaited:
 		return stepRecover
-	case !awaited && peer.hasCalls && now.Sub(peer.receivedAt) > bounds.Quiet:
+	case !awaited && peer.hasCalls && now.Sub(peer.receivedAt) > bounds.PingAfter:
 		return stepPing
-	case awaited && !peer.stalled && now.Sub(peer.pingedAt) > bounds.Answer:
+	case awaited && !peer.stalled && now.Sub(peer.pingedAt) > bounds.PingTimeout:
 		return stepStall
 	default:
 		return stepNone
--- a/internal/transport/callmux/stall_test.go
+++ b/internal/transport/callmux/stall_test.go
@@ -32,7 +32,7 @@
 				pings <- struct{}{}
 			}
 		}()
-		bounds := Stall{Check: 100 * time.Millisecond, Quiet: 250 * time.Millisecond, Answer: 400 * time.Millisecond}
+		bounds := Stall{CheckInterval: 100 * time.Millisecond, PingAfter: 250 * time.Millisecond, PingTimeout: 400 * time.Millisecond}
 		check := func() (changed, stalled bool) { return opened.checkStall(bounds, time.Now()) }
 
 		time.Sleep(time.Second)
@@ -84,7 +84,7 @@
 // the ping timeout, peers whose answers arrived meanwhile are marked as stalled until the next check,
 // and the calls in progress on their instances are abandoned.
 func TestOwnPauseIsNotASilenceOfPeers(t *testing.T) {
-	bounds := Stall{Check: 100 * time.Millisecond, Quiet: 250 * time.Millisecond, Answer: 400 * time.Millisecond}
+	bounds := Stall{CheckInterval: 100 * time.Millisecond, PingAfter: 250 * time.Millisecond, PingTimeout: 400 * time.Millisecond}
 	for name, row := range map[string]struct {
 		// gapsMillis are the times between the checks after the ping. answeredMillis is the time from
 		// the ping to its answer, or 0 if there is none.
@@ -105,7 +105,7 @@
 			opened := newSession(wire.NewConn(near, nil), 1, Timing{})
 			defer func() { opened.close(net.ErrClosed); _ = far.Close() }()
 			assert.NilError(t, opened.add(newStream(1, opened)))
-			now := opened.openedAt.Add(bounds.Quiet + bounds.Check)
+			now := opened.openedAt.Add(bounds.PingAfter + bounds.CheckInterval)
 			_, _ = opened.checkStall(bounds, now)
 			if row.answeredMillis > 0 {
 				at := now.Add(time.Duration(row.answeredMillis) * time.Millisecond)
--- a/internal/transport/callmux/suspended_test.go
+++ b/internal/transport/callmux/suspended_test.go
@@ -17,7 +17,7 @@
 		gap := time.Duration(0)
 		defer boottime.Use(func() time.Duration { return gap })()
 		confirmed := boottime.Now()
-		sender := &session{timing: Timing{Local: func() Heartbeat { return Heartbeat{Revision: 3, Confirmed: confirmed} }}}
+		sender := &session{timing: Timing{LocalState: func() Heartbeat { return Heartbeat{Revision: 3, Confirmed: confirmed} }}}
 		gap = 8 * time.Second
 		time.Sleep(time.Second)
 		age := time.Duration(sender.heartbeat().GetFreshness().GetAgeMicros()) * time.Microsecond
--- a/internal/transport/callmux/times.go
+++ b/internal/transport/callmux/times.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Intervals and timeouts for peers, from the shortest to the longest. TestTimesHangTogether checks
-// their order. The values for a daemon on a platform (KeepAlive, Silence, Write and the fields of
-// Stall) are set and tested in package daemon.
+// their order. The values for a daemon on a platform (HeartbeatInterval, SilenceTimeout, WriteTimeout
+// and the fields of Stall) are set and tested in package daemon.
 const (
 	// fencePollInterval is the interval at which a call checks for a new connection over which its
 	// attempt can be fenced. It must fit several times into fenceTimeout.
@@ -26,24 +26,24 @@
 
 // Timing holds the intervals and timeouts of a session.
 type Timing struct {
-	// KeepAlive is the interval of heartbeats. It must be below Silence, so that an idle session is
-	// not taken for a lost one.
-	KeepAlive time.Duration
-	// Silence is the time without a received frame after which a session is considered lost.
-	Silence time.Duration
-	// Write is the timeout for writing frames.
-	Write time.Duration
-	// Local returns this daemon's state for outgoing heartbeats. If nil, heartbeats are empty.
-	Local func() Heartbeat
+	// HeartbeatInterval is the interval of heartbeats. It must be below SilenceTimeout, so that an
+	// idle session is not taken for a lost one.
+	HeartbeatInterval time.Duration
+	// SilenceTimeout is the time without a received frame after which a session is considered lost.
+	SilenceTimeout time.Duration
+	// WriteTimeout is the timeout for writing frames.
+	WriteTimeout time.Duration
+	// LocalState returns this daemon's state for outgoing heartbeats. If nil, heartbeats are empty.
+	LocalState func() Heartbeat
 	// LinkMegabits is the rate of the machine's network link in Mbit/s, or 0 if unknown.
 	LinkMegabits float64
 }
 
 // DefaultTiming is used when no Timing is set. A session survives two lost heartbeats.
-var DefaultTiming = Timing{KeepAlive: 4 * time.Second, Silence: 12 * time.Second, Write: 10 * time.Second}
+var DefaultTiming = Timing{HeartbeatInterval: 4 * time.Second, SilenceTimeout: 12 * time.Second, WriteTimeout: 10 * time.Second}
 
 func (t Timing) orDefault() Timing {
-	if t.KeepAlive == 0 {
+	if t.HeartbeatInterval == 0 {
 		return DefaultTiming
 	}
 	return t
--- a/internal/transport/callmux/times_test.go
+++ b/internal/transport/callmux/times_test.go
@@ -23,8 +23,8 @@
 		{"a dial ends by its own timeout, not by that of the network", dialTimeout, wire.DialTimeout},
 		{"there is time for the greeting after the slowest dial", 2 * dialTimeout, openTimeout},
 		{"the accepting side does not time out a greeting first", openTimeout, peer.GreetingTimeout + 1},
-		{"a session survives two lost heartbeats", 2 * DefaultTiming.KeepAlive, DefaultTiming.Silence},
-		{"a blocked write does not outlast the silence timeout", DefaultTiming.Write, DefaultTiming.Silence},
+		{"a session survives two lost heartbeats", 2 * DefaultTiming.HeartbeatInterval, DefaultTiming.SilenceTimeout},
+		{"a blocked write does not outlast the silence timeout", DefaultTiming.WriteTimeout, DefaultTiming.SilenceTimeout},
 	} {
 		assert.Check(t, row.lower < row.upper, "%s: %s is not below %s", row.why, row.lower, row.upper)
 	}
@@ -38,7 +38,7 @@
 	}{
 		{"a body sent with the opening fits into one chunk", maxOpeningBodyBytes, maxChunkBytes},
 		{"a window holds several chunks", 4 * maxChunkBytes, windowBytes},
-		{"a window holds a body that earlier releases send without credit", BufferedBodyBytes, windowBytes},
+		{"a window holds a body that earlier releases send without credit", MaxBufferedBodyBytes, windowBytes},
 		{"credit is granted before the window is used up", grantThresholdBytes, windowBytes},
 		{"the lower limit of bytes in flight is below the window", minInFlightBytes, windowBytes},
 		{"a frame with a chunk is within the frame size limit", maxChunkBytes, wire.MaxFrameBytes},
@@ -51,7 +51,7 @@
 // nextStallStep pings a quiet peer, marks it as stalled if the ping times out, and lets it recover.
 func TestStallSteps(t *testing.T) {
 	now := time.Unix(1000, 0)
-	bounds := Stall{Quiet: 250 * time.Millisecond, Answer: 400 * time.Millisecond}
+	bounds := Stall{PingAfter: 250 * time.Millisecond, PingTimeout: 400 * time.Millisecond}
 	ago := func(millis int) time.Time { return now.Add(-time.Duration(millis) * time.Millisecond) }
 	for name, row := range map[string]struct {
 		peer peerActivity
--- a/internal/transport/callmux/window.go
+++ b/internal/transport/callmux/window.go
@@ -8,16 +8,16 @@
 
 // Window and body sizes in bytes.
 const (
-	// BufferedBodyBytes is the largest body that the caller's daemon buffers, so that the call can be
-	// retried.
-	BufferedBodyBytes = 64 << 10
+	// MaxBufferedBodyBytes is the largest body that the caller's daemon buffers, so that the call can
+	// be retried.
+	MaxBufferedBodyBytes = 64 << 10
 	// maxOpeningBodyBytes is the largest body that is sent together with the opening frame, before the
 	// call is admitted. Longer bodies of refused calls would fill the links of overloaded daemons:
 	// under overload, with links of 10 Mbit/s, the share of worth fell to 0.11 within 14 s with 64 KiB,
 	// and to 0.53 with 4 KiB.
 	maxOpeningBodyBytes = 4 << 10
 	// windowBytes is the flow control window of one direction of a stream. It must not be below
-	// BufferedBodyBytes, which earlier releases send without waiting for credit.
+	// MaxBufferedBodyBytes, which earlier releases send without waiting for credit.
 	windowBytes = 256 << 10
 	// grantThresholdBytes is the number of consumed bytes after which more credit is granted. It is
 	// half of the window, so that the sender can continue while the grant is in transit.
