--- a/internal/distribution/tree/child_send.go
+++ b/internal/distribution/tree/child_send.go
@@ -91,7 +91,7 @@
 // do not use the whole bandwidth of the node. Updates too small to be compressed are not delayed.
 // An update larger than the burst reserves the whole burst.
 func (n *Node) paceUpdate(size int) time.Duration {
-	if size < wire.CompressAboveBytes {
+	if size < wire.MinCompressBytes {
 		return 0
 	}
 	now := boottime.Now()
--- a/internal/transport/wire/compress.go
+++ b/internal/transport/wire/compress.go
@@ -12,14 +12,14 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// CompressAboveBytes is the minimum frame size for compression. Smaller frames do not shrink.
-const CompressAboveBytes = 512
+// MinCompressBytes is the minimum frame size for compression. Smaller frames do not shrink.
+const MinCompressBytes = 512
 
 // Compress returns an equivalent compressed frame if that is smaller, otherwise frame. A frame that
 // cannot be encoded is returned unchanged; sending it reports the error.
 func Compress(frame *lapisv1.ControlFrame) *lapisv1.ControlFrame {
 	encoded, err := proto.Marshal(frame)
-	if err != nil || len(encoded) < CompressAboveBytes {
+	if err != nil || len(encoded) < MinCompressBytes {
 		return frame
 	}
 	deflated, err := Deflate(encoded)
