--- a/internal/operators/operator/server.go
+++ b/internal/operators/operator/server.go
@@ -63,7 +63,7 @@
 
 // Serve serves requests on listener until ctx ends, then closes listener and its connections.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
-	listener, stop := socket.ClosedWith(ctx, listener)
+	listener, stop := socket.CloseWithContext(ctx, listener)
 	defer stop()
 	engine := server.New(
 		server.WithListener(listener), server.WithTransport(standard.NewTransporter),
--- a/internal/requestpath/gateway/lifecycle.go
+++ b/internal/requestpath/gateway/lifecycle.go
@@ -93,7 +93,7 @@
 	defer g.listenersMutex.Unlock()
 	waiting := 0
 	for _, listener := range g.listeners {
-		waiting += socket.Waiting(listener)
+		waiting += socket.AcceptQueueLength(listener)
 	}
 	return waiting
 }
--- a/internal/shared/socket/ending.go
+++ b/internal/shared/socket/ending.go
@@ -16,10 +16,10 @@
 	closed bool
 }
 
-// ClosedWith wraps a listener for a server that does not close its connections when it ends. When ctx
-// ends, the listener and all connections that it accepted are closed. The caller must call stop after
-// the server has ended.
-func ClosedWith(ctx context.Context, listener net.Listener) (wrapped net.Listener, stop func() bool) {
+// CloseWithContext wraps a listener for a server that does not close its connections when it ends.
+// When ctx ends, the listener and all connections that it accepted are closed. The caller must call
+// stop after the server has ended.
+func CloseWithContext(ctx context.Context, listener net.Listener) (wrapped net.Listener, stop func() bool) {
 	closing := &closingListener{Listener: listener, open: map[*trackedConn]struct{}{}}
 	return closing, context.AfterFunc(ctx, closing.closeAll)
 }
--- a/internal/shared/socket/socket.go
+++ b/internal/shared/socket/socket.go
@@ -1,7 +1,7 @@
 // Package socket queries the operating system for the queues of TCP sockets, and provides listener
 // wrappers for servers that end at the first accept error (KeepAccepting) or leave connections open
-// (ClosedWith). It relies on the Linux requests SIOCOUTQ, SIOCINQ and TCP_INFO. Queries return 0 if a
-// connection or system does not support them.
+// (CloseWithContext). It relies on the Linux requests SIOCOUTQ, SIOCINQ and TCP_INFO. Queries return
+// 0 if a connection or system does not support them.
 package socket
 
 import (
@@ -19,9 +19,9 @@
 // has not read, or 0 if that is unknown or the connection is closed.
 func Unread(conn net.Conn) int { return queued(conn, unix.SIOCINQ) }
 
-// Waiting returns the number of connections in the accept queue of a listener, or 0 if that is unknown
-// or the listener is closed.
-func Waiting(listener net.Listener) int {
+// AcceptQueueLength returns the number of connections in the accept queue of a listener, or 0 if that
+// is unknown or the listener is closed.
+func AcceptQueueLength(listener net.Listener) int {
 	if retrying, ok := listener.(*retryingListener); ok {
 		listener = retrying.Listener
 	}
--- a/internal/shared/socket/socket_test.go
+++ b/internal/shared/socket/socket_test.go
@@ -60,23 +60,23 @@
 	opened, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	listener := socket.KeepAccepting(opened, logr.Discard())
-	assert.Equal(t, socket.Waiting(listener), 0)
+	assert.Equal(t, socket.AcceptQueueLength(listener), 0)
 	near, err := net.Dial("tcp", listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = near.Close() }()
 	for range 1000 {
-		if socket.Waiting(listener) == 1 {
+		if socket.AcceptQueueLength(listener) == 1 {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
-	assert.Equal(t, socket.Waiting(listener), 1)
+	assert.Equal(t, socket.AcceptQueueLength(listener), 1)
 	far, err := listener.Accept()
 	assert.NilError(t, err)
 	defer func() { _ = far.Close() }()
-	assert.Equal(t, socket.Waiting(listener), 0)
+	assert.Equal(t, socket.AcceptQueueLength(listener), 0)
 	assert.NilError(t, listener.Close())
-	assert.Equal(t, socket.Waiting(listener), 0)
+	assert.Equal(t, socket.AcceptQueueLength(listener), 0)
 }
 
 func TestQueriesOfNonSocketsReturnZero(t *testing.T) {
@@ -91,7 +91,7 @@
 	opened, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, end := context.WithCancel(t.Context())
-	listener, stop := socket.ClosedWith(ctx, opened)
+	listener, stop := socket.CloseWithContext(ctx, opened)
 	defer stop()
 	var callers []net.Conn
 	for range 3 {
