--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -58,9 +58,9 @@
 	Network wire.Network
 	// Platform is the adapter to the machine's platform, or nil to use lapisvane's own object API.
 	Platform platformapi.Platform
-	// KilledByForce makes the force channel of Run simulate the kill of a process: calls in flight are
+	// SimulateKill makes the force channel of Run simulate the kill of a process: calls in flight are
 	// cut without an answer to their callers. It is for programs that run several daemons in one process.
-	KilledByForce bool
+	SimulateKill bool
 	// PlatformDial overrides the dial function for the platform; nil means plain TCP.
 	PlatformDial objectapi.DialFunc
 }
@@ -82,7 +82,7 @@
 	mode := chooseMode(d, config, options)
 	d.incarnation = mode.incarnation
 	d.path = newRequestPath(d, network, mode)
-	d.path.killedByForce = options.KilledByForce
+	d.path.killedByForce = options.SimulateKill
 	d.distribution = mode.build(network)
 	metrics.Register(d.registry, metrics.Sources{
 		Counters: d.counters, Origin: d.path.origin, Calls: d.path.calls, Suspects: d.path.suspects.Sizes,
--- a/internal/daemon/requestpath.go
+++ b/internal/daemon/requestpath.go
@@ -51,7 +51,7 @@
 	rateLimits *rateLimits
 	// orders holds the operators' orders in force. It stays empty if orders are disabled.
 	orders *orders.Current
-	// killedByForce is Options.KilledByForce.
+	// killedByForce is Options.SimulateKill.
 	killedByForce bool
 }
 
--- a/internal/lab/emulator/day/process.go
+++ b/internal/lab/emulator/day/process.go
@@ -41,7 +41,7 @@
 // launchEmbedded is the Launch of a site that names none.
 func launchEmbedded(config *settings.Daemon, logger logr.Logger) (Process, error) {
 	adapter := platform.New(config.Platform.Addresses[0], logger)
-	started, err := daemon.New(config, daemon.Options{Logger: logger, Platform: adapter, KilledByForce: true})
+	started, err := daemon.New(config, daemon.Options{Logger: logger, Platform: adapter, SimulateKill: true})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/testsite/site.go
+++ b/internal/lab/testsite/site.go
@@ -136,7 +136,7 @@
 	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	running, err := daemon.New(config, daemon.Options{Logger: s.logger, KilledByForce: true})
+	running, err := daemon.New(config, daemon.Options{Logger: s.logger, SimulateKill: true})
 	if err != nil {
 		return nil, err
 	}
