--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -133,7 +133,7 @@
 		Awaited: p.path.snapshots.Awaited, Bound: p.pollBound(), Daemons: func() int { return int(p.members.Load()) },
 		MinInterval: p.minInterval, Random: rand.Float64, Resumed: p.resumed, Logger: p.path.logger,
 	}
-	platform.OnStoreReturn(func() {
+	platform.OnStoreRestored(func() {
 		p.fleet.DirectoryRestored()
 		p.path.suspects.storeReturned()
 	})
--- a/internal/daemon/platform_distribution_test.go
+++ b/internal/daemon/platform_distribution_test.go
@@ -22,7 +22,7 @@
 // stubPlatform is a Platform without a store, a directory or any requests.
 type stubPlatform struct{}
 
-func (stubPlatform) OnStoreReturn(func()) {}
+func (stubPlatform) OnStoreRestored(func()) {}
 
 func (stubPlatform) RefusedEntries() map[platformapi.RefusedEntry]int64 { return nil }
 
--- a/internal/daemon/platformapi/platform.go
+++ b/internal/daemon/platformapi/platform.go
@@ -49,10 +49,10 @@
 	Quarantine() quarantine.Store
 	// RefusedEntries returns the numbers of invalid entries and heartbeats since the start.
 	RefusedEntries() map[RefusedEntry]int64
-	// OnStoreReturn registers a function that is called after each restoration of the platform's store
-	// from an older copy of its data, which loses recent writes. It is called in the background and may
-	// be called late.
-	OnStoreReturn(returned func())
+	// OnStoreRestored registers a function that is called after each restoration of the platform's
+	// store from an older copy of its data, which loses recent writes. It is called in the background
+	// and may be called late.
+	OnStoreRestored(returned func())
 	// Envelope returns the names of the header fields of requests and answers.
 	Envelope() callapi.Envelope
 	// ServeInstances serves the heartbeats of the local instances until ctx ends.
