--- a/internal/daemon/platform_rollouts_test.go
+++ b/internal/daemon/platform_rollouts_test.go
@@ -22,8 +22,8 @@
 func (silentStore) WriteStatus(_ context.Context, write rollout.Write) rollout.Answer {
 	return rollout.Answer{Write: write, Outcome: rollout.OutcomeUnknown}
 }
-func (silentStore) Ask(context.Context, string) (*rollout.Order, error) { return nil, context.Canceled }
-func (silentStore) AnsweredAt() time.Time                               { return time.Time{} }
+func (silentStore) Get(context.Context, string) (*rollout.Order, error) { return nil, context.Canceled }
+func (silentStore) LastAnswerTime() time.Time                           { return time.Time{} }
 
 // rolloutPlatform is a Platform with an silentStore.
 type rolloutPlatform struct{ stubPlatform }
--- a/internal/model/rollout/again_test.go
+++ b/internal/model/rollout/again_test.go
@@ -21,10 +21,10 @@
 	}
 	running, ended := state(4, Status{End: EndRunning, Target: "v2"}), state(9, Status{End: EndRolledBack, Target: "v2"})
 	given := state(14, ended.Status)
-	runningAgain := state(15, Status{End: EndRunning, Target: "v2", Again: 14})
-	endedAgain := state(20, Status{End: EndRolledBack, Target: "v2", Again: 14})
+	runningAgain := state(15, Status{End: EndRunning, Target: "v2", ReissueRevision: 14})
+	endedAgain := state(20, Status{End: EndRolledBack, Target: "v2", ReissueRevision: 14})
 	givenThirdTime := state(31, endedAgain.Status)
-	runningThirdTime := state(32, Status{End: EndRunning, Target: "v2", Again: 31})
+	runningThirdTime := state(32, Status{End: EndRunning, Target: "v2", ReissueRevision: 31})
 	for name, row := range map[string]struct {
 		states []Order
 		again  uint64
@@ -49,7 +49,7 @@
 					known = Adopt(&known, seen)
 				}
 			}
-			assert.Equal(t, known.Again, row.again)
+			assert.Equal(t, known.ReissueRevision, row.again)
 			assert.Equal(t, known.End(), row.end)
 		})
 	}
--- a/internal/model/rollout/decider.go
+++ b/internal/model/rollout/decider.go
@@ -107,7 +107,7 @@
 	d.writing = true
 	return Write{
 		Service: d.order.Service, Revision: d.order.Revision, Order: d.order.Identity,
-		Status: Status{End: end, Target: d.order.Target, Again: d.order.Again},
+		Status: Status{End: end, Target: d.order.Target, ReissueRevision: d.order.ReissueRevision},
 	}, true
 }
 
--- a/internal/model/rollout/message.go
+++ b/internal/model/rollout/message.go
@@ -13,7 +13,7 @@
 	return &lapisv1.Rollout{
 		Name: name, Service: order.Service, TargetVersion: order.Target, DurationNanos: int64(order.Duration),
 		Revision: order.Revision, Created: order.Created,
-		State: string(order.Status.End), StatusTarget: order.Status.Target, StatusAgain: order.Status.Again,
+		State: string(order.Status.End), StatusTarget: order.Status.Target, StatusAgain: order.Status.ReissueRevision,
 	}
 }
 
@@ -25,14 +25,14 @@
 			Created: message.GetCreated(), Target: message.GetTargetVersion(), Duration: time.Duration(message.GetDurationNanos()),
 		},
 		Revision: message.GetRevision(),
-		Status:   Status{End: End(message.GetState()), Target: message.GetStatusTarget(), Again: message.GetStatusAgain()},
+		Status:   Status{End: End(message.GetState()), Target: message.GetStatusTarget(), ReissueRevision: message.GetStatusAgain()},
 	}
 }
 
 // identityMessage encodes the identity of an order.
 func identityMessage(order Identity) *lapisv1.RolloutIdentity {
 	return &lapisv1.RolloutIdentity{
-		Created: order.Created, TargetVersion: order.Target, DurationNanos: int64(order.Duration), Again: order.Again,
+		Created: order.Created, TargetVersion: order.Target, DurationNanos: int64(order.Duration), Again: order.ReissueRevision,
 	}
 }
 
@@ -40,7 +40,7 @@
 func identityOf(message *lapisv1.RolloutIdentity) Identity {
 	return Identity{
 		Created: message.GetCreated(), Target: message.GetTargetVersion(),
-		Duration: time.Duration(message.GetDurationNanos()), Again: message.GetAgain(),
+		Duration: time.Duration(message.GetDurationNanos()), ReissueRevision: message.GetAgain(),
 	}
 }
 
--- a/internal/model/rollout/message_test.go
+++ b/internal/model/rollout/message_test.go
@@ -13,10 +13,10 @@
 
 // Encoding and decoding must preserve every field.
 func TestMessagesHoldEverything(t *testing.T) {
-	identity := Identity{Created: 3, Target: "v2", Duration: 30 * time.Second, Again: 9}
+	identity := Identity{Created: 3, Target: "v2", Duration: 30 * time.Second, ReissueRevision: 9}
 	order := Order{Service: "desk", Identity: identity, Revision: 12, Status: Status{End: EndRolledBack, Target: "v1"}}
 	stated := order
-	stated.Again = 0
+	stated.ReissueRevision = 0
 	assert.DeepEqual(t, OrderOf(OrderMessage("desk", order)), stated)
 
 	word := Word{
--- a/internal/model/rollout/order.go
+++ b/internal/model/rollout/order.go
@@ -24,11 +24,11 @@
 // Status is the status that the daemons write to an order's object.
 type Status struct {
 	End End
-	// Target and Again identify the order that the status is about, because the status of an
-	// earlier order must not be applied to a later one. Again lets daemons agree on the current
-	// order even if they have seen different states of the object.
-	Target string
-	Again  uint64
+	// Target and ReissueRevision identify the order that the status is about, because the status of an
+	// earlier order must not be applied to a later one. ReissueRevision lets daemons agree on the
+	// current order even if they have seen different states of the object.
+	Target          string
+	ReissueRevision uint64
 }
 
 // Identity distinguishes the orders for one service. The revision cannot, because it changes with
@@ -39,10 +39,10 @@
 	Target  string
 	// Duration is the time that the operator allows for the roll-out.
 	Duration time.Duration
-	// Again is 0 for the first run of an order. If the same order was given again after its end, it
-	// is the revision of that state, which is the state that the first status of the new run
+	// ReissueRevision is 0 for the first run of an order. If the same order was given again after its
+	// end, it is the revision of that state, which is the state that the first status of the new run
 	// overwrote.
-	Again uint64
+	ReissueRevision uint64
 }
 
 // Order is an operator's order as held by the store.
@@ -57,7 +57,7 @@
 
 // End returns the end that the store holds for this order.
 func (o Order) End() End {
-	if o.Status.Target != o.Target || o.Status.Again < o.Again {
+	if o.Status.Target != o.Target || o.Status.ReissueRevision < o.ReissueRevision {
 		return EndNone
 	}
 	return o.Status.End
@@ -111,7 +111,7 @@
 // order again. A revision of another era of the store does not show this, because the end may be
 // missing there if it was written after the copy that the store was restored from.
 func sameOrder(known, seen Order) bool {
-	if !sameSpec(known, seen) || seen.statedAgain() > known.Again {
+	if !sameSpec(known, seen) || seen.statedAgain() > known.ReissueRevision {
 		return false
 	}
 	sameEra := position.Position(known.Revision).Era() == position.Position(seen.Revision).Era()
@@ -123,26 +123,26 @@
 	return known.Created == seen.Created && known.Target == seen.Target && known.Duration == seen.Duration
 }
 
-// statedAgain returns the Again of the order that the status is about, or 0 if that is another
-// version.
+// statedAgain returns the ReissueRevision of the order that the status is about, or 0 if that is
+// another version.
 func (o Order) statedAgain() uint64 {
 	if o.Status.Target != o.Target {
 		return 0
 	}
-	return o.Status.Again
+	return o.Status.ReissueRevision
 }
 
 // Adopt returns the order to follow: with the identity of the known order if it is the same, and
-// with a new Again if the same order was given again.
+// with a new ReissueRevision if the same order was given again.
 func Adopt(known *Order, seen Order) Order {
-	seen.Again = seen.statedAgain()
+	seen.ReissueRevision = seen.statedAgain()
 	switch {
 	case known == nil:
 	case sameOrder(*known, seen):
 		seen.Identity = known.Identity
-	case sameSpec(*known, seen) && seen.Again <= known.Again:
+	case sameSpec(*known, seen) && seen.ReissueRevision <= known.ReissueRevision:
 		// The first status of the new run is not written yet.
-		seen.Again = seen.Revision
+		seen.ReissueRevision = seen.Revision
 	}
 	return seen
 }
--- a/internal/model/rollout/plan.go
+++ b/internal/model/rollout/plan.go
@@ -95,7 +95,7 @@
 func (order Identity) Rank(name string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(strconv.FormatUint(order.Created, 36))
-	_, _ = digest.WriteString(" " + strconv.FormatUint(order.Again, 36) + " ")
+	_, _ = digest.WriteString(" " + strconv.FormatUint(order.ReissueRevision, 36) + " ")
 	_, _ = digest.WriteString(order.Target + " " + name)
 	return digest.Sum64()
 }
--- a/internal/model/rollout/runner.go
+++ b/internal/model/rollout/runner.go
@@ -31,12 +31,12 @@
 type Store interface {
 	// WriteStatus does one conditional write, and returns once it is answered or given up.
 	WriteStatus(ctx context.Context, write Write) Answer
-	// Ask returns the state of a service's order, or nil if there is none. After an error the state
+	// Get returns the state of a service's order, or nil if there is none. After an error the state
 	// is unknown.
-	Ask(ctx context.Context, service string) (*Order, error)
-	// AnsweredAt returns when the store last answered any request of this daemon, or the zero time
+	Get(ctx context.Context, service string) (*Order, error)
+	// LastAnswerTime returns when the store last answered any request of this daemon, or the zero time
 	// if it never did.
-	AnsweredAt() time.Time
+	LastAnswerTime() time.Time
 }
 
 // Links sends words and reports to other daemons. Messages may be delayed, duplicated or lost. No
--- a/internal/model/rollout/runner_test.go
+++ b/internal/model/rollout/runner_test.go
@@ -130,8 +130,8 @@
 	return answer
 }
 
-// Ask implements Store.
-func (s *testSite) Ask(context.Context, string) (*Order, error) {
+// Get implements Store.
+func (s *testSite) Get(context.Context, string) (*Order, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.down {
@@ -145,8 +145,8 @@
 	return &seen, nil
 }
 
-// AnsweredAt implements Store.
-func (s *testSite) AnsweredAt() time.Time {
+// LastAnswerTime implements Store.
+func (s *testSite) LastAnswerTime() time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.answered
--- a/internal/model/rollout/runner_tick.go
+++ b/internal/model/rollout/runner_tick.go
@@ -101,7 +101,7 @@
 	view := View{
 		Now: now, Members: members, Known: r.config.Links.Known(), Barred: slices.Clone(r.barred[service]),
 		InstancesKnown: now.Sub(r.started) >= discoveryTime, OldInFlight: followed.traffic.OldInFlight(),
-		StoreAnswered: r.config.Store.AnsweredAt(), Nodes: map[string]string{}, Serving: r.config.Links.Serving(service),
+		StoreAnswered: r.config.Store.LastAnswerTime(), Nodes: map[string]string{}, Serving: r.config.Links.Serving(service),
 	}
 	target := followed.controller.Order().Target
 	endpoints, cold := r.config.Instances.Of(service)
@@ -137,7 +137,7 @@
 
 // ask queries the store for an order and records the result.
 func (r *Runner) ask(ctx context.Context, service string, followed *followedOrder) {
-	order, err := r.config.Store.Ask(ctx, service)
+	order, err := r.config.Store.Get(ctx, service)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	followed.asking = false
