--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -130,7 +130,7 @@
 	p.follower = &configsource.Follower{
 		Source: platform.Source(), Apply: p.OfferConfiguration, Freshness: p.freshness, Confirmed: p.fleet.SendHeartbeats,
 		ApplyOrders: p.ordersReader(), OrderKinds: p.orderKinds(), OrdersBound: p.ordersBound(),
-		Awaited: p.path.snapshots.Awaited, Bound: p.pollBound(), Daemons: func() int { return int(p.members.Load()) },
+		Awaited: p.path.snapshots.HasWaitingCalls, Bound: p.pollBound(), Daemons: func() int { return int(p.members.Load()) },
 		MinInterval: p.minInterval, Random: rand.Float64, Resumed: p.resumed, Logger: p.path.logger,
 	}
 	platform.OnStoreRestored(func() {
--- a/internal/model/snapshot/store.go
+++ b/internal/model/snapshot/store.go
@@ -28,20 +28,20 @@
 // Current returns the snapshot in force, nil before the first.
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// Await returns the snapshot in force. If there is none yet, it waits for the first one until timeout
-// passes or ctx ends, and then returns nil.
-func (s *Store) Await(ctx context.Context, timeout time.Duration) *Snapshot {
+// WaitForFirst returns the snapshot in force. If there is none yet, it waits for the first one until
+// timeout passes or ctx ends, and then returns nil.
+func (s *Store) WaitForFirst(ctx context.Context, timeout time.Duration) *Snapshot {
 	if current := s.current.Load(); current != nil {
 		return current
 	}
 	s.waitingCalls.Add(1)
 	defer s.waitingCalls.Add(-1)
-	return s.AwaitAfter(ctx, nil, timeout)
+	return s.WaitForNewer(ctx, nil, timeout)
 }
 
-// AwaitAfter returns the snapshot in force once it differs from seen. If timeout passes or ctx ends
+// WaitForNewer returns the snapshot in force once it differs from seen. If timeout passes or ctx ends
 // first, it returns the snapshot in force at that time.
-func (s *Store) AwaitAfter(ctx context.Context, seen *Snapshot, timeout time.Duration) *Snapshot {
+func (s *Store) WaitForNewer(ctx context.Context, seen *Snapshot, timeout time.Duration) *Snapshot {
 	// Get the channel before comparing, so that no replacement in between is missed.
 	replaced := s.nextReplacement()
 	if current := s.current.Load(); current != seen {
@@ -57,8 +57,8 @@
 	return s.current.Load()
 }
 
-// Awaited reports whether any call waits for the first snapshot.
-func (s *Store) Awaited() bool { return s.waitingCalls.Load() > 0 }
+// HasWaitingCalls reports whether any call waits for the first snapshot.
+func (s *Store) HasWaitingCalls() bool { return s.waitingCalls.Load() > 0 }
 
 // nextReplacement returns a channel that is closed when the next snapshot is in force.
 func (s *Store) nextReplacement() <-chan struct{} {
--- a/internal/model/snapshot/store_test.go
+++ b/internal/model/snapshot/store_test.go
@@ -31,21 +31,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &snapshot.Store{}
 		began := time.Now()
-		assert.Assert(t, store.Await(context.Background(), time.Second) == nil)
+		assert.Assert(t, store.WaitForFirst(context.Background(), time.Second) == nil)
 		assert.Equal(t, time.Since(began), time.Second)
 
 		ended, cancel := context.WithCancel(context.Background())
 		cancel()
-		assert.Assert(t, store.Await(ended, time.Minute) == nil, "the caller disconnected")
+		assert.Assert(t, store.WaitForFirst(ended, time.Minute) == nil, "the caller disconnected")
 
 		time.AfterFunc(300*time.Millisecond, func() { assert.NilError(t, store.ReplaceConfiguration(newConfiguration(t, 3))) })
 		began = time.Now()
-		assert.Equal(t, store.Await(context.Background(), time.Second).Revision, uint64(3))
+		assert.Equal(t, store.WaitForFirst(context.Background(), time.Second).Revision, uint64(3))
 		assert.Equal(t, time.Since(began), 300*time.Millisecond)
 
 		assert.NilError(t, store.ReplaceConfiguration(newConfiguration(t, 5)))
 		began = time.Now()
-		assert.Equal(t, store.Await(context.Background(), time.Second).Revision, uint64(5))
+		assert.Equal(t, store.WaitForFirst(context.Background(), time.Second).Revision, uint64(5))
 		assert.Equal(t, time.Since(began), time.Duration(0))
 	})
 }
@@ -58,16 +58,16 @@
 		assert.NilError(t, store.ReplaceConfiguration(newConfiguration(t, 3)))
 		seen := store.Current()
 		began := time.Now()
-		assert.Assert(t, store.AwaitAfter(context.Background(), seen, time.Second) == seen)
+		assert.Assert(t, store.WaitForNewer(context.Background(), seen, time.Second) == seen)
 		assert.Equal(t, time.Since(began), time.Second)
 
 		time.AfterFunc(300*time.Millisecond, func() { assert.NilError(t, store.ReplaceConfiguration(newConfiguration(t, 5))) })
 		began = time.Now()
-		assert.Equal(t, store.AwaitAfter(context.Background(), seen, time.Second).Revision, uint64(5))
+		assert.Equal(t, store.WaitForNewer(context.Background(), seen, time.Second).Revision, uint64(5))
 		assert.Equal(t, time.Since(began), 300*time.Millisecond)
 
 		began = time.Now()
-		assert.Equal(t, store.AwaitAfter(context.Background(), seen, time.Second).Revision, uint64(5))
+		assert.Equal(t, store.WaitForNewer(context.Background(), seen, time.Second).Revision, uint64(5))
 		assert.Equal(t, time.Since(began), time.Duration(0), "the newer snapshot was already in force")
 	})
 }
--- a/internal/requestpath/gateway/identity.go
+++ b/internal/requestpath/gateway/identity.go
@@ -210,7 +210,7 @@
 		return g.config.Snapshots.Current()
 	}
 	target := time.Duration(found.route.GetCallClass().GetTargetLatencyMillis()) * time.Millisecond
-	return g.config.Snapshots.AwaitAfter(ctx, found.current, identity.UpdateWait(target))
+	return g.config.Snapshots.WaitForNewer(ctx, found.current, identity.UpdateWait(target))
 }
 
 // recheckKey returns an error if, since the call was admitted, its key was revoked or the key data became
--- a/internal/requestpath/gateway/serve.go
+++ b/internal/requestpath/gateway/serve.go
@@ -78,7 +78,7 @@
 		return nil, result.Errorf(result.CallNotRunStopping, "the daemon is stopping")
 	}
 	defer g.serving.Add(-1)
-	current := g.config.Snapshots.Await(ctx, configurationTimeout)
+	current := g.config.Snapshots.WaitForFirst(ctx, configurationTimeout)
 	if current == nil {
 		return nil, result.Errorf(result.CallNotReady, "no configuration yet")
 	}
