--- a/internal/daemon/platform_rollouts.go
+++ b/internal/daemon/platform_rollouts.go
@@ -171,15 +171,15 @@
 // ReceiveAnnouncement implements fleet.RolloutObserver. A message from a new incarnation of a daemon
 // invalidates those of its earlier incarnation.
 func (r *rollouts) ReceiveAnnouncement(message *lapisv1.RolloutWord) {
-	word := rollout.WordOf(message)
+	announcement := rollout.AnnouncementOf(message)
 	r.mutex.Lock()
-	before, known := r.incarnations[word.Node]
-	r.incarnations[word.Node] = word.Incarnation
+	before, known := r.incarnations[announcement.Node]
+	r.incarnations[announcement.Node] = announcement.Incarnation
 	r.mutex.Unlock()
-	if known && before != word.Incarnation {
-		r.runner.HandleDisconnect(word.Node)
+	if known && before != announcement.Incarnation {
+		r.runner.HandleDisconnect(announcement.Node)
 	}
-	r.runner.HandleAnnouncement(word)
+	r.runner.HandleAnnouncement(announcement)
 }
 
 // ReceiveReport implements fleet.RolloutObserver.
@@ -210,8 +210,8 @@
 func (r *rollouts) Serving(service string) int { return r.distribution.fleet.MembersOfService(service) }
 
 // Broadcast implements rollout.Links.
-func (r *rollouts) Broadcast(word rollout.Word, nodes []string) {
-	r.distribution.fleet.BroadcastAnnouncement(rollout.WordMessage(word), nodes)
+func (r *rollouts) Broadcast(announcement rollout.Announcement, nodes []string) {
+	r.distribution.fleet.BroadcastAnnouncement(rollout.AnnouncementMessage(announcement), nodes)
 }
 
 // Send implements rollout.Links.
--- a/internal/daemon/platform_rollouts_test.go
+++ b/internal/daemon/platform_rollouts_test.go
@@ -72,9 +72,9 @@
 	return rollout.Identity{Created: created, Target: "v2", Duration: time.Minute}
 }
 
-// wordOf returns a RolloutWord message from daemon b.
-func wordOf(incarnation uint64, phase rollout.Phase) *lapisv1.RolloutWord {
-	return rollout.WordMessage(rollout.Word{
+// announcementOf returns a RolloutWord message from daemon b.
+func announcementOf(incarnation uint64, phase rollout.Phase) *lapisv1.RolloutWord {
+	return rollout.AnnouncementMessage(rollout.Announcement{
 		Service: "desk", Node: "b", Incarnation: incarnation, Sequence: 1, Order: identityAt(5), Phase: phase,
 	})
 }
@@ -88,13 +88,13 @@
 		rollsBack bool
 	}{
 		"nothing":  {func(*rollouts) {}, false},
-		"received": {func(followed *rollouts) { followed.ReceiveAnnouncement(wordOf(9, rollout.PhaseRollingBack)) }, true},
+		"received": {func(followed *rollouts) { followed.ReceiveAnnouncement(announcementOf(9, rollout.PhaseRollingBack)) }, true},
 		"received after a restart": {func(followed *rollouts) {
-			followed.ReceiveAnnouncement(wordOf(9, rollout.PhaseProbing))
-			followed.ReceiveAnnouncement(wordOf(3, rollout.PhaseRollingBack))
+			followed.ReceiveAnnouncement(announcementOf(9, rollout.PhaseProbing))
+			followed.ReceiveAnnouncement(announcementOf(3, rollout.PhaseRollingBack))
 		}, true},
 		"link lost": {func(followed *rollouts) {
-			followed.ReceiveAnnouncement(wordOf(9, rollout.PhaseRollingBack))
+			followed.ReceiveAnnouncement(announcementOf(9, rollout.PhaseRollingBack))
 			followed.NodeUnlinked("b")
 		}, false},
 	} {
--- a/internal/model/rollout/again_test.go
+++ b/internal/model/rollout/again_test.go
@@ -10,7 +10,7 @@
 // Guards against a good version that is not completed by its deadline after its order was given
 // again following a roll-back. One daemon read the order as it was given and wrote the status
 // running. Another daemon first saw the object after that write, took it for an order given later
-// still, and so used a different identity than the other daemons, which dropped its words. The
+// still, and so used a different identity than the other daemons, which dropped its announcements. The
 // identity must not depend on which states of the object a daemon has seen.
 func TestOrderGivenAgainIsTheSameToAllWhoReadIt(t *testing.T) {
 	first := Order{Service: "desk", Identity: Identity{Created: 3, Target: "v2", Duration: 30 * time.Second}, Revision: 3}
--- a/internal/model/rollout/controller.go
+++ b/internal/model/rollout/controller.go
@@ -13,9 +13,9 @@
 	// maxStoreAge is the maximum age of the store's newest answer at which a shift may begin. A
 	// version that turns bad during the shift can be rolled back only through the store.
 	maxStoreAge = 2 * time.Second
-	// wordGracePeriod is how long after the deadline words are still sent. It is longer than a
-	// daemon that was cut off may take to reconnect.
-	wordGracePeriod = 10 * time.Second
+	// announcementGracePeriod is how long after the deadline announcements are still sent. It is
+	// longer than a daemon that was cut off may take to reconnect.
+	announcementGracePeriod = 10 * time.Second
 	// probeDelay is the time between the discovery of a new instance and its first probe. The
 	// daemon next to the instance may have started with it, and needs this long to discover the
 	// instances that the new one calls in turn.
@@ -45,19 +45,19 @@
 	incarnation uint64
 	sequence    uint64
 
-	decider   Decider
-	machine   *stateless.StateMachine
-	analyzer  *Analyzer
-	reportSet *ReportSet
-	words     map[string]Word
-	verdict   Verdict
+	decider       Decider
+	machine       *stateless.StateMachine
+	analyzer      *Analyzer
+	reportSet     *ReportSet
+	announcements map[string]Announcement
+	verdict       Verdict
 
 	orderedAt      time.Time
 	shiftStartedAt time.Time
 	movedAt        time.Time
 	// probeShare is the new version's share of the calls before the shift.
 	probeShare float64
-	// divertAnnounced is true once a word announced that no calls go to the old version.
+	// divertAnnounced is true once an announcement stated that no calls go to the old version.
 	divertAnnounced bool
 	// probed holds the instances that are currently probed.
 	probed []Probe
@@ -73,7 +73,7 @@
 func NewController(node string, incarnation uint64, order Order, orderedAt time.Time) *Controller {
 	return &Controller{
 		node: node, incarnation: incarnation, decider: NewDecider(order), machine: newMachine(),
-		analyzer: NewAnalyzer(), reportSet: NewReportSet(order.Identity), words: map[string]Word{}, warmSince: map[string]time.Time{},
+		analyzer: NewAnalyzer(), reportSet: NewReportSet(order.Identity), announcements: map[string]Announcement{}, warmSince: map[string]time.Time{},
 		orderedAt: orderedAt, probeShare: ProbeShare, tooShort: order.Duration < MinDuration,
 	}
 }
@@ -89,10 +89,10 @@
 	return c.State() == StateCompleted || c.State() == StateRolledBack
 }
 
-// DoneSending reports whether words need no longer be sent: the order has ended, and daemons that
-// were out of touch have had wordGracePeriod to receive the last word.
+// DoneSending reports whether announcements need no longer be sent: the order has ended, and daemons
+// that were out of touch have had announcementGracePeriod to receive the last announcement.
 func (c *Controller) DoneSending(now time.Time) bool {
-	return c.Ended() && now.After(c.plan().Deadline.Add(wordGracePeriod))
+	return c.Ended() && now.After(c.plan().Deadline.Add(announcementGracePeriod))
 }
 
 // Verdict returns the verdict on the evidence known to this daemon.
@@ -110,23 +110,23 @@
 // Report records the evidence of a daemon, including this one.
 func (c *Controller) Report(report Report) { c.reportSet.Record(report) }
 
-// Hear records a word of another daemon.
-func (c *Controller) Hear(now time.Time, word Word) {
-	known, heard := c.words[word.Node]
-	older := heard && (word.Incarnation < known.Incarnation ||
-		(word.Incarnation == known.Incarnation && word.Sequence <= known.Sequence))
-	if word.Order != c.Order().Identity || older {
+// Hear records an announcement of another daemon.
+func (c *Controller) Hear(now time.Time, announcement Announcement) {
+	known, heard := c.announcements[announcement.Node]
+	older := heard && (announcement.Incarnation < known.Incarnation ||
+		(announcement.Incarnation == known.Incarnation && announcement.Sequence <= known.Sequence))
+	if announcement.Order != c.Order().Identity || older {
 		return
 	}
-	c.words[word.Node] = word
-	c.orderedAt = earlier(c.orderedAt, now.Add(-word.Age))
-	if word.Shifting > 0 {
-		c.shiftStartedAt = earlier(c.shiftStartedAt, now.Add(-word.Shifting))
+	c.announcements[announcement.Node] = announcement
+	c.orderedAt = earlier(c.orderedAt, now.Add(-announcement.Age))
+	if announcement.Shifting > 0 {
+		c.shiftStartedAt = earlier(c.shiftStartedAt, now.Add(-announcement.Shifting))
 	}
 }
 
-// Lost discards the word of a daemon that restarted or whose link was lost.
-func (c *Controller) Lost(node string) { delete(c.words, node) }
+// Lost discards the announcement of a daemon that restarted or whose link was lost.
+func (c *Controller) Lost(node string) { delete(c.announcements, node) }
 
 // Tick returns the decision for a view.
 func (c *Controller) Tick(view View) Decision {
@@ -146,7 +146,7 @@
 	c.takeLocalSteps(view)
 	c.chooseProbed(view, members)
 	decision := Decision{
-		Steps: c.steps, Allocation: c.allocation(view), Word: c.word(view),
+		Steps: c.steps, Allocation: c.allocation(view), Announcement: c.announcement(view),
 		Deciders: members[:min(Deciders, len(members))],
 	}
 	decision.Ask = rank >= 0 && c.needsStore(view)
@@ -199,8 +199,8 @@
 // adoptPeerPhase adopts the most advanced phase announced by the other daemons.
 func (c *Controller) adoptPeerPhase(view View) {
 	farthest := PhaseProbing
-	for _, word := range c.words {
-		farthest = max(farthest, word.Phase)
+	for _, announcement := range c.announcements {
+		farthest = max(farthest, announcement.Phase)
 	}
 	switch farthest {
 	case PhaseRollingBack:
@@ -290,8 +290,8 @@
 
 // shareHeld reports whether a decider has announced that every daemon must keep its share.
 func (c *Controller) shareHeld() bool {
-	for _, word := range c.words {
-		if word.Holding {
+	for _, announcement := range c.announcements {
+		if announcement.Holding {
 			return true
 		}
 	}
@@ -326,9 +326,9 @@
 	return allocation
 }
 
-// word returns the word that this daemon announces. Its statement on the old version is true only
+// announcement returns the announcement of this daemon. Its statement on the old version is true only
 // once the allocation of the same decision is in force, so that must be applied first.
-func (c *Controller) word(view View) Word {
+func (c *Controller) announcement(view View) Announcement {
 	c.sequence++
 	phase := PhaseProbing
 	switch c.State() {
@@ -342,7 +342,7 @@
 		shifting = max(view.Now.Sub(c.shiftStartedAt), time.Millisecond)
 	}
 	diverted := c.divertAnnounced && c.State() != StateRolledBack
-	return Word{
+	return Announcement{
 		Service: c.Order().Service, Node: c.node, Incarnation: c.incarnation, Sequence: c.sequence,
 		Order: c.Order().Identity, Age: view.Now.Sub(c.orderedAt), Phase: phase, Shifting: shifting,
 		Probed: c.Probed(), Holding: c.holding(), Diverted: diverted, Drained: diverted && c.State() == StateMoved && view.OldInFlight == 0,
@@ -375,11 +375,11 @@
 		return false
 	}
 	for _, member := range view.Members {
-		word, heard := c.words[member]
+		announcement, heard := c.announcements[member]
 		if member == c.node {
 			continue
 		}
-		if !heard || !word.Diverted || (waits && !word.Drained) {
+		if !heard || !announcement.Diverted || (waits && !announcement.Drained) {
 			return false
 		}
 	}
--- a/internal/model/rollout/controller_test.go
+++ b/internal/model/rollout/controller_test.go
@@ -42,10 +42,10 @@
 	return m.controller.Tick(m.view)
 }
 
-// hearWord delivers a word of daemon b.
-func (m *movedController) hearWord(diverted, drained bool) {
+// hearAnnouncement delivers an announcement of daemon b.
+func (m *movedController) hearAnnouncement(diverted, drained bool) {
 	m.sequence++
-	m.controller.Hear(m.view.Now, Word{
+	m.controller.Hear(m.view.Now, Announcement{
 		Service: "desk", Node: "b", Incarnation: 1, Sequence: m.sequence, Order: testOrder,
 		Phase: PhaseShifting, Diverted: diverted, Drained: drained,
 	})
@@ -61,26 +61,26 @@
 	plan := PlanFor(time.Unix(1000, 0), testOrder.Duration)
 	settled, last := plan.CompletionAt.Add(TickInterval), plan.DrainDeadline.Add(time.Second/2)
 	for name, test := range map[string]struct {
-		hearWord          func(m *movedController)
+		hearAnnouncement  func(m *movedController)
 		atSettled, atLast bool
 	}{
-		"moved":                 {func(m *movedController) { m.hearWord(true, true) }, true, true},
+		"moved":                 {func(m *movedController) { m.hearAnnouncement(true, true) }, true, true},
 		"no word":               {func(*movedController) {}, false, false},
-		"still sends calls":     {func(m *movedController) { m.hearWord(false, false) }, false, false},
-		"has calls in flight":   {func(m *movedController) { m.hearWord(true, false) }, false, true},
-		"own calls in flight":   {func(m *movedController) { m.hearWord(true, true); m.view.OldInFlight = 1 }, false, true},
-		"is lost and in touch":  {func(m *movedController) { m.hearWord(true, true); m.controller.Lost("b") }, false, false},
+		"still sends calls":     {func(m *movedController) { m.hearAnnouncement(false, false) }, false, false},
+		"has calls in flight":   {func(m *movedController) { m.hearAnnouncement(true, false) }, false, true},
+		"own calls in flight":   {func(m *movedController) { m.hearAnnouncement(true, true); m.view.OldInFlight = 1 }, false, true},
+		"is lost and in touch":  {func(m *movedController) { m.hearAnnouncement(true, true); m.controller.Lost("b") }, false, false},
 		"is not in touch":       {func(m *movedController) { m.view.Members, m.view.Known = []string{"a"}, 1 }, true, true},
 		"half are not in touch": {func(m *movedController) { m.view.Members = []string{"a"} }, false, false},
 		"word about another order": {func(m *movedController) {
-			m.controller.Hear(m.view.Now, Word{Node: "b", Order: Identity{Target: "v3"}, Diverted: true, Drained: true})
+			m.controller.Hear(m.view.Now, Announcement{Node: "b", Order: Identity{Target: "v3"}, Diverted: true, Drained: true})
 		}, false, false},
-		"revoked by a later word": {func(m *movedController) { m.hearWord(true, true); m.hearWord(false, false) }, false, false},
+		"revoked by a later word": {func(m *movedController) { m.hearAnnouncement(true, true); m.hearAnnouncement(false, false) }, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			early, late := newMovedController(t), newMovedController(t)
-			test.hearWord(early)
-			test.hearWord(late)
+			test.hearAnnouncement(early)
+			test.hearAnnouncement(late)
 			// A controller of rank 1 writes later by TakeoverDelay.
 			written := early.writes(settled) || early.writes(settled.Add(TakeoverDelay))
 			assert.Equal(t, written, test.atSettled)
@@ -92,7 +92,7 @@
 
 func TestShiftIsCalledOffWhenTheNewInstancesAreLost(t *testing.T) {
 	m := newMovedController(t)
-	m.hearWord(true, true)
+	m.hearAnnouncement(true, true)
 	m.view.New, m.view.Warm = nil, nil
 	decision := m.at(PlanFor(m.orderedAt, testOrder.Duration).CompletionAt)
 	assert.Equal(t, decision.Steps[0].Reason, ReasonNoInstances)
@@ -138,7 +138,7 @@
 		return controller.Tick(view).Allocation.Share
 	}
 	hear := func(now time.Time, sequence uint64, holding bool) {
-		controller.Hear(now, Word{
+		controller.Hear(now, Announcement{
 			Service: "desk", Node: "a", Incarnation: 1, Sequence: sequence, Order: testOrder,
 			Phase: PhaseShifting, Shifting: now.Sub(plan.ShiftAt) + time.Millisecond, Holding: holding,
 		})
--- a/internal/model/rollout/day_test.go
+++ b/internal/model/rollout/day_test.go
@@ -11,7 +11,7 @@
 )
 
 // The simulation: daemons send calls on three routes to the instances of one service, exchange
-// words and reports with a delay, and write to a store that loses answers. Time is virtual and
+// announcements and reports with a delay, and write to a store that loses answers. Time is virtual and
 // advances in steps.
 const (
 	simStep     = 50 * time.Millisecond
@@ -56,9 +56,9 @@
 	noInstances bool
 	storeFaults bool
 	restarts    bool
-	// wordDelay is the additional delay of every word to the daemon of the last rank.
-	wordDelay time.Duration
-	variant   variant
+	// announcementDelay is the additional delay of every announcement to the daemon of the last rank.
+	announcementDelay time.Duration
+	variant           variant
 }
 
 // variant configures a faulty implementation of a daemon.
@@ -106,17 +106,17 @@
 
 // simDaemon is a simulated daemon.
 type simDaemon struct {
-	name        string
-	zone        string
-	incarnation uint64
-	controller  *Controller
-	traffic     *Traffic
-	sequence    uint64
-	ownSlack    int
-	deciders    []string
-	lastWord    Word
-	lastWordAt  time.Time
-	reportedAt  time.Time
+	name               string
+	zone               string
+	incarnation        uint64
+	controller         *Controller
+	traffic            *Traffic
+	sequence           uint64
+	ownSlack           int
+	deciders           []string
+	lastAnnouncement   Announcement
+	lastAnnouncementAt time.Time
+	reportedAt         time.Time
 }
 
 // simulation is one run of a scenario.
@@ -215,7 +215,7 @@
 	daemon.incarnation++
 	daemon.sequence = 0
 	daemon.deciders = nil
-	daemon.lastWord = Word{}
+	daemon.lastAnnouncement = Announcement{}
 	daemon.ownSlack = d.scenario.variant.slack
 	daemon.controller = NewController(daemon.name, daemon.incarnation, d.store, d.now())
 	daemon.traffic = NewTraffic(d.store.Identity)
@@ -410,7 +410,7 @@
 		decision.Allocation.Share = 0
 	}
 	if d.scenario.variant.announcesEarly {
-		decision.Word.Diverted, decision.Word.Drained = true, true
+		decision.Announcement.Diverted, decision.Announcement.Drained = true, true
 	}
 	daemon.traffic.Apply(decision.Allocation)
 	d.result.steps = append(d.result.steps, decision.Steps...)
@@ -450,16 +450,16 @@
 	return view
 }
 
-// spread sends the word to all daemons and the report to the deciders when the runner would, with a
-// delay of up to four steps.
+// spread sends the announcement to all daemons and the report to the deciders when the runner would,
+// with a delay of up to four steps.
 func (d *simulation) spread(daemon *simDaemon, decision Decision) {
 	if daemon.controller.DoneSending(d.now()) {
 		return
 	}
-	word := decision.Word
-	tells := word.Changed(daemon.lastWord) || d.now().Sub(daemon.lastWordAt) >= WordInterval
+	announcement := decision.Announcement
+	tells := announcement.Changed(daemon.lastAnnouncement) || d.now().Sub(daemon.lastAnnouncementAt) >= AnnouncementInterval
 	if tells {
-		daemon.lastWord, daemon.lastWordAt = word, d.now()
+		daemon.lastAnnouncement, daemon.lastAnnouncementAt = announcement, d.now()
 	}
 	reports := !daemon.controller.Ended() && d.now().Sub(daemon.reportedAt) >= ReportInterval
 	var report Report
@@ -473,10 +473,10 @@
 		}
 		delay := 1 + d.random.IntN(4)
 		if other == d.lastRanked() {
-			delay += int(d.scenario.wordDelay / simStep)
+			delay += int(d.scenario.announcementDelay / simStep)
 		}
 		if tells {
-			d.later(delay, func() { other.controller.Hear(d.now(), word) })
+			d.later(delay, func() { other.controller.Hear(d.now(), announcement) })
 		}
 		if reports && slices.Contains(decision.Deciders, other.name) {
 			d.later(1+d.random.IntN(4), func() { other.controller.Report(report) })
--- a/internal/model/rollout/message.go
+++ b/internal/model/rollout/message.go
@@ -44,18 +44,18 @@
 	}
 }
 
-// WordMessage encodes a word.
-func WordMessage(word Word) *lapisv1.RolloutWord {
+// AnnouncementMessage encodes an announcement.
+func AnnouncementMessage(announcement Announcement) *lapisv1.RolloutWord {
 	return &lapisv1.RolloutWord{
-		Service: word.Service, Node: word.Node, Incarnation: word.Incarnation, Sequence: word.Sequence,
-		Order: identityMessage(word.Order), AgeNanos: int64(word.Age), Phase: uint32(word.Phase),
-		ShiftingNanos: int64(word.Shifting), Diverted: word.Diverted, Drained: word.Drained, Probed: probeMessages(word.Probed), Holding: word.Holding,
+		Service: announcement.Service, Node: announcement.Node, Incarnation: announcement.Incarnation, Sequence: announcement.Sequence,
+		Order: identityMessage(announcement.Order), AgeNanos: int64(announcement.Age), Phase: uint32(announcement.Phase),
+		ShiftingNanos: int64(announcement.Shifting), Diverted: announcement.Diverted, Drained: announcement.Drained, Probed: probeMessages(announcement.Probed), Holding: announcement.Holding,
 	}
 }
 
-// WordOf decodes a word.
-func WordOf(message *lapisv1.RolloutWord) Word {
-	return Word{
+// AnnouncementOf decodes an announcement.
+func AnnouncementOf(message *lapisv1.RolloutWord) Announcement {
+	return Announcement{
 		Service: message.GetService(), Node: message.GetNode(), Incarnation: message.GetIncarnation(), Sequence: message.GetSequence(),
 		Order: identityOf(message.GetOrder()), Age: time.Duration(message.GetAgeNanos()), Phase: Phase(message.GetPhase()),
 		Shifting: time.Duration(message.GetShiftingNanos()), Diverted: message.GetDiverted(), Drained: message.GetDrained(), Probed: probesOf(message.GetProbed()), Holding: message.GetHolding(),
--- a/internal/model/rollout/message_test.go
+++ b/internal/model/rollout/message_test.go
@@ -19,12 +19,12 @@
 	stated.ReissueRevision = 0
 	assert.DeepEqual(t, OrderOf(OrderMessage("desk", order)), stated)
 
-	word := Word{
+	announcement := Announcement{
 		Service: "desk", Node: "a", Incarnation: 4, Sequence: 5, Order: identity, Age: time.Second,
 		Phase: PhaseRollingBack, Shifting: time.Minute, Diverted: true, Drained: true,
 		Probed: []Probe{{Instance: "i-1", Node: "d-1"}}, Holding: true,
 	}
-	assert.DeepEqual(t, WordOf(WordMessage(word)), word)
+	assert.DeepEqual(t, AnnouncementOf(AnnouncementMessage(announcement)), announcement)
 
 	report := Report{Order: identity, Node: "a", Incarnation: 4, Sequence: 6, Evidence: Evidence{}}
 	for _, taken := range []time.Duration{0, time.Second, highestClassTime} {
--- a/internal/model/rollout/probes.go
+++ b/internal/model/rollout/probes.go
@@ -18,14 +18,15 @@
 }
 
 // chooseProbed adopts the instances announced by the first decider, because daemons may know
-// different instances. The first decider, and a daemon without its word, choose them on their own.
+// different instances. The first decider, and a daemon without its announcement, choose them on their
+// own.
 func (c *Controller) chooseProbed(view View, members []string) {
 	for _, decider := range members[:min(Deciders, len(members))] {
 		if decider == c.node {
 			break
 		}
-		if word, heard := c.words[decider]; heard && len(word.Probed) > 0 {
-			c.probed = word.Probed
+		if announcement, heard := c.announcements[decider]; heard && len(announcement.Probed) > 0 {
+			c.probed = announcement.Probed
 			return
 		}
 	}
--- a/internal/model/rollout/runner.go
+++ b/internal/model/rollout/runner.go
@@ -18,10 +18,10 @@
 	// TickInterval is the interval between decisions: a twentieth of the two seconds that a roll-back
 	// may take in addition to the time of the test.
 	TickInterval = 100 * time.Millisecond
-	// ReportInterval is the interval of the reports to the deciders. WordInterval is the interval
-	// of unchanged words to all daemons; a changed word is sent immediately.
-	ReportInterval = 200 * time.Millisecond
-	WordInterval   = time.Second
+	// ReportInterval is the interval of the reports to the deciders. AnnouncementInterval is the
+	// interval of unchanged announcements to all daemons; a changed announcement is sent immediately.
+	ReportInterval       = 200 * time.Millisecond
+	AnnouncementInterval = time.Second
 	// discoveryTime is the time after the start in which a daemon may not know all instances yet.
 	// It is longer than the interval of their heartbeats.
 	discoveryTime = 2 * time.Second
@@ -39,8 +39,8 @@
 	LastAnswerTime() time.Time
 }
 
-// Links sends words and reports to other daemons. Messages may be delayed, duplicated or lost. No
-// method blocks.
+// Links sends announcements and reports to other daemons. Messages may be delayed, duplicated or
+// lost. No method blocks.
 type Links interface {
 	// Members returns the daemons in touch, including this one.
 	Members() []string
@@ -48,8 +48,8 @@
 	Known() int
 	// Serving returns the number of known daemons that run an instance of a service.
 	Serving(service string) int
-	// Broadcast sends a word to the given members, or to all members if nodes is nil.
-	Broadcast(word Word, nodes []string)
+	// Broadcast sends an announcement to the given members, or to all members if nodes is nil.
+	Broadcast(announcement Announcement, nodes []string)
 	// Send sends a report on a service's order to one member.
 	Send(node, service string, report Report)
 }
@@ -81,12 +81,13 @@
 	controller *Controller
 	traffic    *Traffic
 	// sequence is the number of reports, and reportedAt the time at which the newest one was sent;
-	// lastWord is the newest word sent, and lastWordAt the time at which it was sent.
-	sequence   uint64
-	reportedAt time.Time
-	lastWord   Word
-	lastWordAt time.Time
-	deciders   []string
+	// lastAnnouncement is the newest announcement sent, and lastAnnouncementAt the time at which it
+	// was sent.
+	sequence           uint64
+	reportedAt         time.Time
+	lastAnnouncement   Announcement
+	lastAnnouncementAt time.Time
+	deciders           []string
 	// asking is true while a query to the store is in progress, and askedAt is when the newest one
 	// began.
 	asking  bool
@@ -274,12 +275,12 @@
 	r.config.Logger.Info("rollout.order", pairs...)
 }
 
-// HandleAnnouncement records a word of another daemon.
-func (r *Runner) HandleAnnouncement(word Word) {
+// HandleAnnouncement records an announcement of another daemon.
+func (r *Runner) HandleAnnouncement(announcement Announcement) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if followed := r.following[word.Service]; followed != nil {
-		followed.controller.Hear(r.config.Now(), word)
+	if followed := r.following[announcement.Service]; followed != nil {
+		followed.controller.Hear(r.config.Now(), announcement)
 	}
 }
 
--- a/internal/model/rollout/runner_test.go
+++ b/internal/model/rollout/runner_test.go
@@ -233,10 +233,10 @@
 }
 
 // Broadcast implements Links.
-func (l siteLinks) Broadcast(word Word, nodes []string) {
+func (l siteLinks) Broadcast(announcement Announcement, nodes []string) {
 	for node, runner := range l.site.runners {
 		if l.reaches(node) {
-			go runner.HandleAnnouncement(word)
+			go runner.HandleAnnouncement(announcement)
 		}
 	}
 }
--- a/internal/model/rollout/runner_tick.go
+++ b/internal/model/rollout/runner_tick.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// tick decides once on an order. It applies the allocation before it sends the word, because the
-// word states that the allocation is in force. The caller must hold mutex.
+// tick decides once on an order. It applies the allocation before it sends the announcement, because
+// the announcement states that the allocation is in force. The caller must hold mutex.
 func (r *Runner) tick(ctx context.Context, service string, followed *followedOrder, members []string) {
 	now := r.config.Now()
 	if slices.Contains(followed.deciders, r.config.Node) && !followed.controller.Ended() {
@@ -66,23 +66,23 @@
 	}
 }
 
-// Changed reports whether a word differs from an earlier one in more than its times.
-func (w Word) Changed(earlier Word) bool {
+// Changed reports whether an announcement differs from an earlier one in more than its times.
+func (w Announcement) Changed(earlier Announcement) bool {
 	return w.Phase != earlier.Phase || w.Holding != earlier.Holding || !slices.Equal(w.Probed, earlier.Probed) || w.Diverted != earlier.Diverted || w.Drained != earlier.Drained
 }
 
-// sendDue sends the word and the report if they are due. The caller must hold mutex.
+// sendDue sends the announcement and the report if they are due. The caller must hold mutex.
 func (r *Runner) sendDue(now time.Time, followed *followedOrder, decision Decision) {
 	if followed.controller.DoneSending(now) {
 		return
 	}
-	if decision.Word.Changed(followed.lastWord) || now.Sub(followed.lastWordAt) >= WordInterval {
+	if decision.Announcement.Changed(followed.lastAnnouncement) || now.Sub(followed.lastAnnouncementAt) >= AnnouncementInterval {
 		nodes := decision.Deciders
-		if decision.Word.Changed(followed.lastWord) || slices.Contains(nodes, r.config.Node) {
+		if decision.Announcement.Changed(followed.lastAnnouncement) || slices.Contains(nodes, r.config.Node) {
 			nodes = nil
 		}
-		followed.lastWord, followed.lastWordAt = decision.Word, now
-		r.config.Links.Broadcast(decision.Word, nodes)
+		followed.lastAnnouncement, followed.lastAnnouncementAt = decision.Announcement, now
+		r.config.Links.Broadcast(decision.Announcement, nodes)
 	}
 	if followed.controller.Ended() || now.Sub(followed.reportedAt) < ReportInterval {
 		return
--- a/internal/model/rollout/variants_test.go
+++ b/internal/model/rollout/variants_test.go
@@ -26,15 +26,16 @@
 	assert.Assert(t, stored(runFewSeeds(faulty), EndRolledBack) < variantSeeds/2)
 }
 
-// One daemon receives the words of the shift late, so that the end must wait for its word.
+// One daemon receives the announcements of the shift late, so that the end must wait for its
+// announcement.
 func TestDaysCatchAnEndWrittenTooEarly(t *testing.T) {
 	t.Parallel()
 	const late = 5 * time.Second
-	for seed, result := range runFewSeeds(scenario{wordDelay: late}) {
+	for seed, result := range runFewSeeds(scenario{announcementDelay: late}) {
 		assert.Check(t, result.end == EndCompleted && result.endAfter <= simDuration, "seed %d: %s after %v", seed, result.end, result.endAfter)
 		assert.Check(t, result.oldAfterCompleted == 0, "seed %d", seed)
 	}
-	for seed, result := range runFewSeeds(scenario{wordDelay: late, variant: variant{announcesEarly: true}}) {
+	for seed, result := range runFewSeeds(scenario{announcementDelay: late, variant: variant{announcesEarly: true}}) {
 		assert.Check(t, result.oldAfterCompleted > 0, "seed %d", seed)
 	}
 }
--- a/internal/model/rollout/view.go
+++ b/internal/model/rollout/view.go
@@ -8,13 +8,13 @@
 // precedence.
 type Phase uint32
 
-// Word is the state of a roll-out that a daemon announces to all others. Each word holds the whole
-// state, so that only the newest one is needed.
-type Word struct {
+// Announcement is the state of a roll-out that a daemon announces to all others. Each announcement
+// holds the whole state, so that only the newest one is needed.
+type Announcement struct {
 	Service     string
 	Node        string
 	Incarnation uint64
-	// Sequence increases with each word of the incarnation.
+	// Sequence increases with each announcement of the incarnation.
 	Sequence uint64
 	Order    Identity
 	// Age is the time since the order was given, as far as the daemon knows. The store does not
@@ -72,9 +72,9 @@
 	// Ask is true if the store must be queried for the order now, because a step requires a newer
 	// answer.
 	Ask bool
-	// Word is to be sent to all daemons, and the evidence to the Deciders.
-	Word     Word
-	Deciders []string
+	// Announcement is to be sent to all daemons, and the evidence to the Deciders.
+	Announcement Announcement
+	Deciders     []string
 }
 
 // sole reports whether only the ordered version has instances.
