--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -54,17 +54,18 @@
 	stallPingTimeout   = 400 * time.Millisecond
 )
 
-// platformPeerTiming is the timing of connections between daemons on a platform. Silence is below the
-// contact time (setting platform.contact, 3 s by default), and above two intervals of KeepAlive, so
-// that a connection survives one lost frame. Write is just below Silence: the calls to a frozen daemon
-// are lost by the silence timeout, and not earlier because a write blocks on full buffers.
-var platformPeerTiming = callmux.Timing{KeepAlive: time.Second, Silence: 2500 * time.Millisecond, Write: 2400 * time.Millisecond}
+// platformPeerTiming is the timing of connections between daemons on a platform. SilenceTimeout is
+// below the contact time (setting platform.contact, 3 s by default), and above two intervals of
+// HeartbeatInterval, so that a connection survives one lost frame. WriteTimeout is just below
+// SilenceTimeout: the calls to a frozen daemon are lost by the silence timeout, and not earlier
+// because a write blocks on full buffers.
+var platformPeerTiming = callmux.Timing{HeartbeatInterval: time.Second, SilenceTimeout: 2500 * time.Millisecond, WriteTimeout: 2400 * time.Millisecond}
 
 // platformTiming returns the timing of connections between daemons. Heartbeats carry the revisions in
 // force at this daemon and the time of their last confirmation.
 func platformTiming(values *settings.Daemon, freshness *configsource.Freshness) callmux.Timing {
 	timing := platformPeerTiming
-	timing.Local = func() callmux.Heartbeat { return heartbeatOf(freshness) }
+	timing.LocalState = func() callmux.Heartbeat { return heartbeatOf(freshness) }
 	timing.LinkMegabits = values.LinkMegabits
 	return timing
 }
@@ -119,7 +120,7 @@
 	config := fleet.Config{
 		Self:        fleet.Member{Node: values.Node, Address: d.listeners.peer.Addr().String(), Zone: values.Zone, Region: values.Region, Service: values.Service},
 		Incarnation: d.incarnation, Directory: platform.Directory(), Calls: p.path.calls, Observer: p,
-		InForce: p.inForce.Load, Orders: p.ordersInForce(), Rollouts: p.rollouts.observer(), Suspects: p.path.suspects.Known, Freshness: p.freshness,
+		InForce: p.inForce.Load, Orders: p.ordersInForce(), Rollouts: p.rollouts.observer(), Suspects: p.path.suspects.InitialRecords, Freshness: p.freshness,
 		Withdrawn: p.path.origin.Withdrawn, Random: rand.Float64, Logger: p.path.logger,
 	}
 	if p.allowances != nil {
@@ -127,13 +128,13 @@
 	}
 	p.fleet = fleet.New(config)
 	p.follower = &configsource.Follower{
-		Source: platform.Source(), Apply: p.Offer, Freshness: p.freshness, Confirmed: p.fleet.SendHeartbeats,
+		Source: platform.Source(), Apply: p.OfferConfiguration, Freshness: p.freshness, Confirmed: p.fleet.SendHeartbeats,
 		ApplyOrders: p.ordersReader(), OrderKinds: p.orderKinds(), OrdersBound: p.ordersBound(),
-		Awaited: p.path.snapshots.Awaited, Bound: p.pollBound(), Daemons: func() int { return int(p.members.Load()) },
+		Awaited: p.path.snapshots.HasWaitingCalls, Bound: p.pollBound(), Daemons: func() int { return int(p.members.Load()) },
 		MinInterval: p.minInterval, Random: rand.Float64, Resumed: p.resumed, Logger: p.path.logger,
 	}
-	platform.OnStoreReturn(func() {
-		p.fleet.DirectoryReturned()
+	platform.OnStoreRestored(func() {
+		p.fleet.DirectoryRestored()
 		p.path.suspects.storeReturned()
 	})
 	return p
@@ -146,7 +147,7 @@
 
 // stall returns the configuration of the stall detection.
 func (p *platformDistribution) stall() callmux.Stall {
-	return callmux.Stall{Check: stallCheckInterval, Quiet: stallPingAfter, Answer: stallPingTimeout, Changed: p.fleet.Stalled}
+	return callmux.Stall{CheckInterval: stallCheckInterval, PingAfter: stallPingAfter, PingTimeout: stallPingTimeout, Changed: p.fleet.SetStalled}
 }
 
 // Run implements distribution.
@@ -197,7 +198,7 @@
 
 // SpreadSuspects implements distribution.
 func (p *platformDistribution) SpreadSuspects(records []quarantine.Record, from string) {
-	p.fleet.SpreadSuspects(records, from)
+	p.fleet.BroadcastSuspects(records, from)
 }
 
 // Resumed implements distribution. The follower checks again whether the source has to be polled, since
@@ -258,12 +259,12 @@
 	if time.Since(p.started) > readyGracePeriod {
 		return true
 	}
-	return p.fleet.Connected() > 0 && p.path.origin.LocalService() != ""
+	return p.fleet.ConnectedMembers() > 0 && p.path.origin.LocalService() != ""
 }
 
-// Offer puts a configuration in force if it is newer than the current one. It implements
+// OfferConfiguration puts a configuration in force if it is newer than the current one. It implements
 // fleet.Observer.
-func (p *platformDistribution) Offer(configuration *lapisv1.Configuration) {
+func (p *platformDistribution) OfferConfiguration(configuration *lapisv1.Configuration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	path := p.path
@@ -342,7 +343,7 @@
 			path.gateway.Stop()
 			ending.refusingCalls = true
 		case <-poll.C:
-			switch ending.next(stopState{serving: path.serving(), waiting: path.gateway.Waiting(), drained: path.drained(), now: time.Now()}) {
+			switch ending.next(stopState{serving: path.serving(), waiting: path.gateway.PendingConnections(), drained: path.drained(), now: time.Now()}) {
 			case stopAccepting:
 				path.gateway.StopAccepting()
 			case stopEnd:
--- a/internal/daemon/platform_distribution_test.go
+++ b/internal/daemon/platform_distribution_test.go
@@ -22,7 +22,7 @@
 // stubPlatform is a Platform without a store, a directory or any requests.
 type stubPlatform struct{}
 
-func (stubPlatform) OnStoreReturn(func()) {}
+func (stubPlatform) OnStoreRestored(func()) {}
 
 func (stubPlatform) RefusedEntries() map[platformapi.RefusedEntry]int64 { return nil }
 
@@ -63,7 +63,7 @@
 	assert.NilError(t, err)
 	defer running.listeners.close()
 	platform := platformDistributionOf(t, running)
-	offer := platform.Offer
+	offer := platform.OfferConfiguration
 
 	offer(configurationOf(t, 7, "/new/"))
 	assert.Equal(t, running.Revision(), uint64(7))
--- a/internal/daemon/platform_orders.go
+++ b/internal/daemon/platform_orders.go
@@ -97,7 +97,7 @@
 	p.orders.deferred = nil
 	p.mutex.Unlock()
 	if deferred != nil {
-		p.Offer(deferred)
+		p.OfferConfiguration(deferred)
 	}
 }
 
@@ -118,7 +118,7 @@
 	defer p.orders.mutex.Unlock()
 	before, replaced := replace()
 	now := p.path.orders.Load()
-	for _, zone := range now.GivenAgain(before) {
+	for _, zone := range now.ReissuedZones(before) {
 		p.path.logger.Info("orders.given_again", "zone", zone, "revision", position.Position(now.Revision()), "by", by)
 	}
 	if !replaced {
@@ -126,7 +126,7 @@
 	}
 	p.orders.follow(before, now, by)
 	p.freshness.AdvanceOrders(now.Revision())
-	p.fleet.SpreadOrders()
+	p.fleet.BroadcastOrders()
 	p.fleet.SendHeartbeats()
 	if before == nil {
 		p.releaseDeferred()
--- a/internal/daemon/platform_rollouts_test.go
+++ b/internal/daemon/platform_rollouts_test.go
@@ -22,8 +22,8 @@
 func (silentStore) WriteStatus(_ context.Context, write rollout.Write) rollout.Answer {
 	return rollout.Answer{Write: write, Outcome: rollout.OutcomeUnknown}
 }
-func (silentStore) Ask(context.Context, string) (*rollout.Order, error) { return nil, context.Canceled }
-func (silentStore) AnsweredAt() time.Time                               { return time.Time{} }
+func (silentStore) Get(context.Context, string) (*rollout.Order, error) { return nil, context.Canceled }
+func (silentStore) LastAnswerTime() time.Time                           { return time.Time{} }
 
 // rolloutPlatform is a Platform with an silentStore.
 type rolloutPlatform struct{ stubPlatform }
@@ -72,9 +72,9 @@
 	return rollout.Identity{Created: created, Target: "v2", Duration: time.Minute}
 }
 
-// wordOf returns a RolloutWord message from daemon b.
-func wordOf(incarnation uint64, phase rollout.Phase) *lapisv1.RolloutWord {
-	return rollout.WordMessage(rollout.Word{
+// announcementOf returns a RolloutWord message from daemon b.
+func announcementOf(incarnation uint64, phase rollout.Phase) *lapisv1.RolloutWord {
+	return rollout.AnnouncementMessage(rollout.Announcement{
 		Service: "desk", Node: "b", Incarnation: incarnation, Sequence: 1, Order: identityAt(5), Phase: phase,
 	})
 }
@@ -88,14 +88,14 @@
 		rollsBack bool
 	}{
 		"nothing":  {func(*rollouts) {}, false},
-		"received": {func(followed *rollouts) { followed.Word(wordOf(9, rollout.PhaseRollingBack)) }, true},
+		"received": {func(followed *rollouts) { followed.ReceiveAnnouncement(announcementOf(9, rollout.PhaseRollingBack)) }, true},
 		"received after a restart": {func(followed *rollouts) {
-			followed.Word(wordOf(9, rollout.PhaseProbing))
-			followed.Word(wordOf(3, rollout.PhaseRollingBack))
+			followed.ReceiveAnnouncement(announcementOf(9, rollout.PhaseProbing))
+			followed.ReceiveAnnouncement(announcementOf(3, rollout.PhaseRollingBack))
 		}, true},
 		"link lost": {func(followed *rollouts) {
-			followed.Word(wordOf(9, rollout.PhaseRollingBack))
-			followed.Unlinked("b")
+			followed.ReceiveAnnouncement(announcementOf(9, rollout.PhaseRollingBack))
+			followed.NodeUnlinked("b")
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/distribution/fleet/followers_test.go
+++ b/internal/distribution/fleet/followers_test.go
@@ -30,7 +30,7 @@
 		now := time.Now()
 		f.appliedAt.Store(&now)
 		if fleet := f.fleet.Load(); fleet != nil {
-			fleet.SpreadOrders()
+			fleet.BroadcastOrders()
 		}
 	}
 }
@@ -42,7 +42,7 @@
 
 func (f *follower) spread(records []quarantine.Record, from string) {
 	if fleet := f.fleet.Load(); fleet != nil {
-		fleet.SpreadSuspects(records, from)
+		fleet.BroadcastSuspects(records, from)
 	}
 }
 
@@ -63,7 +63,7 @@
 			}
 			member := memberAt(fmt.Sprintf("%c-%d", 'A'+index, index), fmt.Sprintf("x:%d", index))
 			follow := func(config *Config) {
-				config.Observer, config.Orders, config.Suspects = joined, &joined.orders, joined.registry.Known
+				config.Observer, config.Orders, config.Suspects = joined, &joined.orders, joined.registry.InitialRecords
 			}
 			joined.fleet.Store(start(member, append(adjust, follow)...))
 			return joined
--- a/internal/distribution/fleet/scaffold_test.go
+++ b/internal/distribution/fleet/scaffold_test.go
@@ -35,7 +35,7 @@
 // configuration.
 func daemonAt(ctx context.Context, running *sync.WaitGroup, network *memoryNetwork, self Member, directory Directory, adjust ...func(*Config)) *Fleet {
 	incarnation := uint64(len(self.Node)) + uint64(self.Node[0])<<8
-	timing := callmux.Timing{KeepAlive: time.Second, Silence: 2500 * time.Millisecond, Write: time.Second}
+	timing := callmux.Timing{HeartbeatInterval: time.Second, SilenceTimeout: 2500 * time.Millisecond, WriteTimeout: time.Second}
 	calls := &callmux.Client{
 		Network: network, Maintained: true, Timing: timing,
 		Hello: &lapisv1.Hello{
@@ -100,7 +100,7 @@
 // offerFunc is an observer that only receives configurations.
 type offerFunc func(*lapisv1.Configuration)
 
-func (f offerFunc) Offer(configuration *lapisv1.Configuration) { f(configuration) }
+func (f offerFunc) OfferConfiguration(configuration *lapisv1.Configuration) { f(configuration) }
 
 func (offerFunc) Endpoints(string, []*lapisv1.Endpoint) {}
 
--- a/internal/distribution/tree/parent_frames.go
+++ b/internal/distribution/tree/parent_frames.go
@@ -105,7 +105,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.parent == link && link.stateMachine.MustState() == linkStranded {
-		n.candidates.Postponed(link.address, n.config.Tunables.DetachedGrace.Get(), boottime.Now())
+		n.candidates.RetryAfter(link.address, n.config.Tunables.DetachedGrace.Get(), boottime.Now())
 		link.close()
 	}
 }
@@ -168,7 +168,7 @@
 	if n.flushedChange <= *sentChange {
 		return frames
 	}
-	endpoints := n.registry.BelowSince(n.config.Node, *sentChange)
+	endpoints := n.registry.SubtreeSince(n.config.Node, *sentChange)
 	*sentChange = n.flushedChange
 	if len(endpoints) == 0 {
 		return frames
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -29,7 +29,7 @@
 func (n *Node) markStoreReachable(now time.Time) {
 	if !n.storeReachable {
 		n.storeReachable = true
-		n.seats.Resume(now)
+		n.seats.RestartLeases(now)
 	}
 }
 
@@ -90,7 +90,7 @@
 	for _, holder := range n.seats.Holders(seat.Prefix, boottime.Now()) {
 		readers = append(readers, holder.Peer)
 	}
-	return membership.ReadersToName(readers, n.config.Zone, n.config.Region, rand.Shuffle)
+	return membership.SelectReaders(readers, n.config.Zone, n.config.Region, rand.Shuffle)
 }
 
 // zoneReaders returns the known readers of the own zone in random order; the caller holds mutex.
--- a/internal/distribution/tree/times_test.go
+++ b/internal/distribution/tree/times_test.go
@@ -32,11 +32,11 @@
 			{"a floor read is delayed for longer than it may take", floorBatchDelay, floorReadTimeout},
 			{"a reader that refused a link is redialed by the next reconciliation", meshReconcileInterval, meshRedialDelay},
 			{"a drain by the machine list is undone between two reads of the list", 2 * profile.MachinesInterval.Get(), machineListDrainTTL},
-			{"ended endpoints are kept for more than a tenth longer than GoneAfter", housekeepInterval, profile.GoneAfter.Get() / 10},
-			{"a greeting that hangs is detected later than a silent link", greetingTimeout, profile.LinkSilence.Get() + 1},
+			{"ended endpoints are kept for more than a tenth longer than GoneAfter", housekeepInterval, profile.GoneRetention.Get() / 10},
+			{"a greeting that hangs is detected later than a silent link", greetingTimeout, profile.LinkIdleTimeout.Get() + 1},
 			{"a daemon without a parent checks its candidates less often than it may query the object API", candidatePollInterval, profile.JoinBackoffMin.Get() + 1},
 			{"a vacant seat in a zone with one reader is offered too late", offerInterval, lease},
-			{"a single late bookmark ends the watch", 2 * time.Second, objectapi.WatchSilence},
+			{"a single late bookmark ends the watch", 2 * time.Second, objectapi.WatchIdleTimeout},
 		}
 		for _, relation := range relations {
 			assert.Check(t, relation.small < relation.large, "profile %s: %s (%s, %s)", name, relation.breaks, relation.small, relation.large)
--- a/internal/lab/emulator/day/process.go
+++ b/internal/lab/emulator/day/process.go
@@ -42,7 +42,7 @@
 // launchEmbedded is the default Launch. It runs the daemon in the current process.
 func launchEmbedded(config *settings.Daemon, logger logr.Logger) (Process, error) {
 	adapter := platform.New(config.Platform.Addresses[0], logger)
-	started, err := daemon.New(config, daemon.Options{Logger: logger, Platform: adapter, KilledByForce: true})
+	started, err := daemon.New(config, daemon.Options{Logger: logger, Platform: adapter, SimulateKill: true})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/emulator/instance/instance.go
+++ b/internal/lab/emulator/instance/instance.go
@@ -144,7 +144,7 @@
 		before := lastBorn.Load()
 		born := max(uint64(time.Now().UnixMilli()), before+1)
 		if lastBorn.CompareAndSwap(before, born) {
-			return incarnation.Incarnation{ID: id, Born: born}
+			return incarnation.Incarnation{ID: id, StartUnixMillis: born}
 		}
 	}
 }
@@ -271,7 +271,7 @@
 		Status: platform.HeartbeatStatus{
 			State: state, Sequence: sequence, ColdRemainingMillis: i.slowStart.remaining(time.Now()).Milliseconds(),
 		},
-		Start: platform.Start{Born: i.incarnation.Born},
+		Start: platform.Start{Born: i.incarnation.StartUnixMillis},
 	}
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
@@ -288,7 +288,7 @@
 
 // deregister reports the instance's retirement to the daemon.
 func (i *Instance) deregister(ctx context.Context) error {
-	body, err := json.Marshal(platform.Start{Born: i.incarnation.Born})
+	body, err := json.Marshal(platform.Start{Born: i.incarnation.StartUnixMillis})
 	if err != nil {
 		return err
 	}
--- a/internal/model/rollout/again_test.go
+++ b/internal/model/rollout/again_test.go
@@ -10,7 +10,7 @@
 // Guards against a good version that is not completed by its deadline after its order was given
 // again following a roll-back. One daemon read the order as it was given and wrote the status
 // running. Another daemon first saw the object after that write, took it for an order given later
-// still, and so used a different identity than the other daemons, which dropped its words. The
+// still, and so used a different identity than the other daemons, which dropped its announcements. The
 // identity must not depend on which states of the object a daemon has seen.
 func TestOrderGivenAgainIsTheSameToAllWhoReadIt(t *testing.T) {
 	first := Order{Service: "desk", Identity: Identity{Created: 3, Target: "v2", Duration: 30 * time.Second}, Revision: 3}
@@ -21,10 +21,10 @@
 	}
 	running, ended := state(4, Status{End: EndRunning, Target: "v2"}), state(9, Status{End: EndRolledBack, Target: "v2"})
 	given := state(14, ended.Status)
-	runningAgain := state(15, Status{End: EndRunning, Target: "v2", Again: 14})
-	endedAgain := state(20, Status{End: EndRolledBack, Target: "v2", Again: 14})
+	runningAgain := state(15, Status{End: EndRunning, Target: "v2", ReissueRevision: 14})
+	endedAgain := state(20, Status{End: EndRolledBack, Target: "v2", ReissueRevision: 14})
 	givenThirdTime := state(31, endedAgain.Status)
-	runningThirdTime := state(32, Status{End: EndRunning, Target: "v2", Again: 31})
+	runningThirdTime := state(32, Status{End: EndRunning, Target: "v2", ReissueRevision: 31})
 	for name, row := range map[string]struct {
 		states []Order
 		again  uint64
@@ -45,11 +45,11 @@
 		t.Run(name, func(t *testing.T) {
 			known := Adopt(nil, row.states[0])
 			for _, seen := range row.states[1:] {
-				if Read(&known, seen) != ReadingOld {
+				if Classify(&known, seen) != ClassificationOld {
 					known = Adopt(&known, seen)
 				}
 			}
-			assert.Equal(t, known.Again, row.again)
+			assert.Equal(t, known.ReissueRevision, row.again)
 			assert.Equal(t, known.End(), row.end)
 		})
 	}
--- a/internal/model/rollout/message.go
+++ b/internal/model/rollout/message.go
@@ -13,7 +13,7 @@
 	return &lapisv1.Rollout{
 		Name: name, Service: order.Service, TargetVersion: order.Target, DurationNanos: int64(order.Duration),
 		Revision: order.Revision, Created: order.Created,
-		State: string(order.Status.End), StatusTarget: order.Status.Target, StatusAgain: order.Status.Again,
+		State: string(order.Status.End), StatusTarget: order.Status.Target, StatusAgain: order.Status.ReissueRevision,
 	}
 }
 
@@ -25,14 +25,14 @@
 			Created: message.GetCreated(), Target: message.GetTargetVersion(), Duration: time.Duration(message.GetDurationNanos()),
 		},
 		Revision: message.GetRevision(),
-		Status:   Status{End: End(message.GetState()), Target: message.GetStatusTarget(), Again: message.GetStatusAgain()},
+		Status:   Status{End: End(message.GetState()), Target: message.GetStatusTarget(), ReissueRevision: message.GetStatusAgain()},
 	}
 }
 
 // identityMessage encodes the identity of an order.
 func identityMessage(order Identity) *lapisv1.RolloutIdentity {
 	return &lapisv1.RolloutIdentity{
-		Created: order.Created, TargetVersion: order.Target, DurationNanos: int64(order.Duration), Again: order.Again,
+		Created: order.Created, TargetVersion: order.Target, DurationNanos: int64(order.Duration), Again: order.ReissueRevision,
 	}
 }
 
@@ -40,22 +40,22 @@
 func identityOf(message *lapisv1.RolloutIdentity) Identity {
 	return Identity{
 		Created: message.GetCreated(), Target: message.GetTargetVersion(),
-		Duration: time.Duration(message.GetDurationNanos()), Again: message.GetAgain(),
+		Duration: time.Duration(message.GetDurationNanos()), ReissueRevision: message.GetAgain(),
 	}
 }
 
-// WordMessage encodes a word.
-func WordMessage(word Word) *lapisv1.RolloutWord {
+// AnnouncementMessage encodes an announcement.
+func AnnouncementMessage(announcement Announcement) *lapisv1.RolloutWord {
 	return &lapisv1.RolloutWord{
-		Service: word.Service, Node: word.Node, Incarnation: word.Incarnation, Sequence: word.Sequence,
-		Order: identityMessage(word.Order), AgeNanos: int64(word.Age), Phase: uint32(word.Phase),
-		ShiftingNanos: int64(word.Shifting), Diverted: word.Diverted, Drained: word.Drained, Probed: probeMessages(word.Probed), Holding: word.Holding,
+		Service: announcement.Service, Node: announcement.Node, Incarnation: announcement.Incarnation, Sequence: announcement.Sequence,
+		Order: identityMessage(announcement.Order), AgeNanos: int64(announcement.Age), Phase: uint32(announcement.Phase),
+		ShiftingNanos: int64(announcement.Shifting), Diverted: announcement.Diverted, Drained: announcement.Drained, Probed: probeMessages(announcement.Probed), Holding: announcement.Holding,
 	}
 }
 
-// WordOf decodes a word.
-func WordOf(message *lapisv1.RolloutWord) Word {
-	return Word{
+// AnnouncementOf decodes an announcement.
+func AnnouncementOf(message *lapisv1.RolloutWord) Announcement {
+	return Announcement{
 		Service: message.GetService(), Node: message.GetNode(), Incarnation: message.GetIncarnation(), Sequence: message.GetSequence(),
 		Order: identityOf(message.GetOrder()), Age: time.Duration(message.GetAgeNanos()), Phase: Phase(message.GetPhase()),
 		Shifting: time.Duration(message.GetShiftingNanos()), Diverted: message.GetDiverted(), Drained: message.GetDrained(), Probed: probesOf(message.GetProbed()), Holding: message.GetHolding(),
--- a/internal/model/rollout/message_test.go
+++ b/internal/model/rollout/message_test.go
@@ -13,18 +13,18 @@
 
 // Encoding and decoding must preserve every field.
 func TestMessagesHoldEverything(t *testing.T) {
-	identity := Identity{Created: 3, Target: "v2", Duration: 30 * time.Second, Again: 9}
+	identity := Identity{Created: 3, Target: "v2", Duration: 30 * time.Second, ReissueRevision: 9}
 	order := Order{Service: "desk", Identity: identity, Revision: 12, Status: Status{End: EndRolledBack, Target: "v1"}}
 	stated := order
-	stated.Again = 0
+	stated.ReissueRevision = 0
 	assert.DeepEqual(t, OrderOf(OrderMessage("desk", order)), stated)
 
-	word := Word{
+	announcement := Announcement{
 		Service: "desk", Node: "a", Incarnation: 4, Sequence: 5, Order: identity, Age: time.Second,
 		Phase: PhaseRollingBack, Shifting: time.Minute, Diverted: true, Drained: true,
 		Probed: []Probe{{Instance: "i-1", Node: "d-1"}}, Holding: true,
 	}
-	assert.DeepEqual(t, WordOf(WordMessage(word)), word)
+	assert.DeepEqual(t, AnnouncementOf(AnnouncementMessage(announcement)), announcement)
 
 	report := Report{Order: identity, Node: "a", Incarnation: 4, Sequence: 6, Evidence: Evidence{}}
 	for _, taken := range []time.Duration{0, time.Second, highestClassTime} {
--- a/internal/model/rollout/order.go
+++ b/internal/model/rollout/order.go
@@ -24,11 +24,11 @@
 // Status is the status that the daemons write to an order's object.
 type Status struct {
 	End End
-	// Target and Again identify the order that the status is about, because the status of an
-	// earlier order must not be applied to a later one. Again lets daemons agree on the current
-	// order even if they have seen different states of the object.
-	Target string
-	Again  uint64
+	// Target and ReissueRevision identify the order that the status is about, because the status of an
+	// earlier order must not be applied to a later one. ReissueRevision lets daemons agree on the
+	// current order even if they have seen different states of the object.
+	Target          string
+	ReissueRevision uint64
 }
 
 // Identity distinguishes the orders for one service. The revision cannot, because it changes with
@@ -39,10 +39,10 @@
 	Target  string
 	// Duration is the time that the operator allows for the roll-out.
 	Duration time.Duration
-	// Again is 0 for the first run of an order. If the same order was given again after its end, it
-	// is the revision of that state, which is the state that the first status of the new run
+	// ReissueRevision is 0 for the first run of an order. If the same order was given again after its
+	// end, it is the revision of that state, which is the state that the first status of the new run
 	// overwrote.
-	Again uint64
+	ReissueRevision uint64
 }
 
 // Order is an operator's order as held by the store.
@@ -57,51 +57,51 @@
 
 // End returns the end that the store holds for this order.
 func (o Order) End() End {
-	if o.Status.Target != o.Target || o.Status.Again < o.Again {
+	if o.Status.Target != o.Target || o.Status.ReissueRevision < o.ReissueRevision {
 		return EndNone
 	}
 	return o.Status.End
 }
 
-// Reading classifies an observed state of an order's object.
-type Reading string
+// Classification classifies an observed state of an order's object.
+type Classification string
 
-// Readings of an order.
+// Classifications of an order.
 const (
-	ReadingNew Reading = "new"
-	// ReadingSame is the order that is already followed, possibly with another status.
-	ReadingSame Reading = "same"
-	// ReadingOld is an earlier state of the object than the known one.
-	ReadingOld Reading = "old"
-	// ReadingSuperseded is another order while the known one has no final end.
-	ReadingSuperseded Reading = "superseded"
-	// ReadingWithdrawn is a deleted object.
-	ReadingWithdrawn Reading = "withdrawn"
-	// ReadingImpossible is an order with a duration below MinDuration.
-	ReadingImpossible Reading = "impossible"
-	// ReadingMalformed is an order without a service or a version.
-	ReadingMalformed Reading = "malformed"
+	ClassificationNew Classification = "new"
+	// ClassificationSame is the order that is already followed, possibly with another status.
+	ClassificationSame Classification = "same"
+	// ClassificationOld is an earlier state of the object than the known one.
+	ClassificationOld Classification = "old"
+	// ClassificationSuperseded is another order while the known one has no final end.
+	ClassificationSuperseded Classification = "superseded"
+	// ClassificationWithdrawn is a deleted object.
+	ClassificationWithdrawn Classification = "withdrawn"
+	// ClassificationImpossible is an order with a duration below MinDuration.
+	ClassificationImpossible Classification = "impossible"
+	// ClassificationMalformed is an order without a service or a version.
+	ClassificationMalformed Classification = "malformed"
 )
 
 // MinDuration is the shortest duration in which a version can be tested and the calls can be moved:
 // ramp, confirmation and write, and a few seconds of probing.
 const MinDuration = 5 * time.Second
 
-// Read classifies the state of an object relative to the known one, which is nil if there is none.
-func Read(known *Order, seen Order) Reading {
+// Classify classifies the state of an object relative to the known one, which is nil if there is none.
+func Classify(known *Order, seen Order) Classification {
 	switch {
 	case known != nil && seen.Revision < known.Revision:
-		return ReadingOld
+		return ClassificationOld
 	case seen.Service == "" || seen.Target == "":
-		return ReadingMalformed
+		return ClassificationMalformed
 	case known != nil && sameOrder(*known, seen):
-		return ReadingSame
+		return ClassificationSame
 	case seen.Duration < MinDuration:
-		return ReadingImpossible
+		return ClassificationImpossible
 	case known != nil && !known.End().Final():
-		return ReadingSuperseded
+		return ClassificationSuperseded
 	default:
-		return ReadingNew
+		return ClassificationNew
 	}
 }
 
@@ -111,7 +111,7 @@
 // order again. A revision of another era of the store does not show this, because the end may be
 // missing there if it was written after the copy that the store was restored from.
 func sameOrder(known, seen Order) bool {
-	if !sameSpec(known, seen) || seen.statedAgain() > known.Again {
+	if !sameSpec(known, seen) || seen.statedAgain() > known.ReissueRevision {
 		return false
 	}
 	sameEra := position.Position(known.Revision).Era() == position.Position(seen.Revision).Era()
@@ -123,26 +123,26 @@
 	return known.Created == seen.Created && known.Target == seen.Target && known.Duration == seen.Duration
 }
 
-// statedAgain returns the Again of the order that the status is about, or 0 if that is another
-// version.
+// statedAgain returns the ReissueRevision of the order that the status is about, or 0 if that is
+// another version.
 func (o Order) statedAgain() uint64 {
 	if o.Status.Target != o.Target {
 		return 0
 	}
-	return o.Status.Again
+	return o.Status.ReissueRevision
 }
 
 // Adopt returns the order to follow: with the identity of the known order if it is the same, and
-// with a new Again if the same order was given again.
+// with a new ReissueRevision if the same order was given again.
 func Adopt(known *Order, seen Order) Order {
-	seen.Again = seen.statedAgain()
+	seen.ReissueRevision = seen.statedAgain()
 	switch {
 	case known == nil:
 	case sameOrder(*known, seen):
 		seen.Identity = known.Identity
-	case sameSpec(*known, seen) && seen.Again <= known.Again:
+	case sameSpec(*known, seen) && seen.ReissueRevision <= known.ReissueRevision:
 		// The first status of the new run is not written yet.
-		seen.Again = seen.Revision
+		seen.ReissueRevision = seen.Revision
 	}
 	return seen
 }
--- a/internal/model/rollout/runner_test.go
+++ b/internal/model/rollout/runner_test.go
@@ -98,7 +98,7 @@
 	}
 	for node, runner := range s.runners {
 		if node != s.unread {
-			go runner.Ordered("desk", shown)
+			go runner.HandleOrder("desk", shown)
 		}
 	}
 }
@@ -130,8 +130,8 @@
 	return answer
 }
 
-// Ask implements Store.
-func (s *testSite) Ask(context.Context, string) (*Order, error) {
+// Get implements Store.
+func (s *testSite) Get(context.Context, string) (*Order, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.down {
@@ -145,8 +145,8 @@
 	return &seen, nil
 }
 
-// AnsweredAt implements Store.
-func (s *testSite) AnsweredAt() time.Time {
+// LastAnswerTime implements Store.
+func (s *testSite) LastAnswerTime() time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.answered
@@ -232,19 +232,19 @@
 	return len(l.site.members)
 }
 
-// Spread implements Links.
-func (l siteLinks) Spread(word Word, nodes []string) {
+// Broadcast implements Links.
+func (l siteLinks) Broadcast(announcement Announcement, nodes []string) {
 	for node, runner := range l.site.runners {
 		if l.reaches(node) {
-			go runner.Heard(word)
+			go runner.HandleAnnouncement(announcement)
 		}
 	}
 }
 
-// Tell implements Links.
-func (l siteLinks) Tell(node, _ string, report Report) {
+// Send implements Links.
+func (l siteLinks) Send(node, _ string, report Report) {
 	if l.reaches(node) {
-		go l.site.runners[node].Reported("desk", report)
+		go l.site.runners[node].HandleReport("desk", report)
 	}
 }
 
--- a/internal/model/rollout/runner_tick.go
+++ b/internal/model/rollout/runner_tick.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// tick decides once on an order. It applies the allocation before it sends the word, because the
-// word states that the allocation is in force. The caller must hold mutex.
+// tick decides once on an order. It applies the allocation before it sends the announcement, because
+// the announcement states that the allocation is in force. The caller must hold mutex.
 func (r *Runner) tick(ctx context.Context, service string, followed *followedOrder, members []string) {
 	now := r.config.Now()
 	if slices.Contains(followed.deciders, r.config.Node) && !followed.controller.Ended() {
@@ -66,23 +66,23 @@
 	}
 }
 
-// Changed reports whether a word differs from an earlier one in more than its times.
-func (w Word) Changed(earlier Word) bool {
+// Changed reports whether an announcement differs from an earlier one in more than its times.
+func (w Announcement) Changed(earlier Announcement) bool {
 	return w.Phase != earlier.Phase || w.Holding != earlier.Holding || !slices.Equal(w.Probed, earlier.Probed) || w.Diverted != earlier.Diverted || w.Drained != earlier.Drained
 }
 
-// sendDue sends the word and the report if they are due. The caller must hold mutex.
+// sendDue sends the announcement and the report if they are due. The caller must hold mutex.
 func (r *Runner) sendDue(now time.Time, followed *followedOrder, decision Decision) {
 	if followed.controller.DoneSending(now) {
 		return
 	}
-	if decision.Word.Changed(followed.lastWord) || now.Sub(followed.lastWordAt) >= WordInterval {
+	if decision.Announcement.Changed(followed.lastAnnouncement) || now.Sub(followed.lastAnnouncementAt) >= AnnouncementInterval {
 		nodes := decision.Deciders
-		if decision.Word.Changed(followed.lastWord) || slices.Contains(nodes, r.config.Node) {
+		if decision.Announcement.Changed(followed.lastAnnouncement) || slices.Contains(nodes, r.config.Node) {
 			nodes = nil
 		}
-		followed.lastWord, followed.lastWordAt = decision.Word, now
-		r.config.Links.Spread(decision.Word, nodes)
+		followed.lastAnnouncement, followed.lastAnnouncementAt = decision.Announcement, now
+		r.config.Links.Broadcast(decision.Announcement, nodes)
 	}
 	if followed.controller.Ended() || now.Sub(followed.reportedAt) < ReportInterval {
 		return
@@ -91,7 +91,7 @@
 	report := followed.report(r.config.Node, r.config.Incarnation, now)
 	for _, decider := range decision.Deciders {
 		if decider != r.config.Node {
-			r.config.Links.Tell(decider, followed.controller.Order().Service, report)
+			r.config.Links.Send(decider, followed.controller.Order().Service, report)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	view := View{
 		Now: now, Members: members, Known: r.config.Links.Known(), Barred: slices.Clone(r.barred[service]),
 		InstancesKnown: now.Sub(r.started) >= discoveryTime, OldInFlight: followed.traffic.OldInFlight(),
-		StoreAnswered: r.config.Store.AnsweredAt(), Nodes: map[string]string{}, Serving: r.config.Links.Serving(service),
+		StoreAnswered: r.config.Store.LastAnswerTime(), Nodes: map[string]string{}, Serving: r.config.Links.Serving(service),
 	}
 	target := followed.controller.Order().Target
 	endpoints, cold := r.config.Instances.Of(service)
@@ -131,13 +131,13 @@
 		return
 	}
 	known := followed.controller.Order()
-	reading := followed.controller.Answered(r.config.Now(), answer)
-	r.handleReading(service, known, reading, answer.Seen)
+	classification := followed.controller.Answered(r.config.Now(), answer)
+	r.handleClassification(service, known, classification, answer.Seen)
 }
 
 // ask queries the store for an order and records the result.
 func (r *Runner) ask(ctx context.Context, service string, followed *followedOrder) {
-	order, err := r.config.Store.Ask(ctx, service)
+	order, err := r.config.Store.Get(ctx, service)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	followed.asking = false
@@ -145,5 +145,5 @@
 		return
 	}
 	known := followed.controller.Order()
-	r.handleReading(service, known, followed.controller.Observe(order), order)
+	r.handleClassification(service, known, followed.controller.Observe(order), order)
 }
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -131,7 +131,7 @@
 	return a.pickVersion(pool, func(version ...balance.Constraint) (*balance.Target, error) {
 		return a.gateway.config.Balancer.Pick(service, balance.Choice{
 			Exclude: a.tried, Key: a.opening.GetIdempotencyKey(), Route: a.route.GetName(),
-			TargetLatency: a.targetLatency(), Spent: time.Since(a.startedAt) + a.priorWait, Bytes: a.gateway.answerSizes.expectedBytes(a.route.GetName(), a.body),
+			TargetLatency: a.targetLatency(), Elapsed: time.Since(a.startedAt) + a.priorWait, Bytes: a.gateway.answerSizes.expectedBytes(a.route.GetName(), a.body),
 			Constraints: append(a.constraints(), version...),
 		})
 	})
@@ -141,7 +141,7 @@
 func (a *attempter) makeAttempt(ctx context.Context, target *balance.Target) (*callapi.Answer, error) {
 	open := a.newOpening(ctx, target)
 	a.attemptID = open.GetAttemptId()
-	call := &callapi.Call{Open: open, StaysWithSilent: a.gateway.draining}
+	call := &callapi.Call{Open: open, KeepWaitingWhenSilent: a.gateway.draining}
 	a.attach(call)
 	target.Begin()
 	answered := false
@@ -159,7 +159,7 @@
 		a.version.recordNoAnswer(err)
 		a.gateway.observeFailure(target, err)
 		if a.timedOut(err, now.Sub(began)) {
-			target.AnsweredFailure(now)
+			target.RecordErrorAnswer(now)
 		}
 		return nil, err
 	}
@@ -180,7 +180,7 @@
 // what happened, and is final.
 func (a *attempter) failureOf(ctx context.Context, err error) retry.Failure {
 	failure := retry.Failure{
-		CallOver: ctx.Err() != nil, BodySpent: !a.body.replayable(), Crashes: a.crashCount(err),
+		CallDone: ctx.Err() != nil, BodyConsumed: !a.body.replayable(), Crashes: a.crashCount(err),
 	}
 	if code, ok := result.CodeOf(err); ok {
 		failure.Reason = retry.ReasonOf(code)
@@ -194,9 +194,9 @@
 	counts, decision := retry.Decide(a.retryCall(), a.failureCounts, failure)
 	a.failureCounts = counts
 	switch decision {
-	case retry.AgainElsewhere:
+	case retry.RetryElsewhere:
 		return true
-	case retry.AgainWithinBudget:
+	case retry.RetryWithinBudget:
 		return a.gateway.retryBudget.Spend(a.opening.GetService())
 	default:
 		return false
@@ -206,7 +206,7 @@
 // mayReplace reports whether another instance is tried to replace an answer (retry.MayReplace).
 func (a *attempter) mayReplace(answer *callapi.Answer) bool {
 	facts := retry.Answer{Status: answer.Head.GetStatus(), Length: answer.Head.GetContentLength(), Kept: a.keptAnswer != nil}
-	return retry.MayReplace(a.retryCall(), facts, func() bool { return a.gateway.config.Balancer.MostlySound(a.opening.GetService()) })
+	return retry.MayReplace(a.retryCall(), facts, func() bool { return a.gateway.config.Balancer.MajorityHealthy(a.opening.GetService()) })
 }
 
 // keepFailedAnswer reads a failed answer into memory and keeps it, so that its instance is free again.
--- a/internal/requestpath/gateway/lines.go
+++ b/internal/requestpath/gateway/lines.go
@@ -56,7 +56,7 @@
 	currency := g.config.Identity.currency()
 	g.config.Decisions.Failure(eventKeyRefused, g.requestID(rc),
 		"reason", string(reason), "digest", key.loggedDigest(), "route", route.GetName(), "revision", g.revision(),
-		"unconfirmed_ms", currency.Unconfirmed.Milliseconds(), "behind", currency.Behind)
+		"unconfirmed_ms", currency.SinceConfirmed.Milliseconds(), "behind", currency.Behind)
 }
 
 // revision returns the revision of the current configuration, 0 if there is none yet.
@@ -71,12 +71,12 @@
 // attempt follows.
 func (a *attempter) logAttempt(ctx context.Context, target *balance.Target, err error, again bool) {
 	code, _ := result.CodeOf(err)
-	load, age := target.Report(time.Now())
+	load, age := target.ReportedLoad(time.Now())
 	a.gateway.config.Decisions.Failure(eventAttemptFailed, a.requestID,
 		"attempt", a.attemptID, "instance", target.Endpoint.GetInstance(), "member", target.Endpoint.GetNode(),
 		"state", target.Endpoint.GetState(), "code", uint32(code), "name", code, "again", again,
 		"revision", a.current.Revision, "load", load, "load_age_ms", age.Milliseconds(),
-		"budget", a.gateway.retryBudget.Left(a.opening.GetService()), "left_ms", remainingMillis(ctx),
+		"budget", a.gateway.retryBudget.Remaining(a.opening.GetService()), "left_ms", remainingMillis(ctx),
 		"took_ms", time.Since(a.startedAt).Milliseconds(), "head", fingerprint.HeadOf(fingerprint.LineOf(a.opening)), "detail", err)
 }
 
@@ -94,7 +94,7 @@
 // answerPairs returns the log keys and values for an answered call.
 func (a *attempter) answerPairs(done instanceAnswer) []any {
 	head := done.answer.Head
-	work, workAge := done.target.Work(time.Now())
+	work, workAge := done.target.Slowdown(time.Now())
 	return []any{
 		"attempt", a.attemptID, "route", a.route.GetName(), "revision", a.current.Revision,
 		"instance", done.target.Endpoint.GetInstance(), "member", done.target.Endpoint.GetNode(),
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -18,9 +18,9 @@
 	// maxHeldBodyBytes is the maximum size of a request body that is read into memory to compute the
 	// request's keys, and maxTotalHeldBytes the maximum size of all bodies held at the same time, both in
 	// bytes. Bodies are held only for a path under which instances crashed; a longer body is checked by
-	// its path and length. maxHeldBodyBytes must be greater than callmux.BufferedBodyBytes, the size up
-	// to which bodies are always buffered. maxTotalHeldBytes must have room for four of the longest
-	// bodies, so that a few of them do not use it up.
+	// its path and length. maxHeldBodyBytes must be greater than callmux.MaxBufferedBodyBytes, the
+	// size up to which bodies are always buffered. maxTotalHeldBytes must have room for four of the
+	// longest bodies, so that a few of them do not use it up.
 	maxHeldBodyBytes  = 4 << 20
 	maxTotalHeldBytes = 16 << 20
 	// trialTimeout bounds ClaimTrial, for which the request waits. Without an answer in this time the
@@ -33,7 +33,7 @@
 type Quarantine interface {
 	// Suspected reports whether instances crashed under requests with the head of the line. It is
 	// called for each request, and returns false for nearly all.
-	Suspected(line fingerprint.Line) bool
+	Suspected(line fingerprint.RequestLine) bool
 	// Evaluate returns the verdict on a request with the given keys and calling service.
 	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 	// Count returns the number of instances that crashed under requests with the keys.
@@ -84,12 +84,12 @@
 		call.opening.Trial = true
 		return done, nil
 	}
-	return done, verdict.Refusal()
+	return done, verdict.Err()
 }
 
 // requestKeys returns the keys of a request: those of its whole body, or those of its path and length if
 // the body is too long to be held.
-func requestKeys(line fingerprint.Line, body *requestBody) []fingerprint.Key {
+func requestKeys(line fingerprint.RequestLine, body *requestBody) []fingerprint.Key {
 	partial := fingerprint.PartialOf(line, body.length)
 	switch {
 	case body.streamed != nil:
--- a/internal/requestpath/origin/crash.go
+++ b/internal/requestpath/origin/crash.go
@@ -21,7 +21,7 @@
 	// it has returned, Suspected, Count and Evaluate take the crash into account.
 	Crashed(instance string, id uint64, inFlight []quarantine.InFlight)
 	// Suspected reports whether instances crashed during calls with the head of the line.
-	Suspected(line fingerprint.Line) bool
+	Suspected(line fingerprint.RequestLine) bool
 	// Answered records that an instance answered a suspected call with the keys.
 	Answered(keys []fingerprint.Key)
 	// Count returns the number of instances that crashed during calls with the keys.
@@ -30,16 +30,14 @@
 	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 }
 
-// noopCrashReporter is used if Config.Crashes is nil.
-type noopCrashReporter struct{}
+// noReporter is used if Config.Crashes is nil.
+type noReporter struct{}
 
-func (noopCrashReporter) Crashed(string, uint64, []quarantine.InFlight) {}
-func (noopCrashReporter) Suspected(fingerprint.Line) bool               { return false }
-func (noopCrashReporter) Answered([]fingerprint.Key)                    {}
-func (noopCrashReporter) Count([]fingerprint.Key) int                   { return 0 }
-func (noopCrashReporter) Evaluate([]fingerprint.Key, string) quarantine.Verdict {
-	return quarantine.Verdict{}
-}
+func (noReporter) Crashed(string, uint64, []quarantine.InFlight)         {}
+func (noReporter) Suspected(fingerprint.RequestLine) bool                { return false }
+func (noReporter) Answered([]fingerprint.Key)                            {}
+func (noReporter) Count([]fingerprint.Key) int                           { return 0 }
+func (noReporter) Evaluate([]fingerprint.Key, string) quarantine.Verdict { return quarantine.Verdict{} }
 
 // finishUnanswered removes a call that got no response from the calls in flight, and returns its
 // final error. If the instance crashed, that is CallInstanceCrashed with the number of instances
