--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -113,12 +113,12 @@
 	Classes []Class
 	// Bursts are groups of pipelined requests.
 	Bursts []Burst
-	// Kept are callers with persistent connections.
-	Kept    []Kept
-	Targets []Target
-	Ledger  *promise.Ledger
-	Tally   *Tally
-	Seed    uint64
+	// PersistentCallers are callers with persistent connections.
+	PersistentCallers []PersistentCallers
+	Targets           []Target
+	Ledger            *promise.Ledger
+	Tally             *Tally
+	Seed              uint64
 }
 
 // lastRequestID is the number in the newest request id. It makes ids unique within the process.
@@ -135,7 +135,7 @@
 		random := rand.New(rand.NewPCG(l.Seed, uint64(len(l.Classes)+index)))
 		running.Go(func() { l.sendBursts(ctx, burst, random) })
 	}
-	for index, kept := range l.Kept {
+	for index, kept := range l.PersistentCallers {
 		for number := range kept.Connections * len(l.Targets) {
 			random := rand.New(rand.NewPCG(l.Seed, uint64(index+1)<<32|uint64(number)))
 			running.Go(func() { l.runKept(ctx, kept, l.Targets[number%len(l.Targets)], random) })
--- a/internal/lab/emulator/client/kept.go
+++ b/internal/lab/emulator/client/kept.go
@@ -26,32 +26,33 @@
 	answerTimeoutSlack = time.Second
 )
 
-// Kept describes callers that keep their connections open until the daemon closes them. They do not
-// retry, so that a request without an answer is detected.
-type Kept struct {
+// PersistentCallers describes callers that keep their connections open until the daemon closes them.
+// They do not retry, so that a request without an answer is detected.
+type PersistentCallers struct {
 	// Classes are the classes of the requests, each drawn with the same probability.
 	Classes []Class
 	// Connections is the number of connections to each target.
 	Connections int
-	// Ahead is the maximum number of unanswered requests on a connection; 1 disables pipelining.
-	Ahead int
+	// PipelineDepth is the maximum number of unanswered requests on a connection; 1 disables
+	// pipelining.
+	PipelineDepth int
 	// BytesPerSecond limits the rate at which answers are read, to emulate a slow link. The receive
 	// buffer is then limited to slowLinkBufferBytes. 0 disables the limit.
 	BytesPerSecond float64
-	// Pause is the mean time between two requests on a connection. It is longer while Ahead requests
-	// are unanswered.
-	Pause time.Duration
+	// MeanInterval is the mean time between two requests on a connection. It is longer while
+	// PipelineDepth requests are unanswered.
+	MeanInterval time.Duration
 }
 
 // runKept sends requests on one connection after another until ctx ends.
-func (l *Load) runKept(ctx context.Context, kept Kept, target Target, random *rand.Rand) {
+func (l *Load) runKept(ctx context.Context, kept PersistentCallers, target Target, random *rand.Rand) {
 	for ctx.Err() == nil {
 		conn, err := kept.dial(ctx, target.Address())
 		if err != nil {
 			sleep.For(ctx, redialDelay)
 			continue
 		}
-		persistent := &keptConn{load: l, kept: kept, target: target, conn: conn, inFlight: make(chan struct{}, kept.Ahead), pending: make(chan *pipelinedRequest, kept.Ahead)}
+		persistent := &keptConn{load: l, kept: kept, target: target, conn: conn, inFlight: make(chan struct{}, kept.PipelineDepth), pending: make(chan *pipelinedRequest, kept.PipelineDepth)}
 		persistent.run(ctx, random)
 	}
 }
@@ -61,7 +62,7 @@
 const slowLinkBufferBytes = 4 << 10
 
 // dial opens a connection to a daemon, with a small receive buffer if the link is slow.
-func (k Kept) dial(ctx context.Context, address string) (net.Conn, error) {
+func (k PersistentCallers) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: time.Second}
 	if k.BytesPerSecond > 0 {
 		dialer.Control = func(_, _ string, raw syscall.RawConn) error {
@@ -81,7 +82,7 @@
 // keptConn is one persistent connection of a caller.
 type keptConn struct {
 	load   *Load
-	kept   Kept
+	kept   PersistentCallers
 	target Target
 	conn   net.Conn
 	// inFlight holds an entry for each unanswered request and limits their number. pending holds the
@@ -115,7 +116,7 @@
 
 // sendNext sends one request. It reports false once ctx has ended.
 func (k *keptConn) sendNext(ctx context.Context, random *rand.Rand) bool {
-	if !sleep.For(ctx, time.Duration(random.ExpFloat64()*float64(k.kept.Pause))) {
+	if !sleep.For(ctx, time.Duration(random.ExpFloat64()*float64(k.kept.MeanInterval))) {
 		return false
 	}
 	select {
--- a/internal/lab/soak/signals_test.go
+++ b/internal/lab/soak/signals_test.go
@@ -53,7 +53,7 @@
 	}
 	assert.NilError(t, err)
 	loadCtx, endLoad := context.WithCancel(ctx)
-	load := &client.Load{Kept: callerGroups(2), Targets: site.Targets(), Ledger: site.Ledger, Tally: client.NewTally(), Seed: 1}
+	load := &client.Load{PersistentCallers: callerGroups(2), Targets: site.Targets(), Ledger: site.Ledger, Tally: client.NewTally(), Seed: 1}
 	var loading sync.WaitGroup
 	loading.Go(func() { load.Run(loadCtx) })
 	for index, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGTERM} {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -56,18 +56,18 @@
 
 // callerGroups returns groups of callers with persistent connections: one sends each request after the
 // answer to the last, the others pipeline requests.
-func callerGroups(connections int) []client.Kept {
+func callerGroups(connections int) []client.PersistentCallers {
 	classes := day.StandardClasses(1)
 	look, order, file := classes[0], classes[1], classes[2]
 	look.CallPath = ""
 	quick, long := look, look
 	quick.AnswerBytes = 100
 	long.AnswerBytes = 300_000
-	return []client.Kept{
-		{Classes: []client.Class{look, order, file}, Connections: connections, Ahead: 1, Pause: 50 * time.Millisecond},
-		{Classes: []client.Class{look, quick}, Connections: connections, Ahead: 4, Pause: 60 * time.Millisecond},
-		{Classes: []client.Class{look, order, look, file}, Connections: connections, Ahead: 3, Pause: 60 * time.Millisecond},
-		{Classes: []client.Class{long, look}, Connections: 1, Ahead: 2, Pause: 100 * time.Millisecond, BytesPerSecond: 1_250_000},
+	return []client.PersistentCallers{
+		{Classes: []client.Class{look, order, file}, Connections: connections, PipelineDepth: 1, MeanInterval: 50 * time.Millisecond},
+		{Classes: []client.Class{look, quick}, Connections: connections, PipelineDepth: 4, MeanInterval: 60 * time.Millisecond},
+		{Classes: []client.Class{look, order, look, file}, Connections: connections, PipelineDepth: 3, MeanInterval: 60 * time.Millisecond},
+		{Classes: []client.Class{long, look}, Connections: 1, PipelineDepth: 2, MeanInterval: 100 * time.Millisecond, BytesPerSecond: 1_250_000},
 	}
 }
 
@@ -116,7 +116,7 @@
 	assert.NilError(t, err)
 	tally := client.NewTally()
 	played := &soakDay{t: t, site: site, random: rand.New(rand.NewPCG(seed, 1)), exits: map[string]int{}}
-	load := &client.Load{Kept: callerGroups(max(1, 12 / *machines)), Targets: site.Targets(), Ledger: site.Ledger, Tally: tally, Seed: seed}
+	load := &client.Load{PersistentCallers: callerGroups(max(1, 12 / *machines)), Targets: site.Targets(), Ledger: site.Ledger, Tally: tally, Seed: seed}
 	dayCtx, end := context.WithTimeout(ctx, *dayLength)
 	defer end()
 	var running sync.WaitGroup
