--- a/internal/lab/emulator/day/accounts_test.go
+++ b/internal/lab/emulator/day/accounts_test.go
@@ -231,9 +231,9 @@
 func TestRevokedKeysStayRevokedAcrossTheStoresReturn(t *testing.T) {
 	site, _, stop := startOptions(t, keyedOptions(), day.KeyedRoutes(), nil)
 	defer stop()
-	snapshot := site.Store.KeepCopy()
+	snapshot := site.Store.TakeBackup()
 	declareAccounts(t, site, withoutMovingKey())
-	site.Store.ComeBack(snapshot)
+	site.Store.Restore(snapshot)
 	assertRefused := func() {
 		for _, machine := range site.Machines {
 			status, _ := look(t, site, machine, movingKey)
--- a/internal/lab/emulator/day/comeback_test.go
+++ b/internal/lab/emulator/day/comeback_test.go
@@ -56,7 +56,7 @@
 // watch from the old revision would miss the writes in between.
 func testConfigurationWrittenRightAfter(t *testing.T) {
 	site := startEvacuable(t)
-	snapshot := site.Store.KeepCopy()
+	snapshot := site.Store.TakeBackup()
 	pad(t, site, 50)
 	before, err := site.Declare(routes)
 	assert.NilError(t, err)
@@ -64,7 +64,7 @@
 	defer cancel()
 	assert.NilError(t, site.AwaitInForce(ctx, before))
 	awaitRead(t, site)
-	site.Store.ComeBack(snapshot)
+	site.Store.Restore(snapshot)
 	after, err := site.Declare(routes)
 	assert.NilError(t, err)
 	pad(t, site, 100)
@@ -79,7 +79,7 @@
 // follow its withdrawal although the revisions are lower than before.
 func testOrdersAcrossTheReturn(t *testing.T) {
 	site := startEvacuable(t)
-	snapshot := site.Store.KeepCopy()
+	snapshot := site.Store.TakeBackup()
 	pad(t, site, 200)
 	zone := site.Zones()[0]
 	assert.NilError(t, site.Evacuate(zone))
@@ -95,7 +95,7 @@
 	}
 	await(t, "the order is followed", evacuated(true))
 	awaitRead(t, site)
-	site.Store.ComeBack(snapshot)
+	site.Store.Restore(snapshot)
 	awaitRead(t, site)
 	// The order must still be followed after several reads of the store.
 	for range 50 {
@@ -112,12 +112,12 @@
 // An order that is not written again was withdrawn during the outage, so daemons must end it.
 func testOrderThatIsNotWrittenAgain(t *testing.T) {
 	site := startEvacuable(t)
-	snapshot := site.Store.KeepCopy()
+	snapshot := site.Store.TakeBackup()
 	zone := site.Zones()[0]
 	assert.NilError(t, site.Evacuate(zone))
 	await(t, "the order is followed", func() bool { return site.Machines[0].Evacuated(zone) })
 	awaitRead(t, site)
-	site.Store.ComeBack(snapshot)
+	site.Store.Restore(snapshot)
 	site.EndEvacuation(zone)
 	await(t, "the order ends", func() bool {
 		for _, machine := range site.Machines {
@@ -132,14 +132,14 @@
 // After a restore that lost the member entries, each daemon writes its own entry again.
 func testEntriesOfDaemons(t *testing.T) {
 	site := startEvacuable(t)
-	snapshot := site.Store.KeepCopy()
+	snapshot := site.Store.TakeBackup()
 	for _, member := range site.Store.Objects("lapisvane-members") {
 		site.Store.Remove("lapisvane-members", member.Metadata.Name)
 	}
-	empty := site.Store.KeepCopy()
-	site.Store.ComeBack(snapshot)
+	empty := site.Store.TakeBackup()
+	site.Store.Restore(snapshot)
 	awaitRead(t, site)
-	site.Store.ComeBack(empty)
+	site.Store.Restore(empty)
 	await(t, "each daemon has its entry again", func() bool {
 		return len(site.Store.Objects("lapisvane-members")) == len(site.Machines)
 	})
@@ -148,7 +148,7 @@
 // After a restore that lost the records of quarantined requests, daemons write them again.
 func testQuarantineRecords(t *testing.T) {
 	site := startEvacuable(t)
-	snapshot := site.Store.KeepCopy()
+	snapshot := site.Store.TakeBackup()
 	poison := day.PoisonRequests()["read"]
 	records := func() int { return len(site.Store.Objects(platform.KindQuarantine)) }
 	for number := 0; records() == 0; number++ {
@@ -157,6 +157,6 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	awaitRead(t, site)
-	site.Store.ComeBack(snapshot)
+	site.Store.Restore(snapshot)
 	await(t, "the record is stored again", func() bool { return records() > 0 })
 }
--- a/internal/lab/emulator/day/day_test.go
+++ b/internal/lab/emulator/day/day_test.go
@@ -279,8 +279,8 @@
 		"silent":        {Silent: true},
 		"resets":        {Reset: true},
 		"slow":          {Delay: 300 * time.Millisecond},
-		"drops answers": {LoseWrites: 0.5},
-		"delays writes": {LoseWrites: 0.5, Late: true},
+		"drops answers": {DroppedAnswerShare: 0.5},
+		"delays writes": {DroppedAnswerShare: 0.5, DelayWrites: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			site, tally, stop := start(t)
--- a/internal/lab/emulator/day/play.go
+++ b/internal/lab/emulator/day/play.go
@@ -286,7 +286,7 @@
 	case FaultStoreSlow:
 		p.site.Store.SetFaults(objectstore.Faults{Delay: 250 * time.Millisecond})
 	case FaultWritesLost:
-		p.site.Store.SetFaults(objectstore.Faults{LoseWrites: 0.4, Late: true})
+		p.site.Store.SetFaults(objectstore.Faults{DroppedAnswerShare: 0.4, DelayWrites: true})
 	}
 	sleep.For(ctx, fault.For)
 	p.site.Store.SetFaults(objectstore.Faults{})
--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -144,10 +144,10 @@
 
 // ReturnStore restores the store from a snapshot, and writes the newest configuration again with its
 // version, in place of the operator.
-func (s *Site) ReturnStore(snapshot *objectstore.Copy) error {
+func (s *Site) ReturnStore(snapshot *objectstore.Backup) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.Store.ComeBack(snapshot)
+	s.Store.Restore(snapshot)
 	return s.Store.PutSpec(platform.KindConfig, platform.NameConfig, s.declaredConfig)
 }
 
--- a/internal/lab/emulator/objectstore/faults.go
+++ b/internal/lab/emulator/objectstore/faults.go
@@ -23,10 +23,10 @@
 	Reset bool
 	// Delay is the time by which every call is delayed.
 	Delay time.Duration
-	// LoseWrites is the share of writes that are performed but not answered. With Late they are
-	// performed after a random delay.
-	LoseWrites float64
-	Late       bool
+	// DroppedAnswerShare is the share of writes that are performed but not answered. With DelayWrites
+	// these writes, and no others, are performed after a random delay.
+	DroppedAnswerShare float64
+	DelayWrites        bool
 	// FreezeWatches makes watches report no changes.
 	FreezeWatches bool
 	// Addresses are the listen addresses at which the faults apply, as ListenAlso returned them; empty
@@ -92,8 +92,8 @@
 	}
 	faults := s.faults.activeAt(address)
 	injected := injectedFaults{faults: faults, watchEnd: s.watchEnds[address], address: address}
-	injected.dropAnswer = s.random.Float64() < faults.LoseWrites
-	if faults.Late {
+	injected.dropAnswer = s.random.Float64() < faults.DroppedAnswerShare
+	if faults.DelayWrites {
 		injected.writeDelay = minWriteDelay + time.Duration(s.random.Float64()*float64(writeDelayJitter))
 	}
 	return injected
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -139,12 +139,12 @@
 // Remove deletes an object in place of an operator, regardless of the faults.
 func (s *Server) Remove(kind, name string) { s.table.remove(kind, name, 0) }
 
-// KeepCopy returns a snapshot of the store, which ComeBack restores.
-func (s *Server) KeepCopy() *Copy { return s.table.snapshot() }
+// TakeBackup returns a backup of the store, to be passed to Restore.
+func (s *Server) TakeBackup() *Backup { return s.table.snapshot() }
 
-// ComeBack restores the store from a snapshot, which can be used only once. Later writes are lost,
+// Restore restores the store from a backup, which can be used only once. Later writes are lost,
 // revisions go back, and the era increases by one. Waiting watches end without an answer.
-func (s *Server) ComeBack(snapshot *Copy) {
+func (s *Server) Restore(snapshot *Backup) {
 	s.table.restore(snapshot)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/emulator/objectstore/table.go
+++ b/internal/lab/emulator/objectstore/table.go
@@ -169,25 +169,25 @@
 	t.changed = make(chan struct{})
 }
 
-// Copy is a snapshot of a store.
-type Copy struct {
+// Backup is a copy of the contents and the history of a store.
+type Backup struct {
 	revision, compactedRevision uint64
 	kinds                       map[string]map[string]platform.Object
 	history                     []historyEntry
 }
 
-func (t *table) snapshot() *Copy {
+func (t *table) snapshot() *Backup {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	kinds := make(map[string]map[string]platform.Object, len(t.kinds))
 	for kind, objects := range t.kinds {
 		kinds[kind] = maps.Clone(objects)
 	}
-	return &Copy{revision: t.revision, compactedRevision: t.compactedRevision, kinds: kinds, history: slices.Clone(t.history)}
+	return &Backup{revision: t.revision, compactedRevision: t.compactedRevision, kinds: kinds, history: slices.Clone(t.history)}
 }
 
 // restore replaces the contents by those of a snapshot, which must not be used again.
-func (t *table) restore(snapshot *Copy) {
+func (t *table) restore(snapshot *Backup) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.revision, t.compactedRevision, t.kinds, t.history = snapshot.revision, snapshot.compactedRevision, snapshot.kinds, snapshot.history
--- a/internal/lab/emulator/objectstore/traffic.go
+++ b/internal/lab/emulator/objectstore/traffic.go
@@ -32,9 +32,9 @@
 	t.seconds[at.Unix()] = second
 }
 
-// Busiest returns the maximum number of reads and of writes in any second since a time. The two maxima
+// PeakRates returns the maximum number of reads and of writes in any second since a time. The two maxima
 // may be from different seconds. Refused calls are included.
-func (s *Server) Busiest(from time.Time) Traffic {
+func (s *Server) PeakRates(from time.Time) Traffic {
 	s.traffic.mutex.Lock()
 	defer s.traffic.mutex.Unlock()
 	peak := Traffic{}
--- a/internal/lab/soak/return_test.go
+++ b/internal/lab/soak/return_test.go
@@ -28,12 +28,12 @@
 		site.Store.Remove(members, member.Metadata.Name)
 	}
 	returnedAt := time.Now()
-	assert.NilError(t, site.ReturnStore(site.Store.KeepCopy()))
+	assert.NilError(t, site.ReturnStore(site.Store.TakeBackup()))
 	for len(site.Store.Objects(members)) < *machines {
 		assert.Assert(t, ctx.Err() == nil, "%d of %d entries are back", len(site.Store.Objects(members)), *machines)
 		time.Sleep(50 * time.Millisecond)
 	}
-	busiest := site.Store.Busiest(returnedAt)
+	busiest := site.Store.PeakRates(returnedAt)
 	t.Logf("%d daemons: all entries back after %s; at most %d reads and %d writes in a second", *machines, time.Since(returnedAt), busiest.Reads, busiest.Writes)
 	assert.Assert(t, float64(busiest.Reads) <= siteOptions.ReadsPerSecond)
 	assert.Assert(t, float64(busiest.Writes) <= siteOptions.WritesPerSecond)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -276,7 +276,7 @@
 // outage.
 func (d *soakDay) storeRestores(ctx context.Context, random *rand.Rand) {
 	for {
-		backup := d.site.Store.KeepCopy()
+		backup := d.site.Store.TakeBackup()
 		if !sleepAround(ctx, random, 2500*time.Millisecond) {
 			return
 		}
@@ -394,7 +394,7 @@
 
 // storeFaults makes the store fail for a while, for all machines or for one.
 func (d *soakDay) storeFaults(ctx context.Context, random *rand.Rand) {
-	faults := []objectstore.Faults{{Down: true}, {Silent: true}, {Reset: true}, {Delay: 300 * time.Millisecond}, {LoseWrites: 0.4, Late: true}}
+	faults := []objectstore.Faults{{Down: true}, {Silent: true}, {Reset: true}, {Delay: 300 * time.Millisecond}, {DroppedAnswerShare: 0.4, DelayWrites: true}}
 	for sleepAround(ctx, random, 1500*time.Millisecond) {
 		fault := faults[random.IntN(len(faults))]
 		if random.IntN(2) == 0 {
