--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -78,12 +78,12 @@
 	const timeoutMargin = time.Minute
 	ctx, cancel := context.WithTimeout(context.Background(), plan.Length+timeoutMargin)
 	defer cancel()
-	summary, err := day.Play(ctx, plan)
+	summary, err := day.Run(ctx, plan)
 	if err != nil {
 		return 0, err
 	}
 	for _, fault := range plan.Faults {
-		results.Info("emulate.fault", "kind", string(fault.Kind), "at", fault.At.Round(time.Millisecond), "for", fault.For.Round(time.Millisecond))
+		results.Info("emulate.fault", "kind", string(fault.Kind), "at", fault.At.Round(time.Millisecond), "for", fault.Duration.Round(time.Millisecond))
 	}
 	for _, breach := range summary.Breaches {
 		results.Info("emulate.broken", "promise", string(breach.Kind), "request", breach.Request, "detail", breach.Detail)
--- a/internal/lab/emulator/day/day_test.go
+++ b/internal/lab/emulator/day/day_test.go
@@ -150,12 +150,12 @@
 			assert.NilError(t, machine.Restart(100*time.Millisecond))
 		},
 		"drain and be replaced": func(t *testing.T, machine *day.Machine) {
-			acknowledged, err := machine.Release(context.Background(), 1500*time.Millisecond, false)
+			acknowledged, err := machine.ReplaceInstance(context.Background(), 1500*time.Millisecond, false)
 			assert.NilError(t, err)
 			assert.Assert(t, acknowledged)
 		},
 		"deregister first": func(t *testing.T, machine *day.Machine) {
-			acknowledged, err := machine.Release(context.Background(), 1500*time.Millisecond, true)
+			acknowledged, err := machine.ReplaceInstance(context.Background(), 1500*time.Millisecond, true)
 			assert.NilError(t, err)
 			assert.Assert(t, acknowledged)
 		},
@@ -181,11 +181,11 @@
 func TestInstancesReturnUnderTheirIDs(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *day.Machine){
 		"left": func(t *testing.T, machine *day.Machine) {
-			_, err := machine.Return(context.Background(), time.Second, false)
+			_, err := machine.RestartInstance(context.Background(), time.Second, false)
 			assert.NilError(t, err)
 		},
 		"left abruptly": func(t *testing.T, machine *day.Machine) {
-			_, err := machine.Return(context.Background(), time.Second, true)
+			_, err := machine.RestartInstance(context.Background(), time.Second, true)
 			assert.NilError(t, err)
 		},
 		"crashed": func(t *testing.T, machine *day.Machine) {
@@ -221,7 +221,7 @@
 		var stops sync.WaitGroup
 		for _, machine := range []*day.Machine{site.Machines[index], site.Machines[index+half]} {
 			stops.Go(func() {
-				cut, err := machine.Roll(50 * time.Millisecond)
+				cut, err := machine.RestartDaemon(50 * time.Millisecond)
 				assert.Check(t, err)
 				assert.Check(t, cut == 0, "%d calls were cut", cut)
 			})
@@ -314,7 +314,7 @@
 		t.Run(name, func(t *testing.T) {
 			site, tally, stop := start(t)
 			awaitServed(t, tally, 50)
-			site.FailStoreFor(faults, site.Machines[:3]...)
+			site.SetStoreFaults(faults, site.Machines[:3]...)
 			version, err := site.Declare(routes)
 			assert.NilError(t, err)
 			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
@@ -394,7 +394,7 @@
 	machine := site.Machines[0]
 	ended := make(chan int64, 1)
 	go func() {
-		cut, err := machine.Roll(0)
+		cut, err := machine.RestartDaemon(0)
 		assert.Check(t, err)
 		ended <- cut
 	}()
--- a/internal/lab/emulator/day/explain_test.go
+++ b/internal/lab/emulator/day/explain_test.go
@@ -96,7 +96,7 @@
 	options.Logger = logging.New(output, 0)
 	site, tally, stop := startOptions(t, options, routes, day.StandardClasses(1))
 	awaitServed(t, tally, 50)
-	_, err := site.Machines[0].Roll(0)
+	_, err := site.Machines[0].RestartDaemon(0)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
--- a/internal/lab/emulator/day/machine.go
+++ b/internal/lab/emulator/day/machine.go
@@ -106,23 +106,23 @@
 	if process := m.takeProcess(); process != nil {
 		m.site.Ledger.DaemonsKilled(time.Now())
 		process.Kill()
-		<-process.Ended()
+		<-process.Done()
 	}
 	time.Sleep(down)
 	return m.start()
 }
 
-// Roll stops the daemon gracefully and restarts it after the downtime. It returns the number of calls
-// that the stop cut.
-func (m *Machine) Roll(down time.Duration) (cut int64, err error) {
+// RestartDaemon stops the daemon gracefully and restarts it after the downtime. It returns the number
+// of calls that the stop cut.
+func (m *Machine) RestartDaemon(down time.Duration) (cut int64, err error) {
 	m.daemonMutex.Lock()
 	defer m.daemonMutex.Unlock()
 	address := m.Caller()
 	if process := m.takeProcess(); process != nil {
 		m.site.Ledger.StopBegan(address, time.Now())
 		process.Stop()
-		<-process.Ended()
-		cut = process.Cut()
+		<-process.Done()
+		cut = process.CutCalls()
 	}
 	time.Sleep(down)
 	return cut, m.start()
@@ -227,9 +227,9 @@
 	return m.startInstance(m.Service, ended.Address(), ended.ID(), cold)
 }
 
-// Release shuts the instance down gracefully and starts a new one. It reports whether the drain was
-// acknowledged.
-func (m *Machine) Release(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool, err error) {
+// ReplaceInstance shuts the instance down gracefully and starts a new one. It reports whether the drain
+// was acknowledged.
+func (m *Machine) ReplaceInstance(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool, err error) {
 	m.instanceMutex.Lock()
 	defer m.instanceMutex.Unlock()
 	leaving := m.Instance()
@@ -237,9 +237,9 @@
 	return acknowledged, m.startInstance(m.Service, "", "", cold)
 }
 
-// Return shuts the instance down gracefully and restarts it with the same id at another address. It
-// reports whether the drain was acknowledged.
-func (m *Machine) Return(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool, err error) {
+// RestartInstance shuts the instance down gracefully and restarts it with the same id at another
+// address. It reports whether the drain was acknowledged.
+func (m *Machine) RestartInstance(ctx context.Context, keep time.Duration, abrupt bool) (acknowledged bool, err error) {
 	m.instanceMutex.Lock()
 	defer m.instanceMutex.Unlock()
 	leaving := m.Instance()
--- a/internal/lab/emulator/day/pipelining_test.go
+++ b/internal/lab/emulator/day/pipelining_test.go
@@ -27,7 +27,7 @@
 		},
 		"daemons stopped in turn": func(t *testing.T, site *day.Site) {
 			for _, machine := range site.Machines[:2] {
-				_, err := machine.Roll(0)
+				_, err := machine.RestartDaemon(0)
 				assert.NilError(t, err)
 			}
 		},
--- a/internal/lab/emulator/day/play.go
+++ b/internal/lab/emulator/day/play.go
@@ -59,8 +59,8 @@
 // Fault is one fault of a day.
 type Fault struct {
 	Kind FaultKind
-	// At is the time from the start of the day to the fault, For the duration of the fault.
-	At, For time.Duration
+	// At is the time from the start of the day to the fault, Duration the time for which it lasts.
+	At, Duration time.Duration
 }
 
 // Plan describes a day: a site, its load and the faults that are injected.
@@ -100,16 +100,16 @@
 	faults := make([]Fault, 0, count)
 	for range count {
 		faults = append(faults, Fault{
-			Kind: kinds[random.IntN(len(kinds))],
-			At:   time.Duration(random.Float64() * 0.8 * float64(length)),
-			For:  time.Duration((0.05 + 0.15*random.Float64()) * float64(length)),
+			Kind:     kinds[random.IntN(len(kinds))],
+			At:       time.Duration(random.Float64() * 0.8 * float64(length)),
+			Duration: time.Duration((0.05 + 0.15*random.Float64()) * float64(length)),
 		})
 	}
 	return faults
 }
 
-// Play runs a day: it starts the site, applies load and faults, and returns the summary.
-func Play(ctx context.Context, plan Plan) (Summary, error) {
+// Run simulates a day: it starts the site, applies load and faults, and returns the summary.
+func Run(ctx context.Context, plan Plan) (Summary, error) {
 	site, err := Start(ctx, plan.Options, plan.Routes)
 	if site != nil {
 		defer site.Close()
@@ -192,32 +192,32 @@
 	machine := p.site.Machines[random.IntN(len(p.site.Machines))]
 	switch fault.Kind {
 	case FaultDaemonKill:
-		p.recordError(machine.Kill(fault.For / 4))
+		p.recordError(machine.Kill(fault.Duration / 4))
 		p.site.Ledger.DaemonsDisturbed(time.Now())
 	case FaultDaemonStop:
-		cut, err := machine.Roll(fault.For / 4)
+		cut, err := machine.RestartDaemon(fault.Duration / 4)
 		p.mutex.Lock()
 		p.cutCalls += cut
 		p.mutex.Unlock()
 		p.recordError(err)
 		p.site.Ledger.DaemonsDisturbed(time.Now())
 	case FaultHerdKill:
-		p.killHalf(fault.For / 4)
+		p.killHalf(fault.Duration / 4)
 		p.site.Ledger.DaemonsDisturbed(time.Now())
 	case FaultInstanceCrash:
-		p.recordError(machine.Restart(fault.For / 4))
+		p.recordError(machine.Restart(fault.Duration / 4))
 	case FaultInstanceRelease:
-		_, err := machine.Release(ctx, p.plan.Options.DrainBound*3/2, random.IntN(3) == 0)
+		_, err := machine.ReplaceInstance(ctx, p.plan.Options.DrainBound*3/2, random.IntN(3) == 0)
 		p.recordError(err)
 	case FaultConfigStorm:
-		p.declareRepeatedly(ctx, fault.For)
+		p.declareRepeatedly(ctx, fault.Duration)
 	case FaultPoisonRequest:
 		p.sendPoison(ctx, random)
 	case FaultZoneEvacuated, FaultZoneEmptiedCold, FaultZoneCold:
 		p.injectZoneFault(ctx, fault, machine.Zone)
 	case FaultInstanceSlow, FaultAnswersLost, FaultAnswersSpoiled, FaultAnswersFail, FaultIdleForgotten, FaultInstanceHangs:
 		machine.Instance().Set(behaviourOf(fault.Kind))
-		sleep.For(ctx, fault.For)
+		sleep.For(ctx, fault.Duration)
 		machine.Instance().Set(instance.Behaviour{})
 	default:
 		p.injectStoreFault(ctx, fault, random)
@@ -270,12 +270,12 @@
 	}
 	switch fault.Kind {
 	case FaultStoreRefuses:
-		p.site.FailStoreFor(objectstore.Faults{Down: true}, p.randomHalf(random)...)
+		p.site.SetStoreFaults(objectstore.Faults{Down: true}, p.randomHalf(random)...)
 	case FaultStoreIgnores:
-		p.site.FailStoreFor(objectstore.Faults{Silent: true}, p.randomHalf(random)...)
+		p.site.SetStoreFaults(objectstore.Faults{Silent: true}, p.randomHalf(random)...)
 	case FaultStoreForgets:
 		p.site.Store.SetFaults(objectstore.Faults{FreezeWatches: true})
-		sleep.For(ctx, fault.For/4)
+		sleep.For(ctx, fault.Duration/4)
 		p.site.Store.SetFaults(objectstore.Faults{})
 		p.site.Store.CompactHistory()
 		return
@@ -288,7 +288,7 @@
 	case FaultWritesLost:
 		p.site.Store.SetFaults(objectstore.Faults{DroppedAnswerShare: 0.4, DelayWrites: true})
 	}
-	sleep.For(ctx, fault.For)
+	sleep.For(ctx, fault.Duration)
 	p.site.Store.SetFaults(objectstore.Faults{})
 }
 
@@ -308,12 +308,12 @@
 	p.zoneFaultMutexes[zone].Lock()
 	defer p.zoneFaultMutexes[zone].Unlock()
 	if fault.Kind == FaultZoneCold {
-		p.recordError(p.site.RestartZone(zone, fault.For/4))
+		p.recordError(p.site.RestartZone(zone, fault.Duration/4))
 		return
 	}
 	p.recordError(p.site.Evacuate(zone))
 	defer p.site.EndEvacuation(zone)
-	sleep.For(ctx, p.plan.Options.EvacuationBound+fault.For)
+	sleep.For(ctx, p.plan.Options.EvacuationBound+fault.Duration)
 	if fault.Kind == FaultZoneEmptiedCold {
 		p.site.MakeCold(zone)
 		sleep.For(ctx, coldLeadTime)
--- a/internal/lab/emulator/day/process.go
+++ b/internal/lab/emulator/day/process.go
@@ -23,10 +23,10 @@
 	// Stop begins a planned stop, and Kill ends the daemon immediately. Neither waits for the end.
 	Stop()
 	Kill()
-	// Ended returns a channel that is closed once the daemon has ended. After that, Cut returns the
+	// Done returns a channel that is closed once the daemon has ended. After that, CutCalls returns the
 	// number of calls that the daemon cut at its end.
-	Ended() <-chan struct{}
-	Cut() int64
+	Done() <-chan struct{}
+	CutCalls() int64
 }
 
 // Launch starts a daemon with validated settings.
@@ -60,8 +60,8 @@
 // Kill implements Process.
 func (e *embeddedProcess) Kill() { close(e.force) }
 
-// Ended implements Process.
-func (e *embeddedProcess) Ended() <-chan struct{} { return e.ended }
+// Done implements Process.
+func (e *embeddedProcess) Done() <-chan struct{} { return e.ended }
 
-// Cut implements Process.
-func (e *embeddedProcess) Cut() int64 { return e.cutCalls }
+// CutCalls implements Process.
+func (e *embeddedProcess) CutCalls() int64 { return e.cutCalls }
--- a/internal/lab/emulator/day/site.go
+++ b/internal/lab/emulator/day/site.go
@@ -83,19 +83,19 @@
 	for _, machine := range s.Machines {
 		if process := machine.takeProcess(); process != nil {
 			process.Kill()
-			<-process.Ended()
+			<-process.Done()
 		}
 		machine.endInstance()
 	}
 	s.Store.Close()
 }
 
-// Contact returns the time after which all daemons know what one of them knows.
-func (s *Site) Contact() time.Duration { return s.options.Contact }
+// ContactTime returns the time after which all daemons know what one of them knows.
+func (s *Site) ContactTime() time.Duration { return s.options.Contact }
 
-// FailStoreFor injects faults of the store for some machines, while the store serves the other machines
-// and the operator.
-func (s *Site) FailStoreFor(faults objectstore.Faults, machines ...*Machine) {
+// SetStoreFaults injects faults of the store for some machines, while the store serves the other
+// machines and the operator.
+func (s *Site) SetStoreFaults(faults objectstore.Faults, machines ...*Machine) {
 	faults.Addresses = map[string]bool{}
 	for _, machine := range machines {
 		faults.Addresses[machine.storeAddress] = true
@@ -142,9 +142,9 @@
 // knows. It is the number of daemons that a daemon links to in its zone.
 const minKnownInstances = 6
 
-// ReturnStore restores the store from a snapshot, and writes the newest configuration again with its
+// RestoreStore restores the store from a backup, and writes the newest configuration again with its
 // version, in place of the operator.
-func (s *Site) ReturnStore(snapshot *objectstore.Backup) error {
+func (s *Site) RestoreStore(snapshot *objectstore.Backup) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.Store.Restore(snapshot)
--- a/internal/lab/emulator/day/sourceleader_test.go
+++ b/internal/lab/emulator/day/sourceleader_test.go
@@ -59,7 +59,7 @@
 // each version comes into force on all daemons.
 func TestVersionsComeInForceWithoutTheDaemonThatAsks(t *testing.T) {
 	rejectedWith := func(faults objectstore.Faults) func(*testing.T, *day.Site, *day.Machine) {
-		return func(_ *testing.T, site *day.Site, machine *day.Machine) { site.FailStoreFor(faults, machine) }
+		return func(_ *testing.T, site *day.Site, machine *day.Machine) { site.SetStoreFaults(faults, machine) }
 	}
 	for name, disturb := range map[string]func(*testing.T, *day.Site, *day.Machine){
 		"refused": rejectedWith(objectstore.Faults{Down: true}),
@@ -68,7 +68,7 @@
 			assert.NilError(t, machine.Kill(50*time.Millisecond))
 		},
 		"stopped as planned": func(t *testing.T, _ *day.Site, machine *day.Machine) {
-			_, err := machine.Roll(50 * time.Millisecond)
+			_, err := machine.RestartDaemon(50 * time.Millisecond)
 			assert.NilError(t, err)
 		},
 	} {
--- a/internal/lab/emulator/day/zones_test.go
+++ b/internal/lab/emulator/day/zones_test.go
@@ -89,7 +89,7 @@
 	for name, end := range map[string]func(*day.Machine) error{
 		"killed": func(machine *day.Machine) error { return machine.Kill(down) },
 		"stopped as planned": func(machine *day.Machine) error {
-			_, err := machine.Roll(down)
+			_, err := machine.RestartDaemon(down)
 			return err
 		},
 	} {
--- a/internal/lab/soak/process_test.go
+++ b/internal/lab/soak/process_test.go
@@ -212,11 +212,12 @@
 // Kill implements day.Process.
 func (p *process) Kill() { p.signal(syscall.SIGKILL) }
 
-// Ended implements day.Process.
-func (p *process) Ended() <-chan struct{} { return p.exited }
+// Done implements day.Process.
+func (p *process) Done() <-chan struct{} { return p.exited }
 
-// Cut implements day.Process. The exit status shows only whether calls were cut, so it returns 0 or 1.
-func (p *process) Cut() int64 {
+// CutCalls implements day.Process. The exit status shows only whether calls were cut, so it returns 0
+// or 1.
+func (p *process) CutCalls() int64 {
 	if p.waitError != nil {
 		return 1
 	}
--- a/internal/lab/soak/return_test.go
+++ b/internal/lab/soak/return_test.go
@@ -28,7 +28,7 @@
 		site.Store.Remove(members, member.Metadata.Name)
 	}
 	returnedAt := time.Now()
-	assert.NilError(t, site.ReturnStore(site.Store.TakeBackup()))
+	assert.NilError(t, site.RestoreStore(site.Store.TakeBackup()))
 	for len(site.Store.Objects(members)) < *machines {
 		assert.Assert(t, ctx.Err() == nil, "%d of %d entries are back", len(site.Store.Objects(members)), *machines)
 		time.Sleep(50 * time.Millisecond)
--- a/internal/lab/soak/signals_test.go
+++ b/internal/lab/soak/signals_test.go
@@ -63,7 +63,7 @@
 			timer := time.AfterFunc(after, func() { running.signal(signal) })
 			defer timer.Stop()
 		}
-		_, err := machine.Roll(0)
+		_, err := machine.RestartDaemon(0)
 		assert.NilError(t, err)
 		assert.Check(t, running.exitStatus(t) == "exit status 0", "%s after SIGTERM: %s", signal, running.exitStatus(t))
 		assert.NilError(t, site.AwaitReady(ctx))
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -166,7 +166,7 @@
 func (d *soakDay) scaleIns(ctx context.Context, random *rand.Rand) {
 	for sleepAround(ctx, random, 2*time.Second) {
 		machine := d.site.Machines[random.IntN(len(d.site.Machines))]
-		_, err := machine.Release(ctx, 1500*time.Millisecond, random.IntN(2) == 0)
+		_, err := machine.ReplaceInstance(ctx, 1500*time.Millisecond, random.IntN(2) == 0)
 		assert.Check(d.t, err)
 		d.stop(machine, d.extraSignals(random), 0)
 	}
@@ -203,7 +203,7 @@
 		timer := time.AfterFunc(next.after, func() { running.signal(next.signal) })
 		defer timer.Stop()
 	}
-	_, err := machine.Roll(down)
+	_, err := machine.RestartDaemon(down)
 	assert.Check(d.t, err, "%s did not start again", machine.Name)
 	d.countExit(running.exitStatus(d.t))
 	d.mutex.Lock()
@@ -236,7 +236,7 @@
 		}
 		d.site.Ledger.DaemonsKilled(time.Now())
 		running.signal(syscall.SIGSTOP)
-		sleepAround(context.Background(), random, d.site.Contact())
+		sleepAround(context.Background(), random, d.site.ContactTime())
 		running.signal(syscall.SIGCONT)
 		d.site.Ledger.DaemonsKilled(time.Now())
 	}
@@ -285,7 +285,7 @@
 			sleepAround(ctx, random, 500*time.Millisecond)
 			d.site.Store.SetFaults(objectstore.Faults{})
 		}
-		assert.Check(d.t, d.site.ReturnStore(backup))
+		assert.Check(d.t, d.site.RestoreStore(backup))
 	}
 }
 
@@ -326,7 +326,7 @@
 			status := running.exitStatus(d.t)
 			assert.Check(d.t, status == exitBySIGHUP, "%s exited unexpectedly: %s\n%s", machine.Name, status, running.output)
 			d.countExit(status)
-			_, err := machine.Roll(0)
+			_, err := machine.RestartDaemon(0)
 			assert.Check(d.t, err, "%s did not start again", machine.Name)
 		}
 	}
@@ -383,9 +383,9 @@
 func (d *soakDay) instanceReplacements(ctx context.Context, random *rand.Rand) {
 	for number := 0; sleepAround(ctx, random, 2*time.Second); number++ {
 		machine := d.site.Machines[random.IntN(len(d.site.Machines))]
-		replace := machine.Release
+		replace := machine.ReplaceInstance
 		if number%2 == 0 {
-			replace = machine.Return
+			replace = machine.RestartInstance
 		}
 		_, err := replace(ctx, 3*time.Second, random.IntN(3) == 0)
 		assert.Check(d.t, err)
@@ -398,7 +398,7 @@
 	for sleepAround(ctx, random, 1500*time.Millisecond) {
 		fault := faults[random.IntN(len(faults))]
 		if random.IntN(2) == 0 {
-			d.site.FailStoreFor(fault, d.site.Machines[random.IntN(len(d.site.Machines))])
+			d.site.SetStoreFaults(fault, d.site.Machines[random.IntN(len(d.site.Machines))])
 		} else {
 			d.site.Store.SetFaults(fault)
 		}
