--- a/internal/distribution/tree/fault_test.go
+++ b/internal/distribution/tree/fault_test.go
@@ -82,7 +82,7 @@
 			c.stub.SetFaults(objectapistub.Faults{})
 		}},
 		{name: "updates crossed", inject: func(c *cluster) {
-			c.stub.SetFaults(objectapistub.Faults{CrossEvents: true, EventDelayMillis: 200})
+			c.stub.SetFaults(objectapistub.Faults{ReverseEvents: true, EventDelayMillis: 200})
 			for index := range 5 {
 				c.accept(fmt.Sprintf("crossed-%d", index), service("a", uint32(30+index))...)
 			}
--- a/internal/lab/objectapistub/server.go
+++ b/internal/lab/objectapistub/server.go
@@ -44,8 +44,8 @@
 	LoseAnswerPercent int `json:"lose_answer_percent"`
 	// EventDelayMillis delays watch events.
 	EventDelayMillis int `json:"event_delay_millis"`
-	// CrossEvents sends the events of one burst in reverse order.
-	CrossEvents bool `json:"cross_events"`
+	// ReverseEvents sends the events of one burst in reverse order.
+	ReverseEvents bool `json:"cross_events"`
 	// FreezeMachines stops updates of the machine list.
 	FreezeMachines bool `json:"freeze_machines"`
 }
@@ -320,7 +320,7 @@
 	}
 	for index := range events {
 		event := events[index]
-		if faults.CrossEvents {
+		if faults.ReverseEvents {
 			event = events[len(events)-1-index]
 		}
 		if err := encoder.Encode(event); err != nil {
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -131,6 +131,6 @@
 func (c *faultCommand) Execute([]string) error {
 	return putJSON(c.Platform, "/lab/faults", objectapistub.Faults{
 		Down: c.Down, DelayMillis: c.DelayMillis, LoseAnswerPercent: c.LoseAnswerPercent,
-		EventDelayMillis: c.EventDelayMillis, CrossEvents: c.CrossEvents, FreezeMachines: c.FreezeMachines,
+		EventDelayMillis: c.EventDelayMillis, ReverseEvents: c.CrossEvents, FreezeMachines: c.FreezeMachines,
 	})
 }
