--- a/internal/lab/explain/cause.go
+++ b/internal/lab/explain/cause.go
@@ -158,7 +158,7 @@
 		if line.Event != eventSampled || delta < 0 || delta > correlationWindow || line.Node != verdict.Line.Get("member") {
 			continue
 		}
-		if 1<<decision.Rank(request) < line.Number("one_of") {
+		if 1<<decision.SamplingLevel(request) < line.Number("one_of") {
 			return Verdict{CauseSampled, line.Node + " logged only one request in " + line.Get("one_of"), line}
 		}
 	}
--- a/internal/requestpath/decision/log.go
+++ b/internal/requestpath/decision/log.go
@@ -69,9 +69,9 @@
 	l.logger.Info(event, append([]any{"request", request}, pairs...)...)
 }
 
-// Rank returns the sparsest sampling level at which the lines of a request are written. A level of
-// n selects one of 2^n requests.
-func Rank(request string) uint {
+// SamplingLevel returns the sparsest sampling level at which the lines of a request are written. A
+// level of n selects one of 2^n requests.
+func SamplingLevel(request string) uint {
 	return uint(bits.TrailingZeros64(xxhash.Sum64String(request)))
 }
 
@@ -81,7 +81,7 @@
 	if l == nil || l.perSecond == 0 {
 		return false
 	}
-	rank := Rank(request)
+	rank := SamplingLevel(request)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.adjustLevel()
