--- a/internal/lab/backendstub/server.go
+++ b/internal/lab/backendstub/server.go
@@ -169,7 +169,7 @@
 	digest, err := s.work(r, planned)
 	if err != nil {
 		s.options.Ledger.recordCancel()
-		http.Error(w, "the caller's deadline passed", http.StatusGatewayTimeout)
+		http.Error(w, "the caller's time is over", http.StatusGatewayTimeout)
 		return
 	}
 	if planned.resetAfter {
--- a/internal/lab/objectapistub/store.go
+++ b/internal/lab/objectapistub/store.go
@@ -137,7 +137,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if version < s.compacted {
-		return nil, 0, nil, result.Errorf(result.PlatformCompacted, "events up to version %d are compacted", s.compacted)
+		return nil, 0, nil, result.Errorf(result.PlatformCompacted, "events up to %d are gone", s.compacted)
 	}
 	first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Version > version })
 	for _, event := range s.events[first:] {
