--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -56,18 +56,18 @@
 
 // callerGroups returns groups of callers with persistent connections: one sends each request after the
 // answer to the last, the others pipeline requests.
-func callerGroups(connections int) []client.Kept {
+func callerGroups(connections int) []client.PersistentCallers {
 	classes := day.StandardClasses(1)
 	look, order, file := classes[0], classes[1], classes[2]
 	look.CallPath = ""
 	quick, long := look, look
 	quick.AnswerBytes = 100
 	long.AnswerBytes = 300_000
-	return []client.Kept{
-		{Classes: []client.Class{look, order, file}, Connections: connections, Ahead: 1, Pause: 50 * time.Millisecond},
-		{Classes: []client.Class{look, quick}, Connections: connections, Ahead: 4, Pause: 60 * time.Millisecond},
-		{Classes: []client.Class{look, order, look, file}, Connections: connections, Ahead: 3, Pause: 60 * time.Millisecond},
-		{Classes: []client.Class{long, look}, Connections: 1, Ahead: 2, Pause: 100 * time.Millisecond, BytesPerSecond: 1_250_000},
+	return []client.PersistentCallers{
+		{Classes: []client.Class{look, order, file}, Connections: connections, PipelineDepth: 1, MeanInterval: 50 * time.Millisecond},
+		{Classes: []client.Class{look, quick}, Connections: connections, PipelineDepth: 4, MeanInterval: 60 * time.Millisecond},
+		{Classes: []client.Class{look, order, look, file}, Connections: connections, PipelineDepth: 3, MeanInterval: 60 * time.Millisecond},
+		{Classes: []client.Class{long, look}, Connections: 1, PipelineDepth: 2, MeanInterval: 100 * time.Millisecond, BytesPerSecond: 1_250_000},
 	}
 }
 
@@ -116,7 +116,7 @@
 	assert.NilError(t, err)
 	tally := client.NewTally()
 	played := &soakDay{t: t, site: site, random: rand.New(rand.NewPCG(seed, 1)), exits: map[string]int{}}
-	load := &client.Load{Kept: callerGroups(max(1, 12 / *machines)), Targets: site.Targets(), Ledger: site.Ledger, Tally: tally, Seed: seed}
+	load := &client.Load{PersistentCallers: callerGroups(max(1, 12 / *machines)), Targets: site.Targets(), Ledger: site.Ledger, Tally: tally, Seed: seed}
 	dayCtx, end := context.WithTimeout(ctx, *dayLength)
 	defer end()
 	var running sync.WaitGroup
@@ -166,7 +166,7 @@
 func (d *soakDay) scaleIns(ctx context.Context, random *rand.Rand) {
 	for sleepAround(ctx, random, 2*time.Second) {
 		machine := d.site.Machines[random.IntN(len(d.site.Machines))]
-		_, err := machine.Release(ctx, 1500*time.Millisecond, random.IntN(2) == 0)
+		_, err := machine.ReplaceInstance(ctx, 1500*time.Millisecond, random.IntN(2) == 0)
 		assert.Check(d.t, err)
 		d.stop(machine, d.extraSignals(random), 0)
 	}
@@ -203,7 +203,7 @@
 		timer := time.AfterFunc(next.after, func() { running.signal(next.signal) })
 		defer timer.Stop()
 	}
-	_, err := machine.Roll(down)
+	_, err := machine.RestartDaemon(down)
 	assert.Check(d.t, err, "%s did not start again", machine.Name)
 	d.countExit(running.exitStatus(d.t))
 	d.mutex.Lock()
@@ -236,7 +236,7 @@
 		}
 		d.site.Ledger.DaemonsKilled(time.Now())
 		running.signal(syscall.SIGSTOP)
-		sleepAround(context.Background(), random, d.site.Contact())
+		sleepAround(context.Background(), random, d.site.ContactTime())
 		running.signal(syscall.SIGCONT)
 		d.site.Ledger.DaemonsKilled(time.Now())
 	}
@@ -276,7 +276,7 @@
 // outage.
 func (d *soakDay) storeRestores(ctx context.Context, random *rand.Rand) {
 	for {
-		backup := d.site.Store.KeepCopy()
+		backup := d.site.Store.TakeBackup()
 		if !sleepAround(ctx, random, 2500*time.Millisecond) {
 			return
 		}
@@ -285,7 +285,7 @@
 			sleepAround(ctx, random, 500*time.Millisecond)
 			d.site.Store.SetFaults(objectstore.Faults{})
 		}
-		assert.Check(d.t, d.site.ReturnStore(backup))
+		assert.Check(d.t, d.site.RestoreStore(backup))
 	}
 }
 
@@ -326,7 +326,7 @@
 			status := running.exitStatus(d.t)
 			assert.Check(d.t, status == exitBySIGHUP, "%s exited unexpectedly: %s\n%s", machine.Name, status, running.output)
 			d.countExit(status)
-			_, err := machine.Roll(0)
+			_, err := machine.RestartDaemon(0)
 			assert.Check(d.t, err, "%s did not start again", machine.Name)
 		}
 	}
@@ -383,9 +383,9 @@
 func (d *soakDay) instanceReplacements(ctx context.Context, random *rand.Rand) {
 	for number := 0; sleepAround(ctx, random, 2*time.Second); number++ {
 		machine := d.site.Machines[random.IntN(len(d.site.Machines))]
-		replace := machine.Release
+		replace := machine.ReplaceInstance
 		if number%2 == 0 {
-			replace = machine.Return
+			replace = machine.RestartInstance
 		}
 		_, err := replace(ctx, 3*time.Second, random.IntN(3) == 0)
 		assert.Check(d.t, err)
@@ -394,11 +394,11 @@
 
 // storeFaults makes the store fail for a while, for all machines or for one.
 func (d *soakDay) storeFaults(ctx context.Context, random *rand.Rand) {
-	faults := []objectstore.Faults{{Down: true}, {Silent: true}, {Reset: true}, {Delay: 300 * time.Millisecond}, {LoseWrites: 0.4, Late: true}}
+	faults := []objectstore.Faults{{Down: true}, {Silent: true}, {Reset: true}, {Delay: 300 * time.Millisecond}, {DroppedAnswerShare: 0.4, DelayWrites: true}}
 	for sleepAround(ctx, random, 1500*time.Millisecond) {
 		fault := faults[random.IntN(len(faults))]
 		if random.IntN(2) == 0 {
-			d.site.FailStoreFor(fault, d.site.Machines[random.IntN(len(d.site.Machines))])
+			d.site.SetStoreFaults(fault, d.site.Machines[random.IntN(len(d.site.Machines))])
 		} else {
 			d.site.Store.SetFaults(fault)
 		}
