--- a/internal/daemon/accounts.go
+++ b/internal/daemon/accounts.go
@@ -13,9 +13,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/boottime"
 )
 
-// keyCurrency reports to the gateway how current the API keys of this daemon are, and logs when calls
+// keyFreshness reports to the gateway how current the API keys of this daemon are, and logs when calls
 // by API key are suspended and resumed. Its methods are safe for concurrent use.
-type keyCurrency struct {
+type keyFreshness struct {
 	freshness *configsource.Freshness
 	bounds    identity.Bounds
 	logger    logr.Logger
@@ -25,39 +25,39 @@
 
 // identityOf returns the gateway's configuration for API keys and registers its metrics.
 func identityOf(config *settings.Daemon, freshness *configsource.Freshness, logger logr.Logger, registry prometheus.Registerer) gateway.Identity {
-	keys := &keyCurrency{freshness: freshness, logger: logger, bounds: identity.Bounds{MaxApplyDelay: config.Platform.ApplyBound.Get()}}
+	keys := &keyFreshness{freshness: freshness, logger: logger, bounds: identity.Bounds{MaxApplyDelay: config.Platform.ApplyBound.Get()}}
 	if config.Accounts.StrictRevocation {
 		keys.bounds.MaxUnconfirmed = config.Accounts.RevocationBound.Get()
 	}
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "lapisvane_keys_suspended", Help: "1 while no call is served by an API key, because the daemon could not confirm its configuration for the revocation bound.",
 	}, keys.suspendedGauge))
-	return gateway.Identity{Currency: keys.Currency, Bounds: keys.bounds}
+	return gateway.Identity{Freshness: keys.Freshness, Bounds: keys.bounds}
 }
 
-// Currency returns how current the configuration in force is.
-func (k *keyCurrency) Currency() identity.Freshness {
-	currency := k.current()
-	tooOld := k.bounds.TooOld(currency)
+// Freshness returns how current the configuration in force is.
+func (k *keyFreshness) Freshness() identity.Freshness {
+	freshness := k.current()
+	tooOld := k.bounds.TooOld(freshness)
 	if k.suspended.Load() != tooOld && k.suspended.Swap(tooOld) != tooOld {
-		k.logChange(tooOld, currency)
+		k.logChange(tooOld, freshness)
 	}
-	return currency
+	return freshness
 }
 
-func (k *keyCurrency) current() identity.Freshness {
+func (k *keyFreshness) current() identity.Freshness {
 	return identity.Freshness{SinceConfirmed: boottime.Since(k.freshness.Confirmed()), Behind: k.freshness.Behind()}
 }
 
-func (k *keyCurrency) logChange(tooOld bool, currency identity.Freshness) {
+func (k *keyFreshness) logChange(tooOld bool, freshness identity.Freshness) {
 	if tooOld {
-		k.logger.Info("keys.suspended", "unconfirmed_ms", currency.SinceConfirmed.Milliseconds(), "bound_ms", k.bounds.MaxUnconfirmed.Milliseconds())
+		k.logger.Info("keys.suspended", "unconfirmed_ms", freshness.SinceConfirmed.Milliseconds(), "bound_ms", k.bounds.MaxUnconfirmed.Milliseconds())
 		return
 	}
-	k.logger.Info("keys.resumed", "unconfirmed_ms", currency.SinceConfirmed.Milliseconds())
+	k.logger.Info("keys.resumed", "unconfirmed_ms", freshness.SinceConfirmed.Milliseconds())
 }
 
-func (k *keyCurrency) suspendedGauge() float64 {
+func (k *keyFreshness) suspendedGauge() float64 {
 	if k.bounds.TooOld(k.current()) {
 		return 1
 	}
--- a/internal/daemon/accounts_test.go
+++ b/internal/daemon/accounts_test.go
@@ -29,12 +29,12 @@
 			freshness := &configsource.Freshness{}
 			keys := identityOf(&config, freshness, logging.NewPlain(&output), prometheus.NewRegistry())
 			assert.Equal(t, keys.Bounds.MaxApplyDelay, config.Platform.ApplyBound.Get())
-			suspended := func() bool { return keys.Bounds.TooOld(keys.Currency()) }
+			suspended := func() bool { return keys.Bounds.TooOld(keys.Freshness()) }
 
 			assert.Equal(t, suspended(), strict, "before the first confirmation")
 			freshness.Advance(3)
 			freshness.Confirm(configsource.Versions{Configuration: 3}, boottime.Now())
-			assert.Equal(t, keys.Currency(), identity.Freshness{})
+			assert.Equal(t, keys.Freshness(), identity.Freshness{})
 			time.Sleep(5*time.Second - time.Nanosecond)
 			assert.Assert(t, !suspended())
 			time.Sleep(time.Nanosecond)
@@ -42,7 +42,7 @@
 				assert.Equal(t, suspended(), strict)
 			}
 			freshness.Confirm(configsource.Versions{Configuration: 4}, boottime.Now())
-			assert.Assert(t, keys.Currency().Behind)
+			assert.Assert(t, keys.Freshness().Behind)
 			assert.Equal(t, suspended(), strict, "a newer revision is not in force here")
 			freshness.Advance(4)
 			assert.Assert(t, !suspended())
--- a/internal/daemon/platform_distribution.go
+++ b/internal/daemon/platform_distribution.go
@@ -334,7 +334,7 @@
 	for {
 		select {
 		case <-force:
-			return path.endByForce()
+			return path.forceStop()
 		case <-limit.C:
 			return path.endCalls(path.stopLimitCause())
 		case <-callers.C:
--- a/internal/daemon/requestpath.go
+++ b/internal/daemon/requestpath.go
@@ -161,8 +161,9 @@
 		"undelivered_to_daemons", p.callServer.Undelivered(), "unserved", p.gateway.UnservedConnections())
 }
 
-// endByForce cuts the calls in flight on a forced stop and returns their number.
-func (p *requestPath) endByForce() (cut int64) {
+// forceStop stops the request path at once: it aborts the calls in flight and returns their number. Their
+// callers get answers (see endCalls), unless the stop simulates a kill (killedByForce).
+func (p *requestPath) forceStop() (cut int64) {
 	if p.killedByForce {
 		p.gateway.Close()
 		return p.inFlight()
--- a/internal/daemon/settings/daemon.go
+++ b/internal/daemon/settings/daemon.go
@@ -53,7 +53,7 @@
 	// EvacuationBound is the time within which an operator's order to evacuate a zone must be in force
 	// on every connected daemon; 0 disables evacuation orders.
 	EvacuationBound tunables.Duration `json:"evacuation_bound"`
-	// Accounts limits how outdated the API keys of accounts may be for calls to be served.
+	// Accounts limits how long API keys are accepted while the configuration cannot be confirmed.
 	Accounts Accounts `json:"accounts"`
 	// ColdStarts limits the calls to instances that have just started.
 	ColdStarts ColdStarts `json:"cold_starts"`
@@ -109,7 +109,7 @@
 	Burst float64 `json:"burst"`
 }
 
-// Accounts limits how outdated the API keys of accounts may be for calls to be served.
+// Accounts limits how long API keys are accepted while the configuration cannot be confirmed.
 type Accounts struct {
 	// StrictRevocation makes a daemon refuse calls by API key if it could not confirm its configuration
 	// for RevocationBound. Otherwise it continues to use the known keys.
--- a/internal/daemon/tree_distribution.go
+++ b/internal/daemon/tree_distribution.go
@@ -125,7 +125,7 @@
 	for {
 		select {
 		case <-force:
-			return t.path.endByForce()
+			return t.path.forceStop()
 		case <-limit.C:
 			return t.path.endCalls(t.path.stopLimitCause())
 		case <-minimum.C:
--- a/internal/distribution/configsource/comeback_test.go
+++ b/internal/distribution/configsource/comeback_test.go
@@ -20,7 +20,7 @@
 		at, err := position.In(s.position.Era()+1, 1)
 		assert.NilError(t, err)
 		s.position, s.compactedTo = at, at
-		s.orderRevisions = map[string]configsource.Position{}
+		s.orderPositions = map[string]configsource.Position{}
 	})
 }
 
--- a/internal/distribution/configsource/counted_source_test.go
+++ b/internal/distribution/configsource/counted_source_test.go
@@ -19,10 +19,10 @@
 type countedSource struct {
 	mutex    sync.Mutex
 	position configsource.Position
-	// configurationRevision is the position and revision of the configuration; orderRevisions holds
-	// the positions of the orders by zone.
-	configurationRevision configsource.Position
-	orderRevisions        map[string]configsource.Position
+	// configurationPosition is the position, and also the revision, of the configuration;
+	// orderPositions holds the positions of the orders by zone.
+	configurationPosition configsource.Position
+	orderPositions        map[string]configsource.Position
 	// compactedTo is the position up to which the history is deleted.
 	compactedTo configsource.Position
 	// positionsIgnoreOrders keeps the positions returned by Next unchanged when orders change.
@@ -42,15 +42,15 @@
 }
 
 func (s *countedSource) giveOrder(zone string) {
-	s.change(func(s *countedSource) { s.orderRevisions[zone] = s.position })
+	s.change(func(s *countedSource) { s.orderPositions[zone] = s.position })
 }
 
 func (s *countedSource) withdrawOrder(zone string) {
-	s.change(func(s *countedSource) { delete(s.orderRevisions, zone) })
+	s.change(func(s *countedSource) { delete(s.orderPositions, zone) })
 }
 
 func newCountedSource() *countedSource {
-	return &countedSource{position: 3, configurationRevision: 3, orderRevisions: map[string]configsource.Position{}}
+	return &countedSource{position: 3, configurationPosition: 3, orderPositions: map[string]configsource.Position{}}
 }
 
 // reachableSource is a countedSource as seen by one daemon.
@@ -87,7 +87,7 @@
 		return nil, 0, err
 	}
 	defer s.mutex.Unlock()
-	return &lapisv1.Configuration{Revision: uint64(s.configurationRevision)}, s.position, nil
+	return &lapisv1.Configuration{Revision: uint64(s.configurationPosition)}, s.position, nil
 }
 
 func (s reachableSource) Next(ctx context.Context, after configsource.Position, _ time.Duration) (*lapisv1.Configuration, configsource.Position, error) {
@@ -98,8 +98,8 @@
 	switch {
 	case after < s.compactedTo:
 		return nil, after, result.Errorf(result.PlatformCompacted, "the history is deleted")
-	case s.configurationRevision > after:
-		return &lapisv1.Configuration{Revision: uint64(s.configurationRevision)}, s.position, nil
+	case s.configurationPosition > after:
+		return &lapisv1.Configuration{Revision: uint64(s.configurationPosition)}, s.position, nil
 	case s.positionsIgnoreOrders:
 		return nil, after, nil
 	}
@@ -112,7 +112,7 @@
 	}
 	defer s.mutex.Unlock()
 	message := &lapisv1.Orders{Revision: uint64(s.position)}
-	for zone, position := range s.orderRevisions {
+	for zone, position := range s.orderPositions {
 		message.Evacuations = append(message.Evacuations, &lapisv1.Evacuation{Zone: zone, Revision: uint64(position)})
 	}
 	return orders.NewSet(message), nil
--- a/internal/distribution/configsource/orders_test.go
+++ b/internal/distribution/configsource/orders_test.go
@@ -175,9 +175,9 @@
 		source.change(func(s *countedSource) { s.ordersRefused = true })
 		time.Sleep(bound)
 		confirmed := fleet[0].freshness.Confirmed()
-		source.change(func(s *countedSource) { s.configurationRevision = s.position })
+		source.change(func(s *countedSource) { s.configurationPosition = s.position })
 		time.Sleep(2 * bound)
-		lastAppliedAt(t, fleet, uint64(source.configurationRevision))
+		lastAppliedAt(t, fleet, uint64(source.configurationPosition))
 		assert.Assert(t, fleet[0].freshness.Confirmed().Equal(confirmed))
 	})
 }
--- a/internal/distribution/fleet/fleet.go
+++ b/internal/distribution/fleet/fleet.go
@@ -83,10 +83,11 @@
 	local   []*lapisv1.Endpoint
 	// withdrawn are the local instances that left for good.
 	withdrawn []string
-	// rankings select further daemons to link to, linksPerRanking from each ranking.
+	// rankings rank the daemons. In addition to the daemons needed for calls, this daemon links to the
+	// first linksPerRanking reachable daemons of each ranking.
 	rankings        []Ranking
 	linksPerRanking int
-	// additionalNodes are the names of further daemons to link to.
+	// additionalNodes are the names of other daemons to link to, whatever their rank.
 	additionalNodes []string
 	// services are the services reported to the observer so far.
 	services map[string]bool
--- a/internal/distribution/fleet/linkchoice.go
+++ b/internal/distribution/fleet/linkchoice.go
@@ -12,9 +12,11 @@
 
 // This file decides which daemons a daemon links to.
 //
-// Inputs: this daemon and all other known daemons, each with zone, region and service (as old as
-// its last greeting, directory entry or announcement); whether its link has been missing for too
-// long (seconds, see unreachable); and whether its zone is evacuated (by the orders in force here).
+// Inputs: this daemon and all other known daemons, each with:
+//   - its zone, region and service, from its last greeting (hello message), directory entry or
+//     announcement, and therefore possibly outdated;
+//   - whether its link has been down for too long (seconds, see unreachable);
+//   - whether its zone is evacuated, by the evacuation orders in force on this daemon.
 //
 // Order: services are handled separately. Within a service, daemons are chosen from the own zone,
 // then the own region, then all other regions, up to linksPerService; then linksPerOtherRegion in
@@ -24,9 +26,10 @@
 // results are combined.
 //
 // Reason: the number of links, and the gossip traffic with it, must not grow with the fleet, and
-// the arrival or loss of one daemon must move few links. With links between all daemons, the
-// traffic between zones grew with the square of the fleet size: its cost, in units of the score of
-// a simulated day (1 is the best), was 1.7 at 100 machines and 35 at 300.
+// the arrival or loss of one daemon must change few links. With links between all daemons, the
+// traffic between zones grew with the square of the fleet size. Simulated days of operation get a
+// score, of which 1 is the best; in units of this score, the traffic cost 1.7 at 100 machines and 35 at
+// 300.
 const (
 	// linksPerService is the number of daemons to link to for each service.
 	linksPerService = 8
@@ -43,9 +46,10 @@
 // candidate is a daemon that may be linked to.
 type candidate struct {
 	Member
-	// unreachable daemons do not count towards the number of links; others are chosen in addition.
+	// unreachable is true if the link has been down for too long. Such a daemon does not count towards
+	// the number of links; another one is chosen in addition.
 	unreachable bool
-	// evacuated daemons have instances that get no calls.
+	// evacuated is true if the daemon's zone is evacuated, so that its instances get no calls.
 	evacuated bool
 }
 
--- a/internal/distribution/holdings/interest.go
+++ b/internal/distribution/holdings/interest.go
@@ -26,7 +26,7 @@
 	return interest
 }
 
-// FromSubscription returns the set of a complete subscription.
+// FromSubscription returns the set of services in a complete subscription.
 func FromSubscription(subscription *lapisv1.Subscription) Interest {
 	if subscription.GetAll() {
 		return Interest{All: true}
--- a/internal/lab/emulator/client/client.go
+++ b/internal/lab/emulator/client/client.go
@@ -116,9 +116,10 @@
 	// PersistentCallers are callers with persistent connections.
 	PersistentCallers []PersistentCallers
 	Targets           []Target
-	Ledger            *promise.Ledger
-	Tally             *Tally
-	Seed              uint64
+	// Ledger records the requests and answers, which are checked for breaches of the guarantees.
+	Ledger *promise.Ledger
+	Tally  *Tally
+	Seed   uint64
 }
 
 // lastRequestID is the number in the newest request id. It makes ids unique within the process.
--- a/internal/lab/emulator/instance/serve.go
+++ b/internal/lab/emulator/instance/serve.go
@@ -350,7 +350,8 @@
 	return connectionKept
 }
 
-// Body returns the body of the answer with the given stamp. Clients compute it to check an answer.
+// Body returns the body, size bytes long, of the answer of the run that stamp identifies: the stamp,
+// repeated. Clients compute it to check an answer.
 func Body(stamp string, size int) string {
 	body := make([]byte, size)
 	for index := range body {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// causesOf returns the causes that occur, most frequent first.
+// causesOf returns the causes of the failed requests, most frequent first.
 func causesOf(seconds []explain.Second) []explain.Cause {
 	totals := map[explain.Cause]int{}
 	for _, second := range seconds {
--- a/internal/lab/testsite/calls_test.go
+++ b/internal/lab/testsite/calls_test.go
@@ -423,7 +423,7 @@
 
 func TestTLSKeysAreServedAndRotated(t *testing.T) {
 	site := startSite(t, 1, nil)
-	authority, err := testsite.NewAuthority("test")
+	authority, err := testsite.NewCertificateAuthority("test")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), convergenceTimeout)
 	defer cancel()
--- a/internal/lab/testsite/daemon_test.go
+++ b/internal/lab/testsite/daemon_test.go
@@ -63,7 +63,7 @@
 }
 
 // writeKeys issues a key pair for name and writes it to files.
-func writeKeys(t *testing.T, authority *testsite.Authority, name string) settings.PeerTLS {
+func writeKeys(t *testing.T, authority *testsite.CertificateAuthority, name string) settings.PeerTLS {
 	t.Helper()
 	pair, err := authority.Issue(name)
 	assert.NilError(t, err)
@@ -82,7 +82,7 @@
 	site, err := testsite.NewSite(profile, logr.Discard())
 	assert.NilError(t, err)
 	t.Cleanup(site.Close)
-	authority, err := testsite.NewAuthority("ours")
+	authority, err := testsite.NewCertificateAuthority("ours")
 	assert.NilError(t, err)
 	_, err = site.AddBackend("desk", "desk-1")
 	assert.NilError(t, err)
@@ -104,7 +104,7 @@
 		assert.Equal(t, callResult.Outcome, callload.OutcomeDone, "%+v", callResult)
 	}
 
-	otherAuthority, err := testsite.NewAuthority("strangers")
+	otherAuthority, err := testsite.NewCertificateAuthority("strangers")
 	assert.NilError(t, err)
 	for name, keys := range map[string]settings.PeerTLS{
 		"plain":           {},
--- a/internal/lab/testsite/keys.go
+++ b/internal/lab/testsite/keys.go
@@ -21,15 +21,15 @@
 // KeyPair is a certificate with its key in PEM form.
 type KeyPair struct{ Certificate, Key []byte }
 
-// Authority is a certificate authority for tests.
-type Authority struct {
+// CertificateAuthority is a certificate authority for tests.
+type CertificateAuthority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	PEM         []byte
 }
 
-// NewAuthority returns an authority with a new key and a self-signed certificate.
-func NewAuthority(name string) (*Authority, error) {
+// NewCertificateAuthority returns a certificate authority with a new key and a self-signed certificate.
+func NewCertificateAuthority(name string) (*CertificateAuthority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Authority{certificate: certificate, key: key, PEM: encodePEM("CERTIFICATE", der)}, nil
+	return &CertificateAuthority{certificate: certificate, key: key, PEM: encodePEM("CERTIFICATE", der)}, nil
 }
 
 func certificateTemplate(name string) *x509.Certificate {
@@ -60,7 +60,7 @@
 }
 
 // Issue returns a new key pair with a certificate for name.
-func (a *Authority) Issue(name string) (KeyPair, error) {
+func (a *CertificateAuthority) Issue(name string) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return KeyPair{}, err
@@ -87,7 +87,7 @@
 
 // Execute implements flags.Commander.
 func (c *PeerKeysCommand) Execute([]string) error {
-	authority, err := NewAuthority("lapisvane trial authority")
+	authority, err := NewCertificateAuthority("lapisvane trial authority")
 	if err != nil {
 		return err
 	}
--- a/internal/model/rollout/judge.go
+++ b/internal/model/rollout/judge.go
@@ -98,7 +98,8 @@
 	Answers, Bad uint64
 }
 
-// suspicious reports whether the sum has reached suspicionFraction of the rejection threshold.
+// suspicious reports whether Sum, the evidence against the version, has reached suspicionFraction of the
+// rejection threshold.
 func (v Verdict) suspicious() bool { return v.Sum >= suspicionFraction*rejectionThreshold(v.Answers) }
 
 // unfavorable reports whether the answers are more likely those of a worse version.
--- a/internal/operators/operator/server_test.go
+++ b/internal/operators/operator/server_test.go
@@ -166,7 +166,7 @@
 
 func TestSecretsAreNeverShown(t *testing.T) {
 	s := startServer(t)
-	authority, err := testsite.NewAuthority("test")
+	authority, err := testsite.NewCertificateAuthority("test")
 	assert.NilError(t, err)
 	pair, err := authority.Issue("shop.example")
 	assert.NilError(t, err)
--- a/internal/operators/query/language.go
+++ b/internal/operators/query/language.go
@@ -91,7 +91,7 @@
 	return command, nil
 }
 
-// HelpText is the help text of the language.
+// HelpText describes the commands of the operators' query and command language.
 const HelpText = `Commands:
   show versions | proxies | routes | pools | backends | shares | secrets | accounts | proposals
        [where FIELD OP VALUE {and FIELD OP VALUE}]   OP: = != < <= > >= ~ (contains)
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -75,7 +75,7 @@
 		}
 		a.opening.Service = pool
 		if a.cannotFinishInTime(ctx, a.recentServiceTime(target)) {
-			a.version.returnProbe()
+			a.version.releaseSlot()
 			return a.endAttempts(ctx, result.Errorf(result.CallNotRunExpired, "the remaining time is too short for an answer"))
 		}
 		allowed, err := a.beginVersion(target)
--- a/internal/requestpath/gateway/deadline.go
+++ b/internal/requestpath/gateway/deadline.go
@@ -46,7 +46,8 @@
 }
 
 // timeUntil returns the time until the call's deadline. It subtracts the time for which this machine was
-// suspended, because the caller kept waiting while the clock of the deadline stood still.
+// suspended: the monotonic clock that measures the deadline stops during a suspension, but the caller
+// continues to wait.
 func (c *call) timeUntil(deadline time.Time) time.Duration {
 	return time.Until(deadline) - (boottime.Suspended() - c.suspendedAtStart)
 }
--- a/internal/requestpath/gateway/gateway.go
+++ b/internal/requestpath/gateway/gateway.go
@@ -97,8 +97,8 @@
 	attemptPrefix  string
 	attemptCount   atomic.Uint64
 	callerServer   *pipeline.Server
-	// awaitingKeys counts the requests with an unknown key that wait for a newer configuration.
-	awaitingKeys atomic.Int64
+	// unknownKeyWaits counts the requests with an unknown key that wait for a newer configuration.
+	unknownKeyWaits atomic.Int64
 
 	// stopping is true once callers' connections are closed after their next answer, refusing
 	// once new calls are refused.
--- a/internal/requestpath/gateway/identity.go
+++ b/internal/requestpath/gateway/identity.go
@@ -19,22 +19,23 @@
 // Identity configures the decisions on API keys. The zero value stands for a configuration that is
 // always the newest.
 type Identity struct {
-	// Currency returns how up to date the current configuration is; nil if it is always the newest.
-	Currency func() identity.Freshness
-	Bounds   identity.Bounds
+	// Freshness returns how up to date the current configuration is; nil if it is always the newest.
+	Freshness func() identity.Freshness
+	Bounds    identity.Bounds
 }
 
-// currency returns how up to date the current configuration is.
-func (i *Identity) currency() identity.Freshness {
-	if i.Currency == nil {
+// freshness returns how up to date the current configuration is.
+func (i *Identity) freshness() identity.Freshness {
+	if i.Freshness == nil {
 		return identity.Freshness{}
 	}
-	return i.Currency()
+	return i.Freshness()
 }
 
-// maxAwaitingKeys is the maximum number of requests with an unknown key that wait for a newer
-// configuration, so that a flood of wrong keys uses little memory. Further requests are decided at once.
-const maxAwaitingKeys = 256
+// maxUnknownKeyWaits is the maximum number of requests with an unknown key that wait for a newer
+// configuration, so that a flood of wrong keys uses little memory. Further requests are decided at once,
+// by the current configuration.
+const maxUnknownKeyWaits = 256
 
 // refusalReason is the reason why a request was refused because of its API key, as used in log lines and
 // metrics.
@@ -183,10 +184,10 @@
 func (g *Gateway) decideOnKey(found *admittedRequest, key presentedKey, waited bool) identity.Decision {
 	public := found.route.GetPublic()
 	facts := identity.Input{Caller: key.findIn(found.current.Accounts), Public: public, Waited: waited}
-	// The currency is read only if needed, since reading it takes a lock: for an unknown key, or if keys
+	// The freshness is read only if needed, since reading it takes a lock: for an unknown key, or if keys
 	// can become too old.
 	if facts.Caller == nil || g.config.Identity.Bounds.MaxUnconfirmed > 0 {
-		facts.Freshness = g.config.Identity.currency()
+		facts.Freshness = g.config.Identity.freshness()
 	}
 	decision := identity.Decide(facts, g.config.Identity.Bounds)
 	if decision == identity.ServeCaller {
@@ -205,8 +206,8 @@
 	if decision != identity.AwaitNewer {
 		return g.config.Snapshots.Current()
 	}
-	defer g.awaitingKeys.Add(-1)
-	if g.awaitingKeys.Add(1) > maxAwaitingKeys {
+	defer g.unknownKeyWaits.Add(-1)
+	if g.unknownKeyWaits.Add(1) > maxUnknownKeyWaits {
 		return g.config.Snapshots.Current()
 	}
 	target := time.Duration(found.route.GetCallClass().GetTargetLatencyMillis()) * time.Millisecond
@@ -226,7 +227,7 @@
 		return result.Errorf(result.CallUnknownKey, "API key: %s", reasonRevoked)
 	}
 	decider := &a.gateway.config.Identity
-	if decider.Bounds.MaxUnconfirmed > 0 && decider.Bounds.TooOld(decider.currency()) {
+	if decider.Bounds.MaxUnconfirmed > 0 && decider.Bounds.TooOld(decider.freshness()) {
 		a.gateway.metrics.refusedKeys.WithLabelValues(string(reasonUnconfirmed)).Inc()
 		return result.Errorf(result.CallKeysUnconfirmed, "API key: %s", reasonUnconfirmed)
 	}
--- a/internal/requestpath/gateway/identity_test.go
+++ b/internal/requestpath/gateway/identity_test.go
@@ -329,19 +329,19 @@
 // second attempt. The caller is told that the call did not run.
 func TestKeysThatBecomeTooOldBetweenAttempts(t *testing.T) {
 	for path, calls := range map[string]int{"/": 1, "/open/": 2} {
-		var currency atomic.Pointer[identity.Freshness]
-		currency.Store(&identity.Freshness{})
+		var freshness atomic.Pointer[identity.Freshness]
+		freshness.Store(&identity.Freshness{})
 		site := startKeyedGateway(t, func(config *Config) {
 			config.Identity = Identity{
-				Currency: func() identity.Freshness { return *currency.Load() },
-				Bounds:   identity.Bounds{MaxApplyDelay: time.Second, MaxUnconfirmed: time.Minute},
+				Freshness: func() identity.Freshness { return *freshness.Load() },
+				Bounds:    identity.Bounds{MaxApplyDelay: time.Second, MaxUnconfirmed: time.Minute},
 			}
 		})
 		site.origin.before = func(*lapisv1.CallOpen) error {
 			if len(site.origin.calls()) > 1 {
 				return nil
 			}
-			currency.Store(&identity.Freshness{SinceConfirmed: time.Minute})
+			freshness.Store(&identity.Freshness{SinceConfirmed: time.Minute})
 			return result.Errorf(result.CallNotRunDraining, "leaving")
 		}
 		status, answer := site.send(get(path, "Mesh-Key: "+keyOfAlpha))
--- a/internal/requestpath/gateway/lines.go
+++ b/internal/requestpath/gateway/lines.go
@@ -53,10 +53,10 @@
 // only the start of the key's digest.
 func (g *Gateway) recordRefusedKey(rc *app.RequestContext, route *lapisv1.Route, key presentedKey, reason refusalReason) {
 	g.metrics.refusedKeys.WithLabelValues(string(reason)).Inc()
-	currency := g.config.Identity.currency()
+	freshness := g.config.Identity.freshness()
 	g.config.Decisions.Failure(eventKeyRefused, g.requestID(rc),
 		"reason", string(reason), "digest", key.loggedDigest(), "route", route.GetName(), "revision", g.revision(),
-		"unconfirmed_ms", currency.SinceConfirmed.Milliseconds(), "behind", currency.Behind)
+		"unconfirmed_ms", freshness.SinceConfirmed.Milliseconds(), "behind", freshness.Behind)
 }
 
 // revision returns the revision of the current configuration, 0 if there is none yet.
--- a/internal/requestpath/gateway/pipeline/server.go
+++ b/internal/requestpath/gateway/pipeline/server.go
@@ -63,7 +63,7 @@
 	closed bool
 }
 
-// add adds a connection and reports whether the set is still open.
+// add adds a connection and returns true. After closeAll it adds nothing and returns false.
 func (c *connectionSet) add(conn *connection) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/requestpath/gateway/unknownkey_test.go
+++ b/internal/requestpath/gateway/unknownkey_test.go
@@ -32,27 +32,27 @@
 // keyedRouteWait is the time that a request of the route keyed waits for a newer configuration.
 const keyedRouteWait = 40 * time.Millisecond
 
-// behindGateway is a gateway without a network whose currency the test sets.
+// behindGateway is a gateway without a network whose configuration freshness the test sets.
 type behindGateway struct {
 	*Gateway
 	snapshots *snapshot.Store
-	currency  atomic.Pointer[identity.Freshness]
+	freshness atomic.Pointer[identity.Freshness]
 	asked     atomic.Int64
 	lines     []string
 	registry  *prometheus.Registry
 }
 
-func newBehindGateway(t *testing.T, currency identity.Freshness) *behindGateway {
+func newBehindGateway(t *testing.T, freshness identity.Freshness) *behindGateway {
 	t.Helper()
 	g := &behindGateway{snapshots: &snapshot.Store{}, registry: prometheus.NewRegistry()}
-	g.currency.Store(&currency)
+	g.freshness.Store(&freshness)
 	assert.NilError(t, g.snapshots.ReplaceConfiguration(keyedConfiguration(t, 1, accountsOf("alpha", keyOfAlpha))))
 	logger := funcr.New(func(_, arguments string) { g.lines = append(g.lines, arguments) }, funcr.Options{})
 	g.Gateway = New(Config{
 		Node: "here", Snapshots: g.snapshots, Envelope: keyEnvelope, Registry: g.registry, Decisions: decision.New(logger, 1000, time.Now),
 		Identity: Identity{
-			Currency: func() identity.Freshness { g.asked.Add(1); return *g.currency.Load() },
-			Bounds:   identity.Bounds{MaxApplyDelay: 2 * time.Second},
+			Freshness: func() identity.Freshness { g.asked.Add(1); return *g.freshness.Load() },
+			Bounds:    identity.Bounds{MaxApplyDelay: 2 * time.Second},
 		},
 	})
 	return g
@@ -79,7 +79,7 @@
 	behind := identity.Freshness{SinceConfirmed: time.Second, Behind: true}
 	const arrival = 15 * time.Millisecond
 	for name, row := range map[string]struct {
-		currency identity.Freshness
+		freshness identity.Freshness
 		// arrives, if not nil, returns the configuration that becomes current after arrival.
 		arrives func(t *testing.T) *lapisv1.Configuration
 		code    result.Code
@@ -97,10 +97,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newBehindGateway(t, row.currency)
+				g := newBehindGateway(t, row.freshness)
 				if row.arrives != nil {
 					time.AfterFunc(arrival, func() {
-						g.currency.Store(&newest)
+						g.freshness.Store(&newest)
 						assert.NilError(t, g.snapshots.ReplaceConfiguration(row.arrives(t)))
 					})
 				}
@@ -120,11 +120,11 @@
 }
 
 // If the configuration is replaced while a key is looked up in the previous one, the new configuration
-// decides on the key: the currency that is read applies to the new configuration only.
+// decides on the key, because the freshness read after that is the freshness of the new configuration.
 func TestUnknownKeyWhileTheConfigurationIsReplaced(t *testing.T) {
 	g := newBehindGateway(t, identity.Freshness{})
-	newest := g.config.Identity.Currency
-	g.config.Identity.Currency = func() identity.Freshness {
+	newest := g.config.Identity.Freshness
+	g.config.Identity.Freshness = func() identity.Freshness {
 		if g.snapshots.Current().Revision == 1 {
 			assert.NilError(t, g.snapshots.ReplaceConfiguration(keyedWith("gamma", keyOfGamma)(t)))
 		}
@@ -158,13 +158,13 @@
 			assert.NilError(t, err)
 		}
 		assert.Equal(t, time.Since(began), time.Duration(0))
-		assert.Equal(t, g.awaitingKeys.Load(), int64(0))
+		assert.Equal(t, g.unknownKeyWaits.Load(), int64(0))
 	})
 }
 
 // Of many requests with wrong keys only a bounded number waits, and each request reads only local state.
 func TestFloodOfUnknownKeys(t *testing.T) {
-	const flood = 4 * maxAwaitingKeys
+	const flood = 4 * maxUnknownKeyWaits
 	synctest.Test(t, func(t *testing.T) {
 		g := newBehindGateway(t, identity.Freshness{Behind: true})
 		g.config.Decisions = nil
@@ -181,9 +181,9 @@
 			})
 		}
 		running.Wait()
-		assert.Equal(t, waited.Load(), int64(maxAwaitingKeys))
+		assert.Equal(t, waited.Load(), int64(maxUnknownKeyWaits))
 		assert.Equal(t, time.Since(began), keyedRouteWait)
-		assert.Equal(t, g.awaitingKeys.Load(), int64(0))
+		assert.Equal(t, g.unknownKeyWaits.Load(), int64(0))
 		assert.Equal(t, g.asked.Load(), int64(3*flood), "each request reads it before the wait, after the wait, and for the log line")
 	})
 }
@@ -208,7 +208,7 @@
 	g.config.Identity.Bounds.MaxUnconfirmed = 5 * time.Second
 	_, err := g.admitKey(t.Context(), "/", keyOfAlpha)
 	assert.NilError(t, err)
-	g.currency.Store(&identity.Freshness{SinceConfirmed: 5 * time.Second})
+	g.freshness.Store(&identity.Freshness{SinceConfirmed: 5 * time.Second})
 	found, err := g.admitKey(t.Context(), "/", keyOfAlpha)
 	assert.Assert(t, result.Is(err, result.CallKeysUnconfirmed), "%v", err)
 	assert.Equal(t, statusOf(result.CallKeysUnconfirmed), 503)
@@ -228,7 +228,7 @@
 	}
 	_, err := g.admitKey(t.Context(), "/", "")
 	assert.ErrorContains(t, err, "missing")
-	g.currency.Store(&identity.Freshness{SinceConfirmed: time.Minute})
+	g.freshness.Store(&identity.Freshness{SinceConfirmed: time.Minute})
 	_, err = g.admitKey(t.Context(), "/", keyOfGamma)
 	assert.ErrorContains(t, err, "unconfirmed")
 	recorder := httptest.NewRecorder()
--- a/internal/requestpath/gateway/versions.go
+++ b/internal/requestpath/gateway/versions.go
@@ -31,8 +31,8 @@
 	traffic *rollout.Traffic
 	service string
 	route   string
-	// probe is true while the attempt holds a slot of the new version's share.
-	probe         bool
+	// holdsSlot is true while the attempt holds a slot of the new version's share.
+	holdsSlot     bool
 	attempt       rollout.Attempt
 	attemptsTotal *prometheus.CounterVec
 	// outcome is the value of the label "end" under which the attempt is counted.
@@ -58,13 +58,13 @@
 	if a.version == nil {
 		return pick()
 	}
-	choice, probe := a.version.traffic.Choose(a.route.GetName())
-	a.version.probe = probe
+	choice, holdsSlot := a.version.traffic.Choose(a.route.GetName())
+	a.version.holdsSlot = holdsSlot
 	target, err := pick(balance.OfVersion(choice))
-	if err == nil || !probe {
+	if err == nil || !holdsSlot {
 		return target, err
 	}
-	a.version.probe = false
+	a.version.holdsSlot = false
 	return pick(balance.OfVersion(a.version.traffic.Return(a.route.GetName())))
 }
 
@@ -82,10 +82,11 @@
 	return false, nil
 }
 
-// returnProbe returns the slot of an attempt that is not made.
-func (v *versionAttempt) returnProbe() {
-	if v != nil && v.probe {
-		v.probe = false
+// releaseSlot releases the attempt's slot of the new version's share, if it holds one. It is called if
+// the attempt is not sent to the new version.
+func (v *versionAttempt) releaseSlot() {
+	if v != nil && v.holdsSlot {
+		v.holdsSlot = false
 		v.traffic.Return(v.route)
 	}
 }
@@ -98,7 +99,7 @@
 	now := time.Now()
 	v.attempt, allowed = v.traffic.Begin(v.route, target.Endpoint, now)
 	if !allowed {
-		v.returnProbe()
+		v.releaseSlot()
 		return false
 	}
 	if target.Cold(now) {
--- a/internal/requestpath/identity/identity.go
+++ b/internal/requestpath/identity/identity.go
@@ -35,14 +35,14 @@
 }
 
 // TooOld reports whether a revocation may have gone unnoticed for longer than the site allows.
-func (b Bounds) TooOld(currency Freshness) bool {
-	return b.MaxUnconfirmed > 0 && currency.SinceConfirmed >= b.MaxUnconfirmed
+func (b Bounds) TooOld(freshness Freshness) bool {
+	return b.MaxUnconfirmed > 0 && freshness.SinceConfirmed >= b.MaxUnconfirmed
 }
 
 // upToDate reports whether the configuration in force is new enough to refuse an unknown key: no
 // configuration that must be in force by now can contain the key.
-func (b Bounds) upToDate(currency Freshness) bool {
-	return !currency.Behind && currency.SinceConfirmed <= b.MaxApplyDelay
+func (b Bounds) upToDate(freshness Freshness) bool {
+	return !freshness.Behind && freshness.SinceConfirmed <= b.MaxApplyDelay
 }
 
 // Input holds the input of the decision on a request, as known when its key was looked up.
--- a/internal/requestpath/identity/identity_test.go
+++ b/internal/requestpath/identity/identity_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Checks that a configuration without currency information counts as the newest.
+// Checks that a configuration without freshness information counts as the newest.
 func TestZeroCurrencyIsTheNewest(t *testing.T) {
 	assert.Equal(t, identity.Decide(identity.Input{}, identity.Bounds{}), identity.RefuseUnknown)
 }
