--- a/internal/distribution/allowance/accuracy_test.go
+++ b/internal/distribution/allowance/accuracy_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// idealLimiter is a single limiter that sees all calls: in any window it lets no more calls go than
+// idealLimiter is a single limiter that sees all calls: in any window it grants no more calls than
 // the rate and the burst allow.
 type idealLimiter struct {
 	limit   Limit
--- a/internal/distribution/allowance/asker.go
+++ b/internal/distribution/allowance/asker.go
@@ -28,9 +28,9 @@
 
 // Outcome is the decision on a Ticket.
 type Outcome struct {
-	// Granted is true if the call may go.
+	// Granted is true if the call may proceed.
 	Granted bool
-	// RetryAfter is the time until credit is expected, for a call that may not go.
+	// RetryAfter is the time until credit is expected, for a call that may not proceed.
 	RetryAfter time.Duration
 	// Unreachable is true if no owner answered, so that it is unknown whether credit is left.
 	Unreachable bool
@@ -74,7 +74,7 @@
 	inFlight *lapisv1.AllowanceAsk
 	sentAt   time.Time
 	// answeredSequence is the sequence number of the newest answered ask. unansweredSentAt is when
-	// the newest ask was sent that timed out.
+	// the newest of the asks that timed out was sent.
 	answeredSequence uint64
 	unansweredSentAt time.Time
 	// ownershipDenied is true after the peer answered that it is not the owner, until it is asked
@@ -175,6 +175,7 @@
 	return local
 }
 
+// forgetIdle drops the state of allowances that are no longer in use.
 func (c *client) forgetIdle(now time.Time) {
 	for name, local := range c.allowances {
 		if local.isIdle(now, c.bounds.Window) {
--- a/internal/distribution/allowance/asks.go
+++ b/internal/distribution/allowance/asks.go
@@ -39,8 +39,8 @@
 	return asks
 }
 
-// needs returns the needs to send, by daemon. A daemon with an ask in flight gets no further one
-// until that is answered or times out.
+// needs returns, by daemon, the credit to request or return per allowance. A daemon with an ask in
+// flight gets no further one until that is answered or times out.
 func (c *client) needs(now time.Time) map[string][]*lapisv1.AllowanceNeed {
 	needs := map[string][]*lapisv1.AllowanceNeed{}
 	for name, local := range c.allowances {
@@ -62,8 +62,8 @@
 	return needs
 }
 
-// addNeeds adds the needs of an allowance at one daemon. Credit is requested from the owner only;
-// other daemons only get credit back.
+// addNeeds adds to needs what to request from or return to one daemon for an allowance. Credit is
+// requested from the owner only; other daemons only get credit back.
 func (c *client) addNeeds(now time.Time, name string, local *localAllowance, node, owner string, needs map[string][]*lapisv1.AllowanceNeed) {
 	peer := c.peers[node]
 	if peer == nil || !peer.connected {
--- a/internal/distribution/allowance/bounds.go
+++ b/internal/distribution/allowance/bounds.go
@@ -7,14 +7,14 @@
 
 // Limit is the maximum call rate of one allowance over all daemons.
 type Limit struct {
-	// Rate is in calls per second, above 0. Burst is the number of calls that may go at once beyond
-	// the rate.
+	// Rate is in calls per second, above 0. Burst is the number of calls that may proceed at once
+	// beyond the rate.
 	Rate  float64
 	Burst uint32
 }
 
 // Bounds states how exactly limits are kept: in any Window, at most (rate * Window + burst) * (1 +
-// Overshoot) + Slack calls may go.
+// Overshoot) + Slack calls may proceed.
 type Bounds struct {
 	Window    time.Duration
 	Overshoot float64
@@ -22,6 +22,7 @@
 	Slack float64
 }
 
+// Enabled reports whether a window is set, so that limits can be enforced.
 func (b Bounds) Enabled() bool { return b.Window > 0 }
 
 // The calls allowed in a window are divided between the credit that owners lend, the reserves of
@@ -66,6 +67,6 @@
 	return (b.maxLent(limit) - capacity) / (b.Window.Seconds() * overlapFactor)
 }
 
-// reserveCalls is the number of calls that all daemons together may let go in a window without an
+// reserveCalls is the number of calls that all daemons together may permit in a window without an
 // owner.
 func (b Bounds) reserveCalls() int { return int(math.Floor(reserveSlackShare * b.Slack)) }
--- a/internal/distribution/allowance/bucket.go
+++ b/internal/distribution/allowance/bucket.go
@@ -49,8 +49,8 @@
 }
 
 // resize derives capacities and rates from the limit and the share. Owners that share a limit also
-// share its burst, since each of them could save up the whole burst. A sole owner's bucket holds at
-// least one call.
+// share its burst, since each of them could accumulate the whole burst. A sole owner's bucket holds
+// at least one call.
 func (b *bucket) resize(bounds Bounds) {
 	burst := max(1, float64(b.limit.Burst)+burstHeadroomSlackShare*bounds.Slack)
 	sustainedCapacity := max(1, sustainedBurstShare*burst)
--- a/internal/distribution/allowance/doc.go
+++ b/internal/distribution/allowance/doc.go
@@ -6,9 +6,9 @@
 // several waiting calls. A daemon that reaches no owner has a small local reserve (reserve.go).
 // docs/design/0028 compares alternatives.
 //
-// Terms. An allowance is a named limit. Credit is the right to let one call go. A view is the list
-// of the daemons that may own allowances, as one daemon sees it (ranking.go). A vote is the view
-// that a daemon has sent to an owner (votes.go).
+// Terms. An allowance is a named limit. One credit permits one call. A view is the list of the
+// daemons that may own allowances, as one daemon sees it (ranking.go). A vote is the view that a
+// daemon has sent to an owner (votes.go).
 //
 // State. Participant is one daemon's part in the protocol. It is kept in memory only and uses no
 // goroutines, clocks or network: times and messages are passed in. Service adds a lock, lets calls
@@ -18,7 +18,7 @@
 // connection arrives after everything sent on it. Times come from boottime, since credit ages while
 // a machine is suspended. Clocks of different daemons are never compared.
 //
-// Invariants. In any window, all daemons together let no more calls go than Bounds allows. This
+// Invariants. In any window, all daemons together permit no more calls than Bounds allows. This
 // follows from these rules: an owner's bucket starts empty, holds at most the burst and fills at
 // the limit's rate; the rate is scaled by the fraction of daemons that see this owner in their
 // view, and each daemon states one view at a time (votes.go); credit expires soon after it was
--- a/internal/distribution/allowance/holding.go
+++ b/internal/distribution/allowance/holding.go
@@ -96,6 +96,7 @@
 	l.credits = slices.Insert(l.credits, at, added)
 }
 
+// recordUse adds one call to recentUse.
 func (l *localAllowance) recordUse(now time.Time) {
 	passed := now.Sub(l.lastUsedAt).Seconds()
 	l.recentUse = l.recentUse*math.Exp(-passed/useDecayTime.Seconds()) + 1
--- a/internal/distribution/allowance/model_test.go
+++ b/internal/distribution/allowance/model_test.go
@@ -103,7 +103,7 @@
 }
 
 // In any window, no more calls run than the bounds allow while daemons restart, are partitioned,
-// stand still or join late.
+// stall or join late.
 func TestLimitsHoldThroughFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := simulateFaults(rapid.Uint64().Draw(t, "seed"), variant{}, rapid.Bool().Draw(t, "late"))
@@ -112,7 +112,7 @@
 }
 
 // Two daemons own the same allowances for a long time because the others disagree. Together they
-// may save up only one burst.
+// may accumulate only one burst.
 func TestLimitsHoldWhileOwnersDisagree(t *testing.T) {
 	const seed = 0x703aad775302ab2 // Fails if each owner holds the whole burst.
 	assert.Equal(t, simulateFaults(seed, variant{}, false).overshoot, "")
--- a/internal/distribution/allowance/owner.go
+++ b/internal/distribution/allowance/owner.go
@@ -68,6 +68,7 @@
 	}
 }
 
+// recordView counts a view as the vote of a daemon, or renews the vote if the view is unchanged.
 func (o *owner) recordView(now time.Time, node string, link Link, stated view) {
 	o.dropExpiredVotes(now)
 	if vote := o.votes.byNode[node]; vote != nil && vote.view.key == stated.key {
@@ -79,6 +80,7 @@
 
 func (o *owner) renewVote(now time.Time, node string, link Link) { o.votes.renewVote(now, node, link) }
 
+// closeLink forgets a link that has ended and removes the vote that came over it.
 func (o *owner) closeLink(now time.Time, node string, link Link) {
 	delete(o.lastSequences, link)
 	delete(o.lastViewNumbers, link)
--- a/internal/distribution/allowance/ranking.go
+++ b/internal/distribution/allowance/ranking.go
@@ -13,8 +13,8 @@
 // allowances.
 const ownerCount = 4
 
-// spareCount is the number of daemons next in order to which connections are kept as well, so that
-// the successor of a lost owner is already connected.
+// spareCount is the number of daemons ranked directly after the owners to which connections are
+// kept as well, so that the successor of a lost owner is already connected.
 const spareCount = 1
 
 // maxMembers bounds the number of known daemons.
@@ -104,6 +104,7 @@
 	}
 }
 
+// compareMembers orders members by descending score, then by name.
 func compareMembers(a, b *member) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.node, b.node))
 }
@@ -150,6 +151,7 @@
 	return r.current
 }
 
+// newView returns the view of the first ownerCount candidates that are not replaced.
 func (r *ranking) newView(now time.Time) view {
 	var owners []string
 	for _, node := range r.candidates(now) {
--- a/internal/distribution/allowance/record.go
+++ b/internal/distribution/allowance/record.go
@@ -12,12 +12,13 @@
 	// refusing is true from the first refusal until refusalQuietPeriod has passed without one.
 	refusing                     bool
 	refusingSince, lastRefusedAt time.Time
-	// refusedAtStart is the value of refused when the current series began.
+	// refusedAtStart is the value of refused when the current series of refusals began.
 	refusedAtStart uint64
 	// logged is true after the start of the current series was logged.
 	logged bool
 }
 
+// recordResult adds the outcome of one loan. The first refusal starts a series of refusals.
 func (r *usageRecord) recordResult(now time.Time, lent, refused uint32) {
 	r.lent += uint64(lent)
 	if refused == 0 {
--- a/internal/distribution/allowance/report.go
+++ b/internal/distribution/allowance/report.go
@@ -8,7 +8,7 @@
 
 // Report is a daemon's state as shown in its metrics.
 type Report struct {
-	// Counts counts the calls of this daemon by outcome.
+	// Counts holds the numbers of calls of this daemon by outcome.
 	Counts Counts
 	// Owned holds the allowances that other daemons requested credit of here, by name.
 	Owned map[string]Owned
@@ -19,7 +19,8 @@
 // Owned is the state of an allowance at its owner.
 type Owned struct {
 	Limit Limit
-	// Lent, Refused and Returned are numbers of credits since this daemon started.
+	// Lent, Refused and Returned are the numbers of credits lent, refused and returned since this
+	// daemon started.
 	Lent, Refused, Returned uint64
 	// Left is the credit that can be lent now.
 	Left float64
@@ -49,7 +50,7 @@
 // changeLogger logs changes of the owners and of refusals.
 type changeLogger struct {
 	owners string
-	// intervalStart is the start of the interval that written counts in.
+	// intervalStart is the start of the log interval in which written counts the lines.
 	intervalStart time.Time
 	written       int
 }
--- a/internal/distribution/allowance/reserve.go
+++ b/internal/distribution/allowance/reserve.go
@@ -9,7 +9,7 @@
 // reserveSuffix makes the ranking for the reserve of an allowance differ from that of its owners.
 const reserveSuffix = "/reserve"
 
-// reserve limits the calls that this daemon lets go while it reaches no owner. A fixed number of
+// reserve limits the calls that this daemon permits while it reaches no owner. A fixed number of
 // calls per window is divided among all daemons by rank.
 type reserve struct {
 	// grantedAt are the times of the calls granted within the window.
@@ -32,7 +32,7 @@
 	return true
 }
 
-// reserveQuota returns how many of total calls the daemon with a rank, counted from 0, may let go.
+// reserveQuota returns how many of total calls the daemon with a rank, counted from 0, may permit.
 func reserveQuota(total, rank, members int) int {
 	quota := total / members
 	if rank < total%members {
--- a/internal/distribution/allowance/service.go
+++ b/internal/distribution/allowance/service.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// update calls change under the lock with the current time, then sends the messages that are due.
+// update calls change with the current time while it holds the mutex, then sends the messages that
+// are due.
 func (s *Service) update(change func(now time.Time)) {
 	s.mutex.Lock()
 	now := boottime.Now()
@@ -123,8 +124,8 @@
 	s.update(func(now time.Time) { s.participant.Connected(now, node) })
 }
 
-// Lost records that such a connection ended or could not be opened. ended is true if the other
-// process is known to have ended.
+// Lost records that a connection opened by this daemon ended or could not be opened. ended is true
+// if the process at the other end is known to have ended.
 func (s *Service) Lost(node string, ended bool) {
 	s.update(func(now time.Time) { s.participant.Lost(now, node, ended) })
 }
--- a/internal/distribution/allowance/tokenbucket.go
+++ b/internal/distribution/allowance/tokenbucket.go
@@ -37,6 +37,7 @@
 	t.peaks[0] = max(t.peaks[0], t.level)
 }
 
+// advanceSlots starts the slots that have begun by now, each with the current level as its peak.
 func (t *tokenBucket) advanceSlots(now time.Time) {
 	elapsedSlots := int(now.Sub(t.slotStarted) / peakSlotDuration)
 	if elapsedSlots <= 0 {
@@ -77,6 +78,7 @@
 	}
 }
 
+// resize sets the capacity and drops credit above it.
 func (t *tokenBucket) resize(capacity float64) {
 	t.capacity = capacity
 	t.level = min(t.level, capacity)
--- a/internal/distribution/allowance/votes.go
+++ b/internal/distribution/allowance/votes.go
@@ -48,6 +48,7 @@
 	members int
 }
 
+// viewCount is a view and the number of daemons that stated it.
 type viewCount struct {
 	view   view
 	voters int
--- a/internal/distribution/changelog/accept.go
+++ b/internal/distribution/changelog/accept.go
@@ -22,8 +22,8 @@
 	// be larger than the number of concurrent operators, because only one of them succeeds in each
 	// round.
 	maxAcceptAttempts = 50
-	// maxAcceptBackoff is the maximum random wait between two attempts, which spreads concurrent
-	// operators.
+	// maxAcceptBackoff is the maximum random wait between two attempts, which spreads the attempts
+	// of concurrent operators over time.
 	maxAcceptBackoff = 100 * time.Millisecond
 )
 
--- a/internal/distribution/changelog/compact.go
+++ b/internal/distribution/changelog/compact.go
@@ -61,6 +61,8 @@
 	return l.deleteOldProposals(ctx, state)
 }
 
+// deleteOldRevisions deletes archived revisions that are more than retainedRevisions older than
+// revision, at most maxDeletesPerCompaction of them.
 func (l *Log) deleteOldRevisions(ctx context.Context, revision uint64) error {
 	if revision <= retainedRevisions {
 		return nil
@@ -78,6 +80,8 @@
 	return l.deleteAll(ctx, old)
 }
 
+// deleteOldProposals deletes proposals that were accepted, or whose base revision is too old to be
+// accepted, at most maxDeletesPerCompaction of them.
 func (l *Log) deleteOldProposals(ctx context.Context, state *meshconfig.State) error {
 	list, err := l.store.List(ctx, proposalPrefix, "", 0)
 	if err != nil {
--- a/internal/distribution/changelog/doc.go
+++ b/internal/distribution/changelog/doc.go
@@ -5,9 +5,9 @@
 // replaced. The whole state is stored periodically under "snapshots/", so that old revisions can be
 // deleted.
 //
-// A daemon that was paused for a long time while it accepted a proposal does no damage: its write
-// of the register has a version that no longer matches, and it only archives immutable copies of
-// accepted revisions.
+// A daemon that was paused for a long time while it accepted a proposal cannot overwrite newer
+// state: its write of the register has a version that no longer matches, and it only archives
+// immutable copies of accepted revisions.
 //
 // The package owns the objects under "log/", "revisions/", "snapshots/" and "proposals/", and a
 // cache of the newest state in each Log. It has no goroutines or connections. It depends on the
--- a/internal/distribution/changelog/log.go
+++ b/internal/distribution/changelog/log.go
@@ -54,6 +54,7 @@
 	return l.refreshLocked(ctx)
 }
 
+// refreshLocked implements Refresh; the caller holds mutex.
 func (l *Log) refreshLocked(ctx context.Context) (*meshconfig.State, error) {
 	object, err := l.store.Get(ctx, HeadKey)
 	if result.Is(err, result.PlatformNotFound) {
@@ -157,6 +158,7 @@
 	return state, nil
 }
 
+// advanceAll applies the archived revisions in objects, in order, up to but not including limit.
 func advanceAll(state *meshconfig.State, objects []objectapi.Object, limit uint64) (*meshconfig.State, error) {
 	for _, object := range objects {
 		revision := &lapisv1.Revision{}
--- a/internal/distribution/configsource/comeback_test.go
+++ b/internal/distribution/configsource/comeback_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// Guards against a failure in which only the daemon that read the restored store settled in time.
-// The others learned of the restore only with the next change of orders, and kept the order that
-// this change had just withdrawn.
+// Guards against a failure in which the era settled in time only for the daemon that read the
+// restored store. The others learned of the restore only with the next change of orders, and kept
+// the order that this change had just withdrawn.
 func TestWithdrawalLongAfterTheReturn(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, source *countedSource, fleet []*fleetDaemon) {
 		source.giveOrder("a")
--- a/internal/distribution/configsource/follower_test.go
+++ b/internal/distribution/configsource/follower_test.go
@@ -26,9 +26,9 @@
 	})
 }
 
-// Guards against a failure in which all daemons kept the old version for the ten seconds that a
-// watch took, because the source did not learn of a change while its watches stayed open ("mix
-// --seed 87251692990").
+// Guards against a failure in which all daemons kept the old version for the 10 s that a watch
+// took, because the source did not learn of a change while its watches stayed open ("mix --seed
+// 87251692990").
 func TestSilentWatchEndsWithinTheContactTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{log: []uint64{3}}
--- a/internal/distribution/configsource/poll.go
+++ b/internal/distribution/configsource/poll.go
@@ -39,7 +39,7 @@
 		f.logRegained("itself")
 	}
 	if !plan.activePoller {
-		f.logLeadTaken(began, confirmed)
+		f.logBecameActivePoller(began, confirmed)
 	}
 	plan.answered(began)
 	versions, _ := f.Freshness.InForce()
@@ -140,9 +140,9 @@
 	f.FailedPolls.Add(1)
 }
 
-// logLeadTaken logs that this daemon becomes the active poller, with the age of the latest
+// logBecameActivePoller logs that this daemon becomes the active poller, with the age of the latest
 // confirmation known to it.
-func (f *Follower) logLeadTaken(began, confirmed time.Time) {
+func (f *Follower) logBecameActivePoller(began, confirmed time.Time) {
 	if confirmed.IsZero() {
 		f.Logger.Info("source.lead_taken", "position", f.position, "confirmed", false)
 		return
--- a/internal/distribution/configsource/schedule.go
+++ b/internal/distribution/configsource/schedule.go
@@ -14,11 +14,12 @@
 // be in force everywhere.
 //
 // Rules: the active poller, which is the daemon whose own confirmation is the latest, polls
-// ActivePollFraction after it. Any other daemon polls at a random time between StandbyPollMinFraction
-// and standbyPollMaxFraction after the latest confirmation known to it. A daemon without any
-// confirmation polls at a random time up to startupPollMaxFraction after its start, or
-// awaitedPollMaxFraction once a call waits. The last two never poll before the retry delay of their
-// last failed poll has passed. After a failure a daemon is not the active poller.
+// ActivePollFraction after it. Any other daemon polls at a random time between
+// StandbyPollMinFraction and standbyPollMaxFraction after the latest confirmation known to it. A
+// daemon without any confirmation polls at a random time up to startupPollMaxFraction after its
+// start, or awaitedPollMaxFraction once a call waits. Daemons other than the active poller never
+// poll before the retry delay of their last failed poll has passed. After a failure a daemon is not
+// the active poller.
 //
 // Reason: the answers are nearly always the same for all daemons, and each one loads the source. No
 // daemon depends on another one, because a daemon that receives no confirmation polls itself.
@@ -26,28 +27,29 @@
 // TestParts and TestTimesBesideTheBound check the relations between the fractions. They leave two
 // fifths of the bound for the answer and for a slow daemon.
 const (
-	// ActivePollFraction is the time after which the active poller polls again. It must be smaller than
-	// StandbyPollMinFraction.
+	// ActivePollFraction is the time after which the active poller polls again. It must be smaller
+	// than StandbyPollMinFraction.
 	ActivePollFraction = 0.2
-	// StandbyPollMinFraction and standbyPollMaxFraction limit the time after a confirmation at which
-	// any other daemon polls, unless it receives a newer confirmation. The minimum leaves the active
-	// poller time for a late answer; the maximum must leave time for an answer within the bound.
+	// StandbyPollMinFraction and standbyPollMaxFraction limit the time after a confirmation at
+	// which any other daemon polls, unless it receives a newer confirmation. The minimum leaves the
+	// active poller time for a late answer; the maximum must leave time for an answer within the
+	// bound.
 	StandbyPollMinFraction, standbyPollMaxFraction = 0.4, 0.6
 	// startupPollMaxFraction is the latest time after its start at which a daemon polls, unless it
 	// receives the configuration from another daemon first.
 	startupPollMaxFraction = 0.15
 	// awaitedPollMaxFraction replaces startupPollMaxFraction once a call waits for the
 	// configuration. When all daemons used it, the start of a whole site caused 24 to 27 more
-	// requests.
+	// requests to the source.
 	awaitedPollMaxFraction = 0.06
 	// retryMinFraction and retryMaxFraction limit the time between an unanswered poll and the next
 	// one. The minimum must not be smaller than AnswerTimeoutFraction.
 	retryMinFraction, retryMaxFraction = 0.5, 1.0
 	// startupRetryFactor scales the retry delay of a daemon without a configuration.
 	startupRetryFactor = 0.5
-	// AnswerTimeoutFraction is the answer timeout while the source answers. After an unanswered poll
-	// the timeout is the whole bound, so that a source that is always slow is followed with a delay
-	// instead of not at all.
+	// AnswerTimeoutFraction is the timeout of a request while the source answers. After an
+	// unanswered poll the timeout is the whole bound, so that a source that is always slow is
+	// followed with a delay instead of not at all.
 	AnswerTimeoutFraction = 0.25
 	// ordersPollFraction is the fraction of the bound for orders after which the active poller
 	// reads the orders regardless of the source's position. It leaves two thirds of the bound for a
--- a/internal/distribution/endpoint/registry.go
+++ b/internal/distribution/endpoint/registry.go
@@ -1,5 +1,5 @@
-// Package endpoint keeps a daemon's registry of backend instances. Statements of the daemon on an
-// instance's machine, its owner, are ordered by that daemon's incarnation and sequence number.
+// Package endpoint keeps a daemon's registry of backend instances. The daemon on an instance's
+// machine is its owner; the owner's statements are ordered by its incarnation and sequence number.
 // Other daemons may only mark an instance as suspect or draining, which the owner can refute with a
 // newer statement.
 //
@@ -102,6 +102,7 @@
 	return true
 }
 
+// put stores an entry with the next change number.
 func (r *Registry) put(key Key, entry Entry) {
 	r.change++
 	entry.Change = r.change
@@ -115,6 +116,7 @@
 	instances[key.Instance] = struct{}{}
 }
 
+// remove deletes an entry, which counts as a change of its service.
 func (r *Registry) remove(key Key) {
 	delete(r.entries, key)
 	delete(r.byService[key.Service], key.Instance)
@@ -273,8 +275,8 @@
 // local holds its instances with the states that it announces. The rules are:
 //
 //  1. A statement about an instance of another daemon is never refuted.
-//  2. A statement of a newer process on this machine is not refuted, because this process is the one
-//     that ends.
+//  2. A statement of a newer process on this machine is not refuted, because this process is the
+//     one that ends.
 //  3. A statement that a running instance is suspect or gone is refuted. A drain is not, because it
 //     may come from a reader that knows that the machine is leaving.
 func ShouldRefute(statement *lapisv1.Endpoint, node string, incarnation uint64, local []*lapisv1.Endpoint) bool {
--- a/internal/distribution/fleet/directory.go
+++ b/internal/distribution/fleet/directory.go
@@ -108,6 +108,7 @@
 // recordPublication records that this daemon was written to the directory, or may have been.
 func (s *listSchedule) recordPublication() { s.relistWait = relistMin }
 
+// afterFailure returns the wait after a failed call.
 func (s *listSchedule) afterFailure() time.Duration {
 	wait := s.retryWait
 	s.retryWait = min(2*s.retryWait, directoryRetryMax)
@@ -126,7 +127,8 @@
 // jitterDivisor is the inverse of the maximum jitter as a fraction of the wait.
 const jitterDivisor = 4
 
-// jitter extends a wait at random, so that daemons that started together do not stay in step.
+// jitter extends a wait at random, so that daemons that started together do not repeat dials and
+// directory calls at the same times.
 func (f *Fleet) jitter(wait time.Duration) time.Duration {
 	return wait + time.Duration(f.config.Random()*float64(wait)/jitterDivisor)
 }
--- a/internal/distribution/fleet/fleet.go
+++ b/internal/distribution/fleet/fleet.go
@@ -83,8 +83,8 @@
 	local   []*lapisv1.Endpoint
 	// withdrawn are the local instances that left for good.
 	withdrawn []string
-	// rankings rank the daemons. In addition to the daemons needed for calls, this daemon links to the
-	// first linksPerRanking reachable daemons of each ranking.
+	// rankings rank the daemons. In addition to the daemons needed for calls, this daemon links to
+	// the first linksPerRanking reachable daemons of each ranking.
 	rankings        []Ranking
 	linksPerRanking int
 	// additionalNodes are the names of other daemons to link to, whatever their rank.
--- a/internal/distribution/fleet/heartbeat.go
+++ b/internal/distribution/fleet/heartbeat.go
@@ -40,7 +40,7 @@
 }
 
 // minConfirmationGain returns by how much a confirmation must be newer than the one that a daemon
-// at a place stated last, to be sent there ahead of the next regular heartbeat.
+// at a place stated last, to be sent to that place ahead of the next regular heartbeat.
 func (f *Fleet) minConfirmationGain(there locality.Place) time.Duration {
 	switch f.config.Self.place().TierOf(there) {
 	case locality.OwnZone:
--- a/internal/distribution/fleet/inbound.go
+++ b/internal/distribution/fleet/inbound.go
@@ -12,7 +12,8 @@
 	// node and place identify the daemon that opened the link.
 	node  string
 	place locality.Place
-	// announcementChanged and ordersChanged request that these be sent.
+	// announcementChanged and ordersChanged request that the announcement and the orders be sent
+	// again.
 	announcementChanged, ordersChanged chan struct{}
 	pendingSuspects                    pendingSuspects
 	pendingRollouts                    pendingRollouts
--- a/internal/distribution/fleet/introduction.go
+++ b/internal/distribution/fleet/introduction.go
@@ -81,8 +81,8 @@
 	return introduction
 }
 
-// introducible reports whether to name a daemon to others. It excludes daemons whose address
-// another one answers at, and chosen daemons whose link has been lost for endpointTTL or longer.
+// introducible reports whether to name a daemon to others. It excludes daemons at whose address
+// another one answers, and chosen daemons whose link has been lost for endpointTTL or longer.
 // Fleet.mutex is held.
 func (p *peer) introducible(now time.Time) bool {
 	if p.isDisplaced(now) {
--- a/internal/distribution/fleet/link.go
+++ b/internal/distribution/fleet/link.go
@@ -128,7 +128,7 @@
 func (f *Fleet) send(link callmux.Link, frame proto.Message) { _ = link.Send(frame) }
 
 // recordLost records that a link to a peer ended. It ignores a link that has been replaced, which
-// happens when the peer was dropped and chosen again at once.
+// happens when the peer was dropped and chosen again before that link ended.
 func (f *Fleet) recordLost(peer *peer, link callmux.Link) {
 	f.mutex.Lock()
 	if peer.link != link {
--- a/internal/distribution/fleet/linkchoice.go
+++ b/internal/distribution/fleet/linkchoice.go
@@ -28,8 +28,8 @@
 // Reason: the number of links, and the gossip traffic with it, must not grow with the fleet, and
 // the arrival or loss of one daemon must change few links. With links between all daemons, the
 // traffic between zones grew with the square of the fleet size. Simulated days of operation get a
-// score, of which 1 is the best; in units of this score, the traffic cost 1.7 at 100 machines and 35 at
-// 300.
+// score, of which 1 is the best; in units of this score, the traffic cost 1.7 at 100 machines and
+// 35 at 300.
 const (
 	// linksPerService is the number of daemons to link to for each service.
 	linksPerService = 8
@@ -46,8 +46,8 @@
 // candidate is a daemon that may be linked to.
 type candidate struct {
 	Member
-	// unreachable is true if the link has been down for too long. Such a daemon does not count towards
-	// the number of links; another one is chosen in addition.
+	// unreachable is true if the link has been down for too long. Such a daemon does not count
+	// towards the number of links; another one is chosen in addition.
 	unreachable bool
 	// evacuated is true if the daemon's zone is evacuated, so that its instances get no calls.
 	evacuated bool
@@ -65,6 +65,7 @@
 	return chosen
 }
 
+// chooseFromAll makes the choice for each service among the candidates.
 func chooseFromAll(self Member, candidates []candidate) map[string]bool {
 	services := map[string][]candidate{}
 	for _, member := range candidates {
@@ -132,6 +133,7 @@
 	return count
 }
 
+// linkAction is what reconcileLinks does about the link to a daemon.
 type linkAction int
 
 const (
@@ -141,7 +143,7 @@
 )
 
 // decideLinkAction returns what to do about the link to a daemon. A daemon that is no longer chosen
-// keeps its link next to that of its replacement, until no call uses it (idle).
+// keeps its link, in addition to that of its replacement, until no call uses it (idle).
 func decideLinkAction(chosen, maintained, idle bool) linkAction {
 	switch {
 	case chosen && !maintained:
@@ -153,12 +155,13 @@
 	}
 }
 
-// unreachable reports whether another daemon is to be linked to in addition to the peer;
-// Fleet.mutex is held. The first condition that applies decides: another daemon answered at the
-// peer's address (true); the peer is not chosen, or its link is open (false); its link was lost
-// since it was chosen, longer ago than lostLinkReplaceTimeout; its link has not opened within
-// dialReplaceTimeout. Daemons that are not chosen must not count as unreachable: otherwise the
-// search for replacements linked to all daemons in a test with 200 (199 links instead of 16).
+// unreachable reports whether the peer counts as unreachable, so that another daemon is linked to
+// in addition to it; Fleet.mutex is held. The first condition that applies decides: another daemon
+// answered at the peer's address (true); the peer is not chosen, or its link is open (false); its
+// link was lost since it was chosen, longer ago than lostLinkReplaceTimeout; its link has not
+// opened within dialReplaceTimeout. Daemons that are not chosen must not count as unreachable:
+// otherwise the search for replacements linked to all daemons in a test with 200 (199 links instead
+// of 16).
 func (p *peer) unreachable(now time.Time) bool {
 	switch {
 	case !p.displacedAt.IsZero():
--- a/internal/distribution/fleet/rollouts.go
+++ b/internal/distribution/fleet/rollouts.go
@@ -28,7 +28,7 @@
 type pendingRollouts struct {
 	announcements map[string]*lapisv1.RolloutWord
 	reports       map[string]*lapisv1.RolloutReport
-	// wake requests that they be sent.
+	// wake requests that the queued messages be sent.
 	wake chan struct{}
 }
 
@@ -78,8 +78,8 @@
 	return pending
 }
 
-// BroadcastAnnouncement queues an announcement for the linked daemons among nodes, or for all linked
-// daemons if nodes is nil. It does not block.
+// BroadcastAnnouncement queues an announcement for the linked daemons among nodes, or for all
+// linked daemons if nodes is nil. It does not block.
 func (f *Fleet) BroadcastAnnouncement(announcement *lapisv1.RolloutWord, nodes []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -154,8 +154,8 @@
 	signal(f.reviewLinks)
 }
 
-// addFirstRanked adds the daemons set by SetRankedLinks to those chosen. Unreachable daemons that rank
-// before the last reachable one are added as well. The caller holds mutex.
+// addFirstRanked adds the daemons set by SetRankedLinks to those chosen. Unreachable daemons that
+// rank before the last reachable one are added as well. The caller holds mutex.
 func (f *Fleet) addFirstRanked(chosen map[string]bool, candidates []candidate) {
 	if len(f.rankings) == 0 {
 		return
--- a/internal/distribution/fleet/spread.go
+++ b/internal/distribution/fleet/spread.go
@@ -17,7 +17,7 @@
 	records []quarantine.Record
 	// all is true if all known records are to be sent.
 	all bool
-	// wake requests that they be sent.
+	// wake requests that the queued records be sent.
 	wake chan struct{}
 }
 
@@ -33,8 +33,8 @@
 	signal(p.wake)
 }
 
-// BroadcastSuspects queues changed records once for each linked daemon except from, which sent them.
-// from is empty for a crash found by this daemon. It does not block.
+// BroadcastSuspects queues changed records once for each linked daemon except from, which sent
+// them. from is empty for a crash found by this daemon. It does not block.
 func (f *Fleet) BroadcastSuspects(records []quarantine.Record, from string) {
 	if len(records) == 0 {
 		return
--- a/internal/distribution/fleet/spread_test.go
+++ b/internal/distribution/fleet/spread_test.go
@@ -41,7 +41,8 @@
 	})
 }
 
-// Over a single link, evacuation orders pass in both directions: those known when it opens, and later ones.
+// Over a single link, evacuation orders pass in both directions: those known when it opens, and
+// later ones.
 func TestOrdersGoBothWaysOverOneLink(t *testing.T) {
 	cannotDial := func(config *Config) {
 		config.Calls.Network = &memoryNetwork{accepting: map[string]chan net.Conn{}, dials: map[string]int{}}
--- a/internal/distribution/fleet/timing.go
+++ b/internal/distribution/fleet/timing.go
@@ -27,7 +27,7 @@
 	// It must be longer than connectTimeout, so that the first dial can use its full timeout.
 	dialReplaceTimeout = 1200 * time.Millisecond
 	// maxReviewInterval is the maximum time between two reviews of the links. It must be shorter
-	// than dialReplaceTimeout, whose expiry is noticed in a review.
+	// than dialReplaceTimeout, whose expiry only a review detects.
 	maxReviewInterval = time.Second
 	// endpointTTL is how long the instances of an unreachable daemon are kept as suspect. It must
 	// be longer than lostLinkReplaceTimeout.
@@ -43,8 +43,8 @@
 )
 
 // Times for catching up with a newer configuration. Another daemon's answer must come before this
-// daemon polls the source itself: their sum must be smaller than configsource.StandbyPollMinFraction of
-// platform.apply_bound (0.8 s of 2 s).
+// daemon polls the source itself: the sum of the times must be smaller than
+// configsource.StandbyPollMinFraction of platform.apply_bound (0.8 s of 2 s).
 const (
 	// maxZoneWait is the maximum wait for another daemon of the own zone to get a version that only
 	// daemons of other zones have. The wait is random, so that about one daemon per zone fetches
@@ -59,7 +59,8 @@
 // one that the peer stated last to be sent ahead of the next regular heartbeat.
 const (
 	// minGainInZone applies within a zone, where traffic is free. It is a quarter of the time after
-	// which a daemon polls the source again (configsource.ActivePollFraction of platform.apply_bound).
+	// which a daemon polls the source again (configsource.ActivePollFraction of
+	// platform.apply_bound).
 	minGainInZone = 100 * time.Millisecond
 	// minGainInRegion applies between the zones of a region, where traffic is billed. It is two
 	// regular heartbeat intervals: within that time one of a zone's links to other zones usually
--- a/internal/distribution/holdings/apply.go
+++ b/internal/distribution/holdings/apply.go
@@ -64,6 +64,7 @@
 	return &next
 }
 
+// applyBundle replaces the bundle of one service or records its removal.
 func (h *Holdings) applyBundle(encoded *lapisv1.EncodedBundle) {
 	service := encoded.GetService()
 	if previous, ok := h.bundles[service]; ok {
@@ -106,6 +107,7 @@
 	}
 }
 
+// forgetOldRemovals discards all recorded removals when there are more than maxRemovals.
 func (h *Holdings) forgetOldRemovals() {
 	if len(h.removedIn) <= maxRemovals {
 		return
--- a/internal/distribution/membership/candidates.go
+++ b/internal/distribution/membership/candidates.go
@@ -76,7 +76,7 @@
 	c.evictOldest()
 }
 
-// Redirect adds daemons to try first.
+// Redirect adds daemons named in a redirect, which Next prefers to all others, once each.
 func (c *Candidates) Redirect(peers []*lapisv1.PeerAddress, now time.Time) {
 	c.Learn(peers, now)
 	for _, peer := range peers {
@@ -86,6 +86,8 @@
 	}
 }
 
+// remember adds a daemon, or updates the one known at the same address. It ignores this daemon
+// itself and daemons without an address.
 func (c *Candidates) remember(peer *lapisv1.PeerAddress, now time.Time) {
 	address := peer.GetAddress()
 	if address == c.self || address == "" {
--- a/internal/distribution/membership/join.go
+++ b/internal/distribution/membership/join.go
@@ -33,11 +33,11 @@
 )
 
 const (
-	// MaxExtraRemoteChildren is the number of children of other zones that a reader accepts beyond its
-	// fan-out. A zone that lost both readers had up to 48 daemons directly below them, while the
-	// six other readers of four zones had room for 8 each. With this value, and a first query of
-	// the object API after 1 s instead of 3 s, two restarts of 30% of 400 daemons took 622 and 1138
-	// ms instead of 4312 and 3124 ms (all daemons on one machine of 8 cores).
+	// MaxExtraRemoteChildren is the number of children of other zones that a reader accepts beyond
+	// its fan-out. A zone that lost both readers had up to 48 daemons directly below them, while
+	// the six other readers of four zones had room for 8 each. With this value, and a first query
+	// of the object API after 1 s instead of 3 s, two restarts of 30% of 400 daemons took 622 and
+	// 1138 ms instead of 4312 and 3124 ms (all daemons on one machine of 8 cores).
 	MaxExtraRemoteChildren = 24
 	// maxRefusalsBeforeAccept is the number of refusals after which a parent accepts a child that
 	// was not redirected to it, because the readers are probably unreachable for that child. It
@@ -80,11 +80,12 @@
 
 // DecideJoin returns the verdict on joiner. The first condition that holds decides:
 //
-//  1. A parent that is stopping or has no path to a reader has nothing to pass on.
+//  1. A parent that is stopping or has no path to a reader accepts no child, because it has nothing
+//     to pass on.
 //  2. A joiner on the parent's path would close a loop.
 //  3. The depth is bounded, because each level adds to the convergence time.
-//  4. A joiner of another zone is accepted by readers only, up to MaxExtraRemoteChildren beyond the fan-out,
-//     so that a change crosses zones once.
+//  4. A joiner of another zone is accepted by readers only, up to MaxExtraRemoteChildren beyond the
+//     fan-out, so that a change crosses zones once.
 //  5. A joiner of the own zone asks the readers first, so that the tree fills from the top. After a
 //     restart of many daemons this reduced 9 levels to 6, and the p99 of the convergence time from
 //     235 to 133 ms (506 daemons in 19 zones on one machine of 8 cores).
@@ -112,6 +113,9 @@
 	}
 }
 
+// shouldAskReadersFirst reports whether a joiner of the own zone is to be sent to the readers. It
+// is not if parent is itself a reader or can name none, nor if the joiner was redirected to parent,
+// reconnects, or was refused maxRefusalsBeforeAccept times.
 func shouldAskReadersFirst(parent Parent, joiner Joiner) bool {
 	if parent.Reader || joiner.Redirected || joiner.Known || joiner.Refusals >= maxRefusalsBeforeAccept {
 		return false
--- a/internal/distribution/membership/readers.go
+++ b/internal/distribution/membership/readers.go
@@ -12,8 +12,8 @@
 	// maxForeignReaders is the number of readers of other zones that are named to a daemon. It must
 	// be large enough that at least one remains when a whole zone is lost.
 	maxForeignReaders = 4
-	// initialSeatWindow is the number of machines, by rank, that may try for a seat in the first
-	// round without a parent. It must be larger than the number of seats of a zone, because a
+	// initialSeatWindow is the number of machines, by rank, that may try to take a seat in the
+	// first round without a parent. It must be larger than the number of seats of a zone, because a
 	// listed machine may be dead.
 	initialSeatWindow = 3
 	// maxSeatWindowDoublings keeps the window from overflowing. The window is larger than any zone
@@ -38,9 +38,9 @@
 	return rank, total
 }
 
-// MayTakeSeat reports whether a daemon of the given rank, counted from 0, may try for a vacant seat
-// after a number of rounds without a parent. The window doubles each round: a list full of dead
-// machines delays the takeover only briefly, and thousands of daemons do not try at once.
+// MayTakeSeat reports whether a daemon of the given rank, counted from 0, may try to take a vacant
+// seat after a number of rounds without a parent. The window doubles each round: a list full of
+// dead machines delays the takeover only briefly, and thousands of daemons do not try at once.
 func MayTakeSeat(rank, rounds int) bool {
 	return rank < initialSeatWindow<<min(rounds, maxSeatWindowDoublings)
 }
--- a/internal/distribution/objectapi/client.go
+++ b/internal/distribution/objectapi/client.go
@@ -22,7 +22,7 @@
 	// shorter than the lease of a reader.
 	RequestTimeout = 5 * time.Second
 	// WatchIdleTimeout is the time without an event or bookmark after which a watch is closed as
-	// broken. The platform sends a bookmark every second, so that ten in a row are missing.
+	// broken. The platform sends a bookmark every second, so ten in a row must be missing.
 	WatchIdleTimeout = 10 * time.Second
 	// maxResponseBytes limits the size of a response; a starting reader loads about 1 MB at 950
 	// services.
--- a/internal/distribution/revisionfloor/broker.go
+++ b/internal/distribution/revisionfloor/broker.go
@@ -8,7 +8,7 @@
 // files. Package tree sends the requests up the tree, reads the register and delivers the replies.
 //
 // Invariants: a request is never answered by a read that began before the request was received, and
-// requests are not lost when the parent is.
+// a request is not lost when the connection to the parent is.
 package revisionfloor
 
 import "github.com/lapisvane/lapisvane/api/lapisv1"
@@ -20,8 +20,8 @@
 // when Ask, Answer or Abort returns true, or later while Pending returns true, and reports its
 // outcome with Answer, or with Abort when there will be none. It is not safe for concurrent use.
 type Broker struct {
-	// queued holds the requests received after the read in flight began, which must not be answered
-	// by it.
+	// queued holds the requests received after the read in flight began. That read must not answer
+	// them, because it may miss a revision accepted before the request was received.
 	queued []ReplyFunc
 	// inFlight holds the requests that the read in flight answers.
 	inFlight     []ReplyFunc
@@ -84,9 +84,9 @@
 // DuringOutage determines the floor while the accept register cannot be read. No revision can be
 // accepted during the outage, and every revision in force was distributed by a reader. Therefore
 // the highest revision among a majority of the last known readers and their subtrees is a floor.
-// Without a majority the reply is Unavailable, and the daemon that asked stays without a version. A
-// revision that reached a daemon only through readers that were lost before any other reader had it
-// is not covered.
+// Without a majority the reply is Unavailable, and the daemon that asked applies no version until a
+// repeated request is answered. A revision that reached a daemon only through readers that were
+// lost before any other reader had it is not covered.
 func DuringOutage(view ReaderView) *lapisv1.FloorReply {
 	inContact := 1 + len(view.PeerHeads)
 	if 2*inContact <= view.KnownReaders {
--- a/internal/distribution/seat/lease.go
+++ b/internal/distribution/seat/lease.go
@@ -23,6 +23,7 @@
 	StateLost State = "lost"
 )
 
+// trigger is an event that changes the state of a lease.
 type trigger string
 
 const (
@@ -120,7 +121,7 @@
 // Released records that this daemon released the seat.
 func (l *Lease) Released() { l.fire(triggerReleased) }
 
-// MayWrite reports whether the holder may write to the platform at now, and the version that its
+// MayWrite reports whether the holder may write to the object API at now, and the version that its
 // write must name.
 func (l *Lease) MayWrite(now time.Time) (version int64, ok bool) {
 	return l.version, l.State(now) == StateHolding
--- a/internal/distribution/seat/table.go
+++ b/internal/distribution/seat/table.go
@@ -61,16 +61,16 @@
 // Vacancy describes a seat that may be taken.
 type Vacancy struct {
 	Seat string
-	// Version is the version that the write that takes the seat must name.
+	// Version is the expected object version of the compare-and-swap write that takes the seat.
 	Version int64
 	// Epoch is the epoch of the next holder.
 	Epoch uint64
 }
 
-// Vacancies returns the seats of zone, out of count, that taker may take at now. A seat is vacant
-// if it was never seen; if taker is its recorded holder, because an earlier process on the same
-// machine took it and has ended; or if it was released or not renewed for the duration of a lease,
-// by this observer's clock.
+// Vacancies returns those of the first count seats of zone that taker may take at now. A seat is
+// vacant if it was never seen; if taker is its recorded holder, because an earlier process on the
+// same machine took it and has ended; or if it was released or not renewed for the duration of a
+// lease, by this observer's clock.
 func (t *Table) Vacancies(zone, taker string, count int, now time.Time) []Vacancy {
 	var vacancies []Vacancy
 	for number := range count {
@@ -84,6 +84,7 @@
 	return vacancies
 }
 
+// isVacant reports whether a seat was released, or its lease has expired by this observer's clock.
 func (t *Table) isVacant(entry observedSeat, now time.Time) bool {
 	return entry.lease.GetHolder() == "" || now.Sub(entry.firstSeenAt) > t.leaseDuration
 }
@@ -100,6 +101,8 @@
 	return t.holders(prefix, func(entry observedSeat) bool { return !t.isVacant(entry, now) })
 }
 
+// holders returns the last known holders of the seats whose key has prefix and for which include
+// returns true, ordered by key.
 func (t *Table) holders(prefix string, include func(observedSeat) bool) []Holder {
 	var holders []Holder
 	for _, key := range slices.Sorted(maps.Keys(t.seats)) {
@@ -114,8 +117,9 @@
 	return holders
 }
 
-// LastKnownHolders returns the last known holders of all seats whose key has prefix, including those
-// with expired leases. It is used while the object API cannot be read, when no holder can renew.
+// LastKnownHolders returns the last known holders of all seats whose key has prefix, including
+// those with expired leases. It is used while the object API cannot be read, when no holder can
+// renew.
 func (t *Table) LastKnownHolders(prefix string) []Holder {
 	return t.holders(prefix, func(entry observedSeat) bool { return entry.lease.GetHolder() != "" })
 }
--- a/internal/distribution/status/aggregate.go
+++ b/internal/distribution/status/aggregate.go
@@ -22,8 +22,8 @@
 	MaxSample = 8
 	// SmallSubtree is the maximum number of nodes of a subtree whose report lists all nodes.
 	SmallSubtree = 16
-	// MaxCounts is the maximum number of distinct revisions in a report. The highest revisions
-	// beyond it are merged into the next lower one, so that the lowest is always exact.
+	// MaxCounts is the maximum number of distinct revisions in a report. When there are more, the
+	// highest ones are merged into the next lower one, so that the lowest is always exact.
 	MaxCounts = 8
 )
 
--- a/internal/distribution/tree/child_send.go
+++ b/internal/distribution/tree/child_send.go
@@ -114,6 +114,8 @@
 	return batch
 }
 
+// addCompleteServices adds all endpoints of the services in pendingComplete; the caller holds
+// mutex.
 func (n *Node) addCompleteServices(batch *lapisv1.EndpointBatch, session *childSession) {
 	services := slices.Sorted(maps.Keys(session.pendingComplete.Services))
 	if session.pendingComplete.All {
@@ -126,6 +128,8 @@
 	session.pendingComplete = holdings.Interest{}
 }
 
+// addChangedEndpoints adds the endpoints in the child's interest that changed after sentChange,
+// except those of services that the batch contains in full; the caller holds mutex.
 func (n *Node) addChangedEndpoints(batch *lapisv1.EndpointBatch, session *childSession) {
 	for _, service := range n.registry.ServicesSince(session.sentChange) {
 		if !session.interest.Has(service) || slices.Contains(batch.CompleteServices, service) {
--- a/internal/distribution/tree/link.go
+++ b/internal/distribution/tree/link.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// greetingTimeout limits the write of the preface and the wait for the answer to a Hello, each.
-	// transport/peer uses the same limit for the Hello of an accepted connection.
+	// greetingTimeout limits two steps separately: the write of the preface, and the wait for the
+	// answer to a Hello. transport/peer uses the same limit for the Hello of an accepted
+	// connection.
 	greetingTimeout = 3 * time.Second
-	// sendTimeout limits the write of the frames that one link sends at a time. A link whose peer
-	// does not read for that long is closed. It must be longer than the transmission of a full
-	// update.
+	// sendTimeout limits the write of one batch of frames to a link. A link whose peer does not
+	// read for that long is closed. It must be longer than the transmission of a full update.
 	sendTimeout = 5 * time.Second
 )
 
--- a/internal/distribution/tree/link_test.go
+++ b/internal/distribution/tree/link_test.go
@@ -27,8 +27,8 @@
 	return []proto.Message{heartbeatFrame(&lapisv1.Heartbeat{})}
 }
 
-// exchangeUntilEnd runs a link whose sender calls next at each second and signal, and returns how
-// long the link lasted and why it ended.
+// exchangeUntilEnd runs a link whose sender calls next every second and at each signal, and returns
+// how long the link lasted and why it ended.
 func exchangeUntilEnd(conn *wire.Conn, link peerLink, next func(sendEvent) outgoing) (time.Duration, error) {
 	node := &Node{config: Config{Tunables: tunables.Convergence()}}
 	started := time.Now()
--- a/internal/distribution/tree/machines.go
+++ b/internal/distribution/tree/machines.go
@@ -51,7 +51,8 @@
 
 // scheduleReannounce announces this daemon's instances again machineListDrainTTL after one of them
 // was drained. This ends a drain by a reader unless the machine list still reports the machine as
-// leaving; a drain by this daemon is announced again. The caller holds mutex.
+// leaving; a drain by this daemon itself stays in force, because it is announced again. The caller
+// holds mutex.
 func (n *Node) scheduleReannounce(statement *lapisv1.Endpoint) {
 	if statement.GetNode() != n.config.Node || statement.GetState() != lapisv1.Endpoint_STATE_DRAINING {
 		return
--- a/internal/distribution/tree/node.go
+++ b/internal/distribution/tree/node.go
@@ -133,10 +133,11 @@
 }
 
 // housekeepInterval is the time between two checks of conditions that only depend on time. Shorter
-// intervals used 5% of the processor time of 1000 daemons in one process. It adds to GoneRetention and
-// InterestShrinkDelay and must stay well below both.
+// intervals used 5% of the processor time of 1000 daemons in one process. It adds to GoneRetention
+// and InterestShrinkDelay and must stay well below both.
 const housekeepInterval = 5 * time.Second
 
+// housekeep removes expired endpoints and idle interest every housekeepInterval until ctx ends.
 func (n *Node) housekeep(ctx context.Context) {
 	ticker := time.NewTicker(housekeepInterval)
 	defer ticker.Stop()
@@ -153,6 +154,7 @@
 	}
 }
 
+// closeLinks closes the links to all children and to all other readers.
 func (n *Node) closeLinks() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tree/parent.go
+++ b/internal/distribution/tree/parent.go
@@ -29,7 +29,7 @@
 	// version.
 	sentInterest holdings.Interest
 	sentVersion  uint64
-	// resync is true when the parent must send the full state again.
+	// resync is true when the parent must be asked to send the full state again.
 	resync bool
 	// sentChange is the registry change number up to which endpoints were sent.
 	sentChange uint64
@@ -120,8 +120,8 @@
 	n.candidates.Failed(address, boottime.Now())
 }
 
-// detach handles the loss of the parent: the path stays empty until another parent accepts this
-// node, and a pending floor request is sent again then.
+// detach handles the loss of the parent. It clears the path, which stays empty until another parent
+// accepts this node; a pending floor request is then sent again.
 func (n *Node) detach(link *parentLink) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -176,6 +176,8 @@
 	return helloFrame(hello)
 }
 
+// welcomed makes the node the child of the parent that sent welcome. It returns DistributionLoop
+// when the parent turns out to be a descendant of this node.
 func (n *Node) welcomed(link *parentLink, welcome *lapisv1.Welcome) (accepted bool, err error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -221,6 +223,7 @@
 	linkStranded linkState = "stranded"
 )
 
+// linkTrigger is an event that changes the state of a link to a parent.
 type linkTrigger string
 
 const (
--- a/internal/distribution/tree/reader.go
+++ b/internal/distribution/tree/reader.go
@@ -46,6 +46,8 @@
 	role.release()
 }
 
+// enterReaderRole makes this node the root of its own path and starts a floor read if a request is
+// pending.
 func (n *Node) enterReaderRole() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -54,6 +56,8 @@
 	n.startFloorRead()
 }
 
+// leaveReaderRole clears the path and the list of leaving machines, and aborts a floor read, whose
+// requests stay pending.
 func (n *Node) leaveReaderRole() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -145,7 +149,8 @@
 	}
 }
 
-// compact compacts the log if this node holds the first seat, so that one reader of all does it.
+// compact compacts the log if this node holds the first seat, so that only one of all readers does
+// it.
 func (r *readerRole) compact(ctx context.Context, now time.Time) {
 	r.node.mutex.Lock()
 	holders := r.node.seats.Holders(seat.Prefix, now)
--- a/internal/distribution/tree/reader_mesh.go
+++ b/internal/distribution/tree/reader_mesh.go
@@ -39,7 +39,7 @@
 	sentChange uint64
 }
 
-// keepMesh maintains a link to every other reader until ctx ends.
+// keepMesh maintains the full mesh of reader links, one to every other reader, until ctx ends.
 func (n *Node) keepMesh(ctx context.Context) error {
 	defer n.closeMesh()
 	for {
@@ -97,6 +97,8 @@
 	}
 }
 
+// dialReader serves a link that this reader dials until it ends, and keeps it registered for
+// meshRedialDelay afterwards.
 func (n *Node) dialReader(ctx context.Context, link *readerLink) {
 	defer n.dropReaderLink(link)
 	err := n.greetReader(ctx, link)
@@ -105,7 +107,7 @@
 	sleep.For(ctx, meshRedialDelay)
 }
 
-// greetReader connects to another reader and serves the link until it ends.
+// greetReader connects to another reader, sends the Hello and serves the link until it ends.
 func (n *Node) greetReader(ctx context.Context, link *readerLink) error {
 	conn, err := n.dial(ctx, link.address)
 	if err != nil {
--- a/internal/distribution/tree/reader_watch.go
+++ b/internal/distribution/tree/reader_watch.go
@@ -42,6 +42,8 @@
 	return ctx.Err()
 }
 
+// followOnce reads the seats and the accept register, then watches both from the version of the
+// list until the watch ends or a request fails. It returns the error that ended it.
 func (r *readerRole) followOnce(ctx context.Context) error {
 	list, err := r.node.config.Store.List(ctx, seat.Prefix, "", 0)
 	if err != nil {
@@ -177,6 +179,8 @@
 	return &debounce{quiet: quiet, max: max}
 }
 
+// changed records a change and schedules due: after the quiet period, but no later than the maximum
+// time after the first unhandled change.
 func (d *debounce) changed(now time.Time) {
 	if d.first.IsZero() {
 		d.first = now
@@ -197,6 +201,7 @@
 	return d.timer.C
 }
 
+// reset records that all changes were handled.
 func (d *debounce) reset() {
 	d.first = time.Time{}
 	d.timer = nil
--- a/internal/distribution/tree/search.go
+++ b/internal/distribution/tree/search.go
@@ -11,9 +11,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/sleep"
 )
 
-// search is the state of a node that none of the known daemons accepts as a child. It queries the
-// object API, with backoff, for the seats of the zone, and takes a vacant seat when this machine
-// ranks high enough. Only the goroutine of Node.Run uses it.
+// search is the state of a node's search for a parent while none of the known daemons accepts it as
+// a child. It queries the object API, with backoff, for the seats of the zone, and takes a vacant
+// seat when this machine ranks high enough. Only the goroutine of Node.Run uses it.
 type search struct {
 	node    *Node
 	backoff membership.SourceBackoff
--- a/internal/distribution/tree/seats.go
+++ b/internal/distribution/tree/seats.go
@@ -33,6 +33,8 @@
 	}
 }
 
+// observeSeat records a seat from a watch event and sends the readers to the children if they have
+// changed.
 func (n *Node) observeSeat(object objectapi.Object) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/distribution/tunables/distribution.go
+++ b/internal/distribution/tunables/distribution.go
@@ -35,14 +35,14 @@
 	// DebounceMax is the maximum total wait when revisions arrive continuously. It adds to the
 	// convergence time.
 	DebounceMax Duration `json:"debounce_max"`
-	// EndpointDebounce is the time for which endpoint changes are collected at each hop. A drain
-	// takes it once per hop.
+	// EndpointDebounce is the time for which endpoint changes are collected at each hop. A drain is
+	// delayed by it once per hop.
 	EndpointDebounce Duration `json:"endpoint_debounce"`
 	// HeartbeatInterval is the time without other frames after which a link sends a heartbeat. It
 	// is longer in the profile that reduces control bytes.
 	HeartbeatInterval Duration `json:"heartbeat_interval"`
-	// LinkIdleTimeout is the time without any frame after which a link is closed as lost. It is three
-	// heartbeat intervals, so that one delayed frame does not close the link.
+	// LinkIdleTimeout is the time without any frame after which a link is closed as lost. It is
+	// three heartbeat intervals, so that one delayed frame does not close the link.
 	LinkIdleTimeout Duration `json:"link_silence"`
 	// DetachedGrace is the time for which a child keeps a parent that lost its path to a reader.
 	// After the loss of a reader, all of 400 daemons had the next change within 0.1 s, so the
@@ -51,8 +51,8 @@
 	// SuspectAfter is the time for which a lost daemon's endpoints stay ready. It must be longer
 	// than the time in which a daemon that lost its parent joins another one.
 	SuspectAfter Duration `json:"suspect_after"`
-	// GoneRetention is the time for which suspect and ended endpoints are kept, so that late statements
-	// about them are recognized.
+	// GoneRetention is the time for which endpoints that are suspect or gone are kept, so that late
+	// statements about them are recognized as outdated.
 	GoneRetention Duration `json:"gone_after"`
 	// StatusInterval is the minimum time between two status reports of a daemon. The report of a
 	// whole site is delayed by one interval per level.
@@ -70,10 +70,10 @@
 	// by a daemon without a parent.
 	JoinBackoffMin Duration `json:"join_backoff_min"`
 	JoinBackoffMax Duration `json:"join_backoff_max"`
-	// FirstSourceQueryMaxDelay is the maximum random delay before a daemon without a parent queries the
-	// object API for the readers. 3 s instead of 1 s halved the queries of a cold start of 19,000
-	// simulated daemons (5,436 instead of 10,150), but delayed zones that lost both readers, so it
-	// is 1 s.
+	// FirstSourceQueryMaxDelay is the maximum random delay before a daemon without a parent queries
+	// the object API for the readers. 3 s instead of 1 s halved the queries of a cold start of
+	// 19,000 simulated daemons (5,436 instead of 10,150), but delayed zones that lost both readers,
+	// so it is 1 s.
 	FirstSourceQueryMaxDelay Duration `json:"first_source_ask"`
 	// InterestShrinkDelay is the time for which a daemon keeps services that no child needs
 	// anymore. It must be longer than the time in which a restarted child is back.
