--- a/internal/model/account/account.go
+++ b/internal/model/account/account.go
@@ -4,7 +4,7 @@
 // for concurrent use. It holds digests of the keys and never the keys, so that the data that a
 // daemon keeps, compares and shows cannot be used to make calls.
 //
-// Invariants: a key that the version does not hold belongs to no account; the name of an account is
+// Invariants: a key that is not in this version belongs to no account; the name of an account is
 // the name of a group of callers (package admission shares slots between groups).
 package account
 
@@ -43,7 +43,7 @@
 func (a *Account) Limited() bool { return a != nil && a.Rate > 0 }
 
 // Directory holds the accounts of one version of the configuration. A nil Directory represents a
-// configuration without accounts, in which every caller is served.
+// configuration without accounts, in which callers need no key.
 type Directory struct {
 	accounts map[string]*Account
 	byKey    map[Digest]*Account
--- a/internal/model/callapi/callapi.go
+++ b/internal/model/callapi/callapi.go
@@ -37,7 +37,7 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// Outcomes of a call, in HeaderOutcome.
+// Outcomes of a call, in HeaderOutcome: a back end answered it, it did not run, or it may have run.
 const (
 	OutcomeDone    = "done"
 	OutcomeNotRun  = "not-run"
@@ -100,7 +100,7 @@
 
 // Handler carries out one attempt at a call. It is safe for concurrent use. Handle returns when the
 // head of the answer has been received, at the latest soon after ctx ends. Its errors have the result
-// code of a call (5xxx): if Code.NotRun is true for the code, the call did not reach a back end. The
+// code of a call (5xxx): if Code.NotRun is true for the code, the call did not run. The
 // outcome of an error without a code is unknown.
 type Handler interface {
 	Handle(ctx context.Context, call *Call) (*Answer, error)
--- a/internal/model/callapi/envelope.go
+++ b/internal/model/callapi/envelope.go
@@ -36,8 +36,8 @@
 	Load *LoadField
 	// Result and Outcome are set on answers to callers.
 	Result, Outcome string
-	// PrivatePrefix starts the names of further fields that concern lapisvane
-	// alone and are not forwarded, in lower case; empty for none.
+	// PrivatePrefix is the prefix, in lower case, of the names of further fields that only lapisvane
+	// uses and does not forward; empty for none.
 	PrivatePrefix string
 	// FractionalRetryAfter is true if callers accept fractions of a second in
 	// Retry-After.
--- a/internal/model/fingerprint/fingerprint.go
+++ b/internal/model/fingerprint/fingerprint.go
@@ -24,7 +24,8 @@
 // String returns the head in hexadecimal digits.
 func (h Head) String() string { return strconv.FormatUint(uint64(h), 16) }
 
-// Key identifies a request at one level of Keys. It is the first half of a SHA-256.
+// Key identifies a request by the parts of it that one field of Keys covers. It is the first half of
+// a SHA-256 hash.
 type Key [16]byte
 
 // String returns the key in hexadecimal digits.
@@ -44,7 +45,8 @@
 	return RequestLine{Method: open.GetMethod(), Host: open.GetHost(), Target: open.GetTarget()}
 }
 
-// Keys holds the keys of one request at several levels; a zero value means that the key is not known.
+// Keys holds the keys of one request, each of which covers other parts of it. The zero value of a key
+// means that it is not known.
 type Keys struct {
 	Head Head
 	// Full covers method, host, path, query and body.
--- a/internal/model/meshconfig/accept.go
+++ b/internal/model/meshconfig/accept.go
@@ -67,7 +67,7 @@
 	if proposal.GetBaseRevision()+HistoryWindow < s.Revision {
 		return nil, nil, result.Errorf(result.OperatorStaleProposal, "base %d, now %d", proposal.GetBaseRevision(), s.Revision)
 	}
-	if err := s.checkRemovals(proposal); err != nil {
+	if err := s.checkChanges(proposal); err != nil {
 		return nil, nil, err
 	}
 	affected := map[string]bool{}
@@ -95,7 +95,9 @@
 	return revision, next, nil
 }
 
-func (s *State) checkRemovals(proposal *lapisv1.Proposal) error {
+// checkChanges checks that no object is changed twice and that every removed object exists. Errors: a
+// *result.List of ConfigDuplicateObject and ConfigNothingToRemove.
+func (s *State) checkChanges(proposal *lapisv1.Proposal) error {
 	faults := &result.List{}
 	seen := map[ObjectKey]bool{}
 	for _, change := range proposal.GetChanges() {
--- a/internal/model/meshconfig/accounts.go
+++ b/internal/model/meshconfig/accounts.go
@@ -52,8 +52,8 @@
 	return name != "" && len(name) <= maxNameLength && strings.TrimSpace(name) == name && !strings.ContainsFunc(name, unprintable)
 }
 
-// validateKeys checks the keys of an account; holders are the accounts, by place, whose keys were
-// seen before.
+// validateKeys checks the keys of the account with the given index. accountByKey maps the digest of
+// each key checked so far to the index of its account.
 func validateKeys(faults *result.List, index int, checked *lapisv1.Account, accountByKey map[account.Digest]int) {
 	for keyIndex, content := range checked.GetKeyDigests() {
 		if len(content) != account.DigestBytes {
--- a/internal/model/meshconfig/state.go
+++ b/internal/model/meshconfig/state.go
@@ -32,13 +32,13 @@
 	// ObjectRevisions maps each object to the revision that last changed it, including
 	// objects removed within HistoryWindow.
 	ObjectRevisions map[ObjectKey]uint64
-	// Operations maps recent operation ids to the revision they became.
+	// Operations maps the id of each recent operation to the revision that it created.
 	Operations map[string]uint64
 	// Bundles holds the encoded bundles by service: one per pool, and that of AccountsService.
 	Bundles map[string]*lapisv1.EncodedBundle
 	// Digest covers all Bundles.
 	Digest digest.Set
-	// AcceptedUnixMillis is the acceptance time of Revision.
+	// AcceptedUnixMillis is the acceptance time of Revision, in milliseconds since 1970.
 	AcceptedUnixMillis int64
 }
 
--- a/internal/model/orders/orders.go
+++ b/internal/model/orders/orders.go
@@ -3,7 +3,8 @@
 // the store; a daemon follows the newest set that it has received.
 //
 // The package holds the orders in force on a daemon (Current) in memory. It does no I/O: the caller
-// passes in the answers of other daemons and of the store, and spreads the sets that are returned.
+// passes in the answers of other daemons and of the store, and sends the returned sets to other
+// daemons.
 // The revision of a set is a position in the store's history (position.Position); the package
 // depends on positions increasing.
 //
@@ -87,7 +88,8 @@
 		slices.EqualFunc(s.Rollouts(), other.Rollouts(), func(a, b *lapisv1.Rollout) bool { return proto.Equal(a, b) })
 }
 
-// samePhase reports whether no era began or ended its settling period between two sets.
+// samePhase reports whether two sets are of the same era, and both from within or both from after its
+// settling period.
 func (s *Set) samePhase(other *Set) bool {
 	return position.Position(s.Revision()).Phase() == position.Position(other.Revision()).Phase()
 }
@@ -167,9 +169,9 @@
 
 // ApplyReceived applies another daemon's set if it is newer than the current one, and returns the
 // previous set. A set that is not newer than what this daemon has read from the store, but differs
-// from the current set, was withdrawn in the meantime. In that case the current orders get the
-// revision that was read, so that daemons that follow the received orders drop them. changed is
-// true if the current set has a new revision, which must be spread.
+// from the current set, is outdated: orders in it were withdrawn in the meantime. In that case the
+// current orders get the revision that was read, so that daemons that follow the received orders
+// drop them. changed is true if the current set has a new revision and must be sent to other daemons.
 func (c *Current) ApplyReceived(set *Set) (before *Set, changed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -187,7 +189,7 @@
 
 // ApplyStored applies a set that this daemon has read from the store, and returns the previous set.
 // If the orders are unchanged, the current revision is kept and changed is false, so that nothing
-// is spread again. Other daemons must still learn that an era began or settled, or that it
+// is sent again. Other daemons must still learn that an era began or settled, or that it
 // superseded orders; changed is true then.
 func (c *Current) ApplyStored(set *Set) (before *Set, changed bool) {
 	c.mutex.Lock()
--- a/internal/model/orders/settling.go
+++ b/internal/model/orders/settling.go
@@ -10,8 +10,8 @@
 )
 
 // SettlingPeriod is the time for which previous orders stay in force, although the store lacks them,
-// after the store was restored from a copy. It gives the operator time to write lost orders again.
-// It is longer than the age of the copies, which is a few seconds.
+// after the store was restored from a backup. It gives the operator time to write lost orders again.
+// It is longer than the age of the backups, which is a few seconds.
 const SettlingPeriod = 10 * time.Second
 
 // eraTransition carries orders from one era of the store to the next. After a restore the store
@@ -25,11 +25,12 @@
 // correctly. An order of the new era supersedes the carried one for the same zone, even after it is
 // withdrawn. Daemons exchange superseded zones only; a roll-out is superseded only on a daemon that
 // has seen it in the new era itself. An order that was withdrawn in the previous era and is
-// unchanged in the copy is left out. After SettlingPeriod, the store's orders are taken unchanged.
+// unchanged in the backup is left out. After SettlingPeriod, the store's orders are taken unchanged.
 //
-// SettlingPeriod belongs to the era. Daemons exchange its age and the superseded zones, and each takes
-// the highest age and all zones that it received. It therefore ends for all daemons when it ends
-// for the first one that learned of the era, even if others learned of it later.
+// SettlingPeriod is measured from the beginning of the era. Daemons exchange the era's age and the
+// superseded zones, and each uses the highest age and all zones that it received. The period therefore
+// ends for all daemons when it ends for the first one that learned of the era, even if others learned
+// of it later.
 type eraTransition struct {
 	// era is the newest known era, 0 before the first set. beganAt is the earliest time at which
 	// any daemon is known to have learned of it.
@@ -50,7 +51,8 @@
 	followed map[string]uint64
 }
 
-// apply returns the set to follow, after before, when set arrives.
+// apply processes a set of the store or of another daemon and returns the set to follow next; before
+// is the set followed so far.
 func (s *eraTransition) apply(set, before *Set, now time.Time) *Set {
 	at := position.Position(set.Revision())
 	era := at.EraBegun()
--- a/internal/model/position/position.go
+++ b/internal/model/position/position.go
@@ -1,4 +1,4 @@
-// Package position orders the states in the history of a store that may be restored from a copy.
+// Package position orders the states in the history of a store that may be restored from a backup.
 // After a restore, the store assigns the same revisions again to other content, and increments its
 // era. A Position combines era and revision into one increasing number, so that every state of a
 // later era is newer.
@@ -73,6 +73,6 @@
 	return p.Era()
 }
 
-// Phase returns a number that is the same for all positions of a settled era, and for all positions
-// during the settling period before it, and that increases from each of these to the next.
+// Phase returns the number of the phase that p belongs to. Each era has two phases, its settling period
+// and the time after it. A later phase has a higher number.
 func (p Position) Phase() uint64 { return uint64(p) >> (revisionBits - 1) }
--- a/internal/model/quarantine/retention.go
+++ b/internal/model/quarantine/retention.go
@@ -58,7 +58,8 @@
 	delete(r.entries, suspect.Key)
 }
 
-// sweep deletes entries older than suspectTTL or refutedTTL. The caller must hold mutex.
+// sweep deletes the entries whose retention has passed: suspectTTL for entries with crashes, refutedTTL
+// for the others. It does so at most once per refutedTTL. The caller must hold mutex.
 func (r *Registry) sweep(now time.Time) {
 	if now.Sub(r.sweptAt) < refutedTTL {
 		return
--- a/internal/model/quarantine/store.go
+++ b/internal/model/quarantine/store.go
@@ -18,13 +18,13 @@
 	Save(ctx context.Context, record Record) error
 	// Remove deletes the record of a key. A missing record is not an error.
 	Remove(ctx context.Context, key fingerprint.Key) error
-	// ClaimTrial claims one more trial of a record that has at most that many trials, and counts it. It
-	// is granted to one daemon only; it is not granted if the record has more trials or does not
-	// exist.
+	// ClaimTrial claims a trial for the key of a record; trials is the number of trials that the caller
+	// knows of. The claim is granted to one daemon only, and not if the record has more trials or does
+	// not exist. A granted trial is added to the record.
 	ClaimTrial(ctx context.Context, key fingerprint.Key, trials uint32) (granted bool, err error)
 }
 
-// updateStored updates whether the Store holds the entry's crashes after a merge; updated is true
+// updateStored updates Stored and inStore after a record was merged into the entry; updated is true
 // if the merge changed the entry. It reports whether the crashes became known as stored by this
 // record.
 func (e *entry) updateStored(record Record, updated bool) (newlyStored bool) {
--- a/internal/model/rollout/controller.go
+++ b/internal/model/rollout/controller.go
@@ -52,6 +52,8 @@
 	announcements map[string]Announcement
 	verdict       Verdict
 
+	// orderedAt and shiftStartedAt are the earliest times at which any daemon is known to have received
+	// the order and to have begun the shift. movedAt is when this daemon entered StateMoved.
 	orderedAt      time.Time
 	shiftStartedAt time.Time
 	movedAt        time.Time
@@ -65,8 +67,10 @@
 	lastShare float64
 	// warmSince holds the time at which each new instance was first seen warm.
 	warmSince map[string]time.Time
-	tooShort  bool
-	steps     []Step
+	// tooShort is true if the order's duration is below MinDuration; steps holds the steps of the
+	// current tick.
+	tooShort bool
+	steps    []Step
 }
 
 // NewController returns a controller for an order that this daemon received at orderedAt.
@@ -90,7 +94,7 @@
 }
 
 // DoneSending reports whether announcements need no longer be sent: the order has ended, and daemons
-// that were out of touch have had announcementGracePeriod to receive the last announcement.
+// that were unreachable have had announcementGracePeriod to receive the last announcement.
 func (c *Controller) DoneSending(now time.Time) bool {
 	return c.Ended() && now.After(c.plan().Deadline.Add(announcementGracePeriod))
 }
@@ -248,7 +252,8 @@
 }
 
 // needsStore reports whether a newer answer of the store is required: the newest one is too old, and
-// the shift is near or the daemon waits for the stored end, such as a roll-back after its move.
+// either the shift is near or the store may hold an end that this daemon does not know yet, such as a
+// roll-back after it has moved its calls.
 func (c *Controller) needsStore(view View) bool {
 	if view.Now.Sub(view.StoreAnswered) <= maxStoreAge/2 {
 		return false
@@ -363,7 +368,7 @@
 	}
 }
 
-// mayComplete reports whether every daemon in touch has moved its calls, so that the old instances
+// mayComplete reports whether every reachable daemon has moved its calls, so that the old instances
 // may be stopped.
 func (c *Controller) mayComplete(view View) bool {
 	plan := c.plan()
--- a/internal/model/rollout/era_test.go
+++ b/internal/model/rollout/era_test.go
@@ -32,7 +32,7 @@
 	return controller, order, view
 }
 
-// A store restored from a copy may have lost the end of an order. The daemons must write it again
+// A store restored from a backup may have lost the end of an order. The daemons must write it again
 // and move no calls back.
 func TestEndLostByAReturnIsWrittenAgain(t *testing.T) {
 	for _, end := range []End{EndCompleted, EndRolledBack} {
--- a/internal/model/rollout/evidence.go
+++ b/internal/model/rollout/evidence.go
@@ -28,7 +28,8 @@
 
 // Counts holds the answers of one counter. All fields are monotonic.
 type Counts struct {
-	// Answers is the number of all answers, Failures that of the failures of the instance.
+	// Answers is the number of all answers, Failures the number of those that were failures of the
+	// instance itself.
 	Answers, Failures uint32
 	// Times is the number of answers without a failure, by class of service time.
 	Times [timeClasses]uint32
@@ -148,7 +149,7 @@
 // until the next call of Record.
 func (l *ReportSet) Sum() Evidence { return l.sum }
 
-// Reporters returns how many of the daemons in touch have reported.
+// Reporters returns how many of the given daemons have reported.
 func (l *ReportSet) Reporters(members []string) int {
 	reported := make(map[string]bool, len(l.reports))
 	for from := range l.reports {
--- a/internal/model/rollout/exposure.go
+++ b/internal/model/rollout/exposure.go
@@ -54,8 +54,9 @@
 	return true
 }
 
-// mayAllow reports whether a token is available: routes with less than an equal share may take the
-// last token, the others must leave reservedTokens.
+// mayAllow reports whether one more call of a route may go to the new version: a token is available
+// and the route stays within maxRouteShare. A route with more than an equal share of the allowed calls
+// must leave reservedTokens; the others may take the last token.
 func (e *Exposure) mayAllow(calls *routeCalls) bool {
 	needed := 1.0
 	if calls.allowed*uint64(len(e.routes)) > e.allowed {
--- a/internal/model/rollout/judge.go
+++ b/internal/model/rollout/judge.go
@@ -24,8 +24,8 @@
 	verySlowClassOffset = 5
 	// maxShare limits the shares used in the test; a share of 1 makes the ratio infinite.
 	maxShare = 0.97
-	// priorAnswers is the weight, in answers, of the prior in the old version's share of a zone. The
-	// prior is the share of the whole route, whose own prior is priorShare.
+	// priorAnswers is the weight, in answers, of the prior in the estimate of the old version's share
+	// of a symptom. The prior of a zone is the share of the whole route, whose own prior is priorShare.
 	priorAnswers = 20
 	priorShare   = 0.01
 	// baselineWindow is the number of the old version's newest answers on which a baseline rests,
@@ -36,13 +36,13 @@
 // allRoutes is the route name of the tests over all routes.
 const allRoutes = "*"
 
-// effects holds the differences between a bad version's share of a symptom and the old version's
-// that the tests are set up to detect. The first one of each symptom is the smallest that must not
-// be missed; the second one detects a severe fault after fewer answers.
+// effects holds, for each symptom, the increases of its share of the answers (0 to 1) over that of the
+// old version that the tests are set up to detect. The first one is the smallest that must not be
+// missed; the second one detects a severe fault after fewer answers.
 var effects = map[Symptom][]float64{SymptomFailures: {0.1, 0.4}, SymptomSlow: {0.2, 0.5}, SymptomVerySlow: {0.1, 0.4}}
 
 // weights holds the weight of an answer for each symptom. Slow answers are correlated, because a
-// slow dependency of an instance affects all its calls at the time, so each of them carries less
+// slow dependency of an instance affects all its calls at that time, so each of them carries less
 // weight.
 var weights = map[Symptom]float64{SymptomFailures: 1, SymptomSlow: 0.5, SymptomVerySlow: 0.7}
 
@@ -159,7 +159,7 @@
 	times             [timeClasses]float64
 }
 
-// add adds new answers and scales older ones down to baselineWindow.
+// add adds new answers, and scales all down to baselineWindow, so that older ones lose weight.
 func (b *baseline) add(counts Counts) {
 	b.answers += float64(counts.Answers)
 	b.failures += float64(counts.Failures)
@@ -204,13 +204,17 @@
 
 // Analyzer tests the new version against the old one. It is not safe for concurrent use.
 type Analyzer struct {
+	// last is the evidence of the previous review.
 	last      Evidence
 	baselines map[baselineKey]*baseline
 	cusums    map[cusumKey]*cusum
+	// logRatios holds, by symptom and instance, the log likelihood ratio of all answers for the first
+	// effect of the symptom.
 	logRatios map[Symptom]map[string]float64
 	answers   uint64
 	bad       uint64
-	rejected  *Verdict
+	// rejected is the verdict that rejected the version, nil before that.
+	rejected *Verdict
 }
 
 // NewAnalyzer returns an analyzer without evidence.
@@ -353,8 +357,8 @@
 	return mean + math.Sqrt(mean*(1-mean)/(sample+priorAnswers))
 }
 
-// ratio returns the log likelihood ratio between a share that exceeds the expected one by an
-// effect, and the expected share.
+// ratio returns the log likelihood ratio of the finding between a worse share and the expected one. The
+// worse share is the expected one plus effect, or twice the expected one if that is higher.
 func (f finding) ratio(effect float64) float64 {
 	expected := min(f.expected, maxShare-effect/2)
 	worse := min(max(expected+effect, min(2*expected, maxShare)), maxShare)
--- a/internal/model/rollout/machine.go
+++ b/internal/model/rollout/machine.go
@@ -64,8 +64,8 @@
 	From, To State
 	Reason   Reason
 	Verdict  Verdict
-	// TimeLeft is the time until the deadline. Heard is the number of daemons in touch whose
-	// evidence is known, Members the number of all daemons in touch.
+	// TimeLeft is the time until the deadline. Heard is the number of reachable daemons whose evidence
+	// is known, Members the number of all reachable daemons.
 	TimeLeft       time.Duration
 	Heard, Members int
 	// Warm is the number of warm instances of the new version, Old that of instances of other
--- a/internal/model/rollout/newcomers.go
+++ b/internal/model/rollout/newcomers.go
@@ -6,8 +6,8 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// orderSpreadTime is the maximum time that an order takes to reach all daemons in touch with one
-// that knows it.
+// orderSpreadTime is the maximum time that an order takes from a daemon that knows it to all daemons
+// that it can reach.
 const orderSpreadTime = 200 * time.Millisecond
 
 // NewVersionGate delays the announcement of a new instance whose version is new to its service. That
--- a/internal/model/rollout/order.go
+++ b/internal/model/rollout/order.go
@@ -39,9 +39,9 @@
 	Target  string
 	// Duration is the time that the operator allows for the roll-out.
 	Duration time.Duration
-	// ReissueRevision is 0 for the first run of an order. If the same order was given again after its
-	// end, it is the revision of that state, which is the state that the first status of the new run
-	// overwrote.
+	// ReissueRevision is 0 for the first run of an order. If the operator gave the same order again
+	// after its end, it is the revision of the object as the operator wrote it, before the first status
+	// of the new run.
 	ReissueRevision uint64
 }
 
@@ -105,13 +105,14 @@
 	}
 }
 
-// sameOrder reports whether a later state of the object belongs to the known order. It does not if
-// its status is about a later order. It also does not if the known order has a final end and the
-// object changed afterwards: daemons do not write after an end, so the operator has given the same
-// order again. A revision of another era of the store does not show this, because the end may be
-// missing there if it was written after the copy that the store was restored from.
+// sameOrder reports whether a later state of the object belongs to the known order. It belongs to
+// another one if its spec differs, if its status is about a later order, or if the object changed after
+// the known order had a final end: daemons do not write after an end, so the operator has given the
+// same order again. The last condition does not apply to a revision of another era of the store,
+// because the end may be missing there if it was written after the backup that the store was restored
+// from.
 func sameOrder(known, seen Order) bool {
-	if !sameSpec(known, seen) || seen.statedAgain() > known.ReissueRevision {
+	if !sameSpec(known, seen) || seen.statusReissueRevision() > known.ReissueRevision {
 		return false
 	}
 	sameEra := position.Position(known.Revision).Era() == position.Position(seen.Revision).Era()
@@ -123,9 +124,9 @@
 	return known.Created == seen.Created && known.Target == seen.Target && known.Duration == seen.Duration
 }
 
-// statedAgain returns the ReissueRevision of the order that the status is about, or 0 if that is
+// statusReissueRevision returns the ReissueRevision of the order that the status is about, or 0 if that is
 // another version.
-func (o Order) statedAgain() uint64 {
+func (o Order) statusReissueRevision() uint64 {
 	if o.Status.Target != o.Target {
 		return 0
 	}
@@ -135,7 +136,7 @@
 // Adopt returns the order to follow: with the identity of the known order if it is the same, and
 // with a new ReissueRevision if the same order was given again.
 func Adopt(known *Order, seen Order) Order {
-	seen.ReissueRevision = seen.statedAgain()
+	seen.ReissueRevision = seen.statusReissueRevision()
 	switch {
 	case known == nil:
 	case sameOrder(*known, seen):
--- a/internal/model/rollout/plan.go
+++ b/internal/model/rollout/plan.go
@@ -15,9 +15,10 @@
 	// ExposureShare is the maximum share of a service's calls that a bad version may get, even if
 	// the settings allow more.
 	ExposureShare = 0.1
-	// ProbeShare is the new version's share before the shift. The bound applies to all calls until
-	// the deadline, so calls that are not used while the version gets none, before its first
-	// instance and after a roll-back, leave room for a version that turns bad during the shift.
+	// ProbeShare is the new version's share before the shift. ExposureShare limits the share of all
+	// calls until the deadline. The times at which the version gets no calls, before its first
+	// instance and after a roll-back, therefore leave room for a version that turns bad during the
+	// shift.
 	ProbeShare = probeFraction * ExposureShare
 	// probeFraction is the fraction of the allowed share that is used.
 	probeFraction = 0.9
@@ -43,8 +44,8 @@
 	drainDivisor = 4.5
 	// minSpreadProbes is the minimum number of instances that are probed in every other turn and
 	// during the shift, and spreadLoadFraction the load of each of them relative to its load after
-	// the move. With fewer instances, slow ones would fill up and refuse the calls that would show
-	// it.
+	// the move. With fewer instances, slow ones would reach the limit of their slots and
+	// refuse the calls that would reveal their slowness.
 	minSpreadProbes    = 3
 	spreadLoadFraction = 2.0 / 3
 	// probeTurnTime is how long the same instances are probed before others follow. The rotation
@@ -90,8 +91,8 @@
 	return math.Pow(before, 1-max(since.Seconds(), 0)/p.Ramp.Seconds())
 }
 
-// Rank returns the number by which daemons and instances are sorted for an order; the lowest comes
-// first.
+// Rank returns a hash of the order and a name, by which daemons and instances are sorted for the
+// order; the lowest comes first.
 func (order Identity) Rank(name string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(strconv.FormatUint(order.Created, 36))
--- a/internal/model/rollout/runner.go
+++ b/internal/model/rollout/runner.go
@@ -42,9 +42,9 @@
 // Links sends announcements and reports to other daemons. Messages may be delayed, duplicated or
 // lost. No method blocks.
 type Links interface {
-	// Members returns the daemons in touch, including this one.
+	// Members returns the reachable daemons, including this one.
 	Members() []string
-	// Known returns the number of all daemons known to run, in touch or not.
+	// Known returns the number of all daemons known to run, reachable or not.
 	Known() int
 	// Serving returns the number of known daemons that run an instance of a service.
 	Serving(service string) int
@@ -137,8 +137,8 @@
 // may get calls.
 func (r *Runner) Traffic(service string) *Traffic { return (*r.traffic.Load())[service] }
 
-// Running returns the followed orders that have not ended, sorted by service. Daemons must be in
-// touch with each other while there are any.
+// Running returns the followed orders that have not ended, sorted by service. Daemons must be
+// connected to each other while there are any.
 func (r *Runner) Running() []Identity {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -265,7 +265,7 @@
 	return slices.DeleteFunc(slices.Clone(versions), func(other string) bool { return other == version })
 }
 
-// log logs how the state of an order's object was read.
+// log logs how the state of an order's object was classified.
 func (r *Runner) log(service string, classification Classification, order *Order) {
 	pairs := []any{"service", service, "reading", classification}
 	if order != nil {
--- a/internal/model/rollout/runner_tick.go
+++ b/internal/model/rollout/runner_tick.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// unbar removes the bars of a service if they exclude all of its instances. Such a version is in
-// force, so this daemon missed the completion of its order. The caller must hold mutex.
+// unbar clears the barred versions of a service if they exclude all of its instances. One of them is
+// then in force, so this daemon missed the completion of its order. The caller must hold mutex.
 func (r *Runner) unbar(service string) {
 	endpoints, _ := r.config.Instances.Of(service)
 	for _, endpoint := range endpoints {
--- a/internal/model/rollout/traffic.go
+++ b/internal/model/rollout/traffic.go
@@ -119,7 +119,7 @@
 }
 
 // Choose returns the constraint on the next attempt of a route. probe is true if the attempt was
-// granted to the new version within the bound. A caller that sends it elsewhere must call Return,
+// granted to the new version within its share. A caller that sends it elsewhere must call Return,
 // which returns the constraint that applies then.
 func (t *Traffic) Choose(route string) (required Choice, probe bool) {
 	t.mutex.Lock()
--- a/internal/model/rollout/view.go
+++ b/internal/model/rollout/view.go
@@ -38,12 +38,12 @@
 // Probe is a probed instance and the daemon next to it.
 type Probe struct{ Instance, Node string }
 
-// View is the knowledge of a daemon at one point in time.
+// View holds the inputs of a decision: what a daemon knows at one point in time.
 type View struct {
 	Now time.Time
-	// Members holds the daemons in touch, including this one.
+	// Members holds the reachable daemons, including this one.
 	Members []string
-	// Known is the number of all daemons known to run, in touch or not.
+	// Known is the number of all daemons known to run, reachable or not.
 	Known int
 	// New holds the instances of the ordered version, and Warm those of them that are not cold. Old
 	// is the number of instances of other versions that are not barred.
@@ -80,7 +80,7 @@
 // sole reports whether only the ordered version has instances.
 func (v View) sole() bool { return v.InstancesKnown && v.Old == 0 && len(v.New) > 0 }
 
-// hasMajority reports whether more than half of all daemons are in touch. A daemon that is cut off
+// hasMajority reports whether more than half of all daemons are reachable. A daemon that is cut off
 // from the majority does not decide for it.
 func (v View) hasMajority() bool { return 2*len(v.Members) > v.Known }
 
@@ -92,8 +92,8 @@
 	return known
 }
 
-// estimatedInstances estimates the number of the new version's instances, including those of
-// daemons that are known while their instances are not.
+// estimatedInstances estimates the number of the new version's instances. It scales the known number
+// by Serving, because a daemon may be known before its instances are.
 func (v View) estimatedInstances() int {
 	known := len(v.Warm) + v.Old
 	if known == 0 {
--- a/internal/model/snapshot/snapshot.go
+++ b/internal/model/snapshot/snapshot.go
@@ -24,7 +24,8 @@
 // Service is one pool with its routes and shares. It is immutable and safe for concurrent use.
 type Service struct {
 	Bundle *lapisv1.Bundle
-	// Drained and Retired are the ids of the pool's instances that take no new work.
+	// Drained and Retired are the ids of the pool's instances that operators have excluded from new
+	// work: until further notice, and permanently.
 	Drained map[string]bool
 	Retired map[string]bool
 	// Shares maps each group to its percentage of the pool; the percentages sum to at most 100.
--- a/internal/operators/operator/auth.go
+++ b/internal/operators/operator/auth.go
@@ -66,6 +66,8 @@
 	return Operator{}, result.Errorf(result.OperatorUnauthenticated, "unknown token")
 }
 
+// current returns the operators, which it reads from the store when the cache is older than
+// tokenCacheTTL. Errors: OperatorUnauthenticated if the store holds none, platform codes.
 func (a *authenticator) current(ctx context.Context) ([]Operator, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/operators/operator/doc.go
+++ b/internal/operators/operator/doc.go
@@ -9,7 +9,7 @@
 // proposals, the status that readers write to their seats, and the distribution tree's
 // node as the source of back ends.
 //
-// Invariants: an operator can only accept changes of objects of the own group, also if
+// Invariants: an operator can only accept changes of objects of their own group, also if
 // another operator proposed them; no answer contains a private key; every failure has a
 // result code; a change repeated with the same operation id takes effect once.
 package operator
--- a/internal/operators/operator/wait.go
+++ b/internal/operators/operator/wait.go
@@ -10,7 +10,7 @@
 )
 
 // statusPollInterval is the time between two reads of the status. The status itself is delayed by one
-// status interval per level of the tree.
+// status interval per level of the distribution tree.
 const statusPollInterval = 100 * time.Millisecond
 
 // wait returns as soon as revision is in force on all proxies that report. Failed reads of the status
