--- a/internal/requestpath/admission/account.go
+++ b/internal/requestpath/admission/account.go
@@ -14,7 +14,7 @@
 // its account used fewer slots. Among calls of the same priority, those of accounts above their
 // share come last. Waits and limits count all calls ahead, regardless of their account: with many
 // small accounts, a limit per account would not limit the total, and an estimate by the share of
-// one account would refuse calls that nothing is ahead of.
+// one account would refuse calls that have no other call ahead of them.
 
 // ConfigureAccounts replaces the number of slots and makes the groups accounts with the given
 // weights. An account without a weight has defaultWeight.
@@ -161,8 +161,9 @@
 	return position{ahead: ahead, behind: &ranked[ahead-1].request}
 }
 
-// refuseUnservable refuses the waiting calls that the calls ranked before them leave no time or no
-// queue space, the least urgent first. The caller must hold mutex.
+// refuseUnservable refuses the waiting calls that can no longer start before their deadline or no
+// longer fit in the queue, because of the calls ranked before them. It begins with the least
+// urgent. The caller must hold mutex.
 func (q *Queue) refuseUnservable(ranked []candidate, now time.Time) {
 	for ahead := len(ranked) - 1; ahead >= 0; ahead-- {
 		waiting := ranked[ahead].waiter
--- a/internal/requestpath/admission/decision.go
+++ b/internal/requestpath/admission/decision.go
@@ -8,9 +8,8 @@
 )
 
 const (
-	// BackgroundFactor is the factor by which background calls may wait longer than interactive
-	// ones. It is above 1, or background calls, which go last in their group, would be refused
-	// first.
+	// BackgroundFactor is how many times as long as interactive calls background calls may wait. It is
+	// above 1, or background calls, which go last in their group, would be refused first.
 	BackgroundFactor = 8
 	// minRetryAfter is the minimum retry time of a refusal. It is above 0, or a caller that is
 	// refused while no wait is expected would retry at once.
--- a/internal/requestpath/admission/fairness.go
+++ b/internal/requestpath/admission/fairness.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// usageHalfLife is the half-life of the recorded slot usage. With a shorter one, calls are
-	// forgotten while they run; with a longer one, a group that did not use its share has
-	// precedence for longer when it returns.
+	// usageHalfLife is the half-life of the recorded slot time. If it is too short, the slot time of a
+	// call decays while the call still runs; if it is too long, a group that did not use its share for
+	// a while has precedence for too long afterwards.
 	usageHalfLife = 500 * time.Millisecond
 	// defaultWeight is the weight of a group without a declared share, in percent. It is above 0,
 	// or the group would never be served.
@@ -29,6 +29,7 @@
 	background  *list.List
 }
 
+// active reports whether the group has running or waiting calls.
 func (g *group) active() bool {
 	return g.running > 0 || g.interactive.Len() > 0 || g.background.Len() > 0
 }
@@ -88,9 +89,9 @@
 }
 
 // next returns the call that gets a free slot, or nil. It belongs to the group with the least slot
-// time per weight among the groups with a call that may run; ties are broken by name. This lends
-// the unused slots of a group to others without a separate rule: when the group returns, it has
-// little recorded usage and goes first.
+// time per weight among the groups with a call that may run; ties are broken by name. Slots that a
+// group does not use thus go to other groups without a separate rule: when the group has calls
+// again, it has little recorded slot time and goes first.
 func (q *Queue) next(now time.Time) *waiter {
 	if q.accounts {
 		return q.nextAmongAccounts(now)
@@ -121,6 +122,7 @@
 	return q.firstIn(g.background, now)
 }
 
+// firstIn returns the first call of a list in the order of Request.before that may run, or nil.
 func (q *Queue) firstIn(waiting *list.List, now time.Time) (first *waiter) {
 	for element := waiting.Front(); element != nil; element = element.Next() {
 		candidate := element.Value.(*waiter)
--- a/internal/requestpath/admission/limit.go
+++ b/internal/requestpath/admission/limit.go
@@ -19,8 +19,9 @@
 	slotsPerReserved = 3
 )
 
-// concurrencyLimit is the adaptive limit of concurrent calls: additive decrease with each shed
-// call, additive increase after a number of served calls. Use newLimit to create one.
+// concurrencyLimit is the adaptive limit of concurrent calls. It decreases when the back end sheds
+// a call, and increases by one after increaseThreshold calls without shedding (adapt). Use newLimit
+// to create one.
 type concurrencyLimit struct {
 	// slots is the configured maximum. current is the current limit, at least 1 if slots is.
 	slots, current int
@@ -40,9 +41,9 @@
 	}
 }
 
-// adapt updates the limit when a call ends. shed is true if the back end shed it, concurrent is the
-// number of calls that ran when it started, including itself, and running the number that still
-// run. It checks in this order:
+// adapt updates the limit when a call ends. shed is true if the back end shed it. concurrent is the
+// number of calls, including this one, that ran when it started or when it ended, whichever is
+// greater. running is the number of calls that still run. It checks in this order:
 //
 //  1. shed under light load: the reason is not load, so the limit is restored and shed calls are
 //     ignored for a while;
@@ -67,8 +68,8 @@
 	}
 }
 
-// uploads returns the number of slots that uploads may use. Uploads are long and must not hold all
-// slots if there are several.
+// uploads returns the number of slots that uploads may use. Uploads take long, so if there is more
+// than one slot, at least one is kept for other calls.
 func (l *concurrencyLimit) uploads() int {
 	reserved := max(1, l.current/slotsPerReserved)
 	return max(1, l.current-reserved)
--- a/internal/requestpath/admission/pace.go
+++ b/internal/requestpath/admission/pace.go
@@ -7,19 +7,19 @@
 
 // Parameters of a pace.
 const (
-	// paceMargin is the fraction of the limit per second that is left unused: calls that are
-	// admitted apart may arrive closer together at the back end if a daemon gets no processor time.
-	// A value of 0.15 allows a delay of 0.2 s.
+	// paceMargin is the fraction, 0 to 1, of the limit per second that is left unused: calls that are
+	// admitted at intervals may arrive closer together at the back end if a daemon gets no processor
+	// time. A value of 0.15 allows a delay of 0.2 s.
 	paceMargin = 0.15
-	// minRateFraction is the fraction of the stated rate that is always admitted. A limit of little
-	// more than one call per second leaves no room for both a burst of one and a rate; then almost
-	// nothing is admitted, but not nothing.
+	// minRateFraction is the fraction, 0 to 1, of the stated rate that is always admitted. A limit of
+	// little more than one call per second leaves no room for both a burst of one call and a rate;
+	// the rate is then very low, and this minimum keeps it above 0.
 	minRateFraction = 0.15
 	// defaultBurst is the number of calls admitted at once after a pause, if the limit leaves room.
 	// The back end handles them one after the other.
 	defaultBurst = 2
-	// coldRateFactor is the factor of its stated rate that a cold back end is admitted if the limit
-	// per second leaves room, because back ends state less than they can handle.
+	// coldRateFactor is multiplied by the stated rate of a cold back end to get the admitted rate, if
+	// the limit per second leaves room, because back ends state less than they can handle.
 	coldRateFactor = 2.5
 	// minBurst is the minimum capacity of the bucket: with less than one token it would never admit
 	// a call.
@@ -66,6 +66,7 @@
 	return Pace{PerSecond: min(perSecond, max(allowed-burst, minRate)), Burst: burst}
 }
 
+// inForce reports whether the pace limits the admitted calls now.
 func (p Pace) inForce(now time.Time) bool {
 	return p.PerSecond > 0 && (p.Until.IsZero() || now.Before(p.Until))
 }
@@ -89,6 +90,7 @@
 	q.dispatch()
 }
 
+// PaceUse returns the usage of the queue's pace.
 func (q *Queue) PaceUse() PaceUse {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -142,6 +144,7 @@
 	b.refilledAt = now
 }
 
+// refill adds the tokens for the time since the last refill.
 func (b *bucket) refill(now time.Time) {
 	elapsed := now.Sub(b.refilledAt)
 	if elapsed <= 0 {
--- a/internal/requestpath/admission/queue.go
+++ b/internal/requestpath/admission/queue.go
@@ -27,7 +27,8 @@
 	waiting     int
 	// running counts the calls that hold a slot, and uploads the uploads among them.
 	running, uploads int
-	meanService      time.Duration
+	// meanService is the smoothed time that a call holds its slot, excluding uploads.
+	meanService time.Duration
 	// closed is the error with which calls are refused while the back end accepts none, otherwise
 	// nil.
 	closed *result.Error
@@ -221,8 +222,8 @@
 	return q.refuse(waitEstimate{forSlot: q.meanService, forToken: q.bucket.wait(0, q.now())}, "the maximum wait has passed", found)
 }
 
-// abandon removes a waiter from the queue and returns reason. If the waiter was granted a slot at
-// the same time, the slot is released.
+// abandon removes a waiter from the queue and returns reason. If the waiter was granted a slot or
+// refused in the meantime, the slot is released or the refusal dropped.
 func (q *Queue) abandon(waiting *waiter, reason error) error {
 	q.mutex.Lock()
 	select {
--- a/internal/requestpath/admission/slot.go
+++ b/internal/requestpath/admission/slot.go
@@ -19,7 +19,8 @@
 	once     sync.Once
 }
 
-// start takes a free slot. The caller must hold mutex.
+// start gives a free slot, and a token if a pace is in force, to a request. The caller must hold
+// mutex.
 func (q *Queue) start(g *group, request Request, now time.Time) *Slot {
 	g.decay(now)
 	g.running++
@@ -33,8 +34,8 @@
 	return &Slot{queue: q, group: g, upload: request.Upload, started: now, concurrent: q.running}
 }
 
-// grantedSlot returns the slot of a waiter to which dispatch granted one. Its time starts now, when
-// the caller continues, and not with the grant.
+// grantedSlot returns the slot of a waiter to which dispatch granted one. The service time counts
+// from now, when the caller continues, and not from the grant.
 func (q *Queue) grantedSlot(waiting *waiter) *Slot {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
--- a/internal/requestpath/balance/cost.go
+++ b/internal/requestpath/balance/cost.go
@@ -32,8 +32,8 @@
 	// squared coefficient of variation (type serviceTime).
 	serviceTime, scv ewma
 	// transientSlowdown is the relative increase of the current service time over the baseline that
-	// the instance reports: 0 for none, 1 for twice the time. normalized is true if serviceTime is
-	// a baseline time, without such transient slowdowns.
+	// the instance reports: 0 for none, 1 for twice the time. normalized is true if serviceTime is the
+	// service time at that baseline, without transient slowdowns.
 	transientSlowdown float64
 	normalized        bool
 	// load is the number of calls of all daemons at the instance, running and waiting. slots is the
--- a/internal/requestpath/balance/expected.go
+++ b/internal/requestpath/balance/expected.go
@@ -7,7 +7,8 @@
 
 // Slowdown of an instance that is nearly at capacity.
 const (
-	// slowdownUtilization is the load per slot, 0 to 1, above which calls are assumed to slow down.
+	// slowdownUtilization is the load in calls per slot above which calls are assumed to slow down. It
+	// is below 1.
 	slowdownUtilization = 0.8
 	// maxUtilizationSlowdown is the relative increase of the service time when the last slot is
 	// taken.
--- a/internal/requestpath/balance/filter.go
+++ b/internal/requestpath/balance/filter.go
@@ -52,16 +52,16 @@
 func satisfying(targets []*Target, constraints []Constraint) ([]*Target, error) {
 	remaining := targets
 	for _, constraint := range constraints {
-		var meeting []*Target
+		var matching []*Target
 		for _, target := range remaining {
 			if constraint.Allows(target.Endpoint) {
-				meeting = append(meeting, target)
+				matching = append(matching, target)
 			}
 		}
-		if len(remaining) > 0 && len(meeting) == 0 {
+		if len(remaining) > 0 && len(matching) == 0 {
 			return nil, &ConstraintError{Constraint: constraint.Name, Instances: len(targets)}
 		}
-		remaining = meeting
+		remaining = matching
 	}
 	return remaining, nil
 }
--- a/internal/requestpath/balance/health.go
+++ b/internal/requestpath/balance/health.go
@@ -14,9 +14,9 @@
 	// ejectThreshold is the number of consecutive failures that ejects an instance. It is above 1,
 	// so that a single broken connection does not eject an instance.
 	ejectThreshold = 3
-	// baseEjection and maxEjection bound the duration of an ejection. baseEjection must be longer
-	// than a failed dial is cached (package callmux, 200 ms), or the call that probes the instance
-	// would only get the cached failure.
+	// baseEjection and maxEjection bound the duration of an ejection. baseEjection must be longer than
+	// the time for which a failed dial is cached (package callmux, 200 ms), or the first call after
+	// the ejection would only get the cached failure.
 	baseEjection = time.Second
 	maxEjection  = 30 * time.Second
 	// maxEjectionDoublings bounds the number of doublings, so that the shift does not overflow. The
--- a/internal/requestpath/balance/slowstart.go
+++ b/internal/requestpath/balance/slowstart.go
@@ -6,11 +6,11 @@
 	"github.com/lapisvane/lapisvane/api/lapisv1"
 )
 
-// Slow start has two forms. An instance may report how long it stays cold (with each heartbeat,
-// announced as cold_millis). Until then it counts as slower by coldFactor, and as a rate-limited
-// queue if its pool sets a rate (expected.go). For any other new instance this daemon assumes
-// slowStartWindow. That form affects the load score only, because the cost score uses service times
-// instead.
+// Slow start has two forms. An instance may report with each heartbeat how long it stays cold
+// (announced as cold_millis). During that time it counts as slower by coldFactor, and as a
+// rate-limited queue if its pool sets a rate (expected.go). For any other new instance this daemon
+// assumes slowStartWindow. That form affects the load score only, because the cost score uses
+// service times instead.
 const (
 	// slowStartWindow is the time during which the share of calls of a new instance that reports no
 	// slots grows to its full value.
@@ -23,10 +23,10 @@
 	coldFactor = 2
 )
 
-// slowStartTime returns the time at which the slow start of a new incarnation began. If there is a
-// previous incarnation, its time is kept. Instances that are present when this daemon starts count
-// as warm, because most of them were running before. Instances that report their slots also count
-// as warm, because they report how long they stay cold.
+// slowStartTime returns the time at which the slow start of a new incarnation began. If this daemon
+// knows a previous incarnation, the slow start time of that one is kept. Instances that are present
+// when this daemon starts count as warm, because most of them were running before. Instances that
+// report their slots also count as warm, because they report how long they stay cold.
 func slowStartTime(previous *Target, endpoint *lapisv1.Endpoint, created, now time.Time) time.Time {
 	switch {
 	case previous != nil:
--- a/internal/requestpath/balance/target.go
+++ b/internal/requestpath/balance/target.go
@@ -30,7 +30,8 @@
 	mutex sync.Mutex
 	// coldUntil is the time until which the instance reported that it is cold.
 	coldUntil time.Time
-	// refusedUntil is the time until which the instance rejects calls because it is cold.
+	// refusedUntil is the time until which the instance rejects calls because it is cold, as stated by
+	// its latest such rejection.
 	refusedUntil time.Time
 	// consecutiveFailures counts the failures since the last answer, for ejection.
 	consecutiveFailures int
@@ -174,7 +175,8 @@
 	return max(t.refusedUntil.Sub(now), 0)
 }
 
-// ServiceTime returns the mean service time of a route at the instance; 0 if there was no answer.
+// ServiceTime returns the mean service time of a route at the instance; 0 if it has not answered a
+// call of the route.
 func (t *Target) ServiceTime(route string) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/requestpath/balance/version.go
+++ b/internal/requestpath/balance/version.go
@@ -7,7 +7,7 @@
 )
 
 // OfVersion returns a constraint that allows the instances of the version that was chosen for an
-// attempt during a rollout of the service.
+// attempt during a roll-out of the service.
 func OfVersion(choice rollout.Choice) Constraint {
 	return Constraint{Name: choice.Name, Allows: choice.Allows}
 }
--- a/internal/requestpath/balance/work_test.go
+++ b/internal/requestpath/balance/work_test.go
@@ -11,7 +11,7 @@
 	"github.com/lapisvane/lapisvane/internal/requestpath/balance"
 )
 
-// Checks that an instance that reports no slowdown is treated as if the feature did not exist.
+// Checks that an instance that reports no slowdown is judged by its service times alone.
 func TestInstanceThatStatesNothingIsJudgedByItsAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		silent, plain := newPool("a"), newPool("a")
@@ -63,9 +63,9 @@
 
 // Guards against an instance losing all calls for over a minute because it always reports ten times
 // the usual time while it answers as quickly as the others. Its reports were trusted, it received
-// no call for 0.2 s by chance, and from then on its estimate
-// rose: it is in units of the reports of that instance and decayed to the estimate of the other
-// instances, which is in different units.
+// no call for 0.2 s by chance, and from then on its estimate rose: the estimate is in units of the
+// reports of that instance, and decayed to the estimate of the other instances, which is in
+// different units.
 func TestInstanceThatAlwaysStatesTheSameIsNotLeft(t *testing.T) {
 	for _, percent := range []uint32{10, 50, 300, 1000} {
 		p := newPool("a", "a", "a", "a")
--- a/internal/requestpath/decision/log.go
+++ b/internal/requestpath/decision/log.go
@@ -16,8 +16,8 @@
 	// maxLevel bounds the sampling: at least one failure of 2^maxLevel is written. maxLevel +
 	// successLevel must stay below the 64 bits of a hash.
 	maxLevel = 20
-	// window is the interval at which the volume is compared with its limit. It is short, so that
-	// the sampling follows a flood of failures within seconds.
+	// window is the interval at which the number of lines is compared with its limit. It is short, so
+	// that the sampling follows a burst of failures within seconds.
 	window = time.Second
 	// relaxDivisor determines when the sampling gets denser again: if the volume is below the limit
 	// divided by relaxDivisor. It is above 2, because a denser level doubles the volume.
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -32,8 +32,8 @@
 	failureCounts retry.Counts
 	// attemptID is the ID of the latest attempt.
 	attemptID string
-	// version tracks the latest attempt for a roll-out, nil without one. versionChanges counts how often
-	// an instance was chosen whose version was no longer allowed any calls when the attempt began.
+	// version tracks the latest attempt for a roll-out, nil without one. versionChanges counts the chosen
+	// instances whose version was no longer allowed any calls when the attempt began.
 	version        *versionAttempt
 	versionChanges int
 	// keptAnswer is the first answer with a server error (5xx). It is kept while another instance is
@@ -146,7 +146,7 @@
 	target.Begin()
 	answered := false
 	defer func() {
-		// Runs after a panic too: a call that never ends would count as load at the instance forever.
+		// This also runs after a panic; otherwise the call would count as load at the instance forever.
 		if !answered {
 			target.End()
 			a.version.end()
@@ -209,8 +209,8 @@
 	return retry.MayReplace(a.retryCall(), facts, func() bool { return a.gateway.config.Balancer.MajorityHealthy(a.opening.GetService()) })
 }
 
-// keepFailedAnswer reads a failed answer into memory and keeps it, so that its instance is free again.
-// It returns the error of the failed attempt.
+// keepFailedAnswer reads a failed answer into memory and keeps it, which ends the call at its instance. It
+// returns the error of the failed attempt.
 func (a *attempter) keepFailedAnswer(failed instanceAnswer) error {
 	defer failed.target.End()
 	defer failed.version.end()
--- a/internal/requestpath/gateway/attempts_test.go
+++ b/internal/requestpath/gateway/attempts_test.go
@@ -167,8 +167,8 @@
 }
 
 // A call that an instance may have run must not be answered as not run, whatever the results of its later
-// attempts. This guards against a 503 answer while an instance worked on the call: its daemon had become
-// silent, and the other instances were full.
+// attempts. This guards against a 503 answer while an instance still ran the call: its daemon had stopped
+// sending, and the other instances were full.
 func TestNotRunIsSaidOnlyWhenItIsTrue(t *testing.T) {
 	silent := result.Errorf(result.CallUnknownOutcome, "the daemon beside the instance does not answer")
 	full := result.Errorf(result.CallNotRunOverloaded, "no slot is free")
--- a/internal/requestpath/gateway/deadline.go
+++ b/internal/requestpath/gateway/deadline.go
@@ -13,15 +13,16 @@
 )
 
 // deadlineContext returns the context of a call with its deadline: the earlier of the route's deadline and
-// the one that the caller states. Uploads only have the latter.
+// the one that the caller states. Config.DefaultDeadline stands in for a route without a deadline, except for
+// uploads.
 func (g *Gateway) deadlineContext(ctx context.Context, rc *app.RequestContext, class *lapisv1.CallClass, started time.Time) (context.Context, context.CancelFunc) {
 	bound := time.Duration(class.GetDeadlineMillis()) * time.Millisecond
 	if bound == 0 && !class.GetUpload() {
 		bound = g.config.DefaultDeadline
 	}
-	chained, stated := g.statedDeadline(rc)
-	if stated && (bound == 0 || chained < bound) {
-		bound = chained
+	callerDeadline, stated := g.statedDeadline(rc)
+	if stated && (bound == 0 || callerDeadline < bound) {
+		bound = callerDeadline
 	}
 	if bound == 0 && !stated {
 		return context.WithCancel(ctx)
@@ -32,16 +33,16 @@
 // callContext returns the context of a call. It ends at the call's deadline, at the drain deadline of the
 // gateway, and when the calls in flight are cancelled.
 func (g *Gateway) callContext(ctx context.Context, exchange *pipeline.Exchange, class *lapisv1.CallClass) (context.Context, context.CancelFunc) {
-	endDrain := func() {}
+	cancelDrain := func() {}
 	if by := g.drainDeadline.Load(); by != nil {
-		ctx, endDrain = context.WithDeadline(ctx, *by)
+		ctx, cancelDrain = context.WithDeadline(ctx, *by)
 	}
 	callCtx, cancel := g.deadlineContext(ctx, exchange.Request, class, exchange.ArrivedAt)
-	endCut := context.AfterFunc(g.callsContext, cancel)
+	stopWatching := context.AfterFunc(g.callsContext, cancel)
 	return callCtx, func() {
-		endCut()
+		stopWatching()
 		cancel()
-		endDrain()
+		cancelDrain()
 	}
 }
 
--- a/internal/requestpath/gateway/deadline_test.go
+++ b/internal/requestpath/gateway/deadline_test.go
@@ -12,7 +12,7 @@
 )
 
 // The remaining time of a call excludes the time for which the machine was suspended: the caller kept
-// waiting, but the monotonic clock stood still.
+// waiting, but the monotonic clock was stopped.
 func TestDeadlinesGoOnWhileSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := time.Duration(0)
--- a/internal/requestpath/gateway/identity.go
+++ b/internal/requestpath/gateway/identity.go
@@ -134,10 +134,9 @@
 	return target > 0 && a.priorWait >= target
 }
 
-// admit finds the route and the caller of a request. If the key is not in the current configuration and a
-// newer configuration is known to be on its way, admit waits for it and finds both again. The route is
-// also set in the result if there is an error, unless no route matches. Errors: CallNoRoute,
-// CallUnknownKey, CallKeysUnconfirmed.
+// admit finds the route and the caller of a request. If the key is not in the current configuration, a newer
+// one may contain it: admit waits for one that is on its way, and then finds both again. With an error, the
+// result still contains the route if one matched. Errors: CallNoRoute, CallUnknownKey, CallKeysUnconfirmed.
 func (g *Gateway) admit(ctx context.Context, rc *app.RequestContext, current *snapshot.Snapshot) (admittedRequest, error) {
 	found := admittedRequest{current: current}
 	var err error
@@ -199,9 +198,9 @@
 	return decision
 }
 
-// awaitConfiguration returns the configuration for the second decision on an unknown key. For AwaitNewer
-// it waits for a newer configuration, unless maxAwaitingKeys requests wait already. Otherwise it returns
-// the current configuration, which may be newer than that of the first decision.
+// awaitConfiguration returns the configuration for the second decision on an unknown key. For AwaitNewer it
+// waits for a newer configuration, unless maxUnknownKeyWaits requests wait already. Otherwise it returns the
+// current configuration, which may be newer than that of the first decision.
 func (g *Gateway) awaitConfiguration(ctx context.Context, found admittedRequest, decision identity.Decision) *snapshot.Snapshot {
 	if decision != identity.AwaitNewer {
 		return g.config.Snapshots.Current()
@@ -236,10 +235,10 @@
 
 // Quota limits the calls of accounts across all daemons. It is safe for concurrent use.
 type Quota interface {
-	// Take takes one call from an account's allowance. A late call is served only from what is left by
-	// calls that can still meet their target latency. giveBack returns the call to the allowance and
-	// is called at most once, for a call that did not run. Errors: CallRateLimited with the time after
-	// which the allowance has room again, CallLimitUnknown if the allowance cannot be determined.
+	// Take counts one call against an account's quota. A late call gets only the part of the quota that calls
+	// which can still meet their target latency leave unused. giveBack returns the call to the quota; it is
+	// called at most once, for a call that did not run. Errors: CallRateLimited with the time after which the
+	// quota has room again, CallLimitUnknown if the quota cannot be determined.
 	Take(ctx context.Context, caller *account.Account, late bool) (giveBack func(), err error)
 }
 
--- a/internal/requestpath/gateway/lines.go
+++ b/internal/requestpath/gateway/lines.go
@@ -91,7 +91,7 @@
 	log.Success(eventCallAnswered, a.requestID, func() []any { return a.answerPairs(done) })
 }
 
-// answerPairs returns the log keys and values for an answered call.
+// answerPairs returns the log keys and values for an answered call, alternating as in logr.
 func (a *attempter) answerPairs(done instanceAnswer) []any {
 	head := done.answer.Head
 	work, workAge := done.target.Slowdown(time.Now())
--- a/internal/requestpath/gateway/metrics.go
+++ b/internal/requestpath/gateway/metrics.go
@@ -4,8 +4,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Buckets of the time until an answer's head: 16 buckets from 0.5 ms to 16 s, each twice the previous
-// one.
+// Histogram buckets of the time until an answer's head, in seconds: 16 buckets from 0.5 ms to 16 s, each
+// twice the previous one.
 const (
 	firstLatencyBucket  = 0.0005
 	latencyBucketFactor = 2
--- a/internal/requestpath/gateway/observations.go
+++ b/internal/requestpath/gateway/observations.go
@@ -25,9 +25,9 @@
 	a.gateway.answerSizes.record(a.route.GetName(), answer.Head.GetContentLength())
 }
 
-// timedOut reports whether an attempt ended at its deadline, or because its caller disconnected, after
-// the instance had at least the target latency to answer. Such an attempt counts as a failed answer,
-// since there is no other sign of a hanging instance.
+// timedOut reports whether an attempt ended at its deadline, or because its caller disconnected, after the
+// attempt had waited for at least the target latency. Such an attempt counts as a failed answer, since there
+// is no other sign of a hanging instance.
 func (a *attempter) timedOut(err error, waited time.Duration) bool {
 	code, _ := result.CodeOf(err)
 	target := a.targetLatency()
--- a/internal/requestpath/gateway/pipeline/body.go
+++ b/internal/requestpath/gateway/pipeline/body.go
@@ -7,8 +7,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Body streams a long request body; it can be read once. It may be used after its request has ended:
-// reads then fail without accessing the connection.
+// Body streams a long or chunked request body; it can be read once. A Read after the request has
+// ended fails without accessing the connection.
 type Body struct {
 	conn *connection
 	// released is closed when the body was read to its end or its use has ended (stop).
@@ -21,7 +21,8 @@
 	// end of a body of known length.
 	remaining int64
 
-	// mutex protects everything below.
+	// mutex protects everything below. started is true once a Read began, ended once the body was read
+	// to its end, and stopped once the request no longer uses the body (stop).
 	mutex sync.Mutex
 	// onEOF, if not nil, is called once when the body has been read to its end, before the request
 	// can be reused for another one.
@@ -133,9 +134,9 @@
 	unreadLeft
 )
 
-// maxDiscardBytes is the maximum number of bytes that are discarded of a body whose request is already
-// answered, so that requests behind it are served. A longer rest ends the connection, so that the
-// caller stops sending. The limit exceeds the largest known uploads, 360 kB.
+// maxDiscardBytes is the maximum number of bytes that are discarded of a body whose request is
+// already answered, so that requests behind it are served. With more bytes left, the connection is
+// closed, so that the caller stops sending. The limit exceeds the largest known uploads, 360 kB.
 const maxDiscardBytes = 1 << 20
 
 // stop ends the use of the body and returns how its unread part is treated.
--- a/internal/requestpath/gateway/pipeline/quota.go
+++ b/internal/requestpath/gateway/pipeline/quota.go
@@ -34,8 +34,10 @@
 // quota counts the resources that all connections hold together. It is safe for concurrent use.
 type quota struct {
 	// mutex protects everything below.
-	mutex         sync.Mutex
-	limits        Limits
+	mutex  sync.Mutex
+	limits Limits
+	// openAhead is the number of requests that count towards Limits.PipelinedRequests, and
+	// reservedBytes the total size of buffered answers that counts towards Limits.TotalBytes.
 	openAhead     int
 	reservedBytes int64
 	// waiting holds the connections that wait for the end of a pipelined request, oldest first.
--- a/internal/requestpath/gateway/pipeline/writing.go
+++ b/internal/requestpath/gateway/pipeline/writing.go
@@ -152,8 +152,8 @@
 		c.becomeIdle()
 		return
 	}
-	if isOldest := c.open[0].earlierWritten; isOldest != nil {
-		close(isOldest)
+	if earlierWritten := c.open[0].earlierWritten; earlierWritten != nil {
+		close(earlierWritten)
 		c.open[0].earlierWritten = nil
 	}
 }
--- a/internal/requestpath/gateway/quarantine.go
+++ b/internal/requestpath/gateway/quarantine.go
@@ -23,7 +23,7 @@
 	// longest bodies, so that a few of them do not use it up.
 	maxHeldBodyBytes  = 4 << 20
 	maxTotalHeldBytes = 16 << 20
-	// trialTimeout bounds ClaimTrial, for which the request waits. Without an answer in this time the
+	// trialTimeout is the maximum time that a request waits for ClaimTrial. Without an answer in this time the
 	// request is refused. It must be less than refusal.DefaultRetryAfter.
 	trialTimeout = 200 * time.Millisecond
 )
@@ -38,8 +38,8 @@
 	Evaluate(keys []fingerprint.Key, caller string) quarantine.Verdict
 	// Count returns the number of instances that crashed under requests with the keys.
 	Count(keys []fingerprint.Key) int
-	// ClaimTrial asks the platform's store for the permission to run one quarantined request as a trial,
-	// which only one daemon gets. It returns false also if there is no answer before ctx ends.
+	// ClaimTrial asks the platform's store for permission to run one quarantined request as a trial; only one
+	// daemon gets it. It also returns false if there is no answer before ctx ends.
 	ClaimTrial(ctx context.Context, verdict quarantine.Verdict) bool
 }
 
@@ -101,7 +101,9 @@
 	}
 }
 
-// holdBody reads a body into memory if it is short enough and there is room for it.
+// holdBody reads a body into memory if it is short enough and there is room for it; otherwise the body stays
+// streamed. done releases the memory and must be called. Errors: CallBodyTooLarge and those of reading the
+// body.
 func (g *Gateway) holdBody(body *requestBody, rc *app.RequestContext) (done func(), err error) {
 	done = func() {}
 	room := int64(maxHeldBodyBytes)
--- a/internal/requestpath/gateway/quarantine_test.go
+++ b/internal/requestpath/gateway/quarantine_test.go
@@ -12,8 +12,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// The caller of a quarantined request is told to return at the time of the next trial, instead of after a
-// random time as for a refusal for load: it would be refused again.
+// The Retry-After of a quarantined request is the time of the next trial, and not a random time as for a
+// refusal for load: an earlier retry would be refused again.
 func TestQuarantinedCallerReturnsForTheTrial(t *testing.T) {
 	route := &lapisv1.Route{CallClass: &lapisv1.CallClass{TargetLatencyMillis: 200}}
 	err := withRetryAfter(quarantine.Verdict{Quarantined: true, Crashes: 3, RetryAfter: 42 * time.Second}.Err(), route)
--- a/internal/requestpath/gateway/refused.go
+++ b/internal/requestpath/gateway/refused.go
@@ -16,7 +16,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// withRetryAfter sets the time after which a refused caller may return, according to package refusal.
+// withRetryAfter returns err with the time after which the caller may retry, according to package refusal. It
+// changes a copy, because err may be shared between calls.
 func withRetryAfter(err error, route *lapisv1.Route) error {
 	coded, ok := err.(*result.Error)
 	if !ok {
@@ -28,9 +29,9 @@
 	if after == coded.RetryAfter {
 		return err
 	}
-	spread := *coded
-	spread.RetryAfter = after
-	return &spread
+	adjusted := *coded
+	adjusted.RetryAfter = after
+	return &adjusted
 }
 
 // statusOf maps a result code to an HTTP status.
--- a/internal/requestpath/gateway/requestbody.go
+++ b/internal/requestpath/gateway/requestbody.go
@@ -17,7 +17,8 @@
 	streamed *pipeline.Body
 	// length is in bytes, negative if the caller does not state it.
 	length int64
-	// held is true for a long body that was read into memory, together with its trailers.
+	// held is true for a long body that was read into memory for the quarantine check, together with its
+	// trailers.
 	held     bool
 	trailers []*lapisv1.HeaderField
 }
--- a/internal/requestpath/gateway/serve.go
+++ b/internal/requestpath/gateway/serve.go
@@ -17,9 +17,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// checkHead returns an error for a request that must be rejected. Input behind such a request is not
-// read, because it could be a body or another request. Errors: CallBadRequest, CallHeadTooLarge,
-// CallBodyTooLarge.
+// checkHead returns an error for a request that must be rejected because of its head. Input behind such a
+// request is not read, because it could be its body or another request. Errors: CallBadRequest,
+// CallHeadTooLarge, CallBodyTooLarge.
 func (g *Gateway) checkHead(rc *app.RequestContext) error {
 	header := &rc.Request.Header
 	if err := checkFraming(header.RawHeaders(), header.IsHTTP11()); err != nil {
--- a/internal/requestpath/gateway/silent.go
+++ b/internal/requestpath/gateway/silent.go
@@ -13,8 +13,8 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// silentAttempts holds the attempts at one call whose daemons became silent while the instances may be
-// working on them. They continue in the background of later attempts, and the first answer is used.
+// silentAttempts holds the attempts at one call whose daemons stopped sending while the instances may still
+// run the call. They continue in the background during later attempts, and the first answer is used.
 type silentAttempts struct {
 	// pending is the number of silent attempts that may still be answered.
 	pending int
--- a/internal/requestpath/gateway/stream.go
+++ b/internal/requestpath/gateway/stream.go
@@ -51,6 +51,8 @@
 	return stream.err
 }
 
+// copyAnswer copies the body of an answer to writer, and flushes each piece. Errors: CallCancelled if writing
+// fails, and those of the call.
 func copyAnswer(writer network.ExtWriter, answer *callapi.Answer) error {
 	buffer := make([]byte, answerChunkBytes)
 	for {
@@ -73,7 +75,7 @@
 	}
 }
 
-// streamWriter writes the proper end of an answer only if the answer is complete.
+// streamWriter writes the end of an answer (the last chunk or a flush) only if the answer is complete.
 type streamWriter struct {
 	network.ExtWriter
 	err error
@@ -95,6 +97,7 @@
 	started   bool
 }
 
+// start writes the head of the answer before the first piece of the body.
 func (f *fixedLengthWriter) start() error {
 	if f.started {
 		return nil
--- a/internal/requestpath/gateway/unknownkey_test.go
+++ b/internal/requestpath/gateway/unknownkey_test.go
@@ -202,7 +202,7 @@
 }
 
 // With a bound on the age of revocations, a daemon without a recent confirmation serves public routes only.
-// Refused callers are told that their calls did not run and when to return.
+// Refused callers are told that their calls did not run and when to retry.
 func TestStrictRevocation(t *testing.T) {
 	g := newBehindGateway(t, identity.Freshness{SinceConfirmed: 4 * time.Second})
 	g.config.Identity.Bounds.MaxUnconfirmed = 5 * time.Second
--- a/internal/requestpath/gateway/usualdeadline.go
+++ b/internal/requestpath/gateway/usualdeadline.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// minMissingFraction is the minimum difference to the usual deadline, as a fraction of it, for a
-	// call to count as a later try. A smaller difference can be transit time.
+	// minMissingFraction is the fraction, 0 to 1, of the usual deadline by which a stated deadline must be
+	// shorter for the call to count as a retry. A smaller difference can be transit time.
 	minMissingFraction = 0.03
-	// maxVotes bounds the number of calls for which a former usual deadline persists after callers
-	// have changed the deadline that they state.
+	// maxVotes is the maximum of majorityVote.votes. It bounds the number of calls for which a former usual
+	// deadline persists after callers have changed the deadline that they state.
 	maxVotes = 64
 	// maxDeadlineRoutes is the number of routes whose usual deadline is stored. When it is reached, all
 	// are discarded and learned again. It must exceed the number of routes of a configuration.
@@ -18,8 +18,8 @@
 )
 
 // usualDeadlines learns the deadline that most calls of each route state, and derives from it how long a
-// caller has been waiting: all callers of a route state the same time on their first try, and a caller
-// that was refused and returns states only the remaining time. It is safe for concurrent use.
+// caller has been waiting: all callers of a route state the same time on their first try, and a caller that
+// retries after a refusal states only the remaining time. It is safe for concurrent use.
 //
 // With the waiting time known, calls that can no longer meet their target latency are served last: of the
 // requests of the first 16 s of a busy day, 11,766 were answered in time (9,806 without it) and 1,162
@@ -37,6 +37,7 @@
 	votes int
 }
 
+// vote counts one vote for value. A vote for another value cancels one for the current value.
 func (m *majorityVote) vote(value time.Duration) {
 	switch {
 	case m.votes == 0:
--- a/internal/requestpath/gateway/usualdeadline_test.go
+++ b/internal/requestpath/gateway/usualdeadline_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The time that a caller has waited since its first try is the difference between the usual deadline and
-// the stated one, whatever fraction of the calls are later tries.
+// The time that a caller has waited since its first try is the difference between the usual deadline and the
+// stated one, whatever fraction of the calls are retries.
 func TestTimeWaitedBeforeIsLearnedFromDeadlines(t *testing.T) {
 	rapid.Check(t, func(random *rapid.T) {
 		usual := time.Duration(rapid.IntRange(100, 10_000).Draw(random, "usual")) * time.Millisecond
@@ -34,7 +34,7 @@
 	})
 }
 
-// A new usual deadline is learned, and a deadline longer than the usual one does not count as a later try.
+// A new usual deadline is learned, and a deadline longer than the usual one does not count as a retry.
 func TestUsualDeadlineFollowsAChange(t *testing.T) {
 	deadlines := &usualDeadlines{}
 	for range 1000 {
--- a/internal/requestpath/gateway/versions.go
+++ b/internal/requestpath/gateway/versions.go
@@ -82,8 +82,8 @@
 	return false, nil
 }
 
-// releaseSlot releases the attempt's slot of the new version's share, if it holds one. It is called if
-// the attempt is not sent to the new version.
+// releaseSlot returns the slot that the attempt holds of the new version's share, if any. It is called if the
+// attempt is not sent to the new version.
 func (v *versionAttempt) releaseSlot() {
 	if v != nil && v.holdsSlot {
 		v.holdsSlot = false
--- a/internal/requestpath/origin/coldness.go
+++ b/internal/requestpath/origin/coldness.go
@@ -59,14 +59,14 @@
 	crashes *coldCrashes
 	// configured is true once a configuration was applied.
 	configured bool
-	// warmAt is when the instance becomes warm by its latest heartbeat.
+	// warmAt is when the instance becomes warm according to its latest heartbeat.
 	warmAt time.Time
 	// After an evacuation of its zone an instance counts as cold until a heartbeat with a sequence
 	// above heartbeatWaitSequence, or until heartbeatWaitEnd.
 	heartbeatWaitEnd      time.Time
 	heartbeatWaitSequence uint64
-	// loggedCold and loggedSource were logged last. admittedBefore is the number of calls that the
-	// queue had admitted under a pace before the instance became cold.
+	// loggedCold and loggedSource are the values in the latest log line. admittedBefore is the number
+	// of calls that the queue had admitted under a pace before the instance became cold.
 	loggedCold     bool
 	loggedSource   coldSource
 	admittedBefore int64
--- a/internal/requestpath/origin/connection.go
+++ b/internal/requestpath/origin/connection.go
@@ -147,7 +147,7 @@
 	p.mutex.Unlock()
 }
 
-// recordBreak records that a connection broke before a response arrived, at the given time after
+// recordBreak records that a connection broke before a response arrived; after is the time since
 // the request was sent over it.
 func (p *connectionPool) recordBreak(conn *connection, after time.Duration) {
 	if conn.reused && after < droppedConnectionWindow {
@@ -215,7 +215,8 @@
 // without proof that it did not run. It is safe for concurrent use.
 type idleBound struct {
 	// mutex protects everything below.
-	mutex     sync.Mutex
+	mutex sync.Mutex
+	// maxIdle is the lowered maximum idle time, which applies until expiresAt.
 	maxIdle   time.Duration
 	expiresAt time.Time
 }
--- a/internal/requestpath/origin/drain.go
+++ b/internal/requestpath/origin/drain.go
@@ -35,6 +35,7 @@
 	go i.awaitIdle()
 }
 
+// awaitIdle waits until no call is in flight and marks the instance as drained if it still drains.
 func (i *Instance) awaitIdle() {
 	<-i.queue.Idle()
 	i.mutex.Lock()
@@ -76,8 +77,8 @@
 	return "", false
 }
 
-// applyHeartbeatsDuringDrain updates the state by the heartbeats that arrived, or stopped, while the
-// instance drained; the caller holds mutex.
+// applyHeartbeatsDuringDrain sets the state that follows from the heartbeats received while the
+// instance drained: up, or down if they stopped. The caller holds mutex.
 func (i *Instance) applyHeartbeatsDuringDrain() {
 	if !i.registered || i.lastHeartbeatAt.IsZero() {
 		return
--- a/internal/requestpath/origin/handover.go
+++ b/internal/requestpath/origin/handover.go
@@ -13,8 +13,8 @@
 
 // handOver sends a call that holds a slot to its instance and returns the response. The slot is
 // released with an error, or at the end of the response. Errors: those of roundTrip,
-// CallInstanceCrashed if the instance's process ended during the call, and the refusal of the
-// instance itself.
+// CallInstanceCrashed if the instance's process ended during the call, and those of
+// responseRefusal.
 func (o *Origin) handOver(ctx context.Context, instance *Instance, slot *admission.Slot, call *callapi.Call) (*callapi.Answer, error) {
 	startedAt := time.Now()
 	defer o.countExecuting(call)()
--- a/internal/requestpath/origin/health.go
+++ b/internal/requestpath/origin/health.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// recordCallEnd updates the reachability of the instance by the result of a call. It reports
-// whether to probe the instance for a connection.
+// recordCallEnd updates the reachability of the instance with the result of a call. It reports whether a
+// probe is due, which checks whether the instance accepts connections.
 func (i *Instance) recordCallEnd(err error) (probeDue bool) {
 	switch evidenceOf(err) {
 	case evidenceAnswer:
--- a/internal/requestpath/origin/instance.go
+++ b/internal/requestpath/origin/instance.go
@@ -48,7 +48,7 @@
 	inFlight inFlightCalls
 	// anonymousPriority is the account priority of calls without an account.
 	anonymousPriority atomic.Uint32
-	// reportedWork is what the instance reports about how long work takes there.
+	// reportedWork is the slowdown that the instance reports.
 	reportedWork reportedWork
 
 	// mutex protects everything below.
@@ -60,9 +60,10 @@
 	coldState       coldState
 	lifecycle       *stateless.StateMachine
 	drainReasons    map[DrainReason]bool
-	// reachability is the evidence from calls, and downByCalls is true while the instance is down
-	// because of it. downByCalls is not a state of the lifecycle, because it outlasts a drain:
-	// after the drain the instance is announced as ready only once a heartbeat has arrived.
+	// reachability holds what the results of calls show about the instance, and downByCalls is true
+	// while the instance is down because of them. downByCalls is not a state of the lifecycle, because
+	// it outlasts a drain: after the drain the instance is announced as ready only once a heartbeat
+	// has arrived.
 	reachability reachability
 	downByCalls  bool
 }
--- a/internal/requestpath/origin/origin.go
+++ b/internal/requestpath/origin/origin.go
@@ -74,7 +74,8 @@
 	// mutex protects everything below.
 	mutex     sync.RWMutex
 	instances map[instanceKey]*Instance
-	// withdrawn maps each instance that left permanently to the time of that report.
+	// withdrawn maps the name of each instance that left permanently to the time at which this daemon
+	// learned of it.
 	withdrawn map[string]time.Time
 	current   *snapshot.Snapshot
 	stopping  bool
@@ -89,7 +90,10 @@
 	runContext context.Context
 }
 
-// Counts are totals of calls since the daemon started.
+// Counts are totals of calls since the daemon started. HandedOver counts the calls that were sent
+// to an instance, and Interrupted those among them that got no response. Refused counts the calls
+// whose error proves that they did not run, Duplicates those whose attempt or idempotency key was
+// received before.
 type Counts struct {
 	HandedOver, Refused, Duplicates, Interrupted int64
 }
--- a/internal/requestpath/origin/registration.go
+++ b/internal/requestpath/origin/registration.go
@@ -236,10 +236,10 @@
 
 // WithdrawIncarnation withdraws the incarnation with an ID and a start time; without a start time (0),
 // the known incarnations with the ID.
-func (o *Origin) WithdrawIncarnation(id string, born uint64) {
-	named := incarnation.Incarnation{ID: id, StartUnixMillis: born}
+func (o *Origin) WithdrawIncarnation(id string, startUnixMillis uint64) {
+	named := incarnation.Incarnation{ID: id, StartUnixMillis: startUnixMillis}
 	known := false
-	if born == 0 {
+	if startUnixMillis == 0 {
 		for _, instance := range o.Instances() {
 			if instance.identity.ID == id {
 				known = true
--- a/internal/requestpath/origin/restart_test.go
+++ b/internal/requestpath/origin/restart_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// A withdrawal with a start time ends that incarnation only; one without ends the known incarnation
-// with the ID.
+// A withdrawal with a start time applies to that incarnation only; one without applies to the known
+// incarnation with the ID.
 func TestWithdrawalOfOneIncarnation(t *testing.T) {
 	for name, row := range map[string]struct {
 		withdraw func(*origin.Origin)
--- a/internal/requestpath/origin/work.go
+++ b/internal/requestpath/origin/work.go
@@ -7,11 +7,11 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// reportedWork holds the latest report of an instance of how long work takes there. It is safe for
-// concurrent use.
+// reportedWork holds the latest slowdown that an instance reported (package worktime). It is safe
+// for concurrent use.
 type reportedWork struct{ latest atomic.Pointer[workReport] }
 
-// workReport is one report. percent is relative to the usual time of the instance, which is 100.
+// workReport is one report. percent is the current service time as a percentage of the usual one.
 type workReport struct {
 	percent    uint32
 	receivedAt time.Time
--- a/internal/requestpath/refusal/wait.go
+++ b/internal/requestpath/refusal/wait.go
@@ -4,8 +4,8 @@
 
 // Limits of the time in which a call may wait and start.
 const (
-	// headroomWaitFraction is the fraction of its headroom that a call may wait for a slot, over
-	// all attempts. With a larger fraction, calls that are refused in the end are refused later.
+	// headroomWaitFraction is the fraction, 0 to 1, of its headroom that a call may wait for a slot,
+	// over all attempts. With a larger fraction, calls that are refused in the end are refused later.
 	headroomWaitFraction = 0.5
 	// deadlineWaitFraction is the fraction of the time from its arrival to its deadline that a call
 	// may wait. It is below 0.5, so that the larger part is left to run.
@@ -29,8 +29,8 @@
 	// Target is the response time up to which an answer has its full value; 0 if the route sets
 	// none.
 	Target time.Duration
-	// ServiceTime is the mean service time of the route at the instance, without the wait for a
-	// slot; 0 if there was no answer.
+	// ServiceTime is the mean service time of the route at the instance, without the wait for a slot;
+	// 0 if the instance has not answered a call of the route.
 	ServiceTime time.Duration
 	// Elapsed is the time since the arrival of the call. ElapsedBeforeArrival is the time from its
 	// caller's first attempt to its arrival.
--- a/internal/requestpath/retry/doc.go
+++ b/internal/requestpath/retry/doc.go
@@ -7,7 +7,7 @@
 //
 //	reason      known facts                                    next step
 //	NotReached  no instance saw the call, not due to load      other instance, up to 5 times
-//	NoCapacity  no instance saw the call, it is full or cold   other instance, up to 2 times
+//	NoCapacity  no instance saw the call: it is full or cold   other instance, up to 2 times
 //	Shed        the instance refused the call before it ran    retry within the budget
 //	MayHaveRun  call handed over, answer lost or incomplete    retry within the budget, if the call
 //	                                                           may be repeated and did not crash two
--- a/internal/requestpath/retry/rule.go
+++ b/internal/requestpath/retry/rule.go
@@ -73,8 +73,8 @@
 // Failure is an attempt without an answer for the caller.
 type Failure struct {
 	Reason Reason
-	// CallDone is true after the deadline of the call, a disconnect of its caller, or when a
-	// draining gateway cancels the calls in flight.
+	// CallDone is true once the deadline of the call has passed, its caller has disconnected, or a
+	// draining gateway has cancelled the calls in flight.
 	CallDone bool
 	// BodyConsumed is true if a part of the request body was read and not kept, so that it cannot be
 	// sent again.
@@ -91,7 +91,7 @@
 type Counts struct {
 	// NotReached and NoCapacity count the failures by reason.
 	NotReached, NoCapacity int
-	// Seen counts the attempts that an instance saw: Shed and MayHaveRun.
+	// Seen counts the failed attempts that an instance saw, those with reason Shed or MayHaveRun.
 	Seen int
 	// FailedDeliveries counts the answers that were interrupted before the caller received any part
 	// of them.
--- a/internal/requestpath/worktime/statements.go
+++ b/internal/requestpath/worktime/statements.go
@@ -19,8 +19,9 @@
 	stalenessDecay = 30 * time.Second
 	// predictionSmoothing is the weight of the newest report in the prediction errors.
 	predictionSmoothing = 0.1
-	// trustSmoothing is the weight of the newest answer in the errors that decide on trust, once
-	// there are many answers. Service times vary for other reasons too, so it takes many answers.
+	// trustSmoothing is the minimum weight, 0 to 1, of the newest answer in the errors that decide on
+	// trust; it applies once the number of answers, including priorAnswers, is 1/trustSmoothing.
+	// Service times vary for other reasons too, so it takes many answers.
 	trustSmoothing = 0.02
 	// maxErrorRatio is the maximum ratio of the error with the reports to the error without them
 	// for an instance to be trusted. It is above 1, because either error may be larger by chance.
@@ -55,8 +56,8 @@
 	// errorWith and errorWithout are the smoothed squared errors of the logarithm of the service
 	// times that were predicted with and without the reports.
 	errorWith, errorWithout float64
-	// answers is the number of answers in these errors, up to the number at which old answers are
-	// forgotten.
+	// answers is the number of answers in these errors, including priorAnswers, at most
+	// 1/trustSmoothing. From then on the weight of old answers decays.
 	answers float64
 }
 
