--- a/internal/distribution/allowance/record.go
+++ b/internal/distribution/allowance/record.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// refusalQuietPeriod is the time without a refusal after which a series of refusals is over.
+// refusalQuietPeriod is the time without a refusal after which a series of refusals is over. A series
+// consists of the refusals of credits of one allowance that follow each other within this time.
 const refusalQuietPeriod = 5 * time.Second
 
 // usageRecord counts the credits that an owner lent and refused of one allowance, for logs and
@@ -12,9 +13,9 @@
 	// refusing is true from the first refusal until refusalQuietPeriod has passed without one.
 	refusing                     bool
 	refusingSince, lastRefusedAt time.Time
-	// refusedAtStart is the value of refused when the current series of refusals began.
+	// refusedAtStart is the value of refused before the first refusal of the current series.
 	refusedAtStart uint64
-	// logged is true after the start of the current series was logged.
+	// logged is true after the start of the current series of refusals was logged.
 	logged bool
 }
 
--- a/internal/distribution/changelog/log_test.go
+++ b/internal/distribution/changelog/log_test.go
@@ -151,8 +151,8 @@
 }
 
 // registerModel is the sequential specification of the accept register: an accept of a new
-// operation returns the next number, a repeated accept returns the number of the first, and a read
-// returns the newest number.
+// operation returns the next revision. An operation is accepted only once: a repeated accept returns
+// the revision of the first. A read returns the newest revision.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/distribution/configsource/comeback_test.go
+++ b/internal/distribution/configsource/comeback_test.go
@@ -55,7 +55,7 @@
 }
 
 // A daemon that only received the restored orders by gossip, and did not read them, must not
-// reintroduce an order that was written again and then withdrawn.
+// reintroduce an order that was given again after the restore and then withdrawn.
 func TestWithdrawalAfterTheReturnIsKeptByTheNextPoller(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, source *countedSource, fleet []*fleetDaemon) {
 		source.giveOrder("a")
@@ -75,7 +75,7 @@
 	})
 }
 
-// The daemon that read the rewritten order stops before the order is withdrawn.
+// The daemon that read the order given again after the restore stops before the order is withdrawn.
 func TestWithdrawalIsFollowedByTheNextPoller(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, source *countedSource, fleet []*fleetDaemon) {
 		source.giveOrder("a")
@@ -88,9 +88,9 @@
 	})
 }
 
-// The order is not written again. It must end for all daemons when the era has settled for the
-// first daemon that learned of it, including a daemon that learns of the restore late, and even if
-// the first one has stopped.
+// The restored store does not have the order, and no operator gives it again. The order must end for
+// all daemons when the new era has settled for the first daemon that learned of the restore. This
+// includes a daemon that learns of the restore late, and holds even if the first one has stopped.
 func TestOrderThatIsNotWrittenAgainEndsForAll(t *testing.T) {
 	for name, disrupt := range map[string]func(first, other *fleetDaemon){
 		"all hear of the return": func(_, _ *fleetDaemon) {},
--- a/internal/distribution/configsource/configsource.go
+++ b/internal/distribution/configsource/configsource.go
@@ -17,9 +17,9 @@
 // orders. The revisions of orders are positions.
 type Position = position.Position
 
-// Source provides configurations and orders. An error with a code of 2xxx, or PlatformBadAnswer,
-// means that the configuration at the returned position is unusable; any other error means that the
-// source did not answer.
+// Source provides configurations and the operators' orders (evacuations and roll-outs). An error with
+// a result code from 2000 to 2999, or with PlatformBadAnswer, means that the configuration at the
+// returned position is unusable; any other error means that the source did not answer.
 type Source interface {
 	// Latest returns the current configuration and its position; the configuration is nil when
 	// there is none yet.
--- a/internal/distribution/configsource/schedule.go
+++ b/internal/distribution/configsource/schedule.go
@@ -118,9 +118,10 @@
 	return plan
 }
 
-// randomDelay returns a random time between two fractions of the bound. The density grows
-// exponentially with the time, so that about one daemon draws an early time, whatever their number
-// (Nonnenmacher and Biersack, "Optimal multicast feedback", 1998).
+// randomDelay returns a random time between the fractions earliest and latest of schedule.bound, the
+// time within which a configuration must be in force. The density grows exponentially with the time,
+// so that about one daemon draws an early time, however many daemons there are (Nonnenmacher and
+// Biersack, "Optimal multicast feedback", 1998).
 func (s *schedule) randomDelay(earliest, latest float64, daemons int) time.Duration {
 	steepness := math.Log(float64(max(daemons, 2))) + 1
 	position := math.Log(1+s.random()*(math.Exp(steepness)-1)) / steepness
--- a/internal/distribution/fleet/link.go
+++ b/internal/distribution/fleet/link.go
@@ -212,8 +212,9 @@
 	}
 }
 
-// candidates returns the daemons that may be linked to: all known daemons that are not displaced.
-// The caller holds mutex.
+// candidates returns the daemons that may be linked to: all known daemons except the displaced ones,
+// at whose addresses another daemon was found in the last displacedRetryInterval. The caller holds
+// mutex.
 func (f *Fleet) candidates(now time.Time) []candidate {
 	candidates := make([]candidate, 0, len(f.peers))
 	for _, peer := range f.peers {
--- a/internal/distribution/holdings/delta.go
+++ b/internal/distribution/holdings/delta.go
@@ -10,9 +10,12 @@
 )
 
 // Delta returns the update from the given revision to the current one, for a receiver that holds
-// the services of interest except those in added. It returns nil when the receiver is ahead or the
-// holdings do not cover interest. It returns a full update when the receiver holds nothing, starts
-// to follow all services, or is at a revision before the recorded removals.
+// the services of interest except those in added. The result is
+//   - nil when the receiver is ahead or the holdings do not cover interest;
+//   - a full update when the receiver holds nothing (from is 0), starts to follow all services, or
+//     follows all services and is at a revision before the recorded removals;
+//   - otherwise a delta, which holds the bundles changed after from, the bundles of the services in
+//     added, and the removals that the receiver may have missed.
 func (h *Holdings) Delta(interest, added Interest, from uint64) *lapisv1.Update {
 	if from > h.revision || !h.interest.Covers(interest) {
 		return nil
--- a/internal/distribution/revisionfloor/broker.go
+++ b/internal/distribution/revisionfloor/broker.go
@@ -16,9 +16,10 @@
 // ReplyFunc receives the reply to one request.
 type ReplyFunc func(*lapisv1.FloorReply)
 
-// Broker coalesces floor requests so that at most one read is in flight. The caller starts a read
-// when Ask, Answer or Abort returns true, or later while Pending returns true, and reports its
-// outcome with Answer, or with Abort when there will be none. It is not safe for concurrent use.
+// Broker coalesces floor requests so that at most one read of the floor is in flight. A reader reads
+// the accept register; any other daemon asks its parent. The caller starts a read when Ask, Answer or
+// Abort returns true, or later while Pending returns true, and reports its outcome with Answer, or
+// with Abort when there will be none. It is not safe for concurrent use.
 type Broker struct {
 	// queued holds the requests received after the read in flight began. That read must not answer
 	// them, because it may miss a revision accepted before the request was received.
--- a/internal/lab/emulator/objectstore/faults.go
+++ b/internal/lab/emulator/objectstore/faults.go
@@ -66,10 +66,10 @@
 // endWatches ends the waiting watches at all addresses at which the faults make the store unavailable.
 // The caller holds mutex.
 func (s *Server) endWatches(faults Faults) {
-	for address, end := range s.watchEnds {
+	for address, end := range s.watchCancels {
 		if faults.activeAt(address).unavailable() {
 			close(end)
-			delete(s.watchEnds, address)
+			delete(s.watchCancels, address)
 		}
 	}
 }
@@ -87,11 +87,11 @@
 func (s *Server) injectFaults(address string) injectedFaults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.watchEnds[address] == nil {
-		s.watchEnds[address] = make(chan struct{})
+	if s.watchCancels[address] == nil {
+		s.watchCancels[address] = make(chan struct{})
 	}
 	faults := s.faults.activeAt(address)
-	injected := injectedFaults{faults: faults, watchEnd: s.watchEnds[address], address: address}
+	injected := injectedFaults{faults: faults, watchEnd: s.watchCancels[address], address: address}
 	injected.dropAnswer = s.random.Float64() < faults.DroppedAnswerShare
 	if faults.DelayWrites {
 		injected.writeDelay = minWriteDelay + time.Duration(s.random.Float64()*float64(writeDelayJitter))
--- a/internal/lab/emulator/objectstore/server.go
+++ b/internal/lab/emulator/objectstore/server.go
@@ -56,9 +56,8 @@
 	mutex  sync.Mutex
 	faults Faults
 	random *rand.Rand
-	// watchEnds holds a channel for each listen address, which is closed to end the watches that wait
-	// there.
-	watchEnds map[string]chan struct{}
+	// watchCancels holds a channel for each listen address; closing it ends the watches that wait there.
+	watchCancels map[string]chan struct{}
 	// reported is the newest revision in an answer to a list or watch, by kind.
 	reported map[string]uint64
 }
@@ -72,7 +71,7 @@
 	server := &Server{
 		table: newTable(), listener: listener, withoutEra: options.WithoutEra,
 		reads: newLimiter(options.ReadsPerSecond), writes: newLimiter(options.WritesPerSecond),
-		random: rand.New(rand.NewPCG(options.Seed, 1)), watchEnds: map[string]chan struct{}{}, reported: map[string]uint64{},
+		random: rand.New(rand.NewPCG(options.Seed, 1)), watchCancels: map[string]chan struct{}{}, reported: map[string]uint64{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.PathObjects, server.serve)
--- a/internal/lab/emulator/promise/accounts.go
+++ b/internal/lab/emulator/promise/accounts.go
@@ -15,8 +15,8 @@
 }
 
 // checkAccount checks that the instance received the request's account but not its API key, and that
-// the key had not been revoked for longer than the bound when the request was sent. The caller holds
-// mutex.
+// the key had not been revoked for longer than Bounds.RevocationDelay when the request was sent. The
+// caller holds mutex.
 func (l *Ledger) checkAccount(request Request, run Run) {
 	if request.AllowedAccounts != nil && !request.AllowedAccounts[run.Account] {
 		l.addBreach(Unasked, run.Request, fmt.Sprintf("the instance received account %q", run.Account))
--- a/internal/lab/emulator/promise/accounts_test.go
+++ b/internal/lab/emulator/promise/accounts_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against instances that receive an API key or the wrong account, and against a revoked key
-// that is accepted for longer than the bound.
+// Checks that the ledger reports a breach when an instance receives an API key or the wrong account,
+// and when a revoked key is accepted for longer than Bounds.RevocationDelay.
 func TestAccountsOfRuns(t *testing.T) {
 	now := time.Now()
 	for name, row := range map[string]struct {
--- a/internal/model/quarantine/rule_test.go
+++ b/internal/model/quarantine/rule_test.go
@@ -67,8 +67,9 @@
 func TestConstantsHangTogether(t *testing.T) {
 	// A request is retried once before retries stop, and retries stop before the quarantine.
 	assert.Assert(t, 1 < noRetryThreshold && noRetryThreshold < quarantineThreshold)
-	// A trial comes before the suspect expires, and refuted crashes expire before crashes that
-	// count.
+	// A quarantined request may run as a trial before its entry expires (trialDelay < suspectTTL).
+	// An entry whose crashes are all refuted expires before one with crashes that count
+	// (refutedTTL < suspectTTL).
 	assert.Assert(t, trialDelay < suspectTTL && refutedTTL < suspectTTL)
 	// A record holds more crashes than a quarantine takes, and one response can refute all of them.
 	assert.Assert(t, quarantineThreshold < maxCrashes && maxCrashes < maxRefuted)
--- a/internal/model/rollout/decider_model_test.go
+++ b/internal/model/rollout/decider_model_test.go
@@ -29,12 +29,12 @@
 
 // modelWorld is one state of the model.
 type modelWorld struct {
-	now      time.Time
-	store    Order
-	final    End
-	deciders [2]Decider
-	wants    [2]End
-	writes   []modelWrite
+	now         time.Time
+	storedOrder Order
+	final       End
+	deciders    [2]Decider
+	wants       [2]End
+	writes      []modelWrite
 	// back is true once the moved daemon next to a decider sends to the old version again.
 	back [2]bool
 }
@@ -49,7 +49,7 @@
 	order := Order{Service: "desk", Identity: Identity{Created: 3, Target: "v2", Duration: 30 * time.Second}, Revision: 4,
 		Status: Status{End: EndRunning, Target: "v2"}}
 	return modelWorld{
-		now: time.Unix(1000, 0), store: order, deciders: [2]Decider{NewDecider(order), NewDecider(order)},
+		now: time.Unix(1000, 0), storedOrder: order, deciders: [2]Decider{NewDecider(order), NewDecider(order)},
 		wants: [2]End{EndCompleted, EndRolledBack},
 	}
 }
@@ -63,7 +63,7 @@
 
 // key identifies the state without its clock.
 func (w modelWorld) key() string {
-	text := fmt.Sprint(w.store, w.final, w.wants, w.back)
+	text := fmt.Sprint(w.storedOrder, w.final, w.wants, w.back)
 	for _, decider := range w.deciders {
 		text += fmt.Sprint(decider.order, decider.gone, decider.writing)
 	}
@@ -76,14 +76,14 @@
 // apply does a write in the store and returns the outcome; broken is true if it replaced a final
 // end by another one.
 func (w *modelWorld) apply(write Write, rules modelRules) (outcome Outcome, broken bool) {
-	if write.Revision != w.store.Revision && !rules.unfenced {
+	if write.Revision != w.storedOrder.Revision && !rules.unfenced {
 		return OutcomeConflict, false
 	}
-	w.store.Revision++
-	w.store.Status = write.Status
-	broken = w.final != "" && w.final != w.store.End()
-	if w.store.End().Final() {
-		w.final = w.store.End()
+	w.storedOrder.Revision++
+	w.storedOrder.Status = write.Status
+	broken = w.final != "" && w.final != w.storedOrder.End()
+	if w.storedOrder.End().Final() {
+		w.final = w.storedOrder.End()
 	}
 	return OutcomeDone, broken
 }
@@ -113,7 +113,7 @@
 func (w *modelWorld) answer(write modelWrite, outcome Outcome) {
 	answer := Answer{Write: write.write, Outcome: outcome}
 	if outcome != OutcomeUnknown {
-		seen := w.store
+		seen := w.storedOrder
 		answer.Seen = &seen
 	}
 	w.deciders[write.by].Answered(w.now, answer)
@@ -129,7 +129,7 @@
 			add(next)
 		}
 		next = w.clone()
-		seen := next.store
+		seen := next.storedOrder
 		next.deciders[index].Observe(&seen)
 		add(next)
 	}
--- a/internal/model/rollout/parts_test.go
+++ b/internal/model/rollout/parts_test.go
@@ -43,7 +43,8 @@
 	})
 }
 
-// limiter is the part of Exposure that the bound over all daemons depends on.
+// limiter is the part of Exposure that keeps the calls of the new version, summed over all daemons,
+// within their share of all calls.
 type limiter interface {
 	Allow(route string) bool
 	Return(route string)
--- a/internal/requestpath/gateway/attempts.go
+++ b/internal/requestpath/gateway/attempts.go
@@ -97,7 +97,7 @@
 			err = a.keepFailedAnswer(done)
 		}
 		lastErr = err
-		a.recordMayHaveRun(err)
+		a.recordUncertainAttempt(err)
 		a.awaitIfSilent(ctx, target, err)
 		a.tried = append(a.tried, target)
 		again := a.tryAgain(a.failureOf(ctx, err))
@@ -169,8 +169,8 @@
 	return answer, nil
 }
 
-// recordMayHaveRun stores the error of an attempt that an instance may have run.
-func (a *attempter) recordMayHaveRun(err error) {
+// recordUncertainAttempt stores the error of an attempt that an instance may have run.
+func (a *attempter) recordUncertainAttempt(err error) {
 	if a.mayHaveRunErr == nil && callapi.OutcomeOf(err) == callapi.OutcomeUnknown {
 		a.mayHaveRunErr = err
 	}
--- a/internal/requestpath/gateway/silent.go
+++ b/internal/requestpath/gateway/silent.go
@@ -68,7 +68,7 @@
 func (a *attempter) recordSilentResult(attempt silentAttempt) (answered bool) {
 	a.silent.pending--
 	if attempt.err != nil {
-		a.recordMayHaveRun(attempt.err)
+		a.recordUncertainAttempt(attempt.err)
 		return false
 	}
 	a.silent.answered = &attempt
--- a/internal/requestpath/origin/coldness.go
+++ b/internal/requestpath/origin/coldness.go
@@ -225,5 +225,6 @@
 	return i.updatePace(i.coldState.loggedSource, now)
 }
 
-// PaceUse returns the use of the instance's pace; the rate is 0 while no pace applies.
+// PaceUse returns the instance's limit on calls per second and its usage: the tokens left, and the
+// calls admitted and refused so far. The limit is 0 while no pace is in force.
 func (i *Instance) PaceUse() admission.PaceUse { return i.queue.PaceUse() }
--- a/internal/requestpath/origin/exchange.go
+++ b/internal/requestpath/origin/exchange.go
@@ -12,9 +12,9 @@
 	"github.com/lapisvane/lapisvane/internal/shared/result"
 )
 
-// Limits of the responses to earlier requests that are skipped on one connection: their number, and
-// the length of each body in bytes. With higher limits the call would wait longer for data that
-// does not belong to it.
+// Limits of the stale responses, which belong to earlier requests, that are discarded on one
+// connection: their number, and the length of each body in bytes. With higher limits the call would
+// wait longer for data that does not belong to it.
 const (
 	maxStaleResponses = 2
 	maxStaleBodyBytes = 1 << 20
--- a/internal/requestpath/origin/liveness_test.go
+++ b/internal/requestpath/origin/liveness_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Each result of a call has one kind of evidence.
+// Each result of a call gives one kind of evidence about the instance that was called.
 func TestEvidenceOf(t *testing.T) {
 	for code, want := range map[result.Code]evidence{
 		result.CallNotRunUnreachable: evidenceNoConnection,
--- a/internal/requestpath/retry/budget_model_test.go
+++ b/internal/requestpath/retry/budget_model_test.go
@@ -46,7 +46,8 @@
 	return model
 }
 
-// callBack makes a call of the back service at a gateway.
+// callBack makes a call of the back service at a gateway; byRepeat is true if the call is made by a
+// retried run of the front service, and therefore counts as a repeat.
 func (m *budgetModel) callBack(second, gateway int, byRepeat bool) {
 	budget := m.budgets[gateway]
 	m.requests[second]++
@@ -63,7 +64,8 @@
 	}
 }
 
-// runFront runs a call of the front service on a random machine.
+// runFront simulates one run of the front service on a random machine, which usually calls the back
+// service from there; repeat is true if the run is a retry.
 func (m *budgetModel) runFront(second int, repeat bool) {
 	machine := m.random.IntN(modelDaemons)
 	const decay = 0.95
